--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,4 +1,4 @@
-//! The table of requests, and what moves through it.
+//! The table of open requests and the state machine of each.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -9,146 +9,151 @@
 
 use crate::incoming::{Incoming, Token, ANSWER_MARGIN, GUARD_MARGIN};
 
-/// The longest that an attempt may be let run, one day: more than any deadline, and within what clocks can hold.
-const LONGEST_ATTEMPT: Millis = 86_400_000.0;
-/// Timers that are due within this count as due: times that went through another unit lose a little.
-const DUE_SLACK: Millis = 0.01;
+/// Maximum duration of an attempt, one day: longer than any deadline, and still representable by the clocks
+/// of the backends.
+const MAX_ATTEMPT_DURATION: Millis = 86_400_000.0;
+/// Timers due within this time count as due, as rounding in another unit of time may shorten a wait slightly.
+const TIMER_SLACK: Millis = 0.01;
 
-/// The one final answer of a request.
+/// The single final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final<R> {
-    /// A server's answer.
+    /// The response of a server.
     Served(R),
-    /// Refused: trying again is harmless, after this time (0: no advice).
+    /// Refused: the request had no effect and may be sent again after `stay_away` (0: no advice).
     Refused {
-        /// How long to stay away.
+        /// Time to wait before the request is sent again.
         stay_away: Millis,
     },
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed,
-    /// Failed, as the time was nearly up and the module had not answered; it may have run.
+    /// Failed because the deadline was near and the decision module had not answered; the request may have
+    /// run.
     Overdue,
-    /// The server finds the request itself bad.
+    /// A server rejected the request itself as invalid.
     Rejected,
 }
 
-/// One attempt of one request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number, from 0.
+    /// The index of the attempt within its request, from 0.
     pub number: usize,
 }
 
-/// How an attempt ended, as its backend saw it.
+/// How an attempt ended, as reported by its backend.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ended<R> {
-    /// The server's answer.
+    /// The server sent its complete response.
     Served(R),
-    /// The server's answer, of which more is to come: it holds its place there until [`Core::attempt_left`].
+    /// The response has begun and its body is still streaming: the attempt occupies a slot at the server
+    /// until [`Core::attempt_left`].
     Flows(R),
-    /// No answer that is the client's. [`Outcome::Done`] can't be meant, and counts as an error.
+    /// No response that can be returned to the client. [`Outcome::Done`] is invalid here and is treated as an
+    /// error.
     Without(Outcome),
-    /// Given up, but the server can't be told so and works on: it holds its place there until
-    /// [`Core::attempt_left`].
+    /// The attempt was given up, but the server cannot be notified and keeps working: the attempt occupies a
+    /// slot there until [`Core::attempt_left`].
     RunsOn(Outcome),
 }
 
-/// What is to be done.
+/// An action to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<P, R> {
-    /// Give a request its final answer. There is exactly one of these for each that was taken, but for those whose
-    /// client left first.
+    /// Return the final answer to the front. Emitted exactly once for each accepted request, unless its
+    /// client disconnects first.
     Answer {
         /// The request.
         request: RequestId,
         /// Its answer.
         answer: Final<R>,
     },
-    /// Says why the answer that follows is a refusal or a failure.
+    /// The reason why the answer that follows is a refusal or a failure.
     Explain {
         /// The request.
         request: RequestId,
-        /// Why it is not served.
+        /// Why the request is not served.
         reason: Reason,
     },
-    /// Start an attempt; exactly one [`Ended`] is owed for it.
+    /// Start an attempt. The backend must report exactly one [`Ended`] for it.
     Start {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// When to give it up.
+        /// When to give the attempt up.
         end: Millis,
         /// What to send.
         payload: P,
     },
-    /// Give an attempt up, and report its end now.
+    /// Give an attempt up and report its end immediately.
     Abandon(AttemptId),
-    /// Nobody waits for an attempt any more: give it up if its last byte has not gone out, whatever may be cancelled. It has
-    /// not begun anywhere, and must not begin once its client has left or has its answer.
+    /// The result of an attempt is no longer needed: drop the attempt if its last byte has not been sent,
+    /// even where attempts may not be cancelled. The server has not begun it, and must not begin it after the
+    /// client has disconnected or has its answer.
     Recall(AttemptId),
-    /// Ask discovery for the list's changes from now on, once more where that was done before.
+    /// Subscribe to changes of the server list, again if there was a subscription before.
     Subscribe,
-    /// Probe a server, and report with [`Core::probed`].
+    /// Probe a server and report the result with [`Core::probed`].
     Probe(ServerId),
 }
 
-/// Why a request was not taken. Nothing was sent, and nothing is owed.
+/// Why a request was not accepted. Nothing was sent for it, and the core will emit no answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NotTaken {
-    /// A request with this id is open: to send this one on would be to run that one again.
+    /// A request with the same id is open; sending this one could execute that request twice.
     IdOpen,
-    /// Too many are open; the module's word on when to come back.
+    /// The maximum number of open requests is reached.
     NoRoom {
-        /// How long to stay away.
+        /// Time to wait before the request is sent again, as computed by the decision module.
         stay_away: Millis,
     },
     /// The settings have no such class.
     NoSuchClass,
-    /// Its class is keyed, and it has no key.
+    /// The class is keyed and the request has no key.
     KeyMissing,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Its outcome is awaited.
-    Out,
-    /// It has its outcome; the server still works on it.
+    /// The attempt has been started and its outcome is not known.
+    Pending,
+    /// The outcome is known, but the server still works on the attempt.
     RunsOn,
-    /// Nothing is left of it.
-    Over,
+    /// The attempt has ended and occupies nothing.
+    Finished,
 }
 
-struct Try {
+struct Attempt {
     server: ServerId,
     sent: Millis,
     stage: Stage,
 }
 
-/// A request that awaits its answer, or has attempts out.
-struct Open<P> {
+/// A request that awaits its answer or still has attempts in progress.
+struct OpenRequest<P> {
     id: Token,
     payload: P,
-    /// The final answer has been given, or none is owed any more.
+    /// The final answer has been given, or the client has disconnected.
     answered: bool,
-    guard: Due,
-    /// How long its client waits from its last byte on, where that has not come yet.
-    coming: Option<Millis>,
-    /// When its last byte had come, where that was after its first attempt began.
-    whole: Millis,
-    tries: Vec<Try>,
+    guard: Timestamp,
+    /// How long the client waits after the last byte of its request, while that byte has not arrived.
+    wait_after_body: Option<Millis>,
+    /// When the last byte of the request arrived, or when the request was accepted if it was complete then.
+    completed_at: Millis,
+    attempts: Vec<Attempt>,
 }
 
-/// A point in time that can be sorted, in whole microseconds.
+/// A sortable point in time, in whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due(i64);
+struct Timestamp(i64);
 
-impl Due {
+impl Timestamp {
     fn at(time: Millis) -> Self {
-        // Out-of-range times saturate; no clock comes near.
+        // Out-of-range times saturate; no clock reaches them.
         Self((time * 1000.0).ceil() as i64)
     }
 
@@ -157,38 +162,38 @@
     }
 }
 
-/// All open requests of a node, and the module that decides on them.
+/// All open requests of a node, and the decision module that balances them.
 pub struct Core<P, R> {
     balancer: Balancer,
     effects: Vec<Effect>,
-    open_most: usize,
-    requests: HashMap<RequestId, Open<P>>,
-    /// The clients' ids of those that still await their answer.
+    max_open: usize,
+    requests: HashMap<RequestId, OpenRequest<P>>,
+    /// The client-chosen ids of the requests that await their answer.
     ids: HashSet<Token>,
-    last: u64,
-    /// When the answer is given in the module's place, for each that awaits one.
-    guards: BTreeSet<(Due, RequestId)>,
-    /// When the module wants to be woken.
+    last_id: u64,
+    /// For each request that awaits its answer, when the core answers in place of the decision module.
+    guards: BTreeSet<(Timestamp, RequestId)>,
+    /// The time of the wake-up that the decision module has asked for.
     timer: Option<Millis>,
     actions: Vec<Action>,
     outputs: VecDeque<Output<P, R>>,
 }
 
 impl<P: Clone, R> Core<P, R> {
-    /// A node's core, with no servers yet. `seed` is for the module's random numbers, `open_most` the most requests
-    /// that may be open.
+    /// Creates a node's core without servers. `seed` initializes the decision module's random numbers;
+    /// `max_open` is the maximum number of open requests.
     ///
     /// # Errors
-    /// Where the module refuses the settings.
-    pub fn new(settings: Settings, seed: u64, open_most: usize) -> Result<Self, SettingsError> {
+    /// When the decision module rejects the settings.
+    pub fn new(settings: Settings, seed: u64, max_open: usize) -> Result<Self, SettingsError> {
         let effects = settings.classes.iter().map(|c| c.effect).collect();
         Ok(Self {
             balancer: Balancer::new(settings, seed)?,
             effects,
-            open_most,
+            max_open,
             requests: HashMap::new(),
             ids: HashSet::new(),
-            last: 0,
+            last_id: 0,
             guards: BTreeSet::new(),
             timer: None,
             actions: Vec::new(),
@@ -196,14 +201,14 @@
         })
     }
 
-    // ---- The driver's side ----
+    // ---- Driver interface ----
 
-    /// The next thing to be done, in order; `None` until something else happens.
+    /// Returns the next output in order, or `None` until another event is handled.
     pub fn poll_output(&mut self) -> Option<Output<P, R>> {
         self.outputs.pop_front()
     }
 
-    /// When [`Core::handle_timeout`] is to be called; `None`: not by time alone.
+    /// Returns when [`Core::handle_timeout`] must be called, or `None` if no timer is set.
     pub fn poll_timeout(&self) -> Option<Millis> {
         let guard = self.guards.first().map(|(due, _)| due.time());
         match (self.timer, guard) {
@@ -212,42 +217,44 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs the timers that are due by `now`.
     pub fn handle_timeout(&mut self, now: Millis) {
-        if self.timer.is_some_and(|due| due <= now + DUE_SLACK) {
+        if self.timer.is_some_and(|due| due <= now + TIMER_SLACK) {
             self.timer = None;
             self.feed(now, Event::Timer);
         }
         while let Some((due, request)) = self.guards.first().copied() {
-            if due.time() > now + DUE_SLACK {
+            if due.time() > now + TIMER_SLACK {
                 break;
             }
-            // Whatever becomes of the module's timers and attempts, the client is not kept waiting past that.
-            self.give(request, Final::Overdue);
+            // Whatever the state of the module's timers and attempts, the client does not wait longer than
+            // this.
+            self.emit_answer(request, Final::Overdue);
             self.feed(now, Event::ClientGone(request));
-            self.drop_if_over(request);
+            self.remove_if_finished(request);
         }
     }
 
-    /// How many requests await their final answer.
+    /// Number of requests that await their final answer.
     pub fn awaiting(&self) -> usize {
         self.ids.len()
     }
 
-    /// How many listed servers the module avoids now.
+    /// Number of listed servers that the decision module currently avoids.
     pub fn avoided(&self) -> usize {
         self.balancer.avoided()
     }
 
-    /// How many requests are open: awaiting their answer, or with attempts that still hold a place at a server.
+    /// Number of open requests: those that await their answer and those whose attempts still occupy a slot at
+    /// a server.
     pub fn open(&self) -> usize {
         self.requests.len()
     }
 
-    /// New settings count from now on; see [`Event::Settings`].
+    /// Replaces the settings; see [`Event::Settings`].
     ///
     /// # Errors
-    /// Where the module would refuse them; nothing changes then.
+    /// When the decision module rejects the new settings; nothing changes then.
     pub fn new_settings(
         &mut self,
         now: Millis,
@@ -261,80 +268,81 @@
         Ok(())
     }
 
-    /// Some tenants are otherwise from now on, and nothing else; see [`Event::Tenants`].
+    /// Applies changes to some tenants, leaving all other settings as they are; see [`Event::Tenants`].
     pub fn change_tenants(&mut self, now: Millis, changes: Vec<TenantChange>) {
         self.feed(now, Event::Tenants(changes));
     }
 
-    /// Fails all that still await an answer, and calls their attempts off: the node ends, and an answer is better than
-    /// a reset.
+    /// Fails all requests that await an answer and cancels their attempts. Used at shutdown, where an answer
+    /// is better for clients than a connection reset.
     pub fn fail_all(&mut self, now: Millis) {
         let mut open: Vec<RequestId> = self.requests.keys().copied().collect();
         open.sort_unstable();
         for request in open {
-            self.give(request, Final::Failed);
+            self.emit_answer(request, Final::Failed);
             self.feed(now, Event::ClientGone(request));
-            self.drop_if_over(request);
+            self.remove_if_finished(request);
         }
     }
 
-    // ---- The front's side ----
+    // ---- Front interface ----
 
-    /// Takes a request in. From here on one final answer is owed, unless [`Core::client_gone`] comes first.
+    /// Accepts a request. Exactly one final answer follows, unless [`Core::client_gone`] is called first.
     ///
     /// # Errors
-    /// Says why it was not taken; then it is the front that answers.
+    /// Returns why the request was not accepted; the front then answers it.
     pub fn take(&mut self, now: Millis, incoming: Incoming<P>) -> Result<RequestId, NotTaken> {
         self.take_within(now, incoming, || None)
     }
 
-    /// The same, where a tenant's usage is counted over all nodes: `within` counts it, and says whether that is within its
-    /// share. It is asked once, of a request that is taken and repeats no other.
+    /// Like [`Core::take`], for a tenant whose usage is counted over all nodes: `count_usage` counts the
+    /// request and returns whether the tenant is within its share. It is called once per accepted request
+    /// that is not a client's repeat.
     ///
     /// # Errors
-    /// Says why it was not taken; then it is the front that answers.
+    /// Returns why the request was not accepted; the front then answers it.
     pub fn take_within(
         &mut self,
         now: Millis,
         incoming: Incoming<P>,
-        within: impl FnOnce() -> Option<bool>,
+        count_usage: impl FnOnce() -> Option<bool>,
     ) -> Result<RequestId, NotTaken> {
         let class = incoming.class;
         let effect = self.effects.get(class).ok_or(NotTaken::NoSuchClass)?;
         if matches!(effect, Effect::Keyed { .. }) && incoming.key.is_none() {
             return Err(NotTaken::KeyMissing);
         }
-        if self.requests.len() >= self.open_most {
+        if self.requests.len() >= self.max_open {
             return Err(NotTaken::NoRoom { stay_away: self.stay_away(class) });
         }
         if !self.ids.insert(incoming.id.clone()) {
             return Err(NotTaken::IdOpen);
         }
-        self.last += 1;
-        let request = RequestId(self.last);
+        self.last_id += 1;
+        let request = RequestId(self.last_id);
         let (tenant, deadline) = (incoming.tenant, incoming.before_deadline(ANSWER_MARGIN));
         let (repeat_key, work) = (incoming.repeat_key, incoming.work);
-        let coming = incoming.coming.then_some(incoming.deadline - incoming.began);
+        let wait_after_body = incoming.coming.then_some(incoming.deadline - incoming.began);
         let guard = if incoming.coming {
-            // Until then it is its front that sees whether anything comes.
-            Due::at(now + LONGEST_ATTEMPT)
+            // Until the last byte arrives, the front detects a body that has stalled.
+            Timestamp::at(now + MAX_ATTEMPT_DURATION)
         } else {
-            Due::at(incoming.before_deadline(GUARD_MARGIN))
+            Timestamp::at(incoming.before_deadline(GUARD_MARGIN))
         };
         self.guards.insert((guard, request));
-        // Nothing of them is awaited here.
-        let before = |e: &Earlier| Try { server: e.server, sent: e.sent, stage: Stage::Over };
-        let open = Open {
+        // No result of these attempts is awaited here.
+        let finished = |e: &Earlier| Attempt { server: e.server, sent: e.sent, stage: Stage::Finished };
+        let open = OpenRequest {
             id: incoming.id,
             payload: incoming.payload,
             answered: false,
             guard,
-            coming,
-            whole: now,
-            tries: incoming.earlier.iter().flatten().map(before).collect(),
+            wait_after_body,
+            completed_at: now,
+            attempts: incoming.earlier.iter().flatten().map(finished).collect(),
         };
         self.requests.insert(request, open);
-        let within = if self.balancer.repeats(now, repeat_key) { None } else { within() };
+        let within = if self.balancer.repeats(now, repeat_key) { None } else { count_usage() };
         let earlier = incoming.earlier;
         self.feed(
             now,
@@ -343,197 +351,205 @@
         Ok(request)
     }
 
-    /// The module's word on when to come back, for a request of this class that it is not shown.
+    /// Advice of the decision module on how long a client should wait before it sends a request of this class
+    /// again, for requests that are refused without passing through the module.
     pub fn stay_away(&self, class: usize) -> Millis {
         self.balancer.stay_away(class)
     }
 
-    /// Nothing is owed any more: the client left.
+    /// The client has disconnected, so the request needs no answer.
     pub fn client_gone(&mut self, now: Millis, request: RequestId) {
         if !self.requests.contains_key(&request) {
             return;
         }
-        if self.settle(request) {
-            self.recall(request);
+        if self.mark_answered(request) {
+            self.recall_pending(request);
         }
         self.feed(now, Event::ClientGone(request));
-        self.drop_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    // ---- The backend's side ----
+    // ---- Backend interface ----
 
-    /// Where an attempt is and when it was sent, while its end is still awaited.
+    /// Returns the server of an attempt and when the attempt was sent, while its end is awaited.
     pub fn attempt(&self, attempt: AttemptId) -> Option<(ServerId, Millis)> {
-        let tried = self.requests.get(&attempt.request)?.tries.get(attempt.number)?;
-        (tried.stage == Stage::Out).then_some((tried.server, tried.sent))
+        let record = self.requests.get(&attempt.request)?.attempts.get(attempt.number)?;
+        (record.stage == Stage::Pending).then_some((record.server, record.sent))
     }
 
-    /// An attempt has ended. Only the first word on each counts.
+    /// Records the end of an attempt. Only the first report for each attempt counts.
     pub fn attempt_ended(&mut self, now: Millis, attempt: AttemptId, ended: Ended<R>) {
         let AttemptId { request, number } = attempt;
         let Some(open) = self.requests.get_mut(&request) else { return };
-        let Some(tried) = open.tries.get_mut(number).filter(|t| t.stage == Stage::Out) else { return };
-        // A server begins with the last byte.
-        let (server, took) = (tried.server, now - tried.sent.max(open.whole));
+        let Some(record) = open.attempts.get_mut(number).filter(|t| t.stage == Stage::Pending) else {
+            return;
+        };
+        // A server begins a request when its last byte arrives.
+        let (server, took) = (record.server, now - record.sent.max(open.completed_at));
         let runs_on = matches!(ended, Ended::RunsOn(_) | Ended::Flows(_));
-        tried.stage = if runs_on { Stage::RunsOn } else { Stage::Over };
+        record.stage = if runs_on { Stage::RunsOn } else { Stage::Finished };
         let outcome = match ended {
             Ended::Served(reply) | Ended::Flows(reply) => {
-                self.give(request, Final::Served(reply));
+                self.emit_answer(request, Final::Served(reply));
                 Outcome::Done
             }
-            // An answer that nobody has can't have been served.
+            // `Done` without a response cannot be a success.
             Ended::Without(Outcome::Done) | Ended::RunsOn(Outcome::Done) => Outcome::Error,
             Ended::Without(outcome) | Ended::RunsOn(outcome) => outcome,
         };
         if outcome == Outcome::Rejected {
-            self.give(request, Final::Rejected);
+            self.emit_answer(request, Final::Rejected);
         }
         let finished = self.requests.get(&request).is_none_or(|open| open.answered);
         if runs_on {
-            // First, so that its place is not given away by what the end brings about.
+            // Reported first, so that handling `Ended` does not reuse the slot that the attempt still
+            // occupies.
             self.feed(now, Event::RunsOn { id: request, attempt: number, server });
         }
         self.feed(now, Event::Ended { id: request, attempt: number, server, outcome, took, finished });
-        self.drop_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    /// The body of an attempt's request is being taken from its client: it can't be sent again.
+    /// The body of a request is being consumed from its client, so the request cannot be sent again.
     pub fn body_taken(&mut self, now: Millis, request: RequestId) {
         self.feed(now, Event::Spent(request));
     }
 
-    /// The last byte of a request whose body was still coming has gone on; its client's time counts from now.
+    /// The last byte of a streamed body has been forwarded; the client's time counts from now.
     pub fn body_sent(&mut self, now: Millis, request: RequestId) {
         let Some(open) = self.requests.get_mut(&request) else { return };
-        let Some(wait) = open.coming.take() else { return };
-        open.whole = now;
+        let Some(wait) = open.wait_after_body.take() else { return };
+        open.completed_at = now;
         if !open.answered {
             self.guards.remove(&(open.guard, request));
-            open.guard = Due::at(now + wait - GUARD_MARGIN.min(wait / 2.0));
+            open.guard = Timestamp::at(now + wait - GUARD_MARGIN.min(wait / 2.0));
             self.guards.insert((open.guard, request));
         }
     }
 
-    /// The server has finished, or lost, what ended as [`Ended::RunsOn`].
+    /// The server has finished, or lost, an attempt that ended as [`Ended::RunsOn`] or [`Ended::Flows`].
     pub fn attempt_left(&mut self, now: Millis, attempt: AttemptId) {
         let AttemptId { request, number } = attempt;
         let Some(open) = self.requests.get_mut(&request) else { return };
-        let Some(tried) = open.tries.get_mut(number).filter(|t| t.stage == Stage::RunsOn) else { return };
-        tried.stage = Stage::Over;
-        let server = tried.server;
+        let Some(record) = open.attempts.get_mut(number).filter(|t| t.stage == Stage::RunsOn) else { return };
+        record.stage = Stage::Finished;
+        let server = record.server;
         self.feed(now, Event::Left { id: request, attempt: number, server });
-        self.drop_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    /// A probe came back.
+    /// Records the result of a probe.
     pub fn probed(&mut self, now: Millis, server: ServerId, outcome: Outcome, took: Millis) {
         self.feed(now, Event::Probed { server, outcome, took });
     }
 
-    /// Is the list not followed?
+    /// Whether the list of servers is currently not being followed.
     pub fn has_lost_list(&self) -> bool {
         self.balancer.has_lost_list()
     }
 
-    /// How the servers stand that the list had as up.
+    /// How far the decision module trusts the servers that are listed as up.
     pub fn trust(&self) -> Trust {
         self.balancer.trust()
     }
 
-    /// A server has answered on a connection that was opened then.
+    /// A server has answered on a connection that was opened at `opened`.
     pub fn connection_answered(&mut self, now: Millis, server: ServerId, opened: Millis) {
         if self.balancer.has_lost_list() {
             self.feed(now, Event::ConnectionAnswered { server, opened });
         }
     }
 
-    // ---- Discovery's side ----
+    // ---- Discovery interface ----
 
-    /// The whole list; `saved` for one that is from before the node's start.
+    /// Handles a complete list; `saved` is set for a list stored before the node's start.
     pub fn list(&mut self, now: Millis, entries: Vec<Entry>, saved: bool) {
         self.feed(now, Event::List { entries, saved });
     }
 
-    /// Entries of the list that changed; none tells that the subscription stands.
+    /// Handles changed entries of the list; an empty change confirms that the subscription is active.
     pub fn list_changed(&mut self, now: Millis, entries: Vec<Entry>) {
         self.feed(now, Event::ListChange(entries));
     }
 
-    /// Rotates over no more servers than so many, where the node's part of the fleet is not more; from the next list on.
-    pub fn bound_rotation(&mut self, most: usize) {
-        self.balancer.bound_rotation(most);
+    /// Limits the rotation to `max_servers` servers, if the node's subset of the list is no larger; applies
+    /// from the next list on.
+    pub fn bound_rotation(&mut self, max_servers: usize) {
+        self.balancer.bound_rotation(max_servers);
     }
 
-    /// Is a server ejected for what was seen of it?
+    /// Whether a server is ejected because of its observed behaviour.
     pub fn is_ejected(&self, server: ServerId) -> bool {
         self.balancer.is_ejected(server)
     }
 
-    /// How many attempts were begun against what is known of their servers.
+    /// Numbers of attempts that were started despite what is known of their servers.
     pub fn doubtful_sends(&self) -> DoubtfulSends {
         self.balancer.doubtful_sends()
     }
 
-    /// May something new be sent to a server that is listed as up, also what has waited for its connection?
+    /// Whether new attempts may be sent to a server listed as up, including attempts that have waited for a
+    /// connection.
     pub fn accepts(&self, server: ServerId) -> bool {
         self.balancer.accepts(server)
     }
 
-    /// May an attempt that was started still be written, also where it has waited for its connection?
+    /// Whether a started attempt may still be written, including one that has waited for its connection.
     pub fn may_write(&self, now: Millis, attempt: AttemptId) -> bool {
         self.balancer.may_write(now, attempt.request, attempt.number)
     }
 
-    /// Entries that changed by another source than discovery: no answer to what was asked of that.
+    /// Handles changed entries from another source than discovery; they do not answer a call to discovery.
     pub fn list_news(&mut self, now: Millis, entries: Vec<Entry>) {
         self.feed(now, Event::ListNews(entries));
     }
 
-    /// The answer to what was asked of discovery has begun.
+    /// Discovery has begun to answer the current call.
     pub fn list_answering(&mut self, now: Millis) {
         self.feed(now, Event::ListAnswering);
     }
 
-    /// Asking failed, or the subscription dropped.
+    /// The call to discovery failed, or the subscription was lost.
     pub fn list_failed(&mut self, now: Millis, failure: ListFailure) {
         self.feed(now, Event::ListFailed(failure));
     }
 
-    /// When discovery is to be called next, where no call is out and none is needed before.
+    /// When discovery is to be called next, if no call is in progress and none is needed before.
     pub fn next_call(&self) -> Option<Millis> {
         self.balancer.next_call()
     }
 
-    /// Discovery is elsewhere from now on.
+    /// The address of discovery has changed.
     pub fn discovery_moved(&mut self, now: Millis) {
         self.feed(now, Event::DiscoveryMoved);
     }
 
-    // ---- Inside ----
+    // ---- Internals ----
 
-    /// Hands an event to the module, and notes what it says.
+    /// Passes an event to the decision module and carries out its actions.
     fn feed(&mut self, now: Millis, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, action);
+            self.apply_action(now, action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn apply_action(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send { id, server, timeout } => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
-                let attempt = AttemptId { request: id, number: open.tries.len() };
-                open.tries.push(Try { server, sent: now, stage: Stage::Out });
-                let end = now + timeout.unwrap_or(LONGEST_ATTEMPT).clamp(0.0, LONGEST_ATTEMPT);
+                let attempt = AttemptId { request: id, number: open.attempts.len() };
+                open.attempts.push(Attempt { server, sent: now, stage: Stage::Pending });
+                let end = now + timeout.unwrap_or(MAX_ATTEMPT_DURATION).clamp(0.0, MAX_ATTEMPT_DURATION);
                 let payload = open.payload.clone();
                 self.outputs.push_back(Output::Start { attempt, server, end, payload });
             }
             Action::Cancel { id, attempt } => {
-                let out = |open: &Open<P>| open.tries.get(attempt).is_some_and(|t| t.stage == Stage::Out);
+                let out = |open: &OpenRequest<P>| {
+                    open.attempts.get(attempt).is_some_and(|t| t.stage == Stage::Pending)
+                };
                 if self.requests.get(&id).is_some_and(out) {
                     self.outputs.push_back(Output::Abandon(AttemptId { request: id, number: attempt }));
                 }
@@ -542,12 +558,12 @@
                 self.outputs.push_back(Output::Explain { request: id, reason });
             }
             Action::Refuse { id, stay_away } => {
-                self.give(id, Final::Refused { stay_away });
-                self.drop_if_over(id);
+                self.emit_answer(id, Final::Refused { stay_away });
+                self.remove_if_finished(id);
             }
             Action::Fail(id) => {
-                self.give(id, Final::Failed);
-                self.drop_if_over(id);
+                self.emit_answer(id, Final::Failed);
+                self.remove_if_finished(id);
             }
             Action::SetTimer(after) => {
                 let due = now + after.max(0.0);
@@ -560,23 +576,23 @@
         }
     }
 
-    /// Gives the final answer, if none has been given and one is owed.
-    fn give(&mut self, request: RequestId, answer: Final<R>) {
-        if self.settle(request) {
+    /// Emits the final answer, unless the request has been answered or its client has disconnected.
+    fn emit_answer(&mut self, request: RequestId, answer: Final<R>) {
+        if self.mark_answered(request) {
             self.outputs.push_back(Output::Answer { request, answer });
-            self.recall(request);
+            self.recall_pending(request);
         }
     }
 
-    /// Calls back what has not gone out of a request to which nothing is owed any more.
-    fn recall(&mut self, request: RequestId) {
+    /// Emits `Recall` for all pending attempts of a request that needs no further answer.
+    fn recall_pending(&mut self, request: RequestId) {
         let Some(open) = self.requests.get(&request) else { return };
-        let out = open.tries.iter().enumerate().filter(|(_, t)| t.stage == Stage::Out);
+        let out = open.attempts.iter().enumerate().filter(|(_, t)| t.stage == Stage::Pending);
         self.outputs.extend(out.map(|(number, _)| Output::Recall(AttemptId { request, number })));
     }
 
-    /// Notes that nothing more is owed; false where that was so before.
-    fn settle(&mut self, request: RequestId) -> bool {
+    /// Marks a request as answered; returns false if it already was or does not exist.
+    fn mark_answered(&mut self, request: RequestId) -> bool {
         let Some(open) = self.requests.get_mut(&request) else { return false };
         if std::mem::replace(&mut open.answered, true) {
             return false;
@@ -586,9 +602,10 @@
         true
     }
 
-    fn drop_if_over(&mut self, request: RequestId) {
-        let over = |open: &Open<P>| open.answered && open.tries.iter().all(|t| t.stage == Stage::Over);
-        if self.requests.get(&request).is_some_and(over) {
+    fn remove_if_finished(&mut self, request: RequestId) {
+        let is_finished =
+            |open: &OpenRequest<P>| open.answered && open.attempts.iter().all(|t| t.stage == Stage::Finished);
+        if self.requests.get(&request).is_some_and(is_finished) {
             self.requests.remove(&request);
         }
     }
--- a/crates/core/src/incoming.rs
+++ b/crates/core/src/incoming.rs
@@ -1,24 +1,26 @@
-//! What a front hands over.
+//! Requests as fronts pass them to the core.
 
 use std::fmt;
 use std::rc::Rc;
 
 use glenwood_policy::{Earlier, Millis};
 
-/// How long before the client's deadline the module's ends: the answer still has to be written and to arrive.
+/// The decision module's deadline ends this long before the client's, as the answer still has to be written
+/// and delivered.
 pub const ANSWER_MARGIN: Millis = 20.0;
-/// How long before the client's deadline the core answers in the module's place.
+/// The core answers in place of the decision module this long before the client's deadline.
 pub const GUARD_MARGIN: Millis = 9.0;
-/// The longest wait of a client that is believed.
+/// Maximum wait of a client; longer waits are cut to it.
 pub const LONGEST_WAIT: Millis = 600_000.0;
 
 /// The id or the key of a request: 1 to 256 visible ASCII characters.
 ///
-/// It is shared, not copied: the table, its request and what goes on to a server hold the same.
+/// The text is shared, not copied: the table, the request and the messages to servers refer to the same
+/// allocation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Token(Rc<str>);
 
-/// What was given for a [`Token`] is empty, too long, or holds other characters.
+/// The text given for a [`Token`] is empty, too long, or has characters that are not visible ASCII.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadToken;
 
@@ -31,13 +33,13 @@
 impl std::error::Error for BadToken {}
 
 impl Token {
-    /// The most characters of one.
+    /// Maximum length in characters.
     pub const LONGEST: usize = 256;
 
-    /// Checks the text of one.
+    /// Validates `text` and creates a token.
     ///
     /// # Errors
-    /// Where it is not 1 to 256 visible ASCII characters.
+    /// When it is not 1 to 256 visible ASCII characters.
     pub fn new(text: &str) -> Result<Self, BadToken> {
         let fits = (1..=Self::LONGEST).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         if fits {
@@ -47,42 +49,43 @@
         }
     }
 
-    /// Its text.
+    /// The text of the token.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A request that a front has checked and read whole.
+/// A request that a front has validated and read.
 #[derive(Clone, Debug)]
 pub struct Incoming<P> {
-    /// Its class, an index into the settings'.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Its tenant, an index into the settings', if it has one that they know.
+    /// Index of the tenant in the settings, if the request names a known tenant.
     pub tenant: Option<usize>,
-    /// Its key; a keyed class must have one.
+    /// The key; required in a keyed class.
     pub key: Option<Token>,
-    /// The client's id for it.
+    /// The id that the client chose.
     pub id: Token,
-    /// When it began to come.
+    /// When the request began to arrive.
     pub began: Millis,
     /// When the client stops waiting.
     pub deadline: Millis,
-    /// What a client's repeat of it has in common with it; `None` where that can't be told.
+    /// A value that a client's repeat of this request shares with it; `None` if repeats cannot be recognized.
     pub repeat_key: Option<u64>,
-    /// The client's guess at its work, as time on a standard core.
+    /// The client's estimate of the work, as time on a standard core.
     pub work: Option<Millis>,
-    /// Its body is still coming: its time counts from when [`crate::Core::body_sent`] says that the last byte has gone on.
+    /// The body is still arriving: the client's time counts from when [`crate::Core::body_sent`] reports that
+    /// the last byte was forwarded.
     pub coming: bool,
-    /// Where it was taken over from another node: the attempts that others have made or meant to make. Its own are numbered
-    /// after them.
+    /// For a request taken over from another node: the attempts that other nodes have made or intended.
+    /// Attempts of this node are numbered after them.
     pub earlier: Option<Vec<Earlier>>,
-    /// What the backends send; opaque here, and cloned for each attempt.
+    /// What the backends send; opaque to the core and cloned for each attempt.
     pub payload: P,
 }
 
 impl<P> Incoming<P> {
-    /// The deadline, brought forward by a margin, or by half of the wait where that is less.
+    /// The deadline less a margin, which is at most half of the wait.
     pub(crate) fn before_deadline(&self, margin: Millis) -> Millis {
         let wait = (self.deadline - self.began).clamp(0.0, LONGEST_WAIT);
         self.began + wait - margin.min(wait / 2.0)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,13 +1,14 @@
-//! One request, from taking in to its final answer.
+//! The life cycle of a request, from acceptance to its final answer.
 //!
-//! [`Core`] owns the decision module, the table of requests, the attempts of each and their one outcome, and the guard
-//! that answers before a client's time is up whatever becomes of the rest. It knows no protocol, no socket and no task,
-//! and reads no clock: every call brings the time, and what is to be done is taken from [`Core::poll_output`].
+//! [`Core`] owns the decision module, the table of requests with their attempts and outcomes, and the guard
+//! timers that answer a client before its deadline whatever else happens. It knows no protocol, socket or
+//! task and reads no clock: every call passes the time, and actions are fetched with [`Core::poll_output`].
 //!
-//! - A *front* checks what a client sent, hands over an [`Incoming`] and passes on the one [`Final`] of it.
-//! - A *backend* gets [`Output::Start`], [`Output::Abandon`] and [`Output::Recall`], and reports one [`Ended`] for each
-//!   attempt.
-//! - A *driver* moves outputs to backends, fronts and discovery, and calls [`Core::handle_timeout`] when
+//! - A *front* validates what a client sent, passes an [`Incoming`] and returns its one [`Final`] to the
+//!   client.
+//! - A *backend* handles [`Output::Start`], [`Output::Abandon`] and [`Output::Recall`], and reports one
+//!   [`Ended`] for each attempt.
+//! - A *driver* passes outputs to backends, fronts and discovery, and calls [`Core::handle_timeout`] when
 //!   [`Core::poll_timeout`] is due.
 #![warn(missing_docs)]
 
--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: what it is in the middle of, and what the end of an attempt on it proves.
+//! The state of one connection, and what the end of an attempt on it proves.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -6,55 +6,55 @@
 /// What the end of an attempt proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// The answer is the request's, and says that it was carried out.
+    /// The response belongs to the request and says that it was carried out.
     Served,
-    /// The request was not carried out, and won't be.
+    /// The request was not carried out and will not be.
     NeverRan,
-    /// Neither is proved.
+    /// The request may or may not have been carried out.
     MayHaveRun,
 }
 
-/// What an answer says, by its status and headers.
+/// The meaning of a response, by its status and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
     /// The request was carried out.
     Served,
-    /// It was turned away unseen.
+    /// The server refused the request without processing it.
     TurnedAway,
-    /// The request itself is bad.
+    /// The request itself is invalid.
     Rejected,
-    /// Anything else.
+    /// Any other response.
     Failed,
 }
 
-/// An answer, as far as it is needed to tell whose it is.
+/// The parts of a response that are needed to attribute it to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// What it says.
+    /// The meaning of the response.
     pub said: Said,
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub began: Instant,
-    /// It says itself that it answers another request.
+    /// The response itself names another request as the one it answers.
     pub names_another: bool,
 }
 
-/// Why an attempt's end proves what it does.
+/// The reason for a [`Proof`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// The answer came in its turn, and says so.
+    /// A response arrived in its turn, and its meaning decides.
     Answered,
-    /// The answer had begun before the request was written whole.
+    /// The response began before the request was written completely.
     AheadOfRequest,
-    /// The answer began to come so soon after the one before, or after the connection came up, that it may be what its server sends
-    /// out of turn.
+    /// The response began so soon after the previous one, or after the connection was established, that it
+    /// may be unsolicited bytes of the server.
     TooSoon,
-    /// The answer names another request.
+    /// The response names another request.
     NamesAnother,
-    /// The connection was no longer to be used.
+    /// The connection was no longer usable.
     Poisoned,
-    /// The connection ended, or was given up, before the request was written whole.
+    /// The connection ended, or the attempt was given up, before the request was written completely.
     EndedUnwritten,
-    /// The same after that.
+    /// The connection ended, or the attempt was given up, after the request was written completely.
     EndedWritten,
 }
 
@@ -77,18 +77,18 @@
 pub struct Verdict {
     /// What it proves.
     pub proof: Proof,
-    /// Why.
+    /// The reason.
     pub why: Why,
 }
 
-/// What a connection was in the middle of when bytes came out of turn.
+/// The state of a connection when unsolicited bytes arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Position {
-    /// Nothing had been written on it yet.
+    /// Nothing had been written to it yet.
     New,
-    /// Its last answer was whole.
+    /// Its last response was complete.
     Idle,
-    /// The bytes stood right behind an answer.
+    /// The bytes directly followed a response.
     BehindAnswer,
     /// A request was being written.
     Writing,
@@ -105,25 +105,25 @@
     }
 }
 
-/// Bytes that nobody asked for.
+/// Unsolicited bytes: data that arrived while no response was due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutOfTurn {
-    /// What the connection was in the middle of.
+    /// The state of the connection.
     pub position: Position,
-    /// How long after the last answer was whole, or after the connection came up where it has had none.
+    /// Time since the last response was complete, or since the connection was established if it has had none.
     pub after: Duration,
-    /// How old the connection was.
+    /// Age of the connection.
     pub age: Duration,
-    /// How many answers it had had.
+    /// Number of responses received on the connection.
     pub answers: u32,
 }
 
-/// How long a connection has to be quiet before a request is written to it, or an answer to one is believed.
+/// How long a connection must be idle before a request is written to it or a response on it is trusted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
-    /// A connection that has had no answer yet, since it came up.
+    /// For a connection without a response so far: time since it was established.
     pub new: Duration,
-    /// One that has, since the last of them.
+    /// For any other connection: time since its last response.
     pub used: Duration,
 }
 
@@ -132,13 +132,13 @@
     Idle,
     /// A request is being written.
     Writing,
-    /// It is written whole.
+    /// The request is written completely.
     Written,
-    /// Bytes came ahead of the last byte of the request that is being written, or has been.
-    Ahead {
+    /// Bytes arrived before the last byte of the current request was written.
+    ResponseEarly {
         is_written: bool,
     },
-    /// Not to be used any more.
+    /// No longer usable.
     Poisoned,
 }
 
@@ -146,34 +146,34 @@
 #[derive(Clone, Debug)]
 pub struct Connection {
     opened: Instant,
-    /// When it came up, or when its last answer was whole.
+    /// When the connection was established or its last response was complete.
     quiet_since: Instant,
     answers: u32,
     state: State,
 }
 
 impl Connection {
-    /// A connection that has just come up.
+    /// Creates the state of a connection that has just been established.
     pub fn new(now: Instant) -> Self {
         Self { opened: now, quiet_since: now, answers: 0, state: State::Idle }
     }
 
-    /// When it came up.
+    /// When the connection was established.
     pub fn opened(&self) -> Instant {
         self.opened
     }
 
-    /// When it came up, or when its last answer was whole.
+    /// When the connection was established or its last response was complete.
     pub fn quiet_since(&self) -> Instant {
         self.quiet_since
     }
 
-    /// From when on a request may be written to it; `None` where none may be.
+    /// When a request may be written to the connection at the earliest; `None` if none may be.
     pub fn usable_from(&self, need: Need) -> Option<Instant> {
-        (self.state == State::Idle).then(|| self.quiet_since + self.rest_of(need))
+        (self.state == State::Idle).then(|| self.quiet_since + self.min_idle(need))
     }
 
-    fn rest_of(&self, need: Need) -> Duration {
+    fn min_idle(&self, need: Need) -> Duration {
         if self.answers == 0 {
             need.new
         } else {
@@ -181,39 +181,39 @@
         }
     }
 
-    /// A request is about to be written. False where the connection must not be used.
+    /// Begins to write a request. Returns false if the connection must not be used.
     #[must_use]
     pub fn begin(&mut self) -> bool {
-        let may = self.state == State::Idle;
-        self.state = if may { State::Writing } else { State::Poisoned };
-        may
+        let is_usable = self.state == State::Idle;
+        self.state = if is_usable { State::Writing } else { State::Poisoned };
+        is_usable
     }
 
-    /// The last byte of the request has been handed over.
+    /// The last byte of the request has been written.
     pub fn written(&mut self) {
         self.state = match self.state {
             State::Writing => State::Written,
-            State::Ahead { .. } => State::Ahead { is_written: true },
+            State::ResponseEarly { .. } => State::ResponseEarly { is_written: true },
             other => other,
         };
     }
 
-    /// Bytes came; says whether they are out of turn.
+    /// Handles received bytes; returns a description of them if they are unsolicited.
     pub fn received(&mut self, now: Instant) -> Option<OutOfTurn> {
         let position = match self.state {
-            State::Written | State::Ahead { .. } | State::Poisoned => return None,
+            State::Written | State::ResponseEarly { .. } | State::Poisoned => return None,
             State::Writing => Position::Writing,
             State::Idle if self.answers == 0 => Position::New,
             State::Idle => Position::Idle,
         };
         self.state = match position {
-            Position::Writing => State::Ahead { is_written: false },
+            Position::Writing => State::ResponseEarly { is_written: false },
             _ => State::Poisoned,
         };
         Some(self.out_of_turn(position, now))
     }
 
-    /// Bytes stand right behind an answer.
+    /// Handles bytes that directly follow a response.
     pub fn received_behind_answer(&mut self, now: Instant) -> OutOfTurn {
         self.state = State::Poisoned;
         self.out_of_turn(Position::BehindAnswer, now)
@@ -224,16 +224,16 @@
         OutOfTurn { position, after: since(self.quiet_since), age: since(self.opened), answers: self.answers }
     }
 
-    /// An answer is there, whose first byte came then: what it proves of the request that was written last.
+    /// Handles a response: returns what it proves about the last request on the connection.
     pub fn answered(&mut self, now: Instant, answer: Answer, need: Need) -> Verdict {
         let state = std::mem::replace(&mut self.state, State::Poisoned);
         match state {
             State::Written => {}
-            // Its last byte stays here, as the connection is closed.
-            State::Writing | State::Ahead { is_written: false } => {
+            // The last byte of the request is never sent, as the connection is closed.
+            State::Writing | State::ResponseEarly { is_written: false } => {
                 return Verdict { proof: Proof::NeverRan, why: Why::AheadOfRequest }
             }
-            State::Ahead { is_written: true } => {
+            State::ResponseEarly { is_written: true } => {
                 return Verdict { proof: Proof::MayHaveRun, why: Why::AheadOfRequest }
             }
             State::Idle | State::Poisoned => return Verdict { proof: Proof::MayHaveRun, why: Why::Poisoned },
@@ -241,7 +241,7 @@
         if answer.names_another {
             return Verdict { proof: Proof::MayHaveRun, why: Why::NamesAnother };
         }
-        if answer.began < self.quiet_since + self.rest_of(need) {
+        if answer.began < self.quiet_since + self.min_idle(need) {
             return Verdict { proof: Proof::MayHaveRun, why: Why::TooSoon };
         }
         self.state = State::Idle;
@@ -255,19 +255,19 @@
         Verdict { proof, why: Why::Answered }
     }
 
-    /// The rest of an answer that was judged by its head has come.
+    /// The rest of a response has arrived, after [`Connection::answered`] was called for its head.
     pub fn finished(&mut self, now: Instant) {
         self.quiet_since = now;
     }
 
-    /// The connection ended without an answer, or the attempt was given up.
+    /// The connection ended without a response, or the attempt was given up.
     pub fn ended(&mut self) -> Verdict {
         let state = std::mem::replace(&mut self.state, State::Poisoned);
         match state {
-            State::Idle | State::Writing | State::Ahead { is_written: false } => {
+            State::Idle | State::Writing | State::ResponseEarly { is_written: false } => {
                 Verdict { proof: Proof::NeverRan, why: Why::EndedUnwritten }
             }
-            State::Written | State::Ahead { is_written: true } | State::Poisoned => {
+            State::Written | State::ResponseEarly { is_written: true } | State::Poisoned => {
                 Verdict { proof: Proof::MayHaveRun, why: Why::EndedWritten }
             }
         }
--- a/crates/exchange/src/doubt.rs
+++ b/crates/exchange/src/doubt.rs
@@ -1,4 +1,4 @@
-//! Which servers have sent bytes out of turn, and what follows for their connections.
+//! Servers that have sent unsolicited bytes, and the idle times required on their connections.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -6,22 +6,25 @@
 
 use crate::connection::{Need, OutOfTurn, Position};
 
-/// How long a server is doubted after it was last seen to send bytes out of turn.
-const DOUBT_LASTS: Duration = Duration::from_secs(10);
-/// How long connections rest at first, from the first exchange of all on: nothing is known of any server yet.
-const PROBATION: Duration = Duration::from_millis(1_000);
-/// Bytes that come later than this after an answer are a message of their own, such as the end of an idle connection.
-const ANSWER_LATE_MOST: Duration = Duration::from_secs(3);
-/// How long a new connection rests before its first use: always, and at most.
-const REST_NEW: (Duration, Duration) = (Duration::from_millis(12), Duration::from_millis(60));
-/// How long a connection rests between two uses, on probation and where its server is doubted, and at most.
-const REST_USED: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(350));
-/// With which chance later bytes than any that were seen may come after a rest.
-const LATER_CHANCE: f64 = 0.01;
-/// At how many servers bytes out of turn make all servers doubtful.
-const WIDE_FROM: usize = 2;
-
-/// How far a doubt reaches.
+/// How long a server is distrusted after its last unsolicited bytes.
+const DOUBT_DURATION: Duration = Duration::from_secs(10);
+/// How long after the first exchange of the process all connections must be idle between uses, as nothing is
+/// known of any server yet.
+const PROBATION_DURATION: Duration = Duration::from_millis(1_000);
+/// Bytes that arrive later than this after a response are separate messages, such as a notice that an idle
+/// connection ends.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_secs(3);
+/// Idle time before the first use of a new connection: the minimum and the maximum.
+const IDLE_LIMITS_NEW: (Duration, Duration) = (Duration::from_millis(12), Duration::from_millis(60));
+/// Idle time between two uses of a connection: the minimum, during probation and for distrusted servers, and
+/// the maximum.
+const IDLE_LIMITS_USED: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(350));
+/// Accepted probability that bytes arrive later than the idle time derived from the observed delays.
+const LATER_PROBABILITY: f64 = 0.01;
+/// Number of servers with unsolicited bytes from which all servers are distrusted.
+const MIN_SERVERS_FOR_GLOBAL_DOUBT: usize = 2;
+
+/// The servers that a doubt applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// One server.
@@ -30,161 +33,167 @@
     All,
 }
 
-/// How late bytes out of turn have come after the same kind of event.
+/// Delays of unsolicited bytes after one kind of event.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lateness {
-    most: Duration,
-    seen: u32,
+struct DelayStats {
+    longest: Duration,
+    count: u32,
 }
 
-impl Lateness {
+impl DelayStats {
     fn note(&mut self, after: Duration) {
-        self.most = self.most.max(after);
-        self.seen = self.seen.saturating_add(1);
-    }
-
-    fn add(&mut self, other: Self) {
-        self.most = self.most.max(other.most);
-        self.seen = self.seen.saturating_add(other.seen);
-    }
-
-    /// Beyond which span no more come, but for the chance: of an even spread with that end, all that were seen lie below the most of
-    /// them with a chance of (most / end) to the power of their number.
-    fn bound(&self, (least, most): (Duration, Duration)) -> Duration {
-        match self.seen {
-            0 => least,
-            // It came within a rest that was too short to see later ones.
-            1 => most,
-            seen => self.most.mul_f64(LATER_CHANCE.powf(-1.0 / f64::from(seen - 1))).clamp(least, most),
+        self.longest = self.longest.max(after);
+        self.count = self.count.saturating_add(1);
+    }
+
+    fn merge(&mut self, other: Self) {
+        self.longest = self.longest.max(other.longest);
+        self.count = self.count.saturating_add(other.count);
+    }
+
+    /// Returns the delay beyond which further bytes are expected only with the accepted probability. If
+    /// delays are uniform between 0 and `end`, all observed ones are at most `longest` with the probability
+    /// (longest / end) to the power of their count.
+    fn bound(&self, (min, max_idle): (Duration, Duration)) -> Duration {
+        match self.count {
+            0 => min,
+            // The idle time that let these bytes be seen was too short to show later ones.
+            1 => max_idle,
+            count => {
+                self.longest.mul_f64(LATER_PROBABILITY.powf(-1.0 / f64::from(count - 1))).clamp(min, max_idle)
+            }
         }
     }
 }
 
-/// The same after a connection came up, and after an answer.
+/// Delays after the connection was established (`new`) and after a response (`used`).
 #[derive(Clone, Copy, Debug, Default)]
-struct Latenesses {
-    new: Lateness,
-    used: Lateness,
+struct ConnectionDelays {
+    new: DelayStats,
+    used: DelayStats,
 }
 
-impl Latenesses {
-    fn note(&mut self, seen: OutOfTurn) {
-        match seen.position {
-            Position::New => self.new.note(seen.after),
-            Position::Idle => self.used.note(seen.after),
+impl ConnectionDelays {
+    fn note(&mut self, bytes: OutOfTurn) {
+        match bytes.position {
+            Position::New => self.new.note(bytes.after),
+            Position::Idle => self.used.note(bytes.after),
             Position::BehindAnswer | Position::Writing => {}
         }
     }
 
     fn need(&self) -> Need {
-        Need { new: self.new.bound(REST_NEW), used: self.used.bound(REST_USED) }
+        Need { new: self.new.bound(IDLE_LIMITS_NEW), used: self.used.bound(IDLE_LIMITS_USED) }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Observation {
     last: Instant,
-    latenesses: Latenesses,
+    delays: ConnectionDelays,
 }
 
-impl Seen {
-    fn holds(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last) < DOUBT_LASTS
+impl Observation {
+    fn is_current(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last) < DOUBT_DURATION
     }
 }
 
-/// What is known of servers that send bytes out of turn. `K` names a server.
+/// Tracks servers that send unsolicited bytes. `K` identifies a server.
 #[derive(Clone, Debug)]
 pub struct Doubt<K> {
-    servers: HashMap<K, Seen>,
-    /// What was seen at all of them together, while that is at several.
-    wide: Option<Seen>,
-    /// When the first exchange of all began.
+    servers: HashMap<K, Observation>,
+    /// The observations of all servers together, while several servers are distrusted.
+    global: Option<Observation>,
+    /// When the first exchange of the process began.
     began: Option<Instant>,
-    /// Servers that have answered in their turn.
+    /// Servers that have sent a response in its turn.
     known: HashSet<K>,
 }
 
 impl<K> Default for Doubt<K> {
     fn default() -> Self {
-        Self { servers: HashMap::new(), wide: None, began: None, known: HashSet::new() }
+        Self { servers: HashMap::new(), global: None, began: None, known: HashSet::new() }
     }
 }
 
 impl<K: Copy + Eq + Hash> Doubt<K> {
-    /// The first exchange of all is about to begin, if none has.
+    /// Records that an exchange is about to begin; only the first call counts.
     pub fn begin(&mut self, now: Instant) {
         self.began.get_or_insert(now);
     }
 
-    /// Bytes came out of turn from a server; says how far a doubt reaches that begins by that. Bytes right behind an answer begin
-    /// none but on probation: they have come before the connection could be used again.
-    pub fn note(&mut self, now: Instant, server: K, seen: OutOfTurn) -> Option<Scope> {
-        let is_harmless = seen.position == Position::BehindAnswer && !self.is_on_probation(now);
-        if seen.after > ANSWER_LATE_MOST || is_harmless {
+    /// Records unsolicited bytes of a server; returns the scope of the doubt that starts with them, if any.
+    /// Bytes directly after a response start none except during probation: they arrived before the connection
+    /// could be used again.
+    pub fn note(&mut self, now: Instant, server: K, bytes: OutOfTurn) -> Option<Scope> {
+        let is_harmless = bytes.position == Position::BehindAnswer && !self.is_on_probation(now);
+        if bytes.after > MAX_RESPONSE_DELAY || is_harmless {
             return None;
         }
-        let (was_wide, was_doubted) = (self.is_wide(now), self.is_doubted(now, server));
-        self.servers.retain(|_, seen| seen.holds(now));
-        let empty = Seen { last: now, latenesses: Latenesses::default() };
+        let (was_global, was_doubted) = (self.is_global(now), self.is_doubted(now, server));
+        self.servers.retain(|_, observation| observation.is_current(now));
+        let empty = Observation { last: now, delays: ConnectionDelays::default() };
         let entry = self.servers.entry(server).or_insert(empty);
         entry.last = now;
-        entry.latenesses.note(seen);
-        if was_wide || self.servers.len() >= WIDE_FROM || self.is_on_probation(now) {
-            self.wide = Some(Seen { last: now, latenesses: self.seen_at_all() });
+        entry.delays.note(bytes);
+        if was_global || self.servers.len() >= MIN_SERVERS_FOR_GLOBAL_DOUBT || self.is_on_probation(now) {
+            self.global = Some(Observation { last: now, delays: self.total_delays() });
         }
-        match (was_wide, self.is_wide(now), was_doubted) {
+        match (was_global, self.is_global(now), was_doubted) {
             (false, true, _) => Some(Scope::All),
             (_, _, false) => Some(Scope::Server),
             (_, _, true) => None,
         }
     }
 
-    /// Another process answers for a server from now on.
+    /// Discards the records of a server, as another process has taken its place.
     pub fn forget(&mut self, server: K) {
         self.servers.remove(&server);
         self.known.remove(&server);
     }
 
-    fn is_wide(&self, now: Instant) -> bool {
-        self.wide.is_some_and(|seen| seen.holds(now))
+    fn is_global(&self, now: Instant) -> bool {
+        self.global.is_some_and(|observation| observation.is_current(now))
     }
 
-    /// Is a server doubted for what was seen?
+    /// Whether a server is currently distrusted.
     pub fn is_doubted(&self, now: Instant, server: K) -> bool {
-        self.is_wide(now) || self.servers.get(&server).is_some_and(|seen| seen.holds(now))
+        self.is_global(now)
+            || self.servers.get(&server).is_some_and(|observation| observation.is_current(now))
     }
 
-    /// How long connections to a server have to be quiet before an answer on them is believed.
+    /// How long connections to a server must be idle before a response on them is trusted.
     pub fn need(&self, now: Instant, server: K) -> Need {
-        let of_server = || self.servers.get(&server).filter(|seen| seen.holds(now));
-        let seen = self.wide.as_ref().filter(|seen| seen.holds(now)).or_else(of_server);
-        let mut need = seen.map_or(Need::default(), |seen| seen.latenesses.need());
+        let of_server = || self.servers.get(&server).filter(|observation| observation.is_current(now));
+        let observation =
+            self.global.as_ref().filter(|observation| observation.is_current(now)).or_else(of_server);
+        let mut need = observation.map_or(Need::default(), |observation| observation.delays.need());
         let is_on_probation = self.is_on_probation(now);
         if is_on_probation {
-            need.used = need.used.max(REST_USED.0);
+            need.used = need.used.max(IDLE_LIMITS_USED.0);
         }
         if is_on_probation || !self.known.contains(&server) {
-            need.new = need.new.max(REST_NEW.0);
+            need.new = need.new.max(IDLE_LIMITS_NEW.0);
         }
         need
     }
 
-    /// A server has answered in its turn.
+    /// Records that a server has sent a response in its turn.
     pub fn note_answer(&mut self, server: K) {
         self.known.insert(server);
     }
 
     fn is_on_probation(&self, now: Instant) -> bool {
-        self.began.is_none_or(|began| now.saturating_duration_since(began) < PROBATION)
+        self.began.is_none_or(|began| now.saturating_duration_since(began) < PROBATION_DURATION)
     }
 
-    /// What was seen at all servers together.
-    fn seen_at_all(&self) -> Latenesses {
-        let mut all = Latenesses::default();
-        for seen in self.servers.values() {
-            all.new.add(seen.latenesses.new);
-            all.used.add(seen.latenesses.used);
+    /// Merges the delays observed at all servers.
+    fn total_delays(&self) -> ConnectionDelays {
+        let mut all = ConnectionDelays::default();
+        for observation in self.servers.values() {
+            all.new.merge(observation.delays.new);
+            all.used.merge(observation.delays.used);
         }
         all
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,9 +1,11 @@
-//! Whose answer it is, on connections where nothing but the order tells which request an answer belongs to (HTTP/1.1).
+//! Attribution of responses to requests on connections where only the order tells which request a response
+//! answers (HTTP/1.1).
 //!
-//! - [`Connection`] is one connection to a server. It alone says what the end of an attempt proves.
-//! - [`Doubt`] knows which servers have sent bytes out of turn, and how long their connections have to be quiet before each use.
+//! - [`Connection`] tracks one connection to a server. It alone decides what the end of an attempt proves.
+//! - [`Doubt`] tracks which servers have sent unsolicited bytes, and how long their connections must be idle
+//!   before each use.
 //!
-//! Neither does any I/O or reads a clock: every call brings the time.
+//! Neither does I/O or reads a clock: every call passes the time.
 #![warn(missing_docs)]
 
 mod connection;
--- a/crates/exchange/tests/doubt.rs
+++ b/crates/exchange/tests/doubt.rs
@@ -1,4 +1,4 @@
-//! How far a doubt reaches, how long it lasts, and how long connections rest by it.
+//! Tests the scope and the duration of a doubt and the idle times derived from it.
 
 use std::time::{Duration, Instant};
 
@@ -6,33 +6,34 @@
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
-/// Beyond the time in which nothing is taken for granted, after the first exchange.
-const LATER: Duration = Duration::from_secs(60);
+/// Long enough after the first exchange for the probation to be over.
+const AFTER_PROBATION: Duration = Duration::from_secs(60);
 
-fn seen(position: Position, after: Duration) -> OutOfTurn {
+fn bytes(position: Position, after: Duration) -> OutOfTurn {
     OutOfTurn { position, after, age: after, answers: u32::from(position == Position::Idle) }
 }
 
-/// Long after the first exchange, with two servers that have answered.
-fn settled() -> (Doubt<u8>, Instant) {
+/// A state long after the first exchange, with two servers that have responded.
+fn after_probation() -> (Doubt<u8>, Instant) {
     let (mut doubt, start) = (Doubt::default(), Instant::now());
     doubt.begin(start);
     doubt.note_answer(0);
     doubt.note_answer(1);
-    (doubt, start + LATER)
+    (doubt, start + AFTER_PROBATION)
 }
 
-/// Guards against connections that rest where nothing is wrong.
+/// Guards against idle times for connections of servers without any observation.
 #[test]
-fn nothing_rests_where_nothing_was_seen() {
-    let (doubt, now) = settled();
+fn no_idle_time_is_required_without_an_observation() {
+    let (doubt, now) = after_probation();
     assert_eq!(doubt.need(now, 0), Need::default());
 }
 
-/// Guards against the first connection to a server being used while what its server sends unasked is still on its way.
+/// Guards against use of the first connection to a server while unsolicited bytes of the server may still be
+/// in transit.
 #[test]
-fn the_first_connection_to_a_server_rests() {
-    let (mut doubt, now) = settled();
+fn the_first_connection_to_a_server_must_be_idle() {
+    let (mut doubt, now) = after_probation();
     assert!(doubt.need(now, 7).new > Duration::ZERO);
     doubt.note_answer(7);
     assert_eq!(doubt.need(now, 7).new, Duration::ZERO);
@@ -40,50 +41,51 @@
     assert!(doubt.need(now, 7).new > Duration::ZERO, "another process");
 }
 
-/// Guards against a doubt that reaches too far, or not far enough.
+/// Guards against a doubt that applies to too many or too few servers.
 #[test]
-fn a_doubt_is_of_one_server_until_several_are_seen() {
-    let (mut doubt, now) = settled();
-    assert_eq!(doubt.note(now, 0, seen(Position::Idle, 5 * MS)), Some(Scope::Server));
+fn a_doubt_applies_to_one_server_until_several_send_unsolicited_bytes() {
+    let (mut doubt, now) = after_probation();
+    assert_eq!(doubt.note(now, 0, bytes(Position::Idle, 5 * MS)), Some(Scope::Server));
     assert_eq!(doubt.need(now, 1), Need::default());
-    assert_eq!(doubt.note(now, 0, seen(Position::Idle, 5 * MS)), None);
-    assert_eq!(doubt.note(now, 1, seen(Position::Idle, 5 * MS)), Some(Scope::All));
+    assert_eq!(doubt.note(now, 0, bytes(Position::Idle, 5 * MS)), None);
+    assert_eq!(doubt.note(now, 1, bytes(Position::Idle, 5 * MS)), Some(Scope::All));
     doubt.note_answer(2);
     assert!(doubt.need(now, 2).used > Duration::ZERO);
 }
 
-/// Guards against a doubt without an end.
+/// Guards against a doubt that never ends.
 #[test]
-fn a_doubt_ends_where_nothing_more_is_seen() {
-    let (mut doubt, now) = settled();
-    doubt.note(now, 0, seen(Position::Idle, 5 * MS));
-    doubt.note(now, 1, seen(Position::Idle, 5 * MS));
+fn a_doubt_ends_without_further_observations() {
+    let (mut doubt, now) = after_probation();
+    doubt.note(now, 0, bytes(Position::Idle, 5 * MS));
+    doubt.note(now, 1, bytes(Position::Idle, 5 * MS));
     assert!(doubt.is_doubted(now + 9_000 * MS, 0));
     assert!(!doubt.is_doubted(now + 10_000 * MS, 0));
     assert_eq!(doubt.need(now + 10_000 * MS, 0), Need::default());
 }
 
-/// Guards against rests for what does not come late: bytes right behind an answer, and the end of a connection that was idle for long.
+/// Guards against idle times where they would not help: for bytes directly after a response, and for a notice
+/// that a long idle connection ends.
 #[test]
-fn what_no_rest_would_help_against_begins_none() {
-    let (mut doubt, now) = settled();
-    assert_eq!(doubt.note(now, 0, seen(Position::BehindAnswer, Duration::ZERO)), None);
-    assert_eq!(doubt.note(now, 1, seen(Position::Idle, Duration::from_secs(15))), None);
+fn bytes_that_idle_time_cannot_prevent_start_no_doubt() {
+    let (mut doubt, now) = after_probation();
+    assert_eq!(doubt.note(now, 0, bytes(Position::BehindAnswer, Duration::ZERO)), None);
+    assert_eq!(doubt.note(now, 1, bytes(Position::Idle, Duration::from_secs(15))), None);
     assert_eq!(doubt.need(now, 0), Need::default());
 }
 
 proptest! {
-    /// Guards against a rest that is shorter than what was seen, or beyond the limit.
+    /// Guards against an idle time shorter than an observed delay or above the limit.
     #[test]
-    fn a_rest_covers_all_that_was_seen(lates in proptest::collection::vec(1u32..340, 1..40)) {
-        let (mut doubt, now) = settled();
-        let mut most = Duration::ZERO;
-        for late in lates {
-            let late = late * MS;
-            doubt.note(now, 0, seen(Position::Idle, late));
-            let rest = doubt.need(now, 0).used;
-            most = most.max(late);
-            prop_assert!(rest >= most && rest <= 350 * MS, "{rest:?} after {most:?}");
+    fn idle_time_covers_all_observed_delays(delays in proptest::collection::vec(1u32..340, 1..40)) {
+        let (mut doubt, now) = after_probation();
+        let mut longest = Duration::ZERO;
+        for delay in delays {
+            let delay = delay * MS;
+            doubt.note(now, 0, bytes(Position::Idle, delay));
+            let idle = doubt.need(now, 0).used;
+            longest = longest.max(delay);
+            prop_assert!(idle >= longest && idle <= 350 * MS, "{idle:?} after {longest:?}");
         }
     }
 }
