--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -331,7 +331,8 @@
         };
         self.guards.insert((guard, request));
         // No result of these attempts is awaited here.
-        let finished = |e: &Earlier| Attempt { server: e.server, sent: e.sent, stage: Stage::Finished };
+        let finished_attempt =
+            |e: &Earlier| Attempt { server: e.server, sent: e.sent, stage: Stage::Finished };
         let open = OpenRequest {
             id: incoming.id,
             payload: incoming.payload,
@@ -339,7 +340,7 @@
             guard,
             wait_after_body,
             completed_at: now,
-            attempts: incoming.earlier.iter().flatten().map(finished).collect(),
+            attempts: incoming.earlier.iter().flatten().map(finished_attempt).collect(),
         };
         self.requests.insert(request, open);
         let within = if self.balancer.repeats(now, repeat_key) { None } else { count_usage() };
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -446,17 +446,17 @@
 
 #[test]
 fn fleet_usage_is_counted_once_and_not_for_repeats_or_rejected_requests() {
-    let count = std::cell::Cell::new(0);
+    let times_counted = std::cell::Cell::new(0);
     let count_usage = || {
-        count.set(count.get() + 1);
+        times_counted.set(times_counted.get() + 1);
         Some(true)
     };
     let mut core = core(0, 100);
     let first = Incoming { repeat_key: Some(7), ..incoming(0, "a", 0.0, 500.0) };
     core.take_within(0.0, first.clone(), count_usage).expect("accepted");
-    assert_eq!(count.get(), 1);
+    assert_eq!(times_counted.get(), 1);
     assert!(core.take_within(0.0, first.clone(), count_usage).is_err(), "the id is already open");
-    assert_eq!(count.get(), 1, "rejected requests are not counted");
+    assert_eq!(times_counted.get(), 1, "rejected requests are not counted");
     // No server is known: the request is refused, and its client repeats it.
     for now in 1..200 {
         core.handle_timeout(f64::from(now));
@@ -464,8 +464,8 @@
     }
     let again = Incoming { repeat_key: Some(7), ..incoming(0, "b", 200.0, 300.0) };
     core.take_within(200.0, again, count_usage).expect("accepted");
-    assert_eq!(count.get(), 1, "a repeat is counted with the original request");
+    assert_eq!(times_counted.get(), 1, "a repeat is counted with the original request");
     let other = Incoming { repeat_key: Some(8), ..incoming(0, "c", 200.0, 300.0) };
     core.take_within(200.0, other, count_usage).expect("accepted");
-    assert_eq!(count.get(), 2);
+    assert_eq!(times_counted.get(), 2);
 }
--- a/crates/exchange/src/doubt.rs
+++ b/crates/exchange/src/doubt.rs
@@ -54,7 +54,7 @@
     /// Returns the delay beyond which further bytes are expected only with the accepted probability. If
     /// delays are uniform between 0 and `end`, all observed ones are at most `longest` with the probability
     /// (longest / end) to the power of their count.
-    fn bound(&self, (min, max_idle): (Duration, Duration)) -> Duration {
+    fn required_idle(&self, (min, max_idle): (Duration, Duration)) -> Duration {
         match self.count {
             0 => min,
             // The idle time that let these bytes be seen was too short to show later ones.
@@ -83,7 +83,7 @@
     }
 
     fn need(&self) -> Need {
-        Need { new: self.new.bound(IDLE_LIMITS_NEW), used: self.used.bound(IDLE_LIMITS_USED) }
+        Need { new: self.new.required_idle(IDLE_LIMITS_NEW), used: self.used.required_idle(IDLE_LIMITS_USED) }
     }
 }
 
--- a/crates/exchange/tests/explored.rs
+++ b/crates/exchange/tests/explored.rs
@@ -61,7 +61,7 @@
     fn must_belong_to_last_request(&self, now: Duration) -> bool {
         let Some((before, since)) = self.split() else { return false };
         let check_exchanges = |events: &[Event]| {
-            // Each earlier request must have exactly one trusted response and no other received bytes.
+            // Each earlier request must have one trusted response, and nothing may have arrived out of turn.
             let mut expects = false;
             let mut written = false;
             let mut idle_since = Duration::ZERO;
--- a/crates/msgpack-rpc/src/client.rs
+++ b/crates/msgpack-rpc/src/client.rs
@@ -163,8 +163,8 @@
     /// Gives a call up.
     pub fn give_up(&mut self, name: &T) -> GivenUp {
         let Some(id) = self.find(name) else { return GivenUp::Unknown };
-        if let Some(position) = self.unwritten.iter().position(|u| u.id == id && !u.begun) {
-            self.unwritten.remove(position);
+        if let Some(index) = self.unwritten.iter().position(|u| u.id == id && !u.begun) {
+            self.unwritten.remove(index);
             self.open.remove(&id);
             return GivenUp::Withdrawn;
         }
@@ -275,7 +275,7 @@
         open.sort_unstable_by_key(|(id, _)| *id);
         self.unwritten.clear();
         let is_broken = self.broken.is_some();
-        self.broken.get_or_insert_with(|| "the connection ended".into());
+        self.broken.get_or_insert_with(|| "ended".into());
         self.events.extend(open.into_iter().map(|(_, o)| match (o.given_up, o.written) {
             (true, _) => Event::Left(o.call),
             (false, true) if is_broken => Event::Garbled(o.call),
--- a/crates/msgpack-rpc/src/message.rs
+++ b/crates/msgpack-rpc/src/message.rs
@@ -83,11 +83,11 @@
     pub txn: Option<String>,
     /// The tenant.
     pub org: Option<String>,
-    /// The user or item that the call concerns.
+    /// The subject of the call.
     pub user: Option<String>,
     /// How long the client waits, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// The idempotency key.
+    /// The key; calls of keyed classes need one.
     pub key: Option<String>,
     /// The body.
     pub body: Bytes,
--- a/crates/operation/tests/places.rs
+++ b/crates/operation/tests/places.rs
@@ -42,7 +42,7 @@
     ) {
         let mut slots = Places::default();
         let mut references: Vec<Place> = Vec::new();
-        for (names, index, adds_reference) in steps {
+        for (names, index, acquires) in steps {
             let names: Vec<String> = names.into_iter().map(|n| format!("n{n}")).collect();
             let before: HashMap<String, usize> =
                 names.iter().filter_map(|n| Some((n.clone(), slots.find(n)?.number))).collect();
@@ -58,7 +58,7 @@
                     prop_assert_eq!((slot.number, change), (*number, Turn::Stays(n)));
                 }
             }
-            if adds_reference {
+            if acquires {
                 references.extend(slots.find(&format!("n{index}")));
             } else if !references.is_empty() {
                 references.swap_remove(index % references.len());
