--- a/crates/exchange/src/doubt.rs
+++ b/crates/exchange/src/doubt.rs
@@ -8,16 +8,17 @@
 
 /// How long a server is distrusted after its last unsolicited bytes.
 const DOUBT_DURATION: Duration = Duration::from_secs(10);
-/// How long after the first exchange of the process all connections must be idle between uses, as nothing is
-/// known of any server yet.
+/// Duration of the probation after the first exchange of the process. Meanwhile all connections must be idle
+/// between uses, as nothing is known of any server yet.
 const PROBATION_DURATION: Duration = Duration::from_millis(1_000);
 /// Bytes that arrive later than this after a response are separate messages, such as a notice that an idle
 /// connection ends.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_secs(3);
-/// Idle time before the first use of a new connection: the minimum and the maximum.
+/// Idle time before the first use of a new connection: the minimum, used also for servers that have not yet
+/// responded, and the maximum.
 const IDLE_LIMITS_NEW: (Duration, Duration) = (Duration::from_millis(12), Duration::from_millis(60));
-/// Idle time between two uses of a connection: the minimum, during probation and for distrusted servers, and
-/// the maximum.
+/// Idle time between two uses of a connection: the minimum, which applies during probation and to distrusted
+/// servers, and the maximum.
 const IDLE_LIMITS_USED: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(350));
 /// Accepted probability that bytes arrive later than the idle time derived from the observed delays.
 const LATER_PROBABILITY: f64 = 0.01;
