--- a/crates/msgpack-rpc/src/frame.rs
+++ b/crates/msgpack-rpc/src/frame.rs
@@ -68,7 +68,7 @@
 struct Scan {
     /// Number of values still to come at each open level.
     open: Vec<u64>,
-    /// Number of bytes of the current scalar still to skip.
+    /// Number of payload bytes of the current value still to skip.
     skip_bytes: u64,
     /// The marker whose length field is being read, and the number of bytes missing from the field.
     length: Option<(Marker, u8)>,
@@ -77,38 +77,38 @@
     has_begun: bool,
 }
 
-/// What follows a marker.
-enum Following {
+/// The content that follows a marker byte.
+enum MarkerContent {
     /// A number of bytes without structure.
-    Scalar(u64),
+    Payload(u64),
     /// A length field of a number of bytes.
     Length(u8),
     /// A number of nested values.
     Values(u64),
 }
 
-fn following(marker: Marker) -> Option<Following> {
+fn marker_content(marker: Marker) -> Option<MarkerContent> {
     Some(match marker {
         Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => {
-            Following::Scalar(0)
+            MarkerContent::Payload(0)
         }
-        Marker::U8 | Marker::I8 => Following::Scalar(1),
-        Marker::U16 | Marker::I16 | Marker::FixExt1 => Following::Scalar(2),
-        Marker::FixExt2 => Following::Scalar(3),
-        Marker::U32 | Marker::I32 | Marker::F32 => Following::Scalar(4),
-        Marker::FixExt4 => Following::Scalar(5),
-        Marker::U64 | Marker::I64 | Marker::F64 => Following::Scalar(8),
-        Marker::FixExt8 => Following::Scalar(9),
-        Marker::FixExt16 => Following::Scalar(17),
-        Marker::FixStr(n) => Following::Scalar(u64::from(n)),
-        Marker::FixArray(n) => Following::Values(u64::from(n)),
-        Marker::FixMap(n) => Following::Values(2 * u64::from(n)),
-        Marker::Bin8 | Marker::Str8 | Marker::Ext8 => Following::Length(1),
+        Marker::U8 | Marker::I8 => MarkerContent::Payload(1),
+        Marker::U16 | Marker::I16 | Marker::FixExt1 => MarkerContent::Payload(2),
+        Marker::FixExt2 => MarkerContent::Payload(3),
+        Marker::U32 | Marker::I32 | Marker::F32 => MarkerContent::Payload(4),
+        Marker::FixExt4 => MarkerContent::Payload(5),
+        Marker::U64 | Marker::I64 | Marker::F64 => MarkerContent::Payload(8),
+        Marker::FixExt8 => MarkerContent::Payload(9),
+        Marker::FixExt16 => MarkerContent::Payload(17),
+        Marker::FixStr(n) => MarkerContent::Payload(u64::from(n)),
+        Marker::FixArray(n) => MarkerContent::Values(u64::from(n)),
+        Marker::FixMap(n) => MarkerContent::Values(2 * u64::from(n)),
+        Marker::Bin8 | Marker::Str8 | Marker::Ext8 => MarkerContent::Length(1),
         Marker::Bin16 | Marker::Str16 | Marker::Ext16 | Marker::Array16 | Marker::Map16 => {
-            Following::Length(2)
+            MarkerContent::Length(2)
         }
         Marker::Bin32 | Marker::Str32 | Marker::Ext32 | Marker::Array32 | Marker::Map32 => {
-            Following::Length(4)
+            MarkerContent::Length(4)
         }
         Marker::Reserved => return None,
     })
@@ -165,10 +165,10 @@
                 *left -= 1;
             }
             let marker = Marker::from_u8(byte);
-            match following(marker).ok_or(FrameError::Reserved)? {
-                Following::Scalar(n) => self.skip_bytes = n,
-                Following::Length(n) => self.length = Some((marker, n)),
-                Following::Values(n) => self.enter_level(n, depth)?,
+            match marker_content(marker).ok_or(FrameError::Reserved)? {
+                MarkerContent::Payload(n) => self.skip_bytes = n,
+                MarkerContent::Length(n) => self.length = Some((marker, n)),
+                MarkerContent::Values(n) => self.enter_level(n, depth)?,
             }
         }
     }
