--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -1,4 +1,4 @@
-//! What a server answers: its framing, what it says, and the body of one that is too long to be read whole.
+//! Answers of HTTP/1.1 servers: framing, classification, and streaming of bodies too long to buffer.
 
 use std::future::Future;
 use std::io::ErrorKind;
@@ -20,65 +20,68 @@
 
 use super::pool::Link;
 use super::Servers;
-use crate::blocks::Sending;
-use crate::call::{Content, Cut, Reply, BODY_MOST, LARGE_MOST};
+use crate::blocks::OutgoingBody;
+use crate::call::{Content, Reply, Truncated, BODY_MOST, MAX_BODY_BYTES};
 use crate::headers::end_to_end;
 use crate::sock::{Io, Pending};
 
-/// How long a server may say nothing in the middle of an answer that flows. Nothing is cut off that still comes.
-const STALLED: Duration = Duration::from_secs(5);
-/// Turned away unseen.
+/// How long a server may pause within a streamed answer. An answer that makes progress is never cut off.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Set to `1` by a server that turned the request away without processing it.
 const TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
-/// Which request an answer is to, where it says so.
+/// The id of the request that an answer belongs to, if the server sends it.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-txn");
 
-/// How an answer says where it ends.
+/// How the end of an answer is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length.
+    /// By its content length.
     Length(u64),
     /// By its last chunk.
     Chunked,
-    /// With its connection.
+    /// By the end of the connection.
     Close,
 }
 
 impl Framing {
-    /// Does it say by itself that the answer is too long to be read whole?
+    /// Returns whether the declared length is too long to buffer.
     fn is_long(self) -> bool {
         matches!(self, Self::Length(length) if length > BODY_MOST as u64)
     }
 }
 
-/// What a server answered, as far as it was read.
-pub struct Heard {
+/// A server's answer, as far as it was read.
+pub struct ReceivedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     framing: Framing,
-    /// What was read of the body ...
+    /// The part of the body that was read.
     read: Bytes,
-    /// ... and the rest, where it is too long to be read whole.
+    /// The rest of the body, if it is too long to buffer.
     rest: Option<Incoming>,
-    /// The connection may carry another request.
-    keep: bool,
+    /// Whether the connection may carry another request.
+    may_reuse: bool,
 }
 
-impl Heard {
-    /// What it says of the request.
-    pub fn says(&self) -> Said {
-        let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
+impl ReceivedAnswer {
+    /// Classifies the answer by its status and headers.
+    pub fn classify(&self) -> Said {
+        let is_turned_away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         match self.status {
             StatusCode::OK => Said::Served,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if away => Said::TurnedAway,
-            // Bad clients send much that only a server can tell from good: no other server will like it better.
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_turned_away => {
+                Said::TurnedAway
+            }
+            // Misbehaving clients send much that only a server can recognise as invalid; no other server
+            // would accept it either.
             StatusCode::BAD_REQUEST => Said::Rejected,
             _ => Said::Failed,
         }
     }
 
-    /// The outcome of the attempt that it answers.
+    /// The outcome of the attempt that this answers.
     pub fn outcome(&self) -> Outcome {
-        match self.says() {
+        match self.classify() {
             Said::Served => Outcome::Done,
             Said::TurnedAway => Outcome::Full,
             Said::Rejected => Outcome::Rejected,
@@ -86,14 +89,15 @@
         }
     }
 
-    /// Does it say itself that it answers another request than this one?
-    pub fn names_another(&self, id: Option<&str>) -> bool {
+    /// Returns whether the answer names a request id other than `id`.
+    pub fn names_another_request(&self, id: Option<&str>) -> bool {
         let named = self.headers.get(REQUEST_ID);
         named.is_some_and(|named| id.is_none_or(|id| named.as_bytes() != id.as_bytes()))
     }
 
-    /// How the attempt ends with this. The connection is kept, or goes on with what is still to come.
-    pub fn ends(
+    /// Converts the answer into the attempt's result. The connection goes back to the pool, or stays with the
+    /// body that is still to be streamed.
+    pub fn into_ended(
         self,
         servers: &Rc<Servers>,
         server: ServerId,
@@ -102,12 +106,12 @@
     ) -> Ended<Reply> {
         let outcome = self.outcome();
         let Some(rest) = self.rest else {
-            give_back(
+            return_to_pool(
                 servers,
                 server,
                 link,
-                Came { body: self.read.len(), framing: self.framing },
-                self.keep,
+                CompleteAnswer { body_bytes: self.read.len(), framing: self.framing },
+                self.may_reuse,
             );
             return match outcome {
                 Outcome::Done => {
@@ -118,83 +122,90 @@
         };
         match (outcome, attempt) {
             (Outcome::Done, Some(attempt)) => {
-                let flow = Flowing {
-                    first: self.read,
+                let streamed = StreamedBody {
+                    buffered: self.read,
                     rest,
                     framing: self.framing,
-                    came: 0,
-                    keep: self.keep,
+                    passed_bytes: 0,
+                    may_reuse: self.may_reuse,
                     link: Some(link),
                     server,
                     attempt,
                     servers: servers.clone(),
-                    stalled: Box::pin(tokio::time::sleep(STALLED)),
+                    stall_timer: Box::pin(tokio::time::sleep(STALL_TIMEOUT)),
                 };
-                Ended::Flows(Reply { headers: self.headers, body: Content::Flow(Box::pin(flow)) })
+                Ended::Flows(Reply { headers: self.headers, body: Content::Streamed(Box::pin(streamed)) })
             }
-            // Nobody asked a probe for so much.
+            // A probe expects no long body.
             (Outcome::Done, None) => Ended::Without(Outcome::Error),
             (outcome, _) => Ended::Without(outcome),
         }
     }
 }
 
-/// An answer that came whole.
+/// The extent of an answer that was read to its end.
 #[derive(Clone, Copy)]
-struct Came {
-    /// How long its body was.
-    body: usize,
+struct CompleteAnswer {
+    /// The length of its body.
+    body_bytes: usize,
     framing: Framing,
 }
 
-/// Keeps a connection whose answer was read to its end, where it may carry another request: one that has more to read than
-/// that would answer the next request with it.
-fn give_back(servers: &Rc<Servers>, server: ServerId, mut link: Link, came: Came, keep: bool) {
-    if came.framing == Framing::Close || !link.sock.whole() {
+/// Returns a connection whose answer was read to its end to the pool, if it may carry another request. One
+/// with bytes left to read is dropped: they would be taken for the answer to the next request.
+fn return_to_pool(
+    servers: &Rc<Servers>,
+    server: ServerId,
+    mut link: Link,
+    answer: CompleteAnswer,
+    may_reuse: bool,
+) {
+    if answer.framing == Framing::Close || !link.sock.is_written() {
         return;
     }
-    let just = link.sock.heard_just(came.body, came.framing == Framing::Chunked);
+    let is_exact = link.sock.received_exactly(answer.body_bytes, answer.framing == Framing::Chunked);
     let pending = link.sock.pending();
-    if !just || pending == Pending::Bytes {
+    if !is_exact || pending == Pending::Bytes {
         let seen = link.exchange.received_behind_answer(Instant::now());
-        servers.pool.note(server, seen);
+        servers.pool.note_out_of_turn(server, seen);
         return;
     }
-    // Busy while its server moved or restarted, it escaped the pool's forgetting.
+    // If the server moved or restarted while the connection was in use, `Pool::forget` did not
+    // see it.
     let is_same_place = servers.hub.place(server) == Some(link.place);
-    if keep && pending == Pending::Nothing && is_same_place {
+    if may_reuse && pending == Pending::Nothing && is_same_place {
         link.exchange.finished(Instant::now());
         servers.pool.put(server, link);
     }
 }
 
-/// The body of an answer too long to be read whole: the one who writes it on reads it. Its connection goes with it, and its
-/// place at the server.
-struct Flowing {
-    first: Bytes,
+/// An answer body too long to buffer, read as it is written to the client. It keeps the connection and the
+/// attempt's slot at the server until it ends.
+struct StreamedBody {
+    buffered: Bytes,
     rest: Incoming,
     framing: Framing,
-    /// How much was passed on so far.
-    came: usize,
-    keep: bool,
-    /// The connection; `None` once the last byte has come.
+    /// How many bytes were passed on so far.
+    passed_bytes: usize,
+    may_reuse: bool,
+    /// The connection; `None` once the last byte was received.
     link: Option<Link>,
     server: ServerId,
     attempt: AttemptId,
     servers: Rc<Servers>,
-    /// When a server that says nothing more is given up.
-    stalled: Pin<Box<Sleep>>,
+    /// Expires when a silent server is to be given up.
+    stall_timer: Pin<Box<Sleep>>,
 }
 
-impl Flowing {
-    /// Passes on what came; the connection goes back where that was the last of it.
-    fn pass(&mut self, data: Bytes) -> Result<Frame<Bytes>, Cut> {
-        self.came += data.len();
-        if self.came > LARGE_MOST {
-            return Err(Cut);
+impl StreamedBody {
+    /// Passes data on; returns the connection to the pool if it was the last.
+    fn pass_on(&mut self, data: Bytes) -> Result<Frame<Bytes>, Truncated> {
+        self.passed_bytes += data.len();
+        if self.passed_bytes > MAX_BODY_BYTES {
+            return Err(Truncated);
         }
-        self.stalled.as_mut().reset((Instant::now() + STALLED).into());
-        if self.framing == Framing::Length(self.came as u64) {
+        self.stall_timer.as_mut().reset((Instant::now() + STALL_TIMEOUT).into());
+        if self.framing == Framing::Length(self.passed_bytes as u64) {
             self.end();
         }
         Ok(Frame::data(data))
@@ -202,49 +213,52 @@
 
     fn end(&mut self) {
         let Some(link) = self.link.take() else { return };
-        let came = Came { body: self.came, framing: self.framing };
-        give_back(&self.servers, self.server, link, came, self.keep);
+        let complete = CompleteAnswer { body_bytes: self.passed_bytes, framing: self.framing };
+        return_to_pool(&self.servers, self.server, link, complete, self.may_reuse);
         self.servers.hub.flowed(self.attempt);
     }
 }
 
-impl Drop for Flowing {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
-        // What is left of its connection is of no use, and its server sees that nobody waits.
+        // An unfinished connection can't be reused; closing it tells the server that nobody waits.
         if self.link.take().is_some() {
             self.servers.hub.flowed(self.attempt);
         }
     }
 }
 
-impl Body for Flowing {
+impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        if !self.first.is_empty() {
-            let first = std::mem::take(&mut self.first);
-            return Poll::Ready(Some(self.pass(first)));
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
+        if !self.buffered.is_empty() {
+            let first = std::mem::take(&mut self.buffered);
+            return Poll::Ready(Some(self.pass_on(first)));
         }
         loop {
             let Some(link) = self.link.as_mut() else { return Poll::Ready(None) };
-            // Once over, what it had to say has been handed on.
-            if !link.over {
-                link.over = Pin::new(&mut link.conn).poll(cx).is_ready();
+            // Once the connection is over, everything it received has been delivered.
+            if !link.is_over {
+                link.is_over = Pin::new(&mut link.conn).poll(cx).is_ready();
             }
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) if !data.is_empty() => return Poll::Ready(Some(self.pass(data))),
-                    // Trailers are the connection's.
+                    Ok(data) if !data.is_empty() => return Poll::Ready(Some(self.pass_on(data))),
+                    // Trailers are not forwarded.
                     _ => {}
                 },
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Cut))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Truncated))),
                 Poll::Ready(None) => {
                     self.end();
                     return Poll::Ready(None);
                 }
-                Poll::Pending if self.stalled.as_mut().poll(cx).is_ready() => {
-                    return Poll::Ready(Some(Err(Cut)))
+                Poll::Pending if self.stall_timer.as_mut().poll(cx).is_ready() => {
+                    return Poll::Ready(Some(Err(Truncated)))
                 }
                 Poll::Pending => return Poll::Pending,
             }
@@ -252,77 +266,82 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.link.is_none() && self.first.is_empty()
+        self.link.is_none() && self.buffered.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
         match self.framing {
-            Framing::Length(length) => SizeHint::with_exact(length - self.came as u64),
+            Framing::Length(length) => SizeHint::with_exact(length - self.passed_bytes as u64),
             Framing::Chunked | Framing::Close => SizeHint::default(),
         }
     }
 }
 
-/// Why there is no answer.
-pub enum Broken {
+/// Why no answer was received.
+pub enum ExchangeError {
     /// The connection ended.
-    Link,
-    /// What came can't be read.
+    Closed,
+    /// The received bytes could not be parsed.
     Garbled,
 }
 
-impl From<hyper::Error> for Broken {
+impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        // A bad chunk is told as bad input or data from the connection.
+        // hyper reports a bad chunk as `InvalidInput` or `InvalidData`.
         let cause = std::error::Error::source(&error).and_then(|e| e.downcast_ref::<std::io::Error>());
         let bad = |kind| matches!(kind, ErrorKind::InvalidInput | ErrorKind::InvalidData);
         if error.is_parse() || error.is_parse_status() || cause.is_some_and(|e| bad(e.kind())) {
             Self::Garbled
         } else {
-            Self::Link
+            Self::Closed
         }
     }
 }
 
-/// Writes a request and reads the answer, whole or until it is too long for that. A second request on the connection is
-/// never begun here, and nothing is sent again.
-pub async fn converse(link: &mut Link, request: Request<Sending>) -> Result<Heard, Broken> {
-    let Link { send, conn, over, .. } = link;
-    let talk = async {
+/// Writes a request and reads the answer, up to its end or until it is too long to buffer. Never sends the
+/// request again or starts a second one on the connection.
+pub async fn send_and_receive(
+    link: &mut Link,
+    request: Request<OutgoingBody>,
+) -> Result<ReceivedAnswer, ExchangeError> {
+    let Link { send, conn, is_over, .. } = link;
+    let transfer = async {
         send.ready().await?;
         let answer = send.send_request(request).await?;
-        let closes = answer.version() == Version::HTTP_10 || says_close(answer.headers());
+        let closes = answer.version() == Version::HTTP_10 || announces_close(answer.headers());
         let (parts, mut body) = answer.into_parts();
-        let framing = framing_of(&parts.headers, closes).ok_or(Broken::Garbled)?;
-        if matches!(framing, Framing::Length(length) if length > LARGE_MOST as u64) {
-            return Err(Broken::Garbled);
+        let framing = framing_of(&parts.headers, closes).ok_or(ExchangeError::Garbled)?;
+        if matches!(framing, Framing::Length(length) if length > MAX_BODY_BYTES as u64) {
+            return Err(ExchangeError::Garbled);
         }
-        let (mut read, mut whole) = (BytesMut::new(), false);
-        // Of one that says itself that it is long, the head is enough: its first bytes are what is waited for.
-        while !whole && !framing.is_long() && read.len() <= BODY_MOST {
+        let (mut read, mut is_complete) = (BytesMut::new(), false);
+        // For an answer with a long declared length the head is enough; its first body bytes are not waited
+        // for.
+        while !is_complete && !framing.is_long() && read.len() <= BODY_MOST {
             match body.frame().await.transpose()? {
                 Some(frame) => read.extend_from_slice(&frame.into_data().unwrap_or_default()),
-                None => whole = true,
+                None => is_complete = true,
             }
         }
-        let rest = (!whole).then_some(body);
+        let rest = (!is_complete).then_some(body);
         let headers = end_to_end(&parts.headers);
-        let (status, read, keep) = (parts.status, read.freeze(), !closes);
-        Ok::<_, Broken>(Heard { status, headers, framing, read, rest, keep })
+        let (status, read, may_reuse) = (parts.status, read.freeze(), !closes);
+        Ok::<_, ExchangeError>(ReceivedAnswer { status, headers, framing, read, rest, may_reuse })
     };
-    let mut heard = drive(conn, over, talk).await?;
-    if heard.rest.is_none() {
-        heard.keep &= !ended(conn, over).await;
+    let mut received = drive(conn, is_over, transfer).await?;
+    if received.rest.is_none() {
+        received.may_reuse &= !has_ended(conn, is_over).await;
     }
-    Ok(heard)
+    Ok(received)
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn announces_close(headers: &HeaderMap) -> bool {
     headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-/// Does the answer say in one way where it ends? One with a length and a transfer coding is two answers in one, and one that
-/// ends with its connection may be cut short: only one that says so is believed.
+/// The framing of an answer; `None` if it is ambiguous. An answer with both a length and a transfer coding
+/// has two possible ends. One without either may be truncated, and is accepted only if it announces the
+/// close.
 fn framing_of(headers: &HeaderMap, closes: bool) -> Option<Framing> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let length = (lengths.next(), lengths.next());
@@ -336,25 +355,30 @@
     }
 }
 
-/// Has the connection come to its end? hyper sees bytes behind the answer, and closes, only when polled.
-async fn ended(conn: &mut Connection<Io, Sending>, over: &mut bool) -> bool {
+/// Returns whether the connection has ended. hyper notices bytes after the answer, and a close, only when
+/// polled.
+async fn has_ended(conn: &mut Connection<Io, OutgoingBody>, is_over: &mut bool) -> bool {
     std::future::poll_fn(|cx| {
-        *over = *over || Pin::new(&mut *conn).poll(cx).is_ready();
-        Poll::Ready(*over)
+        *is_over = *is_over || Pin::new(&mut *conn).poll(cx).is_ready();
+        Poll::Ready(*is_over)
     })
     .await
 }
 
-/// Polls the connection for as long as what goes on over it lasts.
-async fn drive<T>(conn: &mut Connection<Io, Sending>, over: &mut bool, talk: impl Future<Output = T>) -> T {
-    let mut talk = pin!(talk);
-    if !*over {
+/// Polls the connection while `transfer` runs on it.
+async fn drive<T>(
+    conn: &mut Connection<Io, OutgoingBody>,
+    is_over: &mut bool,
+    transfer: impl Future<Output = T>,
+) -> T {
+    let mut transfer = pin!(transfer);
+    if !*is_over {
         tokio::select! {
             biased;
-            done = &mut talk => return done,
-            _ = &mut *conn => *over = true,
+            done = &mut transfer => return done,
+            _ = &mut *conn => *is_over = true,
         }
     }
-    // The connection is over; what it had to say has been handed on.
-    talk.await
+    // The connection is over; everything it received has been delivered.
+    transfer.await
 }
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -1,4 +1,4 @@
-//! Servers that speak HTTP/1.1: attempts and probes, and how each ended.
+//! HTTP/1.1 servers: attempts, probes and their outcomes.
 
 mod answer;
 mod pool;
@@ -18,50 +18,50 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout_at;
 
-use super::{Descriptors, Idle};
-use crate::blocks::{Blocks, Rest, Sending};
+use super::{Descriptors, EvictIdle};
+use crate::blocks::{Blocks, OutgoingBody, RemainingBody};
 use crate::call::{Call, Reply, REMAINING};
 use crate::hub::Hub;
-use answer::{converse, Broken, Heard};
-use pool::{Link, Pool, Rested};
+use answer::{send_and_receive, ExchangeError, ReceivedAnswer};
+use pool::{Link, Pool, Readiness};
 
-/// How many new connections in a row may be spoilt by bytes that nobody asked for before an attempt does without.
-const NEW_SPOILT_MOST: usize = 3;
+/// How many new connections in a row may receive unexpected bytes before the attempt fails.
+const MAX_SPOILT_CONNECTIONS: usize = 3;
 
-/// How long a server may take nothing of a body that goes on while it comes, and how often it is looked whether its client
-/// or its server is waited for.
-const UPTAKE_STALLED: Duration = Duration::from_secs(2);
-const UPTAKE_LOOK: Duration = Duration::from_millis(500);
+/// How long a server may accept nothing of a streamed request body, and how often it is checked whether the
+/// transfer waits for the client or for the server.
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What goes over a connection.
+/// What is sent on a connection.
 enum Message {
     Call(Rc<Call>),
-    /// A probe is to tell whether the process takes connections: a kept one could not.
+    /// Tests whether the server accepts connections, so it never uses a pooled one.
     Probe,
-    /// A check is to tell whether a server that is in use drains.
+    /// Tests whether a server in use is draining.
     Check,
 }
 
 impl Message {
-    fn body(&self) -> Sending {
+    fn body(&self) -> OutgoingBody {
         match self {
             Self::Call(call) => match &call.rest {
-                Some(rest) => Sending::with_rest(call.body.clone(), rest),
+                Some(rest) => OutgoingBody::with_rest(call.body.clone(), rest),
                 None => call.body.clone().into(),
             },
             Self::Probe | Self::Check => Blocks::default().into(),
         }
     }
 
-    /// What is still to come of its body.
-    fn rest(&self) -> Option<&Rest> {
+    /// The rest of the body, if it is still being received.
+    fn rest(&self) -> Option<&RemainingBody> {
         match self {
             Self::Call(call) => call.rest.as_ref(),
             Self::Probe | Self::Check => None,
         }
     }
 
-    fn request(&self, end: Instant) -> Request<Sending> {
+    fn request(&self, deadline: Instant) -> Request<OutgoingBody> {
         let mut request = Request::new(self.body());
         match self {
             Self::Call(call) => {
@@ -74,75 +74,76 @@
                 request.headers_mut().insert(HOST, HeaderValue::from_static("service.internal"));
             }
         }
-        let left = end.saturating_duration_since(Instant::now()).as_millis() as u64;
+        let left = deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         request.headers_mut().insert(REMAINING, HeaderValue::from(left));
         request
     }
 }
 
-/// All servers that speak HTTP/1.1.
+/// All servers reached over HTTP/1.1.
 pub struct Servers {
     hub: Rc<Hub>,
     pool: Rc<Pool>,
-    /// The attempts that are out.
-    out: RefCell<HashMap<AttemptId, Out>>,
+    /// The attempts in flight.
+    in_flight: RefCell<HashMap<AttemptId, InFlight>>,
 }
 
-/// An attempt that is out.
-struct Out {
+/// An attempt in flight.
+struct InFlight {
     task: AbortHandle,
-    /// When its last byte went out; `None` while it waits for a connection or is being written.
-    whole_at: WholeAt,
+    /// When its last byte was written; `None` while it waits for a connection or is being written.
+    written_at: WrittenAt,
 }
 
-type WholeAt = Rc<Cell<Option<Instant>>>;
+type WrittenAt = Rc<Cell<Option<Instant>>>;
 
 impl Servers {
-    /// No connections yet.
+    /// Creates the backend without connections.
     pub fn new(hub: Rc<Hub>, descriptors: Rc<Descriptors>) -> Rc<Self> {
         let pool = Rc::new(Pool::new(hub.clone(), &hub.settings(), descriptors.clone()));
-        let idle: Rc<dyn Idle> = pool.clone();
-        descriptors.may_evict(Rc::downgrade(&idle));
-        Rc::new(Self { hub, pool, out: RefCell::default() })
+        let idle: Rc<dyn EvictIdle> = pool.clone();
+        descriptors.register_evictable(Rc::downgrade(&idle));
+        Rc::new(Self { hub, pool, in_flight: RefCell::default() })
     }
 
     /// Starts an attempt.
-    pub fn start(self: &Rc<Self>, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
-        let (servers, whole_at) = (self.clone(), WholeAt::default());
-        let of = (attempt, whole_at.clone());
+    pub fn start(self: &Rc<Self>, attempt: AttemptId, server: ServerId, deadline: Instant, call: Rc<Call>) {
+        let (servers, written_at) = (self.clone(), WrittenAt::default());
+        let tracked = (attempt, written_at.clone());
         let task = tokio::task::spawn_local(async move {
             let message = Message::Call(call);
-            let ended = exchange(&servers, server, end, &message, Some(of)).await;
-            servers.out.borrow_mut().remove(&attempt);
+            let ended = exchange(&servers, server, deadline, &message, Some(tracked)).await;
+            servers.in_flight.borrow_mut().remove(&attempt);
             servers.hub.attempt_ended(attempt, ended);
         });
-        self.out.borrow_mut().insert(attempt, Out { task: task.abort_handle(), whole_at });
+        self.in_flight.borrow_mut().insert(attempt, InFlight { task: task.abort_handle(), written_at });
     }
 
-    /// Gives an attempt up, where it is one of these: ending the task closes its connection. One whose last byte was still
-    /// here never ran.
+    /// Abandons an attempt if it belongs to this backend: ending the task closes its connection. A request
+    /// that was not fully written was never executed.
     pub fn abandon(&self, attempt: AttemptId) -> bool {
-        let Some(out) = self.out.borrow_mut().remove(&attempt) else { return false };
-        out.task.abort();
-        let outcome = if out.whole_at.get().is_some() { Outcome::Cancelled } else { Outcome::NotSent };
+        let Some(in_flight) = self.in_flight.borrow_mut().remove(&attempt) else { return false };
+        in_flight.task.abort();
+        let outcome =
+            if in_flight.written_at.get().is_some() { Outcome::Cancelled } else { Outcome::NotSent };
         self.hub.attempt_ended(attempt, Ended::Without(outcome));
         true
     }
 
-    /// Is it one of these, with its last byte still here?
+    /// Returns whether the attempt belongs to this backend and is not fully written.
     pub fn unsent(&self, attempt: AttemptId) -> bool {
-        self.out.borrow().get(&attempt).is_some_and(|out| out.whole_at.get().is_none())
+        self.in_flight.borrow().get(&attempt).is_some_and(|in_flight| in_flight.written_at.get().is_none())
     }
 
-    /// Probes a server, or checks whether one that is in use drains.
+    /// Probes a server, or checks whether one in use is draining.
     pub fn probe(self: &Rc<Self>, server: ServerId, is_in_use: bool) {
         let servers = self.clone();
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            // As long as a connection may take, and as long again for the answer.
-            let end = sent + 2 * servers.pool.connect_within;
+            // The time allowed for connecting, and as much again for the answer.
+            let deadline = sent + 2 * servers.pool.max_connect_time;
             let message = if is_in_use { Message::Check } else { Message::Probe };
-            let outcome = match exchange(&servers, server, end, &message, None).await {
+            let outcome = match exchange(&servers, server, deadline, &message, None).await {
                 Ended::Served(_) | Ended::Flows(_) => Outcome::Done,
                 Ended::Without(outcome) | Ended::RunsOn(outcome) => outcome,
             };
@@ -155,33 +156,35 @@
         self.pool.forget(server);
     }
 
-    /// Closes what has been idle for long or was closed by its server.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         self.pool.sweep();
     }
 }
 
-/// A connection for an attempt.
-struct Got {
+/// A connection for a request.
+struct Acquired {
     link: Link,
-    /// It has carried others before.
+    /// Whether it has carried other requests before.
     reused: bool,
 }
 
-/// A connection on which a request may be written now, or how the attempt ends without one.
-async fn connection(
+/// Acquires a connection on which a request may be written now, or returns the outcome of the attempt without
+/// one.
+async fn acquire_connection(
     servers: &Servers,
     server: ServerId,
-    end: Instant,
+    deadline: Instant,
     message: &Message,
     attempt: Option<AttemptId>,
     may_reuse: bool,
-) -> Result<Got, Outcome> {
+) -> Result<Acquired, Outcome> {
     let (hub, pool) = (&servers.hub, &servers.pool);
     let is_call = matches!(message, Message::Call(_));
     let mut spoilt = 0;
     loop {
-        // A drain holds from the moment it is told, also for what waited on a connection until now.
+        // A drain applies from the moment the node is notified, also to attempts that were waiting for a
+        // connection.
         let place = hub.place(server).ok_or(Outcome::NotSent)?;
         let pooled = match message {
             _ if !may_reuse => None,
@@ -194,48 +197,49 @@
             Some(link) => link,
             None => {
                 hub.connecting(server);
-                let connecting = timeout_at(end.into(), pool.connect(place, !is_call));
+                let connecting = timeout_at(deadline.into(), pool.connect(place, !is_call));
                 connecting.await.unwrap_or(Err(Outcome::NotSent))?
             }
         };
-        let rested = timeout_at(end.into(), pool.rest(server, &mut link)).await;
-        match rested.map_err(|_| Outcome::NotSent)? {
-            Rested::Quiet => {}
-            Rested::Closed | Rested::Spoke if reused => continue,
-            Rested::Spoke if spoilt + 1 < NEW_SPOILT_MOST => {
+        let readiness = timeout_at(deadline.into(), pool.wait_until_usable(server, &mut link)).await;
+        match readiness.map_err(|_| Outcome::NotSent)? {
+            Readiness::Usable => {}
+            Readiness::Closed | Readiness::ReceivedBytes if reused => continue,
+            Readiness::ReceivedBytes if spoilt + 1 < MAX_SPOILT_CONNECTIONS => {
                 spoilt += 1;
                 continue;
             }
-            Rested::Spoke | Rested::Closed => return Err(Outcome::ConnectFailed),
+            Readiness::ReceivedBytes | Readiness::Closed => return Err(Outcome::ConnectFailed),
         }
         let accepts = match message {
             Message::Call(_) => hub.accepts(server, place),
             Message::Probe | Message::Check => hub.place(server) == Some(place),
         };
         let accepts = accepts && attempt.is_none_or(|attempt| hub.may_write(attempt));
-        return if accepts { Ok(Got { link, reused }) } else { Err(Outcome::NotSent) };
+        return if accepts { Ok(Acquired { link, reused }) } else { Err(Outcome::NotSent) };
     }
 }
 
-/// One request to a server, and how it ended. Who asks for an attempt may be given an answer that flows.
+/// Sends one request to a server and returns how it ended. Only an attempt (`tracked`) may get a streamed
+/// answer.
 async fn exchange(
     servers: &Rc<Servers>,
     server: ServerId,
-    end: Instant,
+    deadline: Instant,
     message: &Message,
-    of: Option<(AttemptId, WholeAt)>,
+    tracked: Option<(AttemptId, WrittenAt)>,
 ) -> Ended<Reply> {
-    let (attempt, whole_at) = of.unzip();
-    let whole_at = whole_at.unwrap_or_default();
+    let (attempt, written_at) = tracked.unzip();
+    let written_at = written_at.unwrap_or_default();
     let (hub, pool) = (&servers.hub, &servers.pool);
     pool.begin();
-    // What can be sent once is not risked on a connection that may have gone dead.
+    // A body that can be sent only once is not risked on a pooled connection that may be dead.
     let is_call = matches!(message, Message::Call(_));
     let mut may_reuse = !matches!(message, Message::Probe) && message.rest().is_none();
     loop {
-        let Got { mut link, reused } =
-            match connection(servers, server, end, message, attempt, may_reuse).await {
-                Ok(got) => got,
+        let Acquired { mut link, reused } =
+            match acquire_connection(servers, server, deadline, message, attempt, may_reuse).await {
+                Ok(acquired) => acquired,
                 Err(outcome) => return Ended::Without(outcome),
             };
         may_reuse = false;
@@ -243,68 +247,73 @@
         if !link.exchange.begin() {
             continue;
         }
-        let expected = pool.expect(server);
+        let unanswered = pool.track_unanswered(server);
         let length = match message {
             Message::Call(call) => call.length(),
             Message::Probe | Message::Check => Some(0),
         };
         match (length, message.rest()) {
-            (None, Some(rest)) => link.sock.begin_open(rest.uptake.clone()),
-            (length, _) => link.sock.begin(length.unwrap_or(0)),
+            (None, Some(rest)) => link.sock.begin_streamed_message(rest.upload.clone()),
+            (length, _) => link.sock.begin_message(length.unwrap_or(0)),
         }
         if let Some(attempt) = attempt {
-            let (told, whole_at, comes) = (hub.clone(), whole_at.clone(), message.rest().is_some());
-            link.sock.when_whole(move || {
-                told.figures.with(|f| f.sends += 1);
-                whole_at.set(Some(Instant::now()));
-                if comes {
-                    told.body_sent(attempt.request);
+            let (hub_handle, written_at, is_streamed) =
+                (hub.clone(), written_at.clone(), message.rest().is_some());
+            link.sock.on_written(move || {
+                hub_handle.figures.with(|f| f.sends += 1);
+                written_at.set(Some(Instant::now()));
+                if is_streamed {
+                    hub_handle.body_sent(attempt.request);
                 }
             });
-            if message.rest().is_some_and(Rest::is_there) {
+            if message.rest().is_some_and(RemainingBody::is_available) {
                 hub.body_taken(attempt.request);
             } else if message.rest().is_some() {
-                // Its rest went with an attempt before; nothing of this one is sent.
+                // The rest of the body was consumed by an earlier attempt; nothing of this one is sent.
                 return Ended::Without(Outcome::NotSent);
             }
         }
-        let request = message.request(end);
+        let request = message.request(deadline);
         let sock = link.sock.clone();
-        // A check goes on with a new connection where a kept one is dead.
-        let may_go_on = reused && !is_call;
-        let end = if may_go_on { end.min(sent + pool.connect_within) } else { end };
+        // If a pooled connection is dead, a check continues on a new one.
+        let may_continue = reused && !is_call;
+        let deadline = if may_continue { deadline.min(sent + pool.max_connect_time) } else { deadline };
         let ended = match message.rest() {
-            None => timeout_at(end.into(), converse(&mut link, request)).await.ok(),
+            None => timeout_at(deadline.into(), send_and_receive(&mut link, request)).await.ok(),
             Some(rest) => {
-                let limit = || match whole_at.get() {
-                    Some(at) => at + end.saturating_duration_since(sent),
-                    None if rest.uptake.waits.get() => Instant::now() + UPTAKE_LOOK,
-                    None => sock.moved().max(sent) + UPTAKE_STALLED,
+                let limit = || match written_at.get() {
+                    Some(at) => at + deadline.saturating_duration_since(sent),
+                    None if rest.upload.awaits_data.get() => Instant::now() + UPLOAD_CHECK_INTERVAL,
+                    None => sock.last_write_at().max(sent) + UPLOAD_STALL_TIMEOUT,
                 };
-                by_progress(converse(&mut link, request), limit).await
+                with_moving_deadline(send_and_receive(&mut link, request), limit).await
             }
         };
-        drop(expected);
-        note_order(pool, server, &mut link, message);
-        let (any, whole) = (sock.any(), sock.whole());
-        if ended.is_none() && whole && !sock.heard_any() {
-            pool.distrust(server, sent);
+        drop(unanswered);
+        record_order(pool, server, &mut link, message);
+        let (any_written, is_written) = (sock.any_written(), sock.is_written());
+        if ended.is_none() && is_written && !sock.any_received() {
+            pool.close_last_used_before(server, sent);
         }
-        if may_go_on && !matches!(ended, Some(Ok(_))) {
+        if may_continue && !matches!(ended, Some(Ok(_))) {
             continue;
         }
         return Ended::Without(match ended {
-            // A kept connection that was closed before the first byte was written: nothing was sent, so this
-            // is still the same attempt.
-            Some(Err(_)) if reused && !any && message.rest().is_none_or(Rest::is_there) => continue,
-            Some(Ok(heard)) => {
-                pool.heard(server, sent);
-                let verdict = judge(pool, server, &mut link, message, &heard);
-                match outcome_of(verdict, &heard) {
+            // The server closed a pooled connection before the first byte was written: nothing was sent, so
+            // the attempt continues on another connection.
+            Some(Err(_))
+                if reused && !any_written && message.rest().is_none_or(RemainingBody::is_available) =>
+            {
+                continue
+            }
+            Some(Ok(received)) => {
+                pool.record_answered(server, sent);
+                let verdict = verdict_of(pool, server, &mut link, message, &received);
+                match outcome_of(verdict, &received) {
                     Ok(()) => {
                         pool.note_answer(server);
                         hub.connection_answered(server, link.exchange.opened());
-                        return heard.ends(servers, server, link, attempt);
+                        return received.into_ended(servers, server, link, attempt);
                     }
                     Err(outcome) => {
                         hub.answer_doubted(server, attempt, verdict);
@@ -312,66 +321,75 @@
                     }
                 }
             }
-            Some(Err(Broken::Link)) if whole => Outcome::Reset,
-            Some(Err(Broken::Garbled)) if whole => Outcome::Error,
-            // What its client broke off says nothing of the server.
-            Some(Err(_)) if message.rest().is_some() && any => Outcome::NotSent,
+            Some(Err(ExchangeError::Closed)) if is_written => Outcome::Reset,
+            Some(Err(ExchangeError::Garbled)) if is_written => Outcome::Error,
+            // A transfer that its client broke off says nothing about the server.
+            Some(Err(_)) if message.rest().is_some() && any_written => Outcome::NotSent,
             Some(Err(_)) => Outcome::ConnectFailed,
-            // A kept connection that is dead must not pass for a slow server: that would eject it, and lower its limit,
-            // for each connection that was kept. One that is slow with all it has is not overtaken.
-            None if whole && reused && !sock.heard_any() && pool.overtaken(server, sent) => Outcome::Unheard,
-            None if whole => Outcome::TimedOut,
+            // A dead pooled connection must not count as a slow server, or each one would eject the server
+            // and lower its limit. A server that is slow on all connections is not exempt: it has not
+            // answered anything sent later.
+            None if is_written && reused && !sock.any_received() && pool.has_answered_later(server, sent) => {
+                Outcome::Unheard
+            }
+            None if is_written => Outcome::TimedOut,
             None => Outcome::NotSent,
         });
     }
 }
 
-/// Tells the connection in which order the request's last byte went out and its answer began to come.
-fn note_order(pool: &Pool, server: ServerId, link: &mut Link, message: &Message) {
-    if link.sock.heard_ahead() {
+/// Records on the connection whether the answer began before the request was fully written.
+fn record_order(pool: &Pool, server: ServerId, link: &mut Link, message: &Message) {
+    if link.sock.answered_early() {
         let seen = link.exchange.received(Instant::now());
-        // A body that goes on while it comes may be answered before its end by right.
+        // A request body that is still being streamed may legitimately be answered before its end.
         if let Some(seen) = seen.filter(|_| message.rest().is_none()) {
-            pool.note(server, seen);
+            pool.note_out_of_turn(server, seen);
         }
     }
-    if link.sock.whole() {
+    if link.sock.is_written() {
         link.exchange.written();
     }
 }
 
-/// What an answer proves of the request that was written before it.
-fn judge(pool: &Pool, server: ServerId, link: &mut Link, message: &Message, heard: &Heard) -> Verdict {
+/// Determines what an answer proves about the request written before it.
+fn verdict_of(
+    pool: &Pool,
+    server: ServerId,
+    link: &mut Link,
+    message: &Message,
+    received: &ReceivedAnswer,
+) -> Verdict {
     let id = match message {
         Message::Call(call) => Some(call.id.as_str()),
         Message::Probe | Message::Check => None,
     };
     let now = Instant::now();
     let answer = Answer {
-        said: heard.says(),
-        began: link.sock.heard_at().unwrap_or(now),
-        names_another: heard.names_another(id),
+        said: received.classify(),
+        began: link.sock.answer_began_at().unwrap_or(now),
+        names_another: received.names_another_request(id),
     };
     link.exchange.answered(now, answer, pool.need(server))
 }
 
-/// The outcome of an attempt whose answer does not count, or not as what it says; `Ok` where it does.
-fn outcome_of(verdict: Verdict, heard: &Heard) -> Result<(), Outcome> {
+/// The outcome of an attempt whose answer is not accepted as it stands; `Ok` if it is.
+fn outcome_of(verdict: Verdict, received: &ReceivedAnswer) -> Result<(), Outcome> {
     match (verdict.why, verdict.proof) {
         (Why::Answered, _) => Ok(()),
-        // A server begins with the last byte: what says that it is served before that is the answer to something else.
-        (_, Proof::NeverRan) if heard.outcome() == Outcome::Done => Err(Outcome::NotSent),
+        // A server starts with the last byte, so a success before that answers some other request.
+        (_, Proof::NeverRan) if received.outcome() == Outcome::Done => Err(Outcome::NotSent),
         (_, Proof::NeverRan) => Ok(()),
         (_, Proof::Served | Proof::MayHaveRun) => Err(Outcome::Error),
     }
 }
 
-/// Waits for something for as long as its limit moves on; `None` once that is past.
-async fn by_progress<T>(something: impl Future<Output = T>, limit: impl Fn() -> Instant) -> Option<T> {
-    let mut something = pin!(something);
+/// Waits for a future while its deadline keeps moving; `None` once the deadline has passed.
+async fn with_moving_deadline<T>(future: impl Future<Output = T>, limit: impl Fn() -> Instant) -> Option<T> {
+    let mut future = pin!(future);
     loop {
         let until = limit();
-        match timeout_at(until.into(), &mut something).await {
+        match timeout_at(until.into(), &mut future).await {
             Ok(done) => return Some(done),
             Err(_) if limit() <= Instant::now() => return None,
             Err(_) => {}
--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -1,4 +1,5 @@
-//! Connections between requests: kept, watched, and quiet for as long as their server needs before each use.
+//! The pool of idle connections to HTTP/1.1 servers. Idle connections are watched for unexpected bytes, and
+//! must have been silent for as long as their server requires before they are reused.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,42 +16,46 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at};
 
-use crate::backend::{Descriptors, Held, Idle};
-use crate::blocks::Sending;
+use crate::backend::{Descriptor, Descriptors, EvictIdle};
+use crate::blocks::OutgoingBody;
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::Place;
 use crate::sock::{Io, Pending, Sock};
 
-/// The largest head of an answer.
-const HEAD_MOST: usize = 16 * 1024;
-/// The part of the servers' keep-alive after which a connection is not used any more: one that is written to
-/// when its server closes it ends as a reset, and fails what must not be repeated.
-const IDLE_SHARE: f64 = 0.5;
-/// From when on an attempt counts as long unheard: beyond what is usual for an answer. Too soon costs new connections.
-const UNHEARD: Duration = Duration::from_millis(400);
-/// Of several connections those are used first that have been quiet for so long: a late second answer would have come.
-const QUIET_FIRST: Duration = Duration::from_millis(25);
-/// A connection that may be used within so much more time than a new one is waited for: a new one costs its server work.
-const WAIT_FOR_USED: Duration = Duration::from_millis(25);
+/// The largest accepted head of an answer.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The share of the servers' keep-alive time for which a connection is reused. Writing to one while its
+/// server closes it ends in a reset, which fails requests that must not be repeated.
+const USABLE_KEEPALIVE_SHARE: f64 = 0.5;
+/// From when an attempt counts as long unanswered: longer than answers usually take. A lower value costs
+/// additional connections.
+const LONG_UNANSWERED: Duration = Duration::from_millis(400);
+/// Connections idle for at least this long are preferred: a late second answer would have arrived by now.
+const PREFERRED_IDLE_TIME: Duration = Duration::from_millis(25);
+/// How much longer than for a new connection a pooled one is waited for, as a new one costs its server work.
+const MAX_WAIT_FOR_POOLED: Duration = Duration::from_millis(25);
 
 /// A connection to a server.
 pub struct Link {
+    /// Its socket.
     pub sock: Rc<Sock>,
-    pub send: SendRequest<Sending>,
-    pub conn: Connection<Io, Sending>,
-    /// It has ended, and must not be polled any more.
-    pub over: bool,
-    /// Whom it leads to.
+    /// hyper's handle for sending requests.
+    pub send: SendRequest<OutgoingBody>,
+    /// hyper's connection, which must be polled for requests to make progress.
+    pub conn: Connection<Io, OutgoingBody>,
+    /// Whether the connection has ended; it must not be polled again.
+    pub is_over: bool,
+    /// The server instance it leads to.
     pub place: Place,
-    /// What it is in the middle of.
+    /// The state of its exchange of requests and answers.
     pub exchange: Exchange,
-    held: Held,
-    /// Tells connections apart.
+    descriptor: Descriptor,
+    /// Identifies the connection within the pool.
     number: u64,
 }
 
-/// The task that waits for what comes on an idle connection; ended with this.
+/// The task that waits for activity on an idle connection; aborted on drop.
 struct Watch(AbortHandle);
 
 impl Drop for Watch {
@@ -59,205 +64,209 @@
     }
 }
 
-/// A connection between requests. hyper does not poll it meanwhile.
-struct Resting {
+/// An idle connection. hyper does not poll it.
+struct IdleLink {
     link: Link,
     _watch: Watch,
 }
 
-/// An attempt that is noted as unheard; not any more once this is dropped.
-pub struct Expected {
+/// Registers an attempt as unanswered until it is dropped.
+pub struct UnansweredGuard {
     pool: Rc<Pool>,
     server: ServerId,
     number: u64,
 }
 
-impl Drop for Expected {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
-        let mut unheard = self.pool.unheard.borrow_mut();
-        if let Some(attempts) = unheard.get_mut(&self.server) {
+        let mut unanswered = self.pool.unanswered.borrow_mut();
+        if let Some(attempts) = unanswered.get_mut(&self.server) {
             attempts.retain(|(number, _)| *number != self.number);
             if attempts.is_empty() {
-                unheard.remove(&self.server);
+                unanswered.remove(&self.server);
             }
         }
     }
 }
 
-/// How a connection's rest before its use ended.
+/// The result of waiting until a connection is usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rested {
+pub enum Readiness {
     /// It may be used.
-    Quiet,
-    /// Bytes came that nobody asked for.
-    Spoke,
-    /// Its server closed it.
+    Usable,
+    /// Unexpected bytes were received.
+    ReceivedBytes,
+    /// The server closed it.
     Closed,
 }
 
-/// Connections to servers.
+/// The idle connections to all servers.
 pub struct Pool {
     hub: Rc<Hub>,
-    idle: RefCell<HashMap<ServerId, Vec<Resting>>>,
+    idle: RefCell<HashMap<ServerId, Vec<IdleLink>>>,
     doubt: RefCell<Doubt<ServerId>>,
-    /// When each attempt was written to which no byte has come back.
-    unheard: RefCell<HashMap<ServerId, Vec<(u64, Instant)>>>,
-    /// When the latest of the attempts was sent that a server has answered.
+    /// The attempts for which no byte was received, by number and time of sending.
+    unanswered: RefCell<HashMap<ServerId, Vec<(u64, Instant)>>>,
+    /// The latest time of sending among the attempts that each server has answered.
     answered: RefCell<HashMap<ServerId, Instant>>,
-    last: Cell<u64>,
+    last_number: Cell<u64>,
     descriptors: Rc<Descriptors>,
-    idle_most: Duration,
-    /// How long a connection may take to come up.
-    pub connect_within: Duration,
+    max_idle: Duration,
+    /// The longest time for establishing a connection.
+    pub max_connect_time: Duration,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(hub: Rc<Hub>, settings: &NodeSettings, descriptors: Rc<Descriptors>) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             hub,
             idle: RefCell::default(),
             doubt: RefCell::default(),
-            unheard: RefCell::default(),
+            unanswered: RefCell::default(),
             answered: RefCell::default(),
-            last: Cell::new(0),
+            last_number: Cell::new(0),
             descriptors,
-            idle_most: ms(settings.keepalive * IDLE_SHARE),
-            connect_within: ms(settings.policy.limits.connect_timeout),
+            max_idle: ms(settings.keepalive * USABLE_KEEPALIVE_SHARE),
+            max_connect_time: ms(settings.policy.limits.connect_timeout),
         }
     }
 
     fn next_number(&self) -> u64 {
-        self.last.set(self.last.get() + 1);
-        self.last.get()
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 
-    /// Closes the idle connections to a server, of which another process answers from now on.
+    /// Closes the idle connections to a server whose address is served by another process from now on.
     pub fn forget(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         self.idle.borrow_mut().remove(&server);
         self.doubt.borrow_mut().forget(server);
     }
 
-    /// Closes what has been idle for long; its descriptor is held for nothing.
+    /// Closes connections that have been idle for too long, to release their descriptors.
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|resting| !self.is_stale(&resting.link));
+            links.retain(|idle_link| !self.is_stale(&idle_link.link));
         }
         idle.retain(|_, links| !links.is_empty());
     }
 
     fn is_stale(&self, link: &Link) -> bool {
-        link.exchange.quiet_since().elapsed() >= self.idle_most
+        link.exchange.quiet_since().elapsed() >= self.max_idle
     }
 
-    // ---- Whose answer it is ----
+    // ---- Matching answers to requests ----
 
-    /// A server has answered in its turn.
+    /// Records that a server answered in order.
     pub fn note_answer(&self, server: ServerId) {
         self.doubt.borrow_mut().note_answer(server);
     }
 
-    /// How long connections to a server have to be quiet before an answer on them is believed.
+    /// How long connections to a server must be silent before an answer on them is trusted.
     pub fn need(&self, server: ServerId) -> Need {
         self.doubt.borrow().need(Instant::now(), server)
     }
 
-    /// The first exchange of all is about to begin, if none has.
+    /// Records the start of the first exchange of all; later calls have no effect.
     pub fn begin(&self) {
         self.doubt.borrow_mut().begin(Instant::now());
     }
 
-    /// Bytes came from a server that nobody asked for.
-    pub fn note(&self, server: ServerId, seen: OutOfTurn) {
+    /// Records unexpected bytes from a server.
+    pub fn note_out_of_turn(&self, server: ServerId, seen: OutOfTurn) {
         let scope = self.doubt.borrow_mut().note(Instant::now(), server, seen);
         self.hub.answer_out_of_turn(server, seen, scope, self.need(server));
     }
 
-    /// Something has come on a connection that is idle, or it has ended.
-    fn disturbed(&self, server: ServerId, number: u64, pending: Pending) {
+    /// Removes an idle connection on which bytes arrived or that ended.
+    fn handle_activity(&self, server: ServerId, number: u64, pending: Pending) {
         let mut link = {
             let mut idle = self.idle.borrow_mut();
             let Some(links) = idle.get_mut(&server) else { return };
-            let Some(place) = links.iter().position(|resting| resting.link.number == number) else { return };
-            links.remove(place).link
+            let Some(index) = links.iter().position(|idle_link| idle_link.link.number == number) else {
+                return;
+            };
+            links.remove(index).link
         };
         if pending == Pending::Bytes {
             self.note_received(server, &mut link);
         }
     }
 
-    /// Notes bytes that came on a connection.
+    /// Records bytes that were received on a connection.
     pub fn note_received(&self, server: ServerId, link: &mut Link) {
         if let Some(seen) = link.exchange.received(Instant::now()) {
-            self.note(server, seen);
+            self.note_out_of_turn(server, seen);
         }
     }
 
-    /// Waits until a connection has been quiet for long enough to be used.
-    pub async fn rest(&self, server: ServerId, link: &mut Link) -> Rested {
+    /// Waits until a connection has been silent for long enough to be used.
+    pub async fn wait_until_usable(&self, server: ServerId, link: &mut Link) -> Readiness {
         loop {
             match link.sock.pending() {
                 Pending::Nothing => {}
                 Pending::Bytes => {
                     self.note_received(server, link);
-                    return Rested::Spoke;
+                    return Readiness::ReceivedBytes;
                 }
-                Pending::End => return Rested::Closed,
+                Pending::End => return Readiness::Closed,
             }
-            // What is needed may have grown meanwhile.
+            // The required time may have grown meanwhile.
             let Some(from) = link.exchange.usable_from(self.need(server)) else {
-                return Rested::Closed;
+                return Readiness::Closed;
             };
             if from <= Instant::now() {
-                return Rested::Quiet;
+                return Readiness::Usable;
             }
-            let _ = timeout_at(from.into(), poll_fn(|cx| link.sock.poll_disturbed(cx))).await;
+            let _ = timeout_at(from.into(), poll_fn(|cx| link.sock.poll_readable_or_closed(cx))).await;
         }
     }
 
-    // ---- Which connection is used ----
+    // ---- Selection ----
 
-    /// The idle connection to use next, if any is of use. All that a server had open can go silent at once, while new ones
-    /// work: while an attempt has long been unheard, those last used before it are left alone.
+    /// Takes the idle connection to use next, if one is usable. All open connections to a server can go dead
+    /// at once while new ones work; so while an attempt has been unanswered for long, connections last used
+    /// before it are skipped.
     pub fn take(&self, server: ServerId) -> Option<Link> {
         self.take_by(server, |links, need| {
             let now = Instant::now();
-            // In the order in which they were used last.
+            // Connections are ordered by their last use.
             let longest_quiet = if links.is_empty() { None } else { Some(0) };
             if need.used.is_zero() {
-                let is_quiet = |link: &&Link| now - link.exchange.quiet_since() >= QUIET_FIRST;
+                let is_quiet = |link: &&Link| now - link.exchange.quiet_since() >= PREFERRED_IDLE_TIME;
                 return links.iter().rposition(is_quiet).or(longest_quiet);
             }
-            // What is late is seen on those that stand for long.
+            // Late answers show up on connections that have been open for long.
             let from = links.iter().map(|link| link.exchange.usable_from(need));
             let (soonest, from) = from.enumerate().min_by_key(|(_, from)| *from)?;
-            let is_worth_it = from.is_some_and(|from| from <= now + need.new + WAIT_FOR_USED);
+            let is_worth_it = from.is_some_and(|from| from <= now + need.new + MAX_WAIT_FOR_POOLED);
             is_worth_it.then_some(soonest)
         })
     }
 
-    /// The connection that has stood for longest, if any still stands: what comes on it tells most of its server's process.
+    /// Takes the connection that was opened first: what arrives on it says most about the server's process.
     pub fn take_oldest(&self, server: ServerId) -> Option<Link> {
-        self.take_by(server, |links, _| (0..links.len()).min_by_key(|place| links[*place].exchange.opened()))
+        self.take_by(server, |links, _| (0..links.len()).min_by_key(|index| links[*index].exchange.opened()))
     }
 
-    /// The one of the idle connections to a server that is chosen, by its place among those that may be used.
+    /// Takes the idle connection that `choose` selects, given the usable ones.
     fn take_by(&self, server: ServerId, choose: impl Fn(&[&Link], Need) -> Option<usize>) -> Option<Link> {
-        let unheard_since = self.long_unheard(server);
+        let unanswered_since = self.long_unanswered_since(server);
         let need = self.need(server);
-        let is_heard = |link: &Link| unheard_since.is_none_or(|since| link.exchange.quiet_since() >= since);
+        let is_trusted =
+            |link: &Link| unanswered_since.is_none_or(|since| link.exchange.quiet_since() >= since);
         loop {
             let mut link = {
                 let mut idle = self.idle.borrow_mut();
                 let links = idle.get_mut(&server)?;
-                links.retain(|resting| !self.is_stale(&resting.link));
-                let heard: Vec<usize> =
-                    (0..links.len()).filter(|place| is_heard(&links[*place].link)).collect();
-                let candidates: Vec<&Link> = heard.iter().map(|place| &links[*place].link).collect();
-                let chosen = heard[choose(&candidates, need)?];
+                links.retain(|idle_link| !self.is_stale(&idle_link.link));
+                let trusted: Vec<usize> =
+                    (0..links.len()).filter(|index| is_trusted(&links[*index].link)).collect();
+                let candidates: Vec<&Link> = trusted.iter().map(|index| &links[*index].link).collect();
+                let chosen = trusted[choose(&candidates, need)?];
                 links.remove(chosen).link
             };
             match link.sock.pending() {
@@ -268,57 +277,60 @@
         }
     }
 
-    /// Since when an attempt at this server has been unheard, where that is long.
-    fn long_unheard(&self, server: ServerId) -> Option<Instant> {
-        let sent = self.unheard.borrow().get(&server)?.iter().map(|(_, sent)| *sent).min()?;
-        (sent.elapsed() >= UNHEARD).then_some(sent)
+    /// When the oldest unanswered attempt at this server was sent, if that is long ago.
+    fn long_unanswered_since(&self, server: ServerId) -> Option<Instant> {
+        let sent = self.unanswered.borrow().get(&server)?.iter().map(|(_, sent)| *sent).min()?;
+        (sent.elapsed() >= LONG_UNANSWERED).then_some(sent)
     }
 
-    /// Notes an attempt until something comes back, or it ends.
-    pub fn expect(self: &Rc<Self>, server: ServerId) -> Expected {
+    /// Registers an attempt as unanswered until the guard is dropped.
+    pub fn track_unanswered(self: &Rc<Self>, server: ServerId) -> UnansweredGuard {
         let number = self.next_number();
-        self.unheard.borrow_mut().entry(server).or_default().push((number, Instant::now()));
-        Expected { pool: self.clone(), server, number }
+        self.unanswered.borrow_mut().entry(server).or_default().push((number, Instant::now()));
+        UnansweredGuard { pool: self.clone(), server, number }
     }
 
-    /// A server has answered what was sent then.
-    pub fn heard(&self, server: ServerId, sent: Instant) {
+    /// Records that a server answered what was sent at `sent`.
+    pub fn record_answered(&self, server: ServerId, sent: Instant) {
         let mut answered = self.answered.borrow_mut();
-        let last = answered.entry(server).or_insert(sent);
-        *last = sent.max(*last);
+        let latest = answered.entry(server).or_insert(sent);
+        *latest = sent.max(*latest);
     }
 
-    /// Has a server answered what was sent to it later? Then it is not the server that is silent.
-    pub fn overtaken(&self, server: ServerId, sent: Instant) -> bool {
-        self.answered.borrow().get(&server).is_some_and(|last| *last > sent)
+    /// Returns whether a server has answered something sent later: then the connection is silent, not the
+    /// server.
+    pub fn has_answered_later(&self, server: ServerId, sent: Instant) -> bool {
+        self.answered.borrow().get(&server).is_some_and(|latest| *latest > sent)
     }
 
-    /// Closes the idle connections to a server that were last used before an attempt that nothing came back of.
-    pub fn distrust(&self, server: ServerId, sent: Instant) {
+    /// Closes the idle connections to a server that were last used before `sent`, the time of an attempt
+    /// without any answer.
+    pub fn close_last_used_before(&self, server: ServerId, sent: Instant) {
         if let Some(links) = self.idle.borrow_mut().get_mut(&server) {
-            links.retain(|resting| resting.link.exchange.quiet_since() >= sent);
+            links.retain(|idle_link| idle_link.link.exchange.quiet_since() >= sent);
         }
     }
 
-    /// Keeps a connection. One that a check has made is kept where the server has no other, and room is plenty.
+    /// Returns a connection to the pool. One made by a check is kept only if the server has no other and
+    /// descriptors are plentiful.
     pub fn put(self: &Rc<Self>, server: ServerId, mut link: Link) {
-        if link.held.is_for_check() {
+        if link.descriptor.is_for_check() {
             let has_other = self.idle.borrow().get(&server).is_some_and(|links| !links.is_empty());
             match self.descriptors.keep_checked().filter(|_| !has_other) {
-                Some(held) => link.held = held,
+                Some(descriptor) => link.descriptor = descriptor,
                 None => return,
             }
         }
         let (pool, number, sock) = (Rc::downgrade(self), link.number, Rc::downgrade(&link.sock));
         let watch = tokio::task::spawn_local(watch(pool, server, number, sock)).abort_handle();
-        self.idle.borrow_mut().entry(server).or_default().push(Resting { link, _watch: Watch(watch) });
+        self.idle.borrow_mut().entry(server).or_default().push(IdleLink { link, _watch: Watch(watch) });
     }
 
-    /// Closes the connection that has been idle for longest; false where none is.
+    /// Closes the connection that has been idle for longest; false if none is idle.
     fn evict_longest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let since =
-            |links: &&mut Vec<Resting>| links.first().map(|resting| resting.link.exchange.quiet_since());
+            |links: &&mut Vec<IdleLink>| links.first().map(|idle_link| idle_link.link.exchange.quiet_since());
         let Some(links) = idle.values_mut().filter(|links| !links.is_empty()).min_by_key(since) else {
             return false;
         };
@@ -326,13 +338,14 @@
         true
     }
 
-    /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
-    /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
+    /// Opens a connection, or returns the outcome of the attempt without one. If this node has no descriptor
+    /// or port left, nothing was sent and the server is not at fault; reported as a failed connect it would
+    /// eject a healthy server.
     pub async fn connect(&self, place: Place, is_check: bool) -> Result<Link, Outcome> {
-        let held =
+        let descriptor =
             if is_check { self.descriptors.reserve_for_check().await } else { self.descriptors.reserve() };
-        let held = held.ok_or(Outcome::NotSent)?;
-        let stream = match timeout(self.connect_within, TcpStream::connect(place.dial.address)).await {
+        let descriptor = descriptor.ok_or(Outcome::NotSent)?;
+        let stream = match timeout(self.max_connect_time, TcpStream::connect(place.dial.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if is_own_connect_failure(&error) => {
                 self.descriptors.evict();
@@ -342,27 +355,28 @@
         };
         let failed = Outcome::ConnectFailed;
         let sock = Sock::new(stream).map_err(|_| failed)?;
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(Io(sock.clone())).await;
+        let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(Io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         let (exchange, number) = (Exchange::new(Instant::now()), self.next_number());
-        Ok(Link { sock, send, conn, over: false, place, exchange, held, number })
+        Ok(Link { sock, send, conn, is_over: false, place, exchange, descriptor, number })
     }
 }
 
-impl Idle for Pool {
+impl EvictIdle for Pool {
     fn evict(&self) -> bool {
         self.evict_longest()
     }
 }
 
-/// Waits for what comes on an idle connection. It does not keep the connection open: its descriptor is free as soon as it is dropped.
+/// Waits for activity on an idle connection. Holds only a weak reference, so that the descriptor is released
+/// as soon as the connection is dropped.
 async fn watch(pool: Weak<Pool>, server: ServerId, number: u64, sock: Weak<Sock>) {
-    let disturbed = poll_fn(|cx| match sock.upgrade() {
-        Some(sock) => sock.poll_disturbed(cx),
+    let activity = poll_fn(|cx| match sock.upgrade() {
+        Some(sock) => sock.poll_readable_or_closed(cx),
         None => Poll::Ready(Pending::End),
     });
-    let pending = disturbed.await;
+    let pending = activity.await;
     if let Some(pool) = pool.upgrade() {
-        pool.disturbed(server, number, pending);
+        pool.handle_activity(server, number, pending);
     }
 }
--- a/crates/node/src/backend/mod.rs
+++ b/crates/node/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The way to the servers, a module for each protocol, and the descriptors that they share.
+//! Connections to servers: one module per protocol, and the descriptors they share.
 
 pub mod http1;
 pub mod msgpack;
@@ -9,98 +9,98 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Which part of the descriptors health checks may hold at the same time, and the most of them.
-const CHECKS_PART: usize = 16;
-const CHECKS_MOST: usize = 64;
+/// Health checks may hold one part in so many of the descriptors at the same time, up to a maximum.
+const CHECKS_DIVISOR: usize = 16;
+const MAX_CHECK_DESCRIPTORS: usize = 64;
 
-/// Whoever has connections that stand idle.
-pub trait Idle {
-    /// Closes the connection that has been idle for longest; false where none is.
+/// An owner of idle connections.
+pub trait EvictIdle {
+    /// Closes the connection that has been idle for longest; false if none is idle.
     fn evict(&self) -> bool;
 }
 
-/// The descriptors that connections to servers may hold.
+/// The file descriptors available for connections to servers.
 pub struct Descriptors {
     held: Rc<Cell<usize>>,
-    most: Cell<usize>,
-    /// How many of them health checks may hold at the same time.
+    limit: Cell<usize>,
+    /// Limits how many of them health checks hold at the same time.
     checks: Arc<Semaphore>,
-    idle: RefCell<Vec<Weak<dyn Idle>>>,
+    idle: RefCell<Vec<Weak<dyn EvictIdle>>>,
 }
 
-/// One of them.
-pub struct Held {
+/// A reserved descriptor, released on drop.
+pub struct Descriptor {
     count: Rc<Cell<usize>>,
-    /// Its place among those of health checks, where it is for one.
-    check: Option<OwnedSemaphorePermit>,
+    /// The permit of a health check, if it is for one.
+    check_permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Held {
-    /// Is it for a health check?
+impl Descriptor {
+    /// Returns whether it is reserved for a health check.
     pub fn is_for_check(&self) -> bool {
-        self.check.is_some()
+        self.check_permit.is_some()
     }
 }
 
-impl Drop for Held {
+impl Drop for Descriptor {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
     }
 }
 
 impl Descriptors {
-    /// None is held yet.
+    /// Creates the set with none reserved.
     pub fn new(most: usize) -> Rc<Self> {
-        let for_checks = (most / CHECKS_PART).clamp(1, CHECKS_MOST);
+        let for_checks = (most / CHECKS_DIVISOR).clamp(1, MAX_CHECK_DESCRIPTORS);
         Rc::new(Self {
             held: Rc::default(),
-            most: Cell::new(most),
+            limit: Cell::new(most),
             checks: Arc::new(Semaphore::new(for_checks)),
             idle: RefCell::default(),
         })
     }
 
-    /// Connections of `owner` may be closed where there is no descriptor left.
-    pub fn may_evict(&self, owner: Weak<dyn Idle>) {
+    /// Registers an owner whose idle connections may be closed when no descriptor is left.
+    pub fn register_evictable(&self, owner: Weak<dyn EvictIdle>) {
         self.idle.borrow_mut().push(owner);
     }
 
-    /// Closes an idle connection; false where none is.
+    /// Closes an idle connection; false if there is none.
     pub fn evict(&self) -> bool {
         self.idle.borrow().iter().filter_map(Weak::upgrade).any(|owner| owner.evict())
     }
 
-    /// So many there may be from now on; idle ones beyond that are closed.
+    /// Sets the limit, and closes idle connections that exceed it.
     pub fn bound(&self, most: usize) {
-        self.most.set(most);
+        self.limit.set(most);
         while self.held.get() > most && self.evict() {}
     }
 
-    /// How many are held.
+    /// The number of reserved descriptors.
     pub fn held(&self) -> usize {
         self.held.get()
     }
 
-    /// A descriptor, where there is one or an idle connection makes room.
-    pub fn reserve(&self) -> Option<Held> {
-        if self.held.get() >= self.most.get() && !self.evict() {
+    /// Reserves a descriptor, closing an idle connection if necessary; `None` if there is none to close.
+    pub fn reserve(&self) -> Option<Descriptor> {
+        if self.held.get() >= self.limit.get() && !self.evict() {
             return None;
         }
         self.held.set(self.held.get() + 1);
-        Some(Held { count: self.held.clone(), check: None })
+        Some(Descriptor { count: self.held.clone(), check_permit: None })
     }
 
-    /// A descriptor for a health check; waits until fewer checks hold one than may.
-    pub async fn reserve_for_check(&self) -> Option<Held> {
-        let place = self.checks.clone().acquire_owned().await.ok()?;
+    /// Reserves a descriptor for a health check; waits while too many checks hold one.
+    pub async fn reserve_for_check(&self) -> Option<Descriptor> {
+        let permit = self.checks.clone().acquire_owned().await.ok()?;
         let mut held = self.reserve()?;
-        held.check = Some(place);
+        held.check_permit = Some(permit);
         Some(held)
     }
 
-    /// A descriptor for a connection that a check has made and requests may use, where many are free.
-    pub fn keep_checked(&self) -> Option<Held> {
-        if 2 * self.held.get() >= self.most.get() {
+    /// Reserves a descriptor to keep a check's connection for requests, if more than half of all are free.
+    pub fn keep_checked(&self) -> Option<Descriptor> {
+        if 2 * self.held.get() >= self.limit.get() {
             return None;
         }
         self.reserve()
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -1,7 +1,8 @@
-//! Servers that speak MessagePack-RPC: several calls on a connection, probes, and how each call ended.
+//! MessagePack-RPC servers: concurrent calls per connection, probes and their outcomes.
 //!
-//! A call that is given up once begun can't be taken back: it keeps its place on its connection, and in the module's
-//! eyes, until its reply comes or the connection ends. One of which no byte was written is withdrawn, and never ran.
+//! A call that was written in part can't be withdrawn. When it is given up it keeps its slot on the
+//! connection, and counts as running in the core, until its reply arrives or the connection ends. A call of
+//! which no byte was written is withdrawn and was never executed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -20,7 +21,7 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, timeout_at};
 
-use super::{Descriptors, Held, Idle};
+use super::{Descriptor, Descriptors, EvictIdle};
 use crate::call::{Call, Content, Reply, BODY_MOST};
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
@@ -28,97 +29,99 @@
 use crate::log;
 use crate::sock::Sock;
 
-/// How much one read takes at the most.
-const CHUNK: usize = 16 * 1024;
-/// How many reads of one connection are handled before others have their turn.
-const BURST: usize = 8;
-/// How many calls are written ahead of the kernel: a call that waits can still be withdrawn.
-const AHEAD: usize = 8;
-/// The part of the servers' keep-alive after which a connection is not used any more.
-const IDLE_SHARE: f64 = 0.5;
-/// How long a connection on which all calls were given up may stay silent before it is closed, within the longest
-/// deadline: a machine that vanished says nothing, and its places would be taken for good.
-const SILENT_MOST: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
+/// The largest single read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// How many reads of one connection are handled before other tasks run.
+const MAX_READS_PER_POLL: usize = 8;
+/// How many unwritten calls are queued on a connection at a time: a call that still waits can be withdrawn.
+const MAX_UNWRITTEN_CALLS: usize = 8;
+/// The share of the servers' keep-alive time for which a connection is reused.
+const USABLE_KEEPALIVE_SHARE: f64 = 0.5;
+/// The bounds for how long a connection on which all calls were given up may stay silent before it is closed;
+/// within them the longest deadline applies. A host that vanished sends nothing, and the slots would be lost
+/// for good.
+const SILENCE_LIMITS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 /// The method of a probe.
-const HEALTH: &str = "health";
+const HEALTH_METHOD: &str = "health";
 
-/// A call that waits for its connection, or for its turn to be written.
+/// A call that waits for its connection or to be written.
 struct Waiting {
     attempt: AttemptId,
-    end: Instant,
+    deadline: Instant,
     call: Rc<Call>,
 }
 
-/// What is known of a connection.
+/// The state of a connection.
 struct State {
-    machine: Connection<AttemptId>,
+    protocol: Connection<AttemptId>,
     waiting: VecDeque<Waiting>,
     /// When each call is given up.
-    ends: BTreeSet<(Instant, AttemptId)>,
-    /// When each was handed to the machine.
+    deadlines: BTreeSet<(Instant, AttemptId)>,
+    /// When each call was handed to the protocol state.
     sent: HashMap<AttemptId, Instant>,
-    /// When the last byte came; none yet.
-    heard: Option<Instant>,
+    /// When the last byte was received, if any.
+    last_received: Option<Instant>,
     /// When it was last used.
-    used: Instant,
-    /// A call timed out here, and nothing has come since it was written: no further ones until something does.
+    last_used: Instant,
+    /// Set when a call timed out and nothing was received since it was written: no further calls until
+    /// something is.
     silent: bool,
-    /// To be closed, as its descriptor is needed.
+    /// To be closed, because its descriptor is needed.
     evicted: bool,
 }
 
 impl State {
-    /// How many more calls may be put here.
-    fn room(&self) -> usize {
+    /// How many more calls may be assigned to it.
+    fn free_slots(&self) -> usize {
         if self.silent || self.evicted {
             return 0;
         }
-        self.machine.room().saturating_sub(self.waiting.len())
+        self.protocol.room().saturating_sub(self.waiting.len())
     }
 
     fn is_idle(&self) -> bool {
-        self.machine.open() == 0 && self.waiting.is_empty()
+        self.protocol.open() == 0 && self.waiting.is_empty()
     }
 }
 
 struct Conn {
     server: ServerId,
     place: Place,
-    /// When it came up.
+    /// When it was established.
     opened: Cell<Option<Instant>>,
     state: RefCell<State>,
     changed: Notify,
 }
 
-/// All servers that speak MessagePack-RPC.
+/// All servers reached over MessagePack-RPC.
 pub struct Servers {
     hub: Rc<Hub>,
     descriptors: Rc<Descriptors>,
-    me: Weak<Servers>,
+    weak_self: Weak<Servers>,
     conns: RefCell<HashMap<ServerId, Vec<Rc<Conn>>>>,
-    /// Where each attempt that is out has its call.
-    out: RefCell<HashMap<AttemptId, Rc<Conn>>>,
-    /// When the latest of the calls was sent that a server has answered.
+    /// The connection of each attempt in flight.
+    in_flight: RefCell<HashMap<AttemptId, Rc<Conn>>>,
+    /// The latest time of sending among the calls that each server has answered.
     answered: RefCell<HashMap<ServerId, Instant>>,
-    /// Calls that may be open on a connection.
-    calls_most: usize,
-    connect: Duration,
-    idle_most: Duration,
-    silent_most: Duration,
-    /// What is read comes through here: one buffer serves all connections.
+    /// The limit on open calls per connection.
+    max_calls: usize,
+    connect_limit: Duration,
+    max_idle: Duration,
+    max_silence: Duration,
+    /// The read buffer, shared by all connections.
     chunk: RefCell<Vec<u8>>,
-    /// Replies that nobody awaited.
-    strays: Cell<u64>,
+    /// How many replies matched no open call.
+    stray_replies: Cell<u64>,
 }
 
-impl Idle for Servers {
+impl EvictIdle for Servers {
     fn evict(&self) -> bool {
         let conns = self.conns.borrow();
         let idle = conns.values().flatten().filter(|c| {
             let state = c.state.borrow();
-            state.is_idle() && !state.evicted && state.heard.is_some()
+            state.is_idle() && !state.evicted && state.last_received.is_some()
         });
-        let Some(longest) = idle.min_by_key(|c| c.state.borrow().used) else { return false };
+        let Some(longest) = idle.min_by_key(|c| c.state.borrow().last_used) else { return false };
         longest.state.borrow_mut().evicted = true;
         longest.changed.notify_one();
         true
@@ -126,69 +129,69 @@
 }
 
 impl Servers {
-    /// No connections yet.
+    /// Creates the backend without connections.
     pub fn new(hub: Rc<Hub>, descriptors: Rc<Descriptors>) -> Rc<Self> {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         let settings = hub.settings();
-        let (calls_most, connect) =
+        let (max_calls, connect) =
             (hub.config.operator.calls_per_connection, settings.policy.limits.connect_timeout);
-        let idle_most = ms(settings.keepalive * IDLE_SHARE);
-        let longest = settings.longest_deadline.min(SILENT_MOST.1.as_secs_f64() * 1000.0);
-        let servers = Rc::new_cyclic(|me| Self {
-            me: me.clone(),
+        let max_idle = ms(settings.keepalive * USABLE_KEEPALIVE_SHARE);
+        let longest = settings.longest_deadline.min(SILENCE_LIMITS.1.as_secs_f64() * 1000.0);
+        let servers = Rc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             conns: RefCell::default(),
-            out: RefCell::default(),
+            in_flight: RefCell::default(),
             answered: RefCell::default(),
-            calls_most,
-            connect: ms(connect),
-            idle_most,
-            silent_most: ms(longest).max(SILENT_MOST.0),
-            chunk: RefCell::new(vec![0; CHUNK]),
-            strays: Cell::new(0),
+            max_calls,
+            connect_limit: ms(connect),
+            max_idle,
+            max_silence: ms(longest).max(SILENCE_LIMITS.0),
+            chunk: RefCell::new(vec![0; READ_CHUNK_BYTES]),
+            stray_replies: Cell::new(0),
             descriptors: descriptors.clone(),
             hub,
         });
-        let idle: Weak<dyn Idle> = servers.me.clone();
-        descriptors.may_evict(idle);
+        let idle: Weak<dyn EvictIdle> = servers.weak_self.clone();
+        descriptors.register_evictable(idle);
         servers
     }
 
     /// Starts an attempt.
-    pub fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
-        let Some(place) = self.hub.place(server) else { return self.ended(attempt, Outcome::NotSent) };
-        let conn = match self.best(server, place) {
+    pub fn start(&self, attempt: AttemptId, server: ServerId, deadline: Instant, call: Rc<Call>) {
+        let Some(place) = self.hub.place(server) else { return self.report_ended(attempt, Outcome::NotSent) };
+        let conn = match self.least_loaded(server, place) {
             Some(conn) => conn,
             None => match self.descriptors.reserve() {
-                Some(held) => self.open(server, place, held),
-                None => return self.ended(attempt, Outcome::NotSent),
+                Some(descriptor) => self.open(server, place, descriptor),
+                None => return self.report_ended(attempt, Outcome::NotSent),
             },
         };
         {
             let mut state = conn.state.borrow_mut();
-            state.waiting.push_back(Waiting { attempt, end, call });
-            state.ends.insert((end, attempt));
-            state.used = Instant::now();
+            state.waiting.push_back(Waiting { attempt, deadline, call });
+            state.deadlines.insert((deadline, attempt));
+            state.last_used = Instant::now();
         }
-        self.out.borrow_mut().insert(attempt, conn.clone());
+        self.in_flight.borrow_mut().insert(attempt, conn.clone());
         conn.changed.notify_one();
     }
 
-    /// The connection to this life of a server that has the most room, if any has.
-    fn best(&self, server: ServerId, place: Place) -> Option<Rc<Conn>> {
+    /// The connection to this incarnation of a server with the most free slots, if any has one.
+    fn least_loaded(&self, server: ServerId, place: Place) -> Option<Rc<Conn>> {
         let conns = self.conns.borrow();
         let fit = conns.get(&server)?.iter().filter(|c| c.place == place);
-        let roomy = fit.map(|c| (c.state.borrow().room(), c)).filter(|(room, _)| *room > 0);
-        roomy.max_by_key(|(room, _)| *room).map(|(_, conn)| conn.clone())
+        let with_slots = fit.map(|c| (c.state.borrow().free_slots(), c)).filter(|(slots, _)| *slots > 0);
+        with_slots.max_by_key(|(slots, _)| *slots).map(|(_, conn)| conn.clone())
     }
 
-    fn open(&self, server: ServerId, place: Place, held: Held) -> Rc<Conn> {
+    fn open(&self, server: ServerId, place: Place, descriptor: Descriptor) -> Rc<Conn> {
         let state = State {
-            machine: Connection::new(self.calls_most, Bounds::default()),
+            protocol: Connection::new(self.max_calls, Bounds::default()),
             waiting: VecDeque::new(),
-            ends: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             sent: HashMap::new(),
-            heard: None,
-            used: Instant::now(),
+            last_received: None,
+            last_used: Instant::now(),
             silent: false,
             evicted: false,
         };
@@ -200,59 +203,61 @@
             changed: Notify::new(),
         });
         self.conns.borrow_mut().entry(server).or_default().push(conn.clone());
-        if let Some(servers) = self.me.upgrade() {
+        if let Some(servers) = self.weak_self.upgrade() {
             let conn = conn.clone();
             tokio::task::spawn_local(async move {
                 servers.run(&conn).await;
                 servers.drop_conn(&conn);
-                drop(held);
+                drop(descriptor);
             });
         }
         conn
     }
 
-    /// Gives an attempt up, where it is one of these.
+    /// Abandons an attempt if it belongs to this backend.
     pub fn abandon(&self, attempt: AttemptId) -> bool {
-        let Some(conn) = self.out.borrow().get(&attempt).cloned() else { return false };
+        let Some(conn) = self.in_flight.borrow().get(&attempt).cloned() else { return false };
         let ended = self.give_up(&conn, attempt, Outcome::Cancelled, Outcome::Cancelled);
         self.hub.attempt_ended(attempt, ended);
         true
     }
 
-    /// Is it one of these, with no byte of it written? One that is begun can't be taken back.
+    /// Returns whether the attempt belongs to this backend and no byte of it was written; after the first
+    /// byte it can't be withdrawn.
     pub fn unsent(&self, attempt: AttemptId) -> bool {
-        let out = self.out.borrow();
-        let Some(conn) = out.get(&attempt) else { return false };
+        let in_flight = self.in_flight.borrow();
+        let Some(conn) = in_flight.get(&attempt) else { return false };
         let state = conn.state.borrow();
-        state.waiting.iter().any(|w| w.attempt == attempt) || state.machine.is_unwritten(&attempt)
+        state.waiting.iter().any(|w| w.attempt == attempt) || state.protocol.is_unwritten(&attempt)
     }
 
-    /// Ends an attempt that is still out: `unsent` if no byte of it was written, else it runs on as `sent`.
+    /// Ends an attempt in flight with `unsent` if no byte of it was written; otherwise it continues to run
+    /// and is reported as `sent`.
     fn give_up(&self, conn: &Conn, attempt: AttemptId, unsent: Outcome, sent: Outcome) -> Ended<Reply> {
         let mut state = conn.state.borrow_mut();
-        state.ends.retain(|(_, other)| *other != attempt);
+        state.deadlines.retain(|(_, other)| *other != attempt);
         if let Some(at) = state.waiting.iter().position(|w| w.attempt == attempt) {
             state.waiting.remove(at);
-        } else if state.machine.give_up(&attempt) == GivenUp::RunsOn {
-            // Its place is kept under its name until it has left.
+        } else if state.protocol.give_up(&attempt) == GivenUp::RunsOn {
+            // The attempt stays registered until its reply has arrived.
             return Ended::RunsOn(sent);
         }
         state.sent.remove(&attempt);
-        self.out.borrow_mut().remove(&attempt);
+        self.in_flight.borrow_mut().remove(&attempt);
         Ended::Without(unsent)
     }
 
-    /// An attempt ended without an answer, and nothing is left of it.
-    fn ended(&self, attempt: AttemptId, outcome: Outcome) {
+    /// Reports an attempt that ended without an answer and has nothing left running.
+    fn report_ended(&self, attempt: AttemptId, outcome: Outcome) {
         self.hub.attempt_ended(attempt, Ended::Without(outcome));
     }
 
-    /// The server moved, restarted or is gone.
+    /// Retires the connections to a server that moved, restarted or is gone.
     pub fn forget(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         if let Some(conns) = self.conns.borrow().get(&server) {
             for conn in conns {
-                conn.state.borrow_mut().machine.retire();
+                conn.state.borrow_mut().protocol.retire();
                 conn.changed.notify_one();
             }
         }
@@ -271,35 +276,37 @@
     // ---- One connection ----
 
     async fn run(&self, conn: &Rc<Conn>) {
-        match self.connected(conn).await {
+        match self.establish(conn).await {
             Ok(sock) => {
-                let reached = self.talk(conn, &sock).await;
-                conn.state.borrow_mut().machine.ended();
-                self.events(conn);
-                // What was queued meanwhile never ran. One that never said a word is as good as none.
-                self.end_waiting(conn, if reached { Outcome::NotSent } else { Outcome::ConnectFailed });
+                let any_received = self.serve(conn, &sock).await;
+                conn.state.borrow_mut().protocol.ended();
+                self.report_events(conn);
+                // Calls queued meanwhile were never executed. A connection on which nothing was received
+                // counts as a failed connect.
+                self.end_waiting(conn, if any_received { Outcome::NotSent } else { Outcome::ConnectFailed });
             }
             Err(outcome) => self.end_waiting(conn, outcome),
         }
     }
 
-    /// Ends all calls that wait. The first one tells what happened to the connection; once is enough.
+    /// Ends all waiting calls. Only the first reports what happened to the connection, so that it counts
+    /// once.
     fn end_waiting(&self, conn: &Conn, first: Outcome) {
         let mut outcome = first;
-        // Nothing more is put here.
-        conn.state.borrow_mut().machine.retire();
+        // No further calls are assigned to it.
+        conn.state.borrow_mut().protocol.retire();
         loop {
             let waiting = conn.state.borrow_mut().waiting.pop_front();
             let Some(Waiting { attempt, .. }) = waiting else { return };
-            self.out.borrow_mut().remove(&attempt);
-            self.ended(attempt, std::mem::replace(&mut outcome, Outcome::NotSent));
+            self.in_flight.borrow_mut().remove(&attempt);
+            self.report_ended(attempt, std::mem::replace(&mut outcome, Outcome::NotSent));
         }
     }
 
-    async fn connected(&self, conn: &Conn) -> Result<Rc<Sock>, Outcome> {
-        let mut connecting = pin!(timeout(self.connect, TcpStream::connect(conn.place.dial.address)));
+    async fn establish(&self, conn: &Conn) -> Result<Rc<Sock>, Outcome> {
+        let mut connecting = pin!(timeout(self.connect_limit, TcpStream::connect(conn.place.dial.address)));
         loop {
-            let end = self.expire(conn);
+            let deadline = self.expire(conn);
             tokio::select! {
                 stream = &mut connecting => return match stream {
                     Ok(Ok(stream)) => Sock::new(stream).map_err(|_| Outcome::ConnectFailed),
@@ -310,32 +317,32 @@
                     Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
                 },
                 () = conn.changed.notified() => {}
-                () = tokio::time::sleep_until(end.into()) => {}
+                () = tokio::time::sleep_until(deadline.into()) => {}
             }
         }
     }
 
-    /// Serves a connection until it ends; true if anything ever came back.
-    async fn talk(&self, conn: &Conn, sock: &Sock) -> bool {
+    /// Serves a connection until it ends; returns whether anything was received.
+    async fn serve(&self, conn: &Conn, sock: &Sock) -> bool {
         conn.opened.set(Some(Instant::now()));
         let mut reads = 0;
         loop {
             self.expire(conn);
-            self.fill(conn, sock);
+            self.submit_waiting(conn, sock);
             if write(conn, sock, &self.hub).is_err() {
-                // What the server said before may still be there.
-                while matches!(self.read(conn, sock), Ok(1..=CHUNK)) {}
+                // Answers sent before the failure may still be readable.
+                while matches!(self.read(conn, sock), Ok(1..=READ_CHUNK_BYTES)) {}
                 break;
             }
-            let Some(asleep) = self.next_end(conn) else { break };
-            let unsent = conn.state.borrow().machine.unwritten() > 0;
+            let Some(wake_at) = self.next_wake(conn) else { break };
+            let unsent = conn.state.borrow().protocol.unwritten() > 0;
             tokio::select! {
                 ready = sock.readable() => {
                     if ready.is_err() || matches!(self.read(conn, sock), Ok(0) | Err(_)) {
                         break;
                     }
                     reads += 1;
-                    if reads % BURST == 0 {
+                    if reads % MAX_READS_PER_POLL == 0 {
                         tokio::task::yield_now().await;
                     }
                 }
@@ -345,77 +352,79 @@
                     }
                 }
                 () = conn.changed.notified() => {}
-                () = tokio::time::sleep_until(asleep.into()) => {}
+                () = tokio::time::sleep_until(wake_at.into()) => {}
             }
         }
-        conn.state.borrow().heard.is_some()
+        conn.state.borrow().last_received.is_some()
     }
 
-    /// When to look at a connection again by time alone; `None` where it is to be closed.
-    fn next_end(&self, conn: &Conn) -> Option<Instant> {
+    /// When to look at a connection again if nothing happens; `None` if it is to be closed.
+    fn next_wake(&self, conn: &Conn) -> Option<Instant> {
         let state = conn.state.borrow();
-        if state.machine.broken().is_some() {
+        if state.protocol.broken().is_some() {
             return None;
         }
         let now = Instant::now();
-        let first = state.ends.first().map(|(end, _)| *end);
+        let first = state.deadlines.first().map(|(deadline, _)| *deadline);
         if !state.is_idle() {
-            // All that is left was given up, and nothing comes: the machine behind it may be gone.
-            let lost = state.ends.is_empty() && state.waiting.is_empty();
-            let since = state.heard.map_or(state.used, |heard| heard.max(state.used));
-            // Sooner where the server answered on another connection what was sent since.
-            let overtaken = self.overtaken(conn.server, since);
-            let dead = since + if overtaken { SILENT_MOST.0 } else { self.silent_most };
-            if lost && now >= dead {
+            // All remaining calls were given up and nothing is received: the host may be gone.
+            let all_given_up = state.deadlines.is_empty() && state.waiting.is_empty();
+            let since =
+                state.last_received.map_or(state.last_used, |received_at| received_at.max(state.last_used));
+            // Closed earlier if the server has answered, on another connection, something sent later.
+            let has_answered_later = self.has_answered_later(conn.server, since);
+            let dead_at = since + if has_answered_later { SILENCE_LIMITS.0 } else { self.max_silence };
+            if all_given_up && now >= dead_at {
                 return None;
             }
-            return Some(first.unwrap_or(dead));
+            return Some(first.unwrap_or(dead_at));
         }
-        let tired = state.used + self.idle_most;
-        if state.evicted || state.machine.is_retired() || now >= tired {
+        let idle_until = state.last_used + self.max_idle;
+        if state.evicted || state.protocol.is_retired() || now >= idle_until {
             return None;
         }
-        // A server that restarted, moved, or drains gets nothing more.
-        (self.hub.place(conn.server) == Some(conn.place)).then_some(tired)
+        // A server that restarted, moved or drains gets no further calls.
+        (self.hub.place(conn.server) == Some(conn.place)).then_some(idle_until)
     }
 
-    /// Hands calls that wait to the machine, a few ahead of the kernel. A drain holds from the moment it is told, also
-    /// for what waited until now.
-    fn fill(&self, conn: &Conn, sock: &Sock) {
-        if !self.hub.accepts(conn.server, conn.place) || conn.state.borrow().machine.is_retired() {
-            let back = conn.state.borrow_mut().machine.withdraw();
-            for attempt in back {
+    /// Hands waiting calls to the protocol state, a limited number at a time. A drain applies from the moment
+    /// the node is notified, also to calls that were waiting.
+    fn submit_waiting(&self, conn: &Conn, sock: &Sock) {
+        if !self.hub.accepts(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
+            let withdrawn = conn.state.borrow_mut().protocol.withdraw();
+            for attempt in withdrawn {
                 self.forget_attempt(conn, attempt);
-                self.ended(attempt, Outcome::NotSent);
+                self.report_ended(attempt, Outcome::NotSent);
             }
             return self.end_waiting(conn, Outcome::NotSent);
         }
-        // A connection that has stood idle may have been closed: that is read first, so that nothing is lost to it.
-        if conn.state.borrow().machine.open() == 0 && !sock.quiet() {
+        // An idle connection may have been closed by the server; read that first, so that no call is lost on
+        // it.
+        if conn.state.borrow().protocol.open() == 0 && !sock.is_quiet() {
             return;
         }
         for attempt in self.hand_over(conn) {
             self.forget_attempt(conn, attempt);
-            self.ended(attempt, Outcome::NotSent);
+            self.report_ended(attempt, Outcome::NotSent);
         }
     }
 
-    /// Hands over calls that wait; gives those that must not be written any more.
+    /// Hands over waiting calls; returns those that must not be written any more.
     fn hand_over(&self, conn: &Conn) -> Vec<AttemptId> {
         let mut state = conn.state.borrow_mut();
         let state = &mut *state;
         let mut refused = Vec::new();
-        while state.machine.unwritten() < AHEAD && state.machine.room() > 0 {
-            let Some(Waiting { attempt, end, call }) = state.waiting.pop_front() else { break };
+        while state.protocol.unwritten() < MAX_UNWRITTEN_CALLS && state.protocol.room() > 0 {
+            let Some(Waiting { attempt, deadline, call }) = state.waiting.pop_front() else { break };
             if !self.hub.may_write(attempt) {
                 refused.push(attempt);
                 continue;
             }
             let now = Instant::now();
-            let left = end.saturating_duration_since(now).as_millis() as u64;
-            if state.machine.call(attempt, &call.message(left)).is_ok() {
+            let remaining_ms = deadline.saturating_duration_since(now).as_millis() as u64;
+            if state.protocol.call(attempt, &call.message(remaining_ms)).is_ok() {
                 state.sent.insert(attempt, now);
-                state.used = now;
+                state.last_used = now;
             }
         }
         refused
@@ -423,29 +432,34 @@
 
     fn forget_attempt(&self, conn: &Conn, attempt: AttemptId) {
         let mut state = conn.state.borrow_mut();
-        state.ends.retain(|(_, other)| *other != attempt);
+        state.deadlines.retain(|(_, other)| *other != attempt);
         state.sent.remove(&attempt);
-        self.out.borrow_mut().remove(&attempt);
+        self.in_flight.borrow_mut().remove(&attempt);
     }
 
-    /// Gives up the calls whose time is over; gives the time of the next.
+    /// Gives up the calls whose deadline has passed; returns the next deadline.
     fn expire(&self, conn: &Conn) -> Instant {
         loop {
             let now = Instant::now();
-            let first = conn.state.borrow().ends.first().copied();
-            let Some((end, attempt)) = first else { return now + self.idle_most };
-            if end > now {
-                return end;
+            let first = conn.state.borrow().deadlines.first().copied();
+            let Some((deadline, attempt)) = first else { return now + self.max_idle };
+            if deadline > now {
+                return deadline;
             }
-            // Silent: nothing has come since it was written. Where the server answered what was sent to it later, on
-            // another connection, this one is dead, and no slow server.
+            // A call is silent if nothing was received since it was written. If the server has meanwhile
+            // answered, on another connection, something sent later, this connection is dead and the server
+            // is not slow.
             let (silent, sent) = {
                 let state = conn.state.borrow();
                 let sent = state.sent.get(&attempt).copied();
-                (sent.is_some_and(|sent| state.heard.is_none_or(|heard| heard < sent)), sent)
+                (
+                    sent.is_some_and(|sent| state.last_received.is_none_or(|received_at| received_at < sent)),
+                    sent,
+                )
             };
-            let overtaken = silent && sent.is_some_and(|sent| self.overtaken(conn.server, sent));
-            let outcome = if overtaken { Outcome::Unheard } else { Outcome::TimedOut };
+            let has_answered_later =
+                silent && sent.is_some_and(|sent| self.has_answered_later(conn.server, sent));
+            let outcome = if has_answered_later { Outcome::Unheard } else { Outcome::TimedOut };
             let ended = self.give_up(conn, attempt, Outcome::NotSent, outcome);
             if silent && matches!(ended, Ended::RunsOn(_)) {
                 conn.state.borrow_mut().silent = true;
@@ -454,12 +468,12 @@
         }
     }
 
-    fn overtaken(&self, server: ServerId, sent: Instant) -> bool {
+    fn has_answered_later(&self, server: ServerId, sent: Instant) -> bool {
         self.answered.borrow().get(&server).is_some_and(|last| *last > sent)
     }
 
-    /// Reads what has come and tells what it means: how much, 0 where the server closed, more than can be where there is
-    /// nothing yet.
+    /// Reads available bytes and processes them. Returns how many, 0 if the server closed, and `usize::MAX`
+    /// if nothing was available.
     fn read(&self, conn: &Conn, sock: &Sock) -> std::io::Result<usize> {
         let read = {
             let mut chunk = self.chunk.borrow_mut();
@@ -467,47 +481,48 @@
                 Ok(n) => {
                     let mut state = conn.state.borrow_mut();
                     if n > 0 {
-                        (state.heard, state.silent) = (Some(Instant::now()), false);
+                        (state.last_received, state.silent) = (Some(Instant::now()), false);
                     }
-                    state.machine.received(&chunk[..n]);
+                    state.protocol.received(&chunk[..n]);
                     n
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(usize::MAX),
                 Err(error) => return Err(error),
             }
         };
-        self.events(conn);
+        self.report_events(conn);
         Ok(read)
     }
 
-    /// Reports what became of calls.
-    fn events(&self, conn: &Conn) {
-        let mut broke = false;
+    /// Reports calls that have ended.
+    fn report_events(&self, conn: &Conn) {
+        let mut is_reported = false;
         loop {
-            let event = conn.state.borrow_mut().machine.poll();
+            let event = conn.state.borrow_mut().protocol.poll();
             let Some(event) = event else { return };
-            // Several calls that end with one connection are one event of their server's: the first end tells of it.
-            let mut once =
-                |outcome| if std::mem::replace(&mut broke, true) { Outcome::Unheard } else { outcome };
+            // Several calls that fail with one connection are one failure of the server: only the first
+            // reports it.
+            let mut first_only =
+                |outcome| if std::mem::replace(&mut is_reported, true) { Outcome::Unheard } else { outcome };
             let (attempt, ended) = match event {
                 Event::Answered(attempt, answer) => {
-                    self.heard(conn, attempt);
-                    (attempt, ended_by(answer))
+                    self.record_answer(conn, attempt);
+                    (attempt, ended_with(answer))
                 }
-                Event::Garbled(attempt) if conn.state.borrow().machine.broken().is_none() => {
-                    self.heard(conn, attempt);
+                Event::Garbled(attempt) if conn.state.borrow().protocol.broken().is_none() => {
+                    self.record_answer(conn, attempt);
                     (attempt, Ended::Without(Outcome::Error))
                 }
-                Event::Garbled(attempt) => (attempt, Ended::Without(once(Outcome::Error))),
-                Event::Broken(attempt, Ran::Maybe) => (attempt, Ended::Without(once(Outcome::Reset))),
+                Event::Garbled(attempt) => (attempt, Ended::Without(first_only(Outcome::Error))),
+                Event::Broken(attempt, Ran::Maybe) => (attempt, Ended::Without(first_only(Outcome::Reset))),
                 Event::Broken(attempt, Ran::Never) => {
-                    let first = if conn.state.borrow().heard.is_some() {
+                    let first = if conn.state.borrow().last_received.is_some() {
                         Outcome::NotSent
                     } else {
                         Outcome::ConnectFailed
                     };
-                    let outcome = if broke { Outcome::NotSent } else { first };
-                    broke = true;
+                    let outcome = if is_reported { Outcome::NotSent } else { first };
+                    is_reported = true;
                     (attempt, Ended::Without(outcome))
                 }
                 Event::Left(attempt) => {
@@ -515,9 +530,9 @@
                     self.hub.attempt_left(attempt);
                     continue;
                 }
-                Event::Stray(words) => {
-                    self.strays.set(self.strays.get() + 1);
-                    log::line(format!("msgpack: {words}; {} strays so far", self.strays.get()));
+                Event::Stray(text) => {
+                    self.stray_replies.set(self.stray_replies.get() + 1);
+                    log::line(format!("msgpack: {text}; {} stray replies so far", self.stray_replies.get()));
                     continue;
                 }
             };
@@ -526,15 +541,16 @@
         }
     }
 
-    /// A server has answered this call.
-    fn heard(&self, conn: &Conn, attempt: AttemptId) {
+    /// Records that a server answered this call.
+    fn record_answer(&self, conn: &Conn, attempt: AttemptId) {
         let Some(sent) = conn.state.borrow().sent.get(&attempt).copied() else { return };
-        self.answered_since(conn.server, sent);
+        self.record_answered_send(conn.server, sent);
         conn.opened.get().into_iter().for_each(|opened| self.hub.connection_answered(conn.server, opened));
     }
 
-    /// A server has answered what was sent then; connections that were silent before may be closed for it.
-    fn answered_since(&self, server: ServerId, sent: Instant) {
+    /// Records that a server answered what was sent at `sent`, and wakes silent connections that may now be
+    /// closed.
+    fn record_answered_send(&self, server: ServerId, sent: Instant) {
         {
             let mut answered = self.answered.borrow_mut();
             let last = answered.entry(server).or_insert(sent);
@@ -549,39 +565,41 @@
 
     /// Probes a server.
     pub fn probe(&self, server: ServerId) {
-        let Some(servers) = self.me.upgrade() else { return };
+        let Some(servers) = self.weak_self.upgrade() else { return };
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            // As long as a connection may take, and as long again for the answer.
-            let outcome = timeout_at((sent + 2 * servers.connect).into(), servers.health(server)).await;
+            // The time allowed for connecting, and as much again for the answer.
+            let outcome =
+                timeout_at((sent + 2 * servers.connect_limit).into(), servers.check_health(server)).await;
             if matches!(outcome, Ok(Outcome::Done)) {
-                servers.answered_since(server, sent);
+                servers.record_answered_send(server, sent);
             }
             servers.hub.probed(server, outcome.unwrap_or(Outcome::TimedOut), sent.elapsed());
         });
     }
 
-    /// Asks a server on a connection of its own: a kept one could not tell whether the process takes them.
-    async fn health(&self, server: ServerId) -> Outcome {
+    /// Sends a health call on a new connection: an existing one could not show whether the process still
+    /// accepts them.
+    async fn check_health(&self, server: ServerId) -> Outcome {
         let Some(place) = self.hub.place(server) else { return Outcome::NotSent };
-        let Some(_held) = self.descriptors.reserve_for_check().await else { return Outcome::NotSent };
-        let stream = match timeout(self.connect, TcpStream::connect(place.dial.address)).await {
+        let Some(_descriptor) = self.descriptors.reserve_for_check().await else { return Outcome::NotSent };
+        let stream = match timeout(self.connect_limit, TcpStream::connect(place.dial.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if is_own_connect_failure(&error) => return Outcome::NotSent,
             Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed,
         };
         let Ok(sock) = Sock::new(stream) else { return Outcome::ConnectFailed };
-        let mut machine = Connection::new(1, Bounds::default());
-        let call = message::Call { class: HEALTH.to_string(), ..message::Call::default() };
-        if machine.call((), &call).is_err() {
+        let mut protocol = Connection::new(1, Bounds::default());
+        let call = message::Call { class: HEALTH_METHOD.to_string(), ..message::Call::default() };
+        if protocol.call((), &call).is_err() {
             return Outcome::NotSent;
         }
         let mut chunk = vec![0; 1024];
         loop {
-            while machine.unwritten() > 0 {
-                let parts: Vec<IoSlice<'_>> = machine.output().map(IoSlice::new).collect();
+            while protocol.unwritten() > 0 {
+                let parts: Vec<IoSlice<'_>> = protocol.output().map(IoSlice::new).collect();
                 match sock.try_write(&parts) {
-                    Ok(n) => drop(machine.wrote(n)),
+                    Ok(n) => drop(protocol.wrote(n)),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {
                         if sock.writable().await.is_err() {
                             return Outcome::ConnectFailed;
@@ -590,7 +608,7 @@
                     Err(_) => return Outcome::ConnectFailed,
                 }
             }
-            match machine.poll() {
+            match protocol.poll() {
                 Some(Event::Answered((), Ok(_))) => return Outcome::Done,
                 Some(Event::Answered((), Err(error))) if error.code == Code::TurnedAway => {
                     return Outcome::Full
@@ -599,32 +617,32 @@
                 Some(_) => return Outcome::Error,
                 None => {}
             }
-            if machine.broken().is_some() {
+            if protocol.broken().is_some() {
                 return Outcome::Error;
             }
             let ready = sock.readable().await;
             match ready.and_then(|()| sock.try_read(&mut chunk)) {
-                Ok(0) => machine.ended(),
-                Ok(n) => machine.received(&chunk[..n]),
+                Ok(0) => protocol.ended(),
+                Ok(n) => protocol.received(&chunk[..n]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => machine.ended(),
+                Err(_) => protocol.ended(),
             }
         }
     }
 }
 
-/// Writes what the kernel takes.
+/// Writes as much as the kernel accepts.
 fn write(conn: &Conn, sock: &Sock, hub: &Hub) -> std::io::Result<()> {
     let mut state = conn.state.borrow_mut();
-    while state.machine.unwritten() > 0 {
+    while state.protocol.unwritten() > 0 {
         let wrote = {
-            let parts: Vec<IoSlice<'_>> = state.machine.output().map(IoSlice::new).collect();
+            let parts: Vec<IoSlice<'_>> = state.protocol.output().map(IoSlice::new).collect();
             sock.try_write(&parts)
         };
         match wrote {
             Ok(n) => {
-                let whole = state.machine.wrote(n) as u64;
-                hub.figures.with(|figures| figures.sends += whole);
+                let completed = state.protocol.wrote(n) as u64;
+                hub.figures.with(|figures| figures.sends += completed);
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(error) => return Err(error),
@@ -633,8 +651,8 @@
     Ok(())
 }
 
-/// What a server's answer means for its attempt.
-fn ended_by(answer: Answer) -> Ended<Reply> {
+/// Converts a server's answer into the result of its attempt.
+fn ended_with(answer: Answer) -> Ended<Reply> {
     match answer {
         Ok(body) if body.len() <= BODY_MOST => {
             Ended::Served(Reply { headers: HeaderMap::new(), body: Content::Whole(body) })
@@ -642,7 +660,7 @@
         Ok(_) => Ended::Without(Outcome::Error),
         Err(error) => Ended::Without(match error.code {
             Code::TurnedAway => Outcome::Full,
-            // No other server will like it better.
+            // No other server would accept it either.
             Code::BadRequest => Outcome::Rejected,
             Code::Refused | Code::Failed | Code::UnknownClass | Code::TooLarge => Outcome::Error,
         }),
--- a/crates/node/src/blocks.rs
+++ b/crates/node/src/blocks.rs
@@ -1,5 +1,5 @@
-//! Bodies in blocks of one size. Bodies of all sizes in one piece each leave holes in the heap that the next one does not
-//! fit into, and growing ones are held twice.
+//! Bodies stored in blocks of equal size. Bodies in single allocations of varying size fragment the heap, and
+//! growing them needs twice the memory while they are copied.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -9,194 +9,199 @@
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
-use crate::call::{Cut, LARGE_MOST};
+use crate::call::{Truncated, MAX_BODY_BYTES};
 
-/// How large a block is.
-const BLOCK: usize = 16 * 1024;
+/// The size of a block.
+const BLOCK_BYTES: usize = 16 * 1024;
 
-/// A body that is there whole; its clones share it.
+/// A complete body; clones share its blocks.
 #[derive(Clone, Debug, Default)]
 pub struct Blocks {
-    all: Rc<[Bytes]>,
+    parts: Rc<[Bytes]>,
     len: usize,
 }
 
 impl Blocks {
-    /// How long it is.
+    /// The length of the body.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Is there none?
+    /// Returns whether the body is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The blocks, in their order.
+    /// The blocks, in order.
     pub fn iter(&self) -> impl Iterator<Item = &Bytes> {
-        self.all.iter()
+        self.parts.iter()
     }
 
-    /// All in one piece.
+    /// The body as one contiguous buffer.
     pub fn whole(&self) -> Bytes {
-        match &*self.all {
+        match &*self.parts {
             [] => Bytes::new(),
-            [one] => one.clone(),
-            all => all.concat().into(),
+            [single] => single.clone(),
+            parts => parts.concat().into(),
         }
     }
 }
 
 impl From<Bytes> for Blocks {
     fn from(bytes: Bytes) -> Self {
-        Self { len: bytes.len(), all: [bytes].into() }
+        Self { len: bytes.len(), parts: [bytes].into() }
     }
 }
 
-/// A body that is being read.
+/// Collects a body while it is being read.
 #[derive(Default)]
-pub struct Reading {
-    full: Vec<Bytes>,
-    last: BytesMut,
+pub struct BlocksBuilder {
+    full_blocks: Vec<Bytes>,
+    last_block: BytesMut,
     len: usize,
 }
 
-impl Reading {
-    /// How much there is so far.
+impl BlocksBuilder {
+    /// The number of bytes collected so far.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Is there nothing yet?
+    /// Returns whether nothing was collected yet.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds what came. It is copied: what came may be a byte of a buffer that would be held whole.
+    /// Appends bytes. They are copied, because the source may be a small part of a large buffer that would be
+    /// kept alive.
     pub fn push(&mut self, mut bytes: &[u8]) {
         self.len += bytes.len();
         while !bytes.is_empty() {
-            if self.last.len() == self.last.capacity() {
-                self.turn();
-                // Most bodies come in one piece, and are shorter than a block.
-                let first = self.full.is_empty();
-                self.last = BytesMut::with_capacity(if first { bytes.len().min(BLOCK) } else { BLOCK });
+            if self.last_block.len() == self.last_block.capacity() {
+                self.seal_block();
+                // Most bodies arrive in one piece that is shorter than a block.
+                let first = self.full_blocks.is_empty();
+                self.last_block =
+                    BytesMut::with_capacity(if first { bytes.len().min(BLOCK_BYTES) } else { BLOCK_BYTES });
             }
-            let room = (self.last.capacity() - self.last.len()).min(bytes.len());
-            self.last.extend_from_slice(&bytes[..room]);
+            let room = (self.last_block.capacity() - self.last_block.len()).min(bytes.len());
+            self.last_block.extend_from_slice(&bytes[..room]);
             bytes = &bytes[room..];
         }
     }
 
-    fn turn(&mut self) {
-        let last = std::mem::take(&mut self.last);
-        if !last.is_empty() {
-            self.full.push(last.freeze());
+    fn seal_block(&mut self) {
+        let last_block = std::mem::take(&mut self.last_block);
+        if !last_block.is_empty() {
+            self.full_blocks.push(last_block.freeze());
         }
     }
 
-    /// It is whole.
-    pub fn end(mut self) -> Blocks {
-        self.turn();
-        Blocks { all: self.full.into(), len: self.len }
+    /// Completes the body.
+    pub fn finish(mut self) -> Blocks {
+        self.seal_block();
+        Blocks { parts: self.full_blocks.into(), len: self.len }
     }
 }
 
-/// How far the rest of a body has come that goes on while it comes.
+/// The progress of a body that is forwarded while it is being received.
 #[derive(Debug, Default)]
-pub struct Uptake {
-    /// The other side could take more, and nothing has come.
-    pub waits: Cell<bool>,
-    /// Its last byte has been handed on.
+pub struct UploadProgress {
+    /// Set while the receiver could accept more but nothing has arrived.
+    pub awaits_data: Cell<bool>,
+    /// Set once the last byte has been passed on.
     pub ended: Cell<bool>,
 }
 
-/// The rest of a body, which can be had once.
-pub struct Rest {
+/// The rest of a body, which can be consumed only once.
+pub struct RemainingBody {
     body: RefCell<Option<Incoming>>,
-    /// How long the whole body is, where its head says so.
+    /// The length of the complete body, if declared.
     pub length: Option<usize>,
-    /// How far it has come.
-    pub uptake: Rc<Uptake>,
+    /// The progress of the transfer.
+    pub upload: Rc<UploadProgress>,
 }
 
-impl Rest {
-    /// What is still to come of a body that is so long in all.
+impl RemainingBody {
+    /// Creates the rest of a body whose declared total is `length`.
     pub fn new(body: Incoming, length: Option<usize>) -> Self {
-        Self { body: RefCell::new(Some(body)), length, uptake: Rc::default() }
+        Self { body: RefCell::new(Some(body)), length, upload: Rc::default() }
     }
 
-    /// Is it still there?
-    pub fn is_there(&self) -> bool {
+    /// Returns whether it has not been consumed yet.
+    pub fn is_available(&self) -> bool {
         self.body.borrow().is_some()
     }
 }
 
-/// A body on its way out, once.
-pub struct Sending {
+/// A body that is being written to a server, once.
+pub struct OutgoingBody {
     blocks: Blocks,
     next: usize,
-    /// What is left of the whole; `None` where only its end tells.
+    /// The bytes that remain to be sent; `None` if the length was not declared.
     left: Option<usize>,
-    /// How much has gone.
-    gone: usize,
-    rest: Option<(Incoming, Rc<Uptake>)>,
+    /// The bytes sent so far.
+    sent_bytes: usize,
+    rest: Option<(Incoming, Rc<UploadProgress>)>,
 }
 
-impl Sending {
-    /// The blocks, and the rest behind them.
-    pub fn with_rest(blocks: Blocks, rest: &Rest) -> Self {
+impl OutgoingBody {
+    /// Creates a body of the buffered blocks followed by the rest.
+    pub fn with_rest(blocks: Blocks, rest: &RemainingBody) -> Self {
         let body = rest.body.borrow_mut().take();
-        let rest_of = body.map(|body| (body, rest.uptake.clone()));
-        Self { blocks, next: 0, left: rest.length, gone: 0, rest: rest_of }
+        let remaining = body.map(|body| (body, rest.upload.clone()));
+        Self { blocks, next: 0, left: rest.length, sent_bytes: 0, rest: remaining }
     }
 
-    fn took(&mut self, bytes: usize) -> Result<(), Cut> {
-        self.gone += bytes;
+    fn count_sent(&mut self, bytes: usize) -> Result<(), Truncated> {
+        self.sent_bytes += bytes;
         if let Some(left) = &mut self.left {
-            *left = left.checked_sub(bytes).ok_or(Cut)?;
+            *left = left.checked_sub(bytes).ok_or(Truncated)?;
         }
-        if self.gone > LARGE_MOST {
-            return Err(Cut);
+        if self.sent_bytes > MAX_BODY_BYTES {
+            return Err(Truncated);
         }
         Ok(())
     }
 }
 
-impl From<Blocks> for Sending {
+impl From<Blocks> for OutgoingBody {
     fn from(blocks: Blocks) -> Self {
-        Self { left: Some(blocks.len), blocks, next: 0, gone: 0, rest: None }
+        Self { left: Some(blocks.len), blocks, next: 0, sent_bytes: 0, rest: None }
     }
 }
 
-impl Body for Sending {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        if let Some(block) = self.blocks.all.get(self.next).cloned() {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
+        if let Some(block) = self.blocks.parts.get(self.next).cloned() {
             self.next += 1;
-            return Poll::Ready(Some(self.took(block.len()).map(|()| Frame::data(block))));
+            return Poll::Ready(Some(self.count_sent(block.len()).map(|()| Frame::data(block))));
         }
         loop {
-            let Some((body, uptake)) = self.rest.as_mut() else { return Poll::Ready(None) };
+            let Some((body, upload)) = self.rest.as_mut() else { return Poll::Ready(None) };
             let frame = Pin::new(body).poll_frame(cx);
-            uptake.waits.set(frame.is_pending());
+            upload.awaits_data.set(frame.is_pending());
             match ready!(frame) {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => {
-                        let taken = self.took(data.len());
-                        if let (Some(0), Some((_, uptake))) = (self.left, self.rest.as_ref()) {
-                            uptake.ended.set(true);
+                        let taken = self.count_sent(data.len());
+                        if let (Some(0), Some((_, upload))) = (self.left, self.rest.as_ref()) {
+                            upload.ended.set(true);
                         }
                         return Poll::Ready(Some(taken.map(|()| Frame::data(data))));
                     }
                     _ => {}
                 },
-                // The server sees a body that ends before its end, and does not begin.
-                Some(Err(_)) => return Poll::Ready(Some(Err(Cut))),
+                // The server sees a truncated body and does not execute the request.
+                Some(Err(_)) => return Poll::Ready(Some(Err(Truncated))),
                 None => {
-                    uptake.ended.set(true);
+                    upload.ended.set(true);
                     return Poll::Ready(None);
                 }
             }
@@ -217,17 +222,17 @@
     use super::*;
 
     #[test]
-    fn what_is_pushed_comes_out_whole_and_no_block_is_larger_than_one() {
+    fn pushed_bytes_are_returned_unchanged_in_blocks_of_limited_size() {
         let body: Vec<u8> = (0..100_000u32).map(|n| n as u8).collect();
-        for piece in [1, 7, 4096, BLOCK, BLOCK + 1, 100_000] {
-            let mut reading = Reading::default();
-            body.chunks(piece).for_each(|bytes| reading.push(bytes));
-            let blocks = reading.end();
+        for piece in [1, 7, 4096, BLOCK_BYTES, BLOCK_BYTES + 1, 100_000] {
+            let mut builder = BlocksBuilder::default();
+            body.chunks(piece).for_each(|bytes| builder.push(bytes));
+            let blocks = builder.finish();
             assert_eq!((blocks.len(), blocks.whole()), (body.len(), Bytes::from(body.clone())), "{piece}");
-            assert!(blocks.iter().all(|b| b.len() <= BLOCK));
-            // One byte first makes one small block at the most.
-            assert!(blocks.iter().count() <= 100_000 / BLOCK + 2, "{piece}: {}", blocks.iter().count());
+            assert!(blocks.iter().all(|b| b.len() <= BLOCK_BYTES));
+            // A single byte first makes at most one small block.
+            assert!(blocks.iter().count() <= 100_000 / BLOCK_BYTES + 2, "{piece}: {}", blocks.iter().count());
         }
-        assert!(Reading::default().end().is_empty());
+        assert!(BlocksBuilder::default().finish().is_empty());
     }
 }
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -1,4 +1,4 @@
-//! A request between front and backend, whatever protocol each of them speaks.
+//! A request and its answer as passed between front and backend, independent of the protocol on either side.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::pin::Pin;
@@ -14,15 +14,15 @@
 use hyper::header::{HeaderName, HeaderValue, COOKIE, HOST};
 use hyper::{HeaderMap, Method, Uri};
 
-use crate::blocks::{Blocks, Rest};
+use crate::blocks::{Blocks, RemainingBody};
 
-/// The largest body that is read whole in any case, either way.
+/// The largest body that is always buffered in full, in either direction.
 pub const BODY_MOST: usize = 64 * 1024;
-/// The largest body that is passed on at all, either way.
-pub const LARGE_MOST: usize = (32 << 20) + BODY_MOST;
+/// The largest body that is forwarded at all, in either direction.
+pub const MAX_BODY_BYTES: usize = (32 << 20) + BODY_MOST;
 
-/// How many blocks of a body tell whether a request repeats another.
-const HASHED: usize = 4;
+/// How many blocks of a body are hashed to recognise a repeated request.
+const HASHED_BLOCKS: usize = 4;
 
 /// The client's id for a request.
 pub const TXN: HeaderName = HeaderName::from_static("x-txn");
@@ -30,75 +30,75 @@
 pub const ORG: HeaderName = HeaderName::from_static("x-org");
 /// The key of a keyed request.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// A client's guess at the work, in microseconds.
+/// The client's estimate of the work, in microseconds.
 pub const ESTIMATE: HeaderName = HeaderName::from_static("x-estimate");
-/// The time that is left.
+/// The remaining time, in milliseconds.
 pub const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
 
-/// How a request came.
+/// The protocol over which a request arrived, with the fields specific to it.
 pub enum Via {
-    /// Over HTTP: the headers that go on, with id, tenant and key among them.
+    /// HTTP, with the end-to-end headers, including id, tenant and key.
     Http(HeaderMap),
-    /// Over MessagePack-RPC.
+    /// MessagePack-RPC.
     Rpc {
         /// The tenant.
         org: Option<Box<str>>,
-        /// What it is about.
+        /// The user that the request is about.
         user: Option<Box<str>>,
     },
 }
 
-/// A request as it goes on to a server.
+/// A request as forwarded to a server.
 pub struct Call {
-    /// Its class and its tenant, whose places it holds through new settings.
+    /// Its class and tenant. Holding them keeps their indices valid across changes of the settings.
     pub of: (Place, Option<Place>),
     /// The client's id for it.
     pub id: Token,
-    /// Its key, where it has one.
+    /// Its key, if it has one.
     pub key: Option<Token>,
-    /// The method that follows from its class.
+    /// The method, which follows from its class.
     pub method: Method,
-    /// Path and query; the first part of the path is the class.
+    /// Path and query; the first path segment is the class.
     pub target: Uri,
-    /// How it came.
+    /// The protocol over which it arrived.
     pub via: Via,
-    /// Its body.
+    /// The body, as far as it has been read.
     pub body: Blocks,
-    /// What is still to come of its body, where that is too long to be kept.
-    pub rest: Option<Rest>,
-    /// What it draws from the budget for bodies.
+    /// The rest of a body too long to buffer.
+    pub rest: Option<RemainingBody>,
+    /// Its share of the body budget.
     pub held: Share,
 }
 
 /// A server's answer.
 pub struct Reply {
-    /// Its headers; none from a server that speaks MessagePack-RPC.
+    /// Its headers; empty if the server uses MessagePack-RPC.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Content,
 }
 
-/// A body that can't be had to its end.
+/// The error for a body that ended early or exceeds [`MAX_BODY_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct Truncated;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer ended before its end")
+        f.write_str("the body ended early or is too long")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
-/// A body that is read on as it is written.
-pub type Flow = Pin<Box<dyn Body<Data = Bytes, Error = Cut>>>;
+/// A body that is read while it is being forwarded.
+pub type BodyStream = Pin<Box<dyn Body<Data = Bytes, Error = Truncated>>>;
 
 /// The body of an answer.
 pub enum Content {
-    /// It was read whole.
+    /// A body that was read in full.
     Whole(Bytes),
-    /// More of it is to come.
-    Flow(Flow),
+    /// A body of which more is to come.
+    Streamed(BodyStream),
 }
 
 impl Default for Content {
@@ -109,52 +109,56 @@
 
 impl Body for Content {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Flow(flow) => flow.as_mut().poll_frame(cx),
+            Self::Streamed(stream) => stream.as_mut().poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_empty(),
-            Self::Flow(flow) => flow.is_end_stream(),
+            Self::Streamed(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Flow(flow) => flow.size_hint(),
+            Self::Streamed(stream) => stream.size_hint(),
         }
     }
 }
 
-/// Texts that are put into a header: the checks of the front leave none that do not fit.
-fn put(headers: &mut HeaderMap, name: HeaderName, text: &str) {
+/// Inserts a header. The fronts have validated the texts, so none is dropped.
+fn insert_text(headers: &mut HeaderMap, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
 }
 
-/// The `user` of a cookie header.
+/// The `user` in the `Cookie` header.
 fn cookie_user(headers: &HeaderMap) -> Option<&str> {
     let pairs = headers.get_all(COOKIE).iter().filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(';'));
     pairs.filter_map(|pair| pair.trim().strip_prefix("user=")).next()
 }
 
 impl Call {
-    /// How long its body is in all, where that is known.
+    /// The length of the complete body, if known.
     pub fn length(&self) -> Option<usize> {
         self.rest.as_ref().map_or(Some(self.body.len()), |rest| rest.length)
     }
 
-    /// What a client's repeat of it has in common with it: its key, where it has one, and else what is asked for, by whom,
-    /// about what, and with which estimate. Its id is new in each try. `seed` keeps others from making up numbers that meet.
+    /// A hash that a client's repeat of this request shares with it: of tenant, method and key if it has a key,
+    /// otherwise of tenant, method, target, user, estimate and body. The id differs in each repeat and is left
+    /// out. `seed` keeps clients from constructing collisions.
     pub fn repeat_key(&self, seed: u64) -> u64 {
         let mut hash = DefaultHasher::new();
         let tenant = self.of.1.as_ref().map(|tenant| &*tenant.name);
@@ -171,20 +175,20 @@
             }
             Via::Rpc { user, .. } => user.as_deref().hash(&mut hash),
         }
-        // Two long ones that differ only far from their beginning would pass for one; their lengths mostly tell.
+        // Long bodies are hashed only at their start; their lengths distinguish most of the others.
         self.body.len().hash(&mut hash);
-        self.body.iter().take(HASHED).for_each(|block| block.hash(&mut hash));
+        self.body.iter().take(HASHED_BLOCKS).for_each(|block| block.hash(&mut hash));
         hash.finish()
     }
 
-    /// The client's guess at its work, where it gives one that can be read.
+    /// The client's estimate of the work, if there is a valid one.
     pub fn work(&self) -> Option<Millis> {
         let Via::Http(headers) = &self.via else { return None };
         let microseconds: f64 = headers.get(ESTIMATE)?.to_str().ok()?.parse().ok()?;
         (microseconds.is_finite() && microseconds > 0.0).then_some(microseconds / 1000.0)
     }
 
-    /// Its headers for a server that speaks HTTP.
+    /// The request's headers for an HTTP server.
     pub fn headers(&self) -> HeaderMap {
         let (org, user) = match &self.via {
             Via::Http(headers) => return headers.clone(),
@@ -192,30 +196,30 @@
         };
         let mut headers = HeaderMap::with_capacity(8);
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
-        put(&mut headers, TXN, self.id.as_str());
+        insert_text(&mut headers, TXN, self.id.as_str());
         if let Some(key) = &self.key {
-            put(&mut headers, KEY, key.as_str());
+            insert_text(&mut headers, KEY, key.as_str());
         }
         if let Some(org) = org {
-            put(&mut headers, ORG, org);
+            insert_text(&mut headers, ORG, org);
         }
         if let Some(user) = user {
-            put(&mut headers, COOKIE, &format!("user={user}"));
+            insert_text(&mut headers, COOKIE, &format!("user={user}"));
         }
         headers
     }
 
-    /// The same for a server that speaks MessagePack-RPC, which is told how long the node waits.
+    /// The request as a call to a MessagePack-RPC server, including how long the node waits for it.
     pub fn message(&self, remaining_ms: u64) -> message::Call {
-        let whole = self.target.path_and_query().map_or("", |p| p.as_str()).trim_start_matches('/');
-        let cut = whole.find(['/', '?']).unwrap_or(whole.len());
+        let target_path = self.target.path_and_query().map_or("", |p| p.as_str()).trim_start_matches('/');
+        let class_end = target_path.find(['/', '?']).unwrap_or(target_path.len());
         let (org, user) = match &self.via {
             Via::Http(headers) => (headers.get(ORG).and_then(|v| v.to_str().ok()), cookie_user(headers)),
             Via::Rpc { org, user } => (org.as_deref(), user.as_deref()),
         };
         message::Call {
-            class: whole[..cut].to_string(),
-            path: whole[cut..].to_string(),
+            class: target_path[..class_end].to_string(),
+            path: target_path[class_end..].to_string(),
             txn: Some(self.id.as_str().to_string()),
             org: org.map(str::to_string),
             user: user.map(str::to_string),
@@ -259,28 +263,28 @@
     }
 
     #[test]
-    fn a_repeat_is_like_what_it_repeats_and_little_else_is() {
-        let about = [(ESTIMATE, "1500"), (TXN, "t1")];
-        let first = call("t1", None, "/look/7?a=1", &about).repeat_key(1);
-        let again = call("t2", None, "/look/7?a=1", &[(ESTIMATE, "1500"), (TXN, "t2")]);
-        assert_eq!(again.repeat_key(1), first, "the id is new in each try");
+    fn repeat_key_matches_repeats_and_differs_for_other_requests() {
+        let common = [(ESTIMATE, "1500"), (TXN, "t1")];
+        let first = call("t1", None, "/look/7?a=1", &common).repeat_key(1);
+        let repeat = call("t2", None, "/look/7?a=1", &[(ESTIMATE, "1500"), (TXN, "t2")]);
+        assert_eq!(repeat.repeat_key(1), first, "the id differs in each repeat");
         assert_ne!(
             call("t2", None, "/look/7?a=1", &[(ESTIMATE, "1500"), (ORG, "b")]).repeat_key(1),
             first,
             "another tenant"
         );
-        assert_ne!(again.repeat_key(2), first, "another node");
-        assert_ne!(call("t2", None, "/look/8?a=1", &about).repeat_key(1), first, "another thing");
+        assert_ne!(repeat.repeat_key(2), first, "another seed");
+        assert_ne!(call("t2", None, "/look/8?a=1", &common).repeat_key(1), first, "another target");
         assert_ne!(call("t2", None, "/look/7?a=1", &[(ESTIMATE, "1600")]).repeat_key(1), first);
         let user = [(ESTIMATE, "1500"), (COOKIE, "user=u1")];
-        assert_ne!(call("t2", None, "/look/7?a=1", &user).repeat_key(1), first, "about somebody else");
-        let keyed = call("t1", Some("k1"), "/pay", &about).repeat_key(1);
-        assert_eq!(call("t2", Some("k1"), "/pay", &[]).repeat_key(1), keyed, "its key says it all");
-        assert_ne!(call("t2", Some("k2"), "/pay", &about).repeat_key(1), keyed);
+        assert_ne!(call("t2", None, "/look/7?a=1", &user).repeat_key(1), first, "another user");
+        let keyed = call("t1", Some("k1"), "/pay", &common).repeat_key(1);
+        assert_eq!(call("t2", Some("k1"), "/pay", &[]).repeat_key(1), keyed, "only the key counts");
+        assert_ne!(call("t2", Some("k2"), "/pay", &common).repeat_key(1), keyed);
     }
 
     #[test]
-    fn an_estimate_that_makes_no_sense_is_none() {
+    fn invalid_estimates_are_ignored() {
         let work = |text: &str| call("t1", None, "/look", &[(ESTIMATE, text)]).work();
         assert_eq!(work("1500"), Some(1.5));
         for bad in ["", "x", "-1", "0", "NaN", "inf", "1e999"] {
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -1,4 +1,4 @@
-//! Clients that speak HTTP/1.1: reading requests, and the one final answer of each.
+//! HTTP/1.1 clients: reads requests and writes the single final answer of each.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_core::{Final, Incoming as Taken, NotTaken, Token, LONGEST_WAIT};
+use glenwood_core::{Final, Incoming as CoreRequest, NotTaken, Token, LONGEST_WAIT};
 use glenwood_operation::budget::Share;
 use glenwood_operation::figures::{End, Ticket};
 use glenwood_operation::places::Place;
@@ -25,59 +25,64 @@
 use tokio::time::timeout;
 
 use super::table::{Client, Clients, Ending};
-use crate::blocks::{Blocks, Reading, Rest};
-use crate::call::{Call, Content, Cut, Reply, Via, BODY_MOST, KEY, LARGE_MOST, ORG, REMAINING, TXN};
+use crate::blocks::{Blocks, BlocksBuilder, RemainingBody};
+use crate::call::{
+    Call, Content, Reply, Truncated, Via, BODY_MOST, KEY, MAX_BODY_BYTES, ORG, REMAINING, TXN,
+};
 use crate::headers::end_to_end;
 use crate::hub::{self, end_of, Hub};
 use crate::sock::{Io, Phase, Sock};
 
-/// How long a connection is read after its last answer, so that a reset does not overtake it.
-pub const LINGER: Duration = Duration::from_millis(500);
-/// The largest head of a request.
-const HEAD_MOST: usize = 16 * 1024;
+/// How long a connection is still read after its last answer. Closing it with unread bytes would send a
+/// reset, which can overtake the answer.
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The largest accepted head of a request.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The way in for clients that speak HTTP/1.1.
+/// Serves clients over HTTP/1.1.
 pub struct Front {
     hub: Rc<Hub>,
     clients: Rc<Clients>,
 }
 
 impl Front {
-    /// One that takes requests for `hub`.
+    /// Creates a front that hands requests to `hub`.
     pub fn new(hub: Rc<Hub>, clients: Rc<Clients>) -> Rc<Self> {
         Rc::new(Self { hub, clients })
     }
 
     /// Serves one connection until it ends.
-    pub async fn converse(self: &Rc<Self>, client: Rc<Client>) {
+    pub async fn serve_client(self: &Rc<Self>, client: Rc<Client>) {
         let service = service_fn(|request| {
             let (front, sock) = (self.clone(), client.sock.clone());
             async move { Ok::<_, Infallible>(respond(front, sock, request).await) }
         });
         let conn = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .auto_date_header(false)
             .serve_connection(Io(client.sock.clone()), service);
-        // What breaks a client's connection is the client's to see.
+        // An error on a client's connection concerns only that client; it is not logged.
         if self.drive(conn, &client).await {
-            let _ = timeout(LINGER, client.sock.linger()).await;
+            let _ = timeout(LINGER_TIMEOUT, client.sock.linger()).await;
         }
     }
 
-    /// Serves a connection until it ends by itself, which is said, or is of no more use. Whoever has closed is gone, with
-    /// what is owed to it: hyper reads no further than one request ahead, and may not see it.
+    /// Runs a connection until hyper is done with it (returns true) or it is to be dropped at once (returns
+    /// false). A client that has closed its connection no longer waits for its answer; hyper reads at most
+    /// one request ahead and may miss the close, so the socket is watched here too.
     async fn drive(&self, conn: impl Future, client: &Client) -> bool {
         let mut conn = pin!(conn);
         loop {
             tokio::select! {
-                // What has come is read before the connection is judged: a request that crosses its closing is served.
+                // Poll hyper first: a request that arrives while the connection is being closed is still
+                // served.
                 biased;
                 _ = &mut conn => return true,
-                () = client.sock.deserted() => {
-                    client.ends(Ending::Left);
+                () = client.sock.closed_while_answer_pending() => {
+                    client.set_ending(Ending::Left);
                     return false;
                 }
-                () = client.close.notified() => if self.clients.closes(client) {
+                () = client.close.notified() => if self.clients.confirm_close(client) {
                     return false;
                 }
             }
@@ -85,29 +90,32 @@
     }
 }
 
-/// The body of an answer on its way out.
+/// The body of an answer that is being written to a client.
 #[derive(Default)]
-struct Outgoing {
+struct AnswerBody {
     content: Content,
-    /// Of a request whose answer flows, until its last byte.
+    /// The statistics ticket of a request whose answer is streamed; ended with the last byte.
     ticket: Option<Ticket>,
 }
 
-impl Outgoing {
+impl AnswerBody {
     fn end(&mut self, end: End) {
         self.ticket.take().into_iter().for_each(|ticket| ticket.end(end));
     }
 }
 
-impl Body for Outgoing {
+impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let this = self.get_mut();
         let frame = ready!(Pin::new(&mut this.content).poll_frame(cx));
         match &frame {
-            // Its client sees that it ends before its end.
+            // The client sees the answer cut short.
             Some(Err(_)) => this.end(End::Errored),
             _ if this.content.is_end_stream() => this.end(End::Answered),
             _ => {}
@@ -125,102 +133,103 @@
 }
 
 /// Answers one request.
-async fn respond(front: Rc<Front>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<Outgoing> {
+async fn respond(front: Rc<Front>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<AnswerBody> {
     let (hub, clients) = (&front.hub, &front.clients);
-    let head = *request.method() == Method::HEAD;
-    let length = body_as_it_comes(request.headers());
-    let mut came_whole = true;
-    let asks_ready = request.uri().path() == "/ready";
-    let mut answer = if asks_ready {
+    let is_head = *request.method() == Method::HEAD;
+    let length = declared_body_length(request.headers());
+    let mut is_fully_read = true;
+    let is_ready_check = request.uri().path() == "/ready";
+    let mut answer = if is_ready_check {
         let status = if hub.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         plain(status)
     } else {
         let class = class_of(hub, request.uri());
         let read = read(hub, &sock, class.clone(), request).await;
-        // Dropped with this, where the client leaves before it has its answer.
+        // Dropped with this future if the client disconnects before it has its answer.
         let ticket = class.map(|class| hub.ticket(&class));
         let (mut answer, end) = match read {
-            Ok((asked, _)) if clients.all_in_use() => {
-                (refusal(hub.stay_away(asked.call.of.0.number)), End::Deferred)
+            Ok((parsed, _)) if clients.must_refuse() => {
+                (refusal(hub.stay_away(parsed.call.of.0.number)), End::Deferred)
             }
-            Ok((asked, remaining)) => {
-                sock.look_ahead(length);
-                // Its time counts from its last byte.
-                let arrived = if sock.phase().0 == Phase::Reading { sock.came_at() } else { Instant::now() };
-                match &asked.call.rest {
-                    None => sock.enter(Phase::Busy),
-                    Some(rest) => sock.body_goes_on(rest.uptake.clone()),
+            Ok((parsed, remaining)) => {
+                sock.detect_pipelined(length);
+                // The client's remaining time counts from the last byte of the request.
+                let arrived =
+                    if sock.phase().0 == Phase::Reading { sock.last_read_at() } else { Instant::now() };
+                match &parsed.call.rest {
+                    None => sock.enter_phase(Phase::Busy),
+                    Some(rest) => sock.stream_body(rest.upload.clone()),
                 }
-                came_whole = asked.call.rest.is_none();
-                settle(hub, &sock, asked, arrived, remaining).await
+                is_fully_read = parsed.call.rest.is_none();
+                process(hub, &sock, parsed, arrived, remaining).await
             }
-            Err(bad) => (bad.answer(), End::Errored),
+            Err(error) => (error.answer(), End::Errored),
         };
         match (ticket, &answer.body().content) {
-            // It ends with its last byte.
-            (ticket, Content::Flow(_)) => answer.body_mut().ticket = ticket,
+            // A streamed answer ends the ticket with its last byte.
+            (ticket, Content::Streamed(_)) => answer.body_mut().ticket = ticket,
             (ticket, Content::Whole(_)) => ticket.into_iter().for_each(|ticket| ticket.end(end)),
         }
         answer
     };
-    let first = sock.answers() == 0;
-    // While the node stops, what only asks how it is must not push out those that can be served.
-    let of_no_use = asks_ready && hub.stopping.get().is_some();
-    // One that does not say its length has an end that is not watched for.
-    let open_ended = body_length(&answer).is_none();
+    let is_first = sock.answer_count() == 0;
+    // While the node stops, connections that only poll /ready must not displace those that can be served.
+    let is_check_while_stopping = is_ready_check && hub.stopping.get().is_some();
+    // An answer without a declared length is not watched for its end, so its connection is not reused.
+    let has_no_length = body_length(&answer).is_none();
     if hub.closing.get()
         || hub.leaving.get()
-        || of_no_use
-        || open_ended
-        || !came_whole
-        || (first && clients.many_idle())
+        || is_check_while_stopping
+        || has_no_length
+        || !is_fully_read
+        || (is_first && clients.has_many_idle())
     {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     if sock.phase().0 == Phase::Reading {
-        sock.look_ahead(length);
+        sock.detect_pipelined(length);
     }
-    sock.begin(if head { 0 } else { body_length(&answer).unwrap_or(usize::MAX) });
-    sock.enter(Phase::Answering);
+    sock.begin_message(if is_head { 0 } else { body_length(&answer).unwrap_or(usize::MAX) });
+    sock.enter_phase(Phase::Answering);
     answer
 }
 
-/// How long a request's body is as it comes, where its head says so.
-fn body_as_it_comes(headers: &HeaderMap) -> Option<usize> {
+/// The declared length of a request's body as sent; `None` if it is chunked or the length can't be parsed.
+fn declared_body_length(headers: &HeaderMap) -> Option<usize> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return None;
     }
     headers.get(CONTENT_LENGTH).map_or(Some(0), |v| v.to_str().ok()?.trim().parse().ok())
 }
 
-fn body_length(answer: &Response<Outgoing>) -> Option<usize> {
+fn body_length(answer: &Response<AnswerBody>) -> Option<usize> {
     answer.body().size_hint().exact().map(|length| length as usize)
 }
 
-fn plain(status: StatusCode) -> Response<Outgoing> {
-    let mut answer = Response::new(Outgoing::default());
+fn plain(status: StatusCode) -> Response<AnswerBody> {
+    let mut answer = Response::new(AnswerBody::default());
     *answer.status_mut() = status;
     answer
 }
 
-/// Gives up the request when the client's connection ends before its answer.
-struct Owed {
+/// Cancels the request if the client's connection ends before it is answered.
+struct PendingAnswer {
     hub: Rc<Hub>,
     sock: Rc<Sock>,
     asked: hub::Asked,
     answered: bool,
 }
 
-impl Owed {
+impl PendingAnswer {
     fn new(hub: &Rc<Hub>, sock: &Rc<Sock>, asked: hub::Asked) -> Self {
-        sock.owe(true);
+        sock.set_answer_pending(true);
         Self { hub: hub.clone(), sock: sock.clone(), asked, answered: false }
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        self.sock.owe(false);
+        self.sock.set_answer_pending(false);
         if !self.answered {
             self.hub.gone(self.asked);
         }
@@ -228,30 +237,30 @@
 }
 
 /// Hands the request to the core and waits for its final answer.
-async fn settle(
+async fn process(
     hub: &Rc<Hub>,
     sock: &Rc<Sock>,
-    asked: Asked,
+    parsed: ParsedRequest,
     arrived: Instant,
     remaining: Duration,
-) -> (Response<Outgoing>, End) {
+) -> (Response<AnswerBody>, End) {
     let began = hub.clock.at(arrived);
-    let incoming = Taken {
-        class: asked.call.of.0.number,
-        tenant: asked.call.of.1.as_ref().map(|tenant| tenant.number),
-        key: asked.call.key.clone(),
-        id: asked.call.id.clone(),
+    let incoming = CoreRequest {
+        class: parsed.call.of.0.number,
+        tenant: parsed.call.of.1.as_ref().map(|tenant| tenant.number),
+        key: parsed.call.key.clone(),
+        id: parsed.call.id.clone(),
         began,
         deadline: began + remaining.as_secs_f64() * 1000.0,
-        repeat_key: Some(asked.call.repeat_key(hub.config.seed)),
-        work: asked.call.work(),
-        coming: asked.call.rest.is_some(),
+        repeat_key: Some(parsed.call.repeat_key(hub.config.seed)),
+        work: parsed.call.work(),
+        coming: parsed.call.rest.is_some(),
         earlier: None,
-        payload: Rc::new(asked.call),
+        payload: Rc::new(parsed.call),
     };
     let (answer, answered) = oneshot::channel();
-    // A client that has just left needs no answer.
-    let waiter = move |last| drop(answer.send(last));
+    // A client that has just disconnected needs no answer.
+    let waiter = move |final_answer| drop(answer.send(final_answer));
     let asked = match hub.ask(incoming, waiter) {
         Ok(asked) => asked,
         Err(NotTaken::NoRoom { stay_away }) => return (refusal(stay_away), End::Deferred),
@@ -259,9 +268,9 @@
         Err(NotTaken::NoSuchClass) => return (plain(StatusCode::NOT_FOUND), End::Errored),
         Err(NotTaken::KeyMissing) => return (plain(StatusCode::BAD_REQUEST), End::Errored),
     };
-    let mut owed = Owed::new(hub, sock, asked);
+    let mut pending = PendingAnswer::new(hub, sock, asked);
     let Ok(answer) = answered.await else { return (plain(StatusCode::GATEWAY_TIMEOUT), End::Errored) };
-    owed.answered = true;
+    pending.answered = true;
     let end = end_of(&answer);
     let answer = match answer {
         Final::Served(reply) => served(reply),
@@ -273,52 +282,52 @@
     (answer, end)
 }
 
-fn served(reply: Reply) -> Response<Outgoing> {
-    let mut answer = Response::new(Outgoing { content: reply.body, ticket: None });
+fn served(reply: Reply) -> Response<AnswerBody> {
+    let mut answer = Response::new(AnswerBody { content: reply.body, ticket: None });
     *answer.headers_mut() = reply.headers;
     answer
 }
 
-/// A refusal, with the module's word on when to come back in decimal seconds.
-fn refusal(stay_away: Millis) -> Response<Outgoing> {
+/// A refusal, with the core's `Retry-After` in decimal seconds if there is one.
+fn refusal(stay_away: Millis) -> Response<AnswerBody> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
     if stay_away > 0.0 {
-        if let Ok(span) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
-            answer.headers_mut().insert(RETRY_AFTER, span);
+        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
+            answer.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
     answer
 }
 
-/// What is wrong with a request, and whether its connection is of further use.
-struct Bad {
+/// The status for an invalid request, and whether its connection must be closed.
+struct RequestError {
     status: StatusCode,
-    closes: bool,
+    must_close: bool,
 }
 
-impl Bad {
-    fn answer(&self) -> Response<Outgoing> {
+impl RequestError {
+    fn answer(&self) -> Response<AnswerBody> {
         let mut answer = plain(self.status);
-        if self.closes {
+        if self.must_close {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
 }
 
-impl From<StatusCode> for Bad {
+impl From<StatusCode> for RequestError {
     fn from(status: StatusCode) -> Self {
-        Self { status, closes: false }
+        Self { status, must_close: false }
     }
 }
 
-/// A request that was read whole and can be taken.
-struct Asked {
+/// A request that has been read and validated.
+struct ParsedRequest {
     call: Call,
 }
 
-/// The one value of a header, if it has one that can be read.
-fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Bad> {
+/// The only value of a header, `None` if it is absent. A repeated or unreadable header is an error.
+fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -327,13 +336,13 @@
     }
 }
 
-fn token(value: Option<&str>) -> Result<Token, Bad> {
+fn token(value: Option<&str>) -> Result<Token, RequestError> {
     value.and_then(|v| Token::new(v).ok()).ok_or(StatusCode::BAD_REQUEST.into())
 }
 
-/// Is it clear where the request ends? One with a length and a transfer coding may hide another in its body: what is
-/// the body by the one is the next request by the other.
-fn framed_once(sock: &Sock, headers: &HeaderMap) -> bool {
+/// Returns whether the end of the request is unambiguous. A request with both a length and a transfer coding
+/// can smuggle a second request: what is body by one of them is the next request by the other.
+fn has_unambiguous_framing(sock: &Sock, headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let chunked = |v: &HeaderValue| v.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (codings.next(), codings.next()) {
@@ -345,7 +354,7 @@
     }
 }
 
-/// The class that a request's path names, where there is such a class.
+/// The class that a request's path names, if it exists.
 fn class_of(hub: &Hub, uri: &Uri) -> Option<Place> {
     let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     hub.class(name)
@@ -356,35 +365,38 @@
     sock: &Sock,
     class: Option<Place>,
     request: Request<Incoming>,
-) -> Result<(Asked, Duration), Bad> {
-    // What counts when its head has come counts for it.
+) -> Result<(ParsedRequest, Duration), RequestError> {
+    // The settings in force when the head arrived apply to all of it.
     let settings = hub.settings();
     let (parts, body) = request.into_parts();
-    let bodied = !hyper::body::Body::is_end_stream(&body);
-    // Nothing more is read of one whose end is in doubt, or that has a body where none may be.
-    if !framed_once(sock, &parts.headers) || (parts.method == Method::GET && bodied) {
-        return Err(Bad { status: StatusCode::BAD_REQUEST, closes: true });
+    let has_body = !hyper::body::Body::is_end_stream(&body);
+    // Read nothing more from a request whose end is ambiguous, or that has a body where none is allowed.
+    if !has_unambiguous_framing(sock, &parts.headers) || (parts.method == Method::GET && has_body) {
+        return Err(RequestError { status: StatusCode::BAD_REQUEST, must_close: true });
     }
     let declared = parts.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    // What has not been read when the answer goes out makes the connection useless.
-    let unread =
-        |status| Bad { status, closes: declared != Some(0) && !hyper::body::Body::is_end_stream(&body) };
-    if declared.is_some_and(|n| n > LARGE_MOST as u64) {
-        return Err(unread(StatusCode::PAYLOAD_TOO_LARGE));
-    }
-    let class = class.ok_or_else(|| unread(StatusCode::NOT_FOUND))?;
-    let checked = check(&parts.method, &parts.headers, settings.policy.classes[class.number].effect);
-    let (id, key, remaining) = checked.map_err(|bad| unread(bad.status))?;
-    let tenant = header(&parts.headers, &ORG).ok().flatten();
+    // A body that is still unread when the answer is sent makes the connection unusable.
+    let unread_error = |status| RequestError {
+        status,
+        must_close: declared != Some(0) && !hyper::body::Body::is_end_stream(&body),
+    };
+    if declared.is_some_and(|n| n > MAX_BODY_BYTES as u64) {
+        return Err(unread_error(StatusCode::PAYLOAD_TOO_LARGE));
+    }
+    let class = class.ok_or_else(|| unread_error(StatusCode::NOT_FOUND))?;
+    let checked = validate(&parts.method, &parts.headers, settings.policy.classes[class.number].effect);
+    let (id, key, remaining) = checked.map_err(|error| unread_error(error.status))?;
+    let tenant = single_header(&parts.headers, &ORG).ok().flatten();
     let tenant = tenant.and_then(|org| hub.tenant(org));
     let mut uri = Uri::builder();
     if let Some(path) = parts.uri.path_and_query() {
         uri = uri.path_and_query(path.clone());
     }
-    let uri = uri.build().map_err(|_| unread(StatusCode::BAD_REQUEST))?;
-    sock.body_begins();
-    let Collected { body, rest, held } = collect(hub, body, declared.unwrap_or(0) as usize).await?;
-    let rest = rest.map(|rest| Rest::new(rest, declared.map(|length| length as usize)));
+    let uri = uri.build().map_err(|_| unread_error(StatusCode::BAD_REQUEST))?;
+    sock.begin_body();
+    let CollectedBody { body, rest, budget_share } =
+        read_body(hub, body, declared.unwrap_or(0) as usize).await?;
+    let rest = rest.map(|rest| RemainingBody::new(rest, declared.map(|length| length as usize)));
     let mut headers = end_to_end(&parts.headers);
     headers.remove(REMAINING);
     if !headers.contains_key(HOST) {
@@ -399,55 +411,55 @@
         via: Via::Http(headers),
         body,
         rest,
-        held,
+        held: budget_share,
     };
-    Ok((Asked { call }, remaining))
+    Ok((ParsedRequest { call }, remaining))
 }
 
-/// A body as it was read, what is still to come of it, and what it draws from the budget.
-struct Collected {
+/// The part of a body that was read, the rest still to come, and its share of the body budget.
+struct CollectedBody {
     body: Blocks,
     rest: Option<Incoming>,
-    held: Share,
+    budget_share: Share,
 }
 
-/// Reads a body whole, where what is longer than any may be finds a place in the one budget for all of them; else as far as
-/// that goes.
-async fn collect(hub: &Hub, mut body: Incoming, declared: usize) -> Result<Collected, Bad> {
-    let closes = |status| Bad { status, closes: true };
-    let (mut read, mut held) = (Reading::default(), hub.bodies.share());
-    let mut fits = held.grow(declared.saturating_sub(BODY_MOST));
+/// Reads a body in full if it fits. The part beyond [`BODY_MOST`] needs room in the budget that all bodies
+/// share; when there is none, the rest is left to be streamed.
+async fn read_body(hub: &Hub, mut body: Incoming, declared: usize) -> Result<CollectedBody, RequestError> {
+    let closing_error = |status| RequestError { status, must_close: true };
+    let (mut read, mut budget_share) = (BlocksBuilder::default(), hub.bodies.share());
+    let mut fits = budget_share.grow(declared.saturating_sub(BODY_MOST));
     while fits {
         let Some(frame) = body.frame().await else {
-            return Ok(Collected { body: read.end(), rest: None, held });
+            return Ok(CollectedBody { body: read.finish(), rest: None, budget_share });
         };
-        let Ok(frame) = frame else { return Err(closes(StatusCode::BAD_REQUEST)) };
+        let Ok(frame) = frame else { return Err(closing_error(StatusCode::BAD_REQUEST)) };
         let Ok(data) = frame.into_data() else { continue };
-        if read.len() + data.len() > LARGE_MOST {
-            return Err(closes(StatusCode::PAYLOAD_TOO_LARGE));
+        if read.len() + data.len() > MAX_BODY_BYTES {
+            return Err(closing_error(StatusCode::PAYLOAD_TOO_LARGE));
         }
         read.push(&data);
-        let wanted = read.len().saturating_sub(BODY_MOST).saturating_sub(held.size());
-        fits = held.grow(wanted);
+        let missing = read.len().saturating_sub(BODY_MOST).saturating_sub(budget_share.size());
+        fits = budget_share.grow(missing);
     }
-    Ok(Collected { body: read.end(), rest: Some(body), held })
+    Ok(CollectedBody { body: read.finish(), rest: Some(body), budget_share })
 }
 
-/// Checks what a request must bring, and gives its id, its key and its time.
-fn check(
+/// Validates the method and the required headers; returns the id, the key and the remaining time.
+fn validate(
     method: &Method,
     headers: &HeaderMap,
     effect: Effect,
-) -> Result<(Token, Option<Token>, Duration), Bad> {
-    let id = token(header(headers, &TXN)?)?;
-    let remaining = header(headers, &REMAINING)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+) -> Result<(Token, Option<Token>, Duration), RequestError> {
+    let id = token(single_header(headers, &TXN)?)?;
+    let remaining = single_header(headers, &REMAINING)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    let wanted = if effect == Effect::Safe { Method::GET } else { Method::POST };
-    if *method != wanted {
+    let needed = if effect == Effect::Safe { Method::GET } else { Method::POST };
+    if *method != needed {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     let keyed = matches!(effect, Effect::Keyed { .. });
-    let key = if keyed { Some(token(header(headers, &KEY)?)?) } else { None };
+    let key = if keyed { Some(token(single_header(headers, &KEY)?)?) } else { None };
     Ok((id, key, Duration::from_millis(remaining.min(LONGEST_WAIT as u64))))
 }
 
@@ -466,7 +478,7 @@
     use crate::config;
     use crate::hub::Outside;
 
-    /// Serves all at once.
+    /// A backend that answers every attempt at once.
     #[derive(Default)]
     struct Server {
         hub: OnceCell<Rc<Hub>>,
@@ -490,19 +502,19 @@
         fn unsubscribe(&self) {}
     }
 
-    /// A front with one client's connection, which has been served once and is idle.
-    struct Under {
+    /// A front with one connected client, whose connection has been served once and is idle.
+    struct Fixture {
         clients: Rc<Clients>,
         client: Rc<Client>,
         server: Rc<Server>,
         peer: TcpStream,
     }
 
-    fn asks(txn: &str) -> String {
+    fn request_text(txn: &str) -> String {
         format!("GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining-Ms: 9000\r\n\r\n")
     }
 
-    impl Under {
+    impl Fixture {
         async fn new() -> Self {
             let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
                 "known": {"seq": 1, "whole": true, "hosts": [{"host": "s0", "dial": "127.0.0.1:1", "site": "a",
@@ -511,38 +523,40 @@
                     "Classes": [{"Name": "look", "Slo": 900, "Deadline": 9000, "Value": 1, "Idempotency": "pure"}],
                     "Limits": {"AttemptsCap": 3, "ConnectTimeout": 50},
                     "Contract": {"ColdShare": 0.2, "WarmWithin": 5000, "FallMultiple": 3, "Fall": 2000}}});
-            let mut config = config::from_value(&file).expect("good");
+            let mut config = config::from_value(&file).expect("a valid configuration");
             let known = config.known.take();
-            let hub = Hub::new(config, None).expect("good settings");
+            let hub = Hub::new(config, None).expect("valid settings");
             let server = Rc::new(Server::default());
             let _ = server.hub.set(hub.clone());
             hub.start(server.clone(), known);
             let clients = Clients::new(hub.clone());
             let front = Front::new(hub, clients.clone());
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let mut peer =
-                TcpStream::connect(listener.local_addr().expect("bound")).await.expect("it listens");
-            let (number, client) =
-                clients.came(listener.accept().await.expect("it came").0).expect("it stands");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+            let mut peer = TcpStream::connect(listener.local_addr().expect("bound"))
+                .await
+                .expect("the listener is open");
+            let (number, client) = clients
+                .add(listener.accept().await.expect("the connection is accepted").0)
+                .expect("the connection is open");
             let (served, all) = (client.clone(), clients.clone());
             spawn_local(async move {
-                front.converse(served).await;
-                all.left(number);
+                front.serve_client(served).await;
+                all.remove(number);
             });
-            peer.write_all(asks("t1").as_bytes()).await.expect("it is read");
+            peer.write_all(request_text("t1").as_bytes()).await.expect("the request is written");
             assert!(answer(&mut peer).await.starts_with("HTTP/1.1 200"));
             assert_eq!(client.sock.phase().0, Phase::Idle);
             Self { clients, client, server, peer }
         }
 
-        /// In the same moment: nothing of the connection is run before both have happened.
-        fn closes_as_it_writes(&mut self, words: &str) {
+        /// Requests the close and writes in the same step: the connection's task does not run in between.
+        fn write_as_close_is_requested(&mut self, text: &str) {
             self.client.close.notify_one();
-            assert_eq!(self.peer.try_write(words.as_bytes()).expect("it stands"), words.len());
+            assert_eq!(self.peer.try_write(text.as_bytes()).expect("the connection is open"), text.len());
         }
     }
 
-    /// One answer, or what came of it until the connection ended.
+    /// Reads one answer, or whatever arrives before the connection ends.
     async fn answer(peer: &mut TcpStream) -> String {
         let mut text = String::new();
         let mut byte = [0];
@@ -555,49 +569,50 @@
     fn run(test: impl Future<Output = ()>) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
-            timeout(Duration::from_secs(30), test).await.expect("it does not wait for ever");
+            timeout(Duration::from_secs(30), test).await.expect("the test finishes in time");
         });
     }
 
     #[test]
-    fn a_request_that_comes_as_its_idle_connection_is_closed_is_answered() {
+    fn request_arriving_while_its_idle_connection_closes_is_answered() {
         run(async {
-            let mut under = Under::new().await;
-            under.closes_as_it_writes(&asks("t2"));
-            assert!(answer(&mut under.peer).await.starts_with("HTTP/1.1 200"));
-            // A part of one crosses it, and the rest comes later.
-            let words = asks("t3");
-            let (first, rest) = words.split_at(20);
-            under.closes_as_it_writes(first);
-            while under.client.sock.phase().0 != Phase::Reading {
+            let mut fixture = Fixture::new().await;
+            fixture.write_as_close_is_requested(&request_text("t2"));
+            assert!(answer(&mut fixture.peer).await.starts_with("HTTP/1.1 200"));
+            // Part of a request arrives with the close, and the rest later.
+            let text = request_text("t3");
+            let (is_first, rest) = text.split_at(20);
+            fixture.write_as_close_is_requested(is_first);
+            while fixture.client.sock.phase().0 != Phase::Reading {
                 tokio::task::yield_now().await;
             }
-            under.peer.write_all(rest.as_bytes()).await.expect("it stands");
-            assert!(answer(&mut under.peer).await.starts_with("HTTP/1.1 200"));
-            assert_eq!(under.server.starts.get(), 3);
-            // Nothing crosses it: it is closed.
-            let Under { client, mut peer, .. } = under;
+            fixture.peer.write_all(rest.as_bytes()).await.expect("the connection is open");
+            assert!(answer(&mut fixture.peer).await.starts_with("HTTP/1.1 200"));
+            assert_eq!(fixture.server.starts.get(), 3);
+            // Nothing arrives: the connection is closed.
+            let Fixture { client, mut peer, .. } = fixture;
             client.close.notify_one();
             drop(client);
             assert_eq!(answer(&mut peer).await, "");
         });
     }
 
-    /// Room is made by a connection that turns out to be in use: it keeps its place, and is not counted as free.
+    /// Guards against counting a connection as free that was chosen for eviction and then used again: it
+    /// stays open and occupies its slot.
     #[test]
-    fn a_connection_in_use_again_makes_no_room() {
+    fn evicted_connection_that_is_used_again_is_not_counted_as_free() {
         run(async {
-            let mut under = Under::new().await;
-            under.clients.bound(1);
-            assert!(under.clients.evict());
-            let words = asks("t2");
-            assert_eq!(under.peer.try_write(words.as_bytes()).expect("it stands"), words.len());
-            assert!(answer(&mut under.peer).await.starts_with("HTTP/1.1 200"));
-            // It is the one that makes room next.
-            let Under { client, clients, mut peer, .. } = under;
+            let mut fixture = Fixture::new().await;
+            fixture.clients.bound(1);
+            assert!(fixture.clients.evict());
+            let text = request_text("t2");
+            assert_eq!(fixture.peer.try_write(text.as_bytes()).expect("the connection is open"), text.len());
+            assert!(answer(&mut fixture.peer).await.starts_with("HTTP/1.1 200"));
+            // It is the next one to be evicted.
+            let Fixture { client, clients, mut peer, .. } = fixture;
             drop(client);
             assert_eq!(clients.count(), 1);
-            clients.room().await;
+            clients.wait_for_room().await;
             assert_eq!(answer(&mut peer).await, "");
             assert_eq!(clients.count(), 0);
         });
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The way in for clients: accepting connections, and telling apart what they speak.
+//! Accepts clients' connections and determines the protocol of each.
 
 pub mod http1;
 pub mod msgpack;
@@ -19,31 +19,32 @@
 use crate::sock::Sock;
 use table::{Client, Clients};
 
-/// How long the backlog is emptied at the end.
-const BACKLOG_WITHIN: Duration = Duration::from_millis(100);
-/// How long accepting rests when there is no room, first and at most: what waits in the backlog may have little time left.
-const REST: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(20));
-/// How long a backlog that seems to be empty is waited for at the end.
-const EMPTY: Duration = Duration::from_millis(20);
-/// How long the log keeps quiet of the same trouble.
-const QUIET: Duration = Duration::from_secs(5);
-
-/// What the clients of a listener speak.
+/// How long a closing listener goes on accepting from its backlog.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// The shortest and the longest delay after a failed accept for lack of resources. Kept short because
+/// connections in the backlog may have little time left.
+const ACCEPT_BACKOFF: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(20));
+/// How long an apparently empty backlog is waited on before it counts as empty.
+const EMPTY_BACKLOG_WAIT: Duration = Duration::from_millis(20);
+/// The shortest interval between log lines about failing accepts.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+
+/// The protocols that a listener accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Speaks {
     /// HTTP/1.1.
     Http1,
     /// MessagePack-RPC.
     Msgpack,
-    /// Either: the first byte tells.
+    /// Either, determined by the first byte of each connection.
     Either,
 }
 
-/// All ways in.
+/// The fronts for all protocols, and the connections they share.
 pub struct Fronts {
     /// The connections of clients.
     pub clients: Rc<Clients>,
-    /// Told when no more connections are accepted, but for those that the backlogs still hold.
+    /// Notified when listeners are to stop accepting; what their backlogs hold is still accepted.
     pub no_more: Notify,
     http1: Rc<http1::Front>,
     msgpack: Rc<msgpack::Front>,
@@ -51,7 +52,8 @@
 }
 
 impl Fronts {
-    /// No connections yet. `descriptors` are those of the servers' side, which give way where there are none left.
+    /// Creates the fronts without connections. `descriptors` are those of the backends, which are evicted
+    /// first when the process runs out of descriptors.
     pub fn new(hub: &Rc<Hub>, descriptors: Rc<Descriptors>) -> Rc<Self> {
         let clients = Clients::new(hub.clone());
         let http1 = http1::Front::new(hub.clone(), clients.clone());
@@ -59,45 +61,48 @@
         Rc::new(Self { clients, no_more: Notify::new(), http1, msgpack, descriptors })
     }
 
-    /// Accepts connections; never ends.
+    /// Accepts connections; never returns.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener, speaks: Speaks) {
-        let mut trouble = Trouble::default();
+        let mut errors = AcceptErrors::default();
         loop {
-            self.clients.room().await;
+            self.clients.wait_for_room().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    trouble.over();
+                    errors.reset();
                     self.serve(stream, speaks);
                 }
                 Err(error) => {
-                    let short = trouble.has(&error) == AcceptFailure::Descriptors && are_short(listener);
-                    if short && !self.descriptors.evict() {
+                    let exhausted = errors.record(&error) == AcceptFailure::Descriptors
+                        && are_descriptors_exhausted(listener);
+                    if exhausted && !self.descriptors.evict() {
                         self.clients.evict();
                     }
-                    trouble.rest().await;
+                    errors.wait().await;
                 }
             }
         }
     }
 
-    /// Does another process take what the backlogs hold?
+    /// Returns whether another process takes over the backlogs.
     pub fn left_to_another(&self) -> bool {
         self.clients.left_to_another()
     }
 
-    /// Accepts what the backlog still holds, but not without end what a crowd goes on adding to it.
+    /// Accepts what the backlog still holds, for a bounded time: under load new connections keep being added
+    /// to it.
     pub async fn empty_backlog(self: &Rc<Self>, listener: &TcpListener, speaks: Speaks) {
-        let (began, mut trouble) = (Instant::now(), Trouble::default());
-        while began.elapsed() < BACKLOG_WITHIN {
-            match timeout(EMPTY, listener.accept()).await {
+        let (began, mut errors) = (Instant::now(), AcceptErrors::default());
+        while began.elapsed() < BACKLOG_DRAIN_TIMEOUT {
+            match timeout(EMPTY_BACKLOG_WAIT, listener.accept()).await {
                 Ok(Ok((stream, _))) => {
-                    trouble.over();
+                    errors.reset();
                     self.serve(stream, speaks);
                 }
-                // One that can't be accepted hides those behind it, which are owed their answers.
+                // A connection that can't be accepted blocks those queued behind it, which still must be
+                // answered.
                 Ok(Err(error)) => {
-                    trouble.has(&error);
-                    trouble.rest().await;
+                    errors.record(&error);
+                    errors.wait().await;
                 }
                 Err(_) => return,
             }
@@ -105,69 +110,71 @@
     }
 
     fn serve(self: &Rc<Self>, stream: TcpStream, speaks: Speaks) {
-        let Some((number, client)) = self.clients.came(stream) else { return };
+        let Some((number, client)) = self.clients.add(stream) else { return };
         let fronts = self.clone();
         tokio::task::spawn_local(async move {
             match speaks {
-                Speaks::Http1 => fronts.http1.converse(client).await,
-                Speaks::Msgpack => fronts.msgpack.converse(client).await,
+                Speaks::Http1 => fronts.http1.serve_client(client).await,
+                Speaks::Msgpack => fronts.msgpack.serve_client(client).await,
                 Speaks::Either => match first_byte(&client).await {
-                    // No HTTP method begins with one of these, and every MessagePack array does.
-                    Some(0x80..) => fronts.msgpack.converse(client).await,
-                    Some(_) => fronts.http1.converse(client).await,
+                    // Every MessagePack array starts with a byte in this range, and no HTTP method does.
+                    Some(0x80..) => fronts.msgpack.serve_client(client).await,
+                    Some(_) => fronts.http1.serve_client(client).await,
                     None => {}
                 },
             }
-            fronts.clients.left(number);
+            fronts.clients.remove(number);
         });
     }
 }
 
-/// Accepting fails, once or again and again.
+/// Backoff and rate-limited logging for failed accepts.
 #[derive(Default)]
-struct Trouble {
-    /// How long the next rest is; none where the next connection may be accepted at once.
-    rest: Duration,
-    logged: Option<Instant>,
+struct AcceptErrors {
+    /// The delay before the next accept; zero if it may be tried at once.
+    delay: Duration,
+    last_logged: Option<Instant>,
 }
 
-impl Trouble {
-    /// One was accepted.
-    fn over(&mut self) {
-        self.rest = Duration::ZERO;
+impl AcceptErrors {
+    /// Clears the backoff after a successful accept.
+    fn reset(&mut self) {
+        self.delay = Duration::ZERO;
     }
 
-    /// One was not; says why.
-    fn has(&mut self, error: &std::io::Error) -> AcceptFailure {
-        if self.logged.is_none_or(|at| at.elapsed() >= QUIET) {
-            self.logged = Some(Instant::now());
+    /// Records a failed accept and classifies it.
+    fn record(&mut self, error: &std::io::Error) -> AcceptFailure {
+        if self.last_logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+            self.last_logged = Some(Instant::now());
             log::line(format!("accept: {error}"));
         }
         let failure = accept_failure(error);
-        self.rest = match failure {
+        self.delay = match failure {
             AcceptFailure::Connection => Duration::ZERO,
-            AcceptFailure::Descriptors | AcceptFailure::Machine => (2 * self.rest).clamp(REST.0, REST.1),
+            AcceptFailure::Descriptors | AcceptFailure::Machine => {
+                (2 * self.delay).clamp(ACCEPT_BACKOFF.0, ACCEPT_BACKOFF.1)
+            }
         };
         failure
     }
 
-    async fn rest(&self) {
-        if self.rest.is_zero() {
-            // The other tasks go on, however many connections fail in a row.
+    async fn wait(&self) {
+        if self.delay.is_zero() {
+            // Let other tasks run, however many connections fail in a row.
             tokio::task::yield_now().await;
         } else {
-            tokio::time::sleep(self.rest).await;
+            tokio::time::sleep(self.delay).await;
         }
     }
 }
 
-/// Has this process no descriptor left? To close connections for a moment's trouble would lose what is on its way on them, so
-/// the kernel is asked a second time.
-fn are_short(listener: &TcpListener) -> bool {
+/// Returns whether the process has no descriptor left. Closing connections because of a momentary shortage
+/// would lose the requests on them, so the kernel is asked a second time.
+fn are_descriptors_exhausted(listener: &TcpListener) -> bool {
     listener.as_fd().try_clone_to_owned().is_err()
 }
 
-/// The first byte of a connection, which stays to be read; `None` where it ends without one.
+/// Peeks at the first byte of a connection without consuming it; `None` if the connection ends without one.
 async fn first_byte(client: &Client) -> Option<u8> {
     let sock: &Sock = &client.sock;
     tokio::select! {
