--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -1,4 +1,4 @@
-//! Clients that speak MessagePack-RPC: many calls open on a connection, answered in whatever order they finish.
+//! MessagePack-RPC clients: many open calls per connection, answered in the order in which they finish.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use glenwood_core::{Final, Incoming, NotTaken, Token, LONGEST_WAIT};
-use glenwood_msgpack_rpc::message::{Answer, Call as Asked, Code, ErrorReply};
+use glenwood_msgpack_rpc::message::{Answer, Call as RpcCall, Code, ErrorReply};
 use glenwood_msgpack_rpc::server::{self, Connection, Event, Limits};
 use glenwood_operation::figures::End;
 use glenwood_operation::places::Place;
@@ -17,200 +17,214 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::http1::LINGER;
-use super::table::{Client, Clients, Ending, ANSWERING};
+use super::http1::LINGER_TIMEOUT;
+use super::table::{Client, Clients, Ending, ANSWER_STALL_TIMEOUT};
 use crate::call::{Call, Content, Reply, Via, BODY_MOST};
 use crate::hub::{self, end_of, Hub};
 use crate::log;
-use crate::sock::{Phase, Sock, REQUEST_WITHIN};
+use crate::sock::{Phase, Sock, REQUEST_TIMEOUT};
 
-/// How much one read takes at the most.
-const CHUNK: usize = 16 * 1024;
-/// How many messages of one connection are handled before others have their turn.
-const BURST: usize = 16;
-/// What a call may need besides its own bytes: the longest answer.
-const ANSWER_MOST: usize = BODY_MOST + 256;
-/// Which part of the node's memory open calls and their answers may take.
-const MEMORY_PART: usize = 4;
+/// The largest single read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// How many messages of one connection are handled before other tasks run.
+const MAX_MESSAGES_PER_POLL: usize = 16;
+/// The memory reserved for an open call's answer: the longest body and its framing.
+const MAX_ANSWER_BYTES: usize = BODY_MOST + 256;
+/// Open calls and their answers may take one part in so many of the node's memory.
+const MEMORY_DIVISOR: usize = 4;
 /// The longest path and query.
-const PATH_MOST: usize = 8 * 1024;
-/// The method that only asks whether the node serves.
-const READY: &str = "ready";
-/// How long the log keeps quiet of what came and can't be answered.
-const QUIET: Duration = Duration::from_secs(5);
+const MAX_PATH_BYTES: usize = 8 * 1024;
+/// The method that only asks whether the node is ready.
+const READY_METHOD: &str = "ready";
+/// The shortest interval between log lines about dropped notifications.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The way in for clients that speak MessagePack-RPC.
+/// Serves clients over MessagePack-RPC.
 pub struct Front {
     hub: Rc<Hub>,
     clients: Rc<Clients>,
     limits: Limits,
-    /// Bytes that open calls and answers hold, or may come to hold.
-    held: Cell<usize>,
-    held_most: usize,
-    /// What is read comes through here: one buffer serves all connections.
+    /// Bytes that open calls and answers occupy or may come to occupy.
+    reserved: Cell<usize>,
+    max_reserved: usize,
+    /// The read buffer, shared by all connections.
     chunk: RefCell<Vec<u8>>,
     notifications: Cell<u64>,
-    logged: Cell<Option<Instant>>,
+    last_logged: Cell<Option<Instant>>,
 }
 
-/// One connection.
+/// The state of one connection.
 struct Conn {
-    machine: RefCell<Connection>,
-    /// The open calls, by their client's number; no request yet while one is being handed over.
+    protocol: RefCell<Connection>,
+    /// The open calls by the client's message id; `None` while a call is being handed to the hub.
     open: RefCell<HashMap<u32, Option<hub::Asked>>>,
-    /// What this connection has of the bytes held.
-    held: Cell<usize>,
+    /// This connection's part of the reserved bytes.
+    reserved: Cell<usize>,
     changed: Notify,
 }
 
-/// Gives up what is open when the connection ends.
-struct Open {
+/// Cancels the open calls when the connection ends, and releases their memory.
+struct OpenCallsGuard {
     front: Rc<Front>,
     conn: Rc<Conn>,
 }
 
-impl Drop for Open {
+impl Drop for OpenCallsGuard {
     fn drop(&mut self) {
         let open = std::mem::take(&mut *self.conn.open.borrow_mut());
-        for asked in open.into_values().flatten() {
-            self.front.hub.gone(asked);
+        for request in open.into_values().flatten() {
+            self.front.hub.gone(request);
         }
-        self.front.hold(&self.conn, 0);
+        self.front.set_reserved(&self.conn, 0);
     }
 }
 
 impl Front {
-    /// One that takes calls for `hub`.
+    /// Creates a front that hands calls to `hub`.
     pub fn new(hub: Rc<Hub>, clients: Rc<Clients>) -> Rc<Self> {
         let limits = Limits { open: hub.config.operator.open_calls, ..Limits::default() };
-        let held_most = hub.config.memory_mb * 1024 * 1024 / MEMORY_PART;
+        let max_reserved = hub.config.memory_mb * 1024 * 1024 / MEMORY_DIVISOR;
         Rc::new(Self {
             hub,
             clients,
             limits,
-            held: Cell::new(0),
-            held_most,
-            chunk: RefCell::new(vec![0; CHUNK]),
+            reserved: Cell::new(0),
+            max_reserved,
+            chunk: RefCell::new(vec![0; READ_CHUNK_BYTES]),
             notifications: Cell::new(0),
-            logged: Cell::new(None),
+            last_logged: Cell::new(None),
         })
     }
 
     /// Serves one connection until it ends.
-    pub async fn converse(self: &Rc<Self>, client: Rc<Client>) {
+    pub async fn serve_client(self: &Rc<Self>, client: Rc<Client>) {
         let sock = client.sock.clone();
-        sock.serve_otherwise();
+        sock.track_phase_externally();
         let conn = Rc::new(Conn {
-            machine: RefCell::new(Connection::new(self.limits)),
+            protocol: RefCell::new(Connection::new(self.limits)),
             open: RefCell::default(),
-            held: Cell::new(0),
+            reserved: Cell::new(0),
             changed: Notify::new(),
         });
-        let _open = Open { front: self.clone(), conn: conn.clone() };
-        // Since when a message has been coming, and since when answers have not been taken.
-        let (mut amid, mut stuck): (Option<Instant>, Option<Instant>) = (None, None);
+        let _open = OpenCallsGuard { front: self.clone(), conn: conn.clone() };
+        // Since when a message has been incomplete, and since when the client has not read its answers.
+        let (mut message_since, mut blocked_since): (Option<Instant>, Option<Instant>) = (None, None);
         loop {
-            let (handled, more) = self.handle(&conn);
+            let (handled, may_have_more) = self.handle(&conn);
             if handled > 0 {
-                // One message after another may be coming all the time: each has its own time.
-                amid = None;
+                // The timeout applies to each message, not to an uninterrupted sequence of them.
+                message_since = None;
             }
-            let Ok(wrote) = write(&sock, &conn) else { return };
-            let (wants, unsent, idle, over, partly, owes) = {
-                let mut machine = conn.machine.borrow_mut();
+            let Ok(has_written) = write(&sock, &conn) else { return };
+            let (wants_bytes, has_output, idle, is_over, has_partial_message, has_open_calls) = {
+                let mut protocol = conn.protocol.borrow_mut();
                 if self.hub.failing.get() {
-                    machine.finish();
+                    protocol.finish();
                 }
-                let unsent = !machine.output().is_empty();
-                let idle = machine.open() == 0 && !unsent && !machine.amid();
-                let owes = machine.open() > 0;
-                (machine.wants_bytes(), unsent, idle, machine.is_over(), machine.amid(), owes)
+                let has_output = !protocol.output().is_empty();
+                let idle = protocol.open() == 0 && !has_output && !protocol.amid();
+                let has_open_calls = protocol.open() > 0;
+                (
+                    protocol.wants_bytes(),
+                    has_output,
+                    idle,
+                    protocol.is_over(),
+                    protocol.amid(),
+                    has_open_calls,
+                )
             };
-            self.hold(&conn, self.in_use(&conn));
-            if over || (idle && self.hub.closing.get() && sock.quiet()) {
+            self.set_reserved(&conn, self.bytes_in_use(&conn));
+            if is_over || (idle && self.hub.closing.get() && sock.is_quiet()) {
                 break;
             }
-            sock.be(if idle { Phase::Idle } else { Phase::Busy });
-            if more {
+            sock.set_phase(if idle { Phase::Idle } else { Phase::Busy });
+            if may_have_more {
                 tokio::task::yield_now().await;
                 continue;
             }
             let now = Instant::now();
-            amid = if partly && wants { amid.or(Some(now)) } else { None };
-            stuck = if unsent && !wrote { stuck.or(Some(now)) } else { None };
+            message_since =
+                if has_partial_message && wants_bytes { message_since.or(Some(now)) } else { None };
+            blocked_since = if has_output && !has_written { blocked_since.or(Some(now)) } else { None };
             let end = |since: Option<Instant>, most| since.map(|since| since + most);
-            let end = [end(amid, REQUEST_WITHIN), end(stuck, ANSWERING)].into_iter().flatten().min();
-            let asleep = end.unwrap_or(now + Duration::from_secs(3600));
+            let end = [end(message_since, REQUEST_TIMEOUT), end(blocked_since, ANSWER_STALL_TIMEOUT)]
+                .into_iter()
+                .flatten()
+                .min();
+            let wake_at = end.unwrap_or(now + Duration::from_secs(3600));
             tokio::select! {
-                ready = sock.readable(), if wants => {
+                ready = sock.readable(), if wants_bytes => {
                     if ready.is_err() || !self.read(&sock, &conn) {
                         return;
                     }
                 }
-                ready = sock.writable(), if unsent => {
+                ready = sock.writable(), if has_output => {
                     if ready.is_err() {
                         return;
                     }
                 }
                 () = conn.changed.notified() => {}
-                // Whoever has closed is gone: behind bytes that are not wanted yet that would not be read.
-                () = sock.closed(), if owes && !wants => return client.ends(Ending::Left),
-                () = client.close.notified() => if self.clients.closes(&client) {
+                // A client that has closed its connection no longer waits for its answers. The close is
+                // detected here because the bytes before it are not being read.
+                () = sock.wait_closed(), if has_open_calls && !wants_bytes =>
+                    return client.set_ending(Ending::Left),
+                () = client.close.notified() => if self.clients.confirm_close(&client) {
                     break;
                 },
-                () = tokio::time::sleep_until(asleep.into()) => {
-                    log::line("msgpack: a client took too long, closed".to_string());
-                    return client.ends(Ending::Slow);
+                () = tokio::time::sleep_until(wake_at.into()) => {
+                    log::line("msgpack: a message or an answer timed out; connection closed".to_string());
+                    return client.set_ending(Ending::Slow);
                 }
             }
         }
-        let _ = timeout(LINGER, sock.linger()).await;
+        let _ = timeout(LINGER_TIMEOUT, sock.linger()).await;
     }
 
-    /// Reads what has come; false where the client is gone.
+    /// Reads available bytes; false if the client has disconnected.
     fn read(&self, sock: &Sock, conn: &Conn) -> bool {
         let mut chunk = self.chunk.borrow_mut();
         match sock.try_read(&mut chunk) {
             Ok(0) => false,
             Ok(n) => {
-                conn.machine.borrow_mut().received(&chunk[..n]);
+                conn.protocol.borrow_mut().received(&chunk[..n]);
                 true
             }
             Err(error) => error.kind() == ErrorKind::WouldBlock,
         }
     }
 
-    /// Handles what has been read, some messages at a time: how many, and whether there may be more.
+    /// Handles a limited number of received messages; returns how many, and whether there may be more.
     fn handle(self: &Rc<Self>, conn: &Rc<Conn>) -> (usize, bool) {
-        for handled in 0..BURST {
-            let event = conn.machine.borrow_mut().poll();
+        for handled in 0..MAX_MESSAGES_PER_POLL {
+            let event = conn.protocol.borrow_mut().poll();
             match event {
                 None => return (handled, false),
-                Some(Event::Call { id, call }) => self.take(conn, id, call),
+                Some(Event::Call { id, call }) => self.handle_call(conn, id, call),
                 Some(Event::Surplus { id, class }) => {
                     let class = self.class(&class);
                     let ticket = class.as_ref().map(|class| self.hub.ticket(class));
                     let class = class.map_or(0, |class| class.number);
-                    let refusal = server::surplus(advice(self.hub.stay_away(class)));
-                    conn.machine.borrow_mut().answer(id, &Err(refusal));
+                    let refusal = server::surplus(retry_after(self.hub.stay_away(class)));
+                    conn.protocol.borrow_mut().answer(id, &Err(refusal));
                     ticket.into_iter().for_each(|ticket| ticket.end(End::Deferred));
                 }
                 Some(Event::Bad { .. }) => {}
-                Some(Event::Notification) => self.notified(),
-                Some(Event::Ending(words)) => {
-                    log::line(format!("msgpack: a client's connection ends: {words}"));
+                Some(Event::Notification) => self.count_notification(),
+                Some(Event::Ending(message)) => {
+                    log::line(format!("msgpack: closing a client's connection: {message}"));
                     return (handled, false);
                 }
             }
         }
-        (BURST, true)
+        (MAX_MESSAGES_PER_POLL, true)
     }
 
-    /// A notification has no answer, so none of the rules could be kept for it: it goes nowhere, and is counted.
-    fn notified(&self) {
+    /// Drops and counts a notification. It has no reply, so the node could report neither refusal nor
+    /// failure.
+    fn count_notification(&self) {
         self.notifications.set(self.notifications.get() + 1);
-        if self.logged.get().is_none_or(|at| at.elapsed() >= QUIET) {
-            self.logged.set(Some(Instant::now()));
+        if self.last_logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+            self.last_logged.set(Some(Instant::now()));
             log::line(format!("msgpack: {} notifications dropped so far", self.notifications.get()));
         }
     }
@@ -219,102 +233,104 @@
         self.hub.class(name)
     }
 
-    /// Takes a call in, or answers it at once.
-    fn take(self: &Rc<Self>, conn: &Rc<Conn>, id: u32, asked: Asked) {
-        if asked.class == READY && self.class(READY).is_none() {
-            let word = if self.hub.ready() { Ok(Bytes::new()) } else { Err(refused("not ready", 0.0)) };
-            return conn.machine.borrow_mut().answer(id, &word);
+    /// Hands a call to the hub, or answers it at once.
+    fn handle_call(self: &Rc<Self>, conn: &Rc<Conn>, id: u32, request: RpcCall) {
+        if request.class == READY_METHOD && self.class(READY_METHOD).is_none() {
+            let reply =
+                if self.hub.ready() { Ok(Bytes::new()) } else { Err(refused_reply("not ready", 0.0)) };
+            return conn.protocol.borrow_mut().answer(id, &reply);
         }
         let began = Instant::now();
-        let mut ticket = self.class(&asked.class).map(|class| self.hub.ticket(&class));
-        let answer = match self.check(asked, began) {
-            Err(bad) => Err(bad),
-            Ok(incoming) if self.clients.all_in_use() || !self.has_memory(incoming.payload.body.len()) => {
-                Err(refused("no room", self.hub.stay_away(incoming.class)))
+        let mut ticket = self.class(&request.class).map(|class| self.hub.ticket(&class));
+        let answer = match self.validate(request, began) {
+            Err(invalid) => Err(invalid),
+            Ok(incoming) if self.clients.must_refuse() || !self.has_memory(incoming.payload.body.len()) => {
+                Err(refused_reply("no room", self.hub.stay_away(incoming.class)))
             }
             Ok(incoming) => {
                 conn.open.borrow_mut().insert(id, None);
-                let to = conn.clone();
-                // Where it is not taken the ticket is back when that is known.
-                let held = Rc::new(Cell::new(ticket.take()));
-                let given = held.clone();
-                let taken = self.hub.ask(incoming, move |last| {
-                    given.take().into_iter().for_each(|ticket| ticket.end(end_of(&last)));
-                    to.open.borrow_mut().remove(&id);
-                    to.machine.borrow_mut().answer(id, &answer_of(last));
-                    to.changed.notify_one();
+                let answering_conn = conn.clone();
+                // If the hub does not take the call, the ticket is recovered from this cell.
+                let ticket_cell = Rc::new(Cell::new(ticket.take()));
+                let shared_ticket = ticket_cell.clone();
+                let taken = self.hub.ask(incoming, move |final_answer| {
+                    shared_ticket.take().into_iter().for_each(|ticket| ticket.end(end_of(&final_answer)));
+                    answering_conn.open.borrow_mut().remove(&id);
+                    answering_conn.protocol.borrow_mut().answer(id, &answer_of(final_answer));
+                    answering_conn.changed.notify_one();
                 });
                 match taken {
-                    Ok(request) => {
-                        // It may have been answered meanwhile.
+                    Ok(asked) => {
+                        // The call may already have been answered.
                         if let Some(open) = conn.open.borrow_mut().get_mut(&id) {
-                            *open = Some(request);
+                            *open = Some(asked);
                         }
-                        self.hold(conn, conn.held.get() + ANSWER_MOST);
+                        self.set_reserved(conn, conn.reserved.get() + MAX_ANSWER_BYTES);
                         return;
                     }
-                    Err(not) => {
+                    Err(reason) => {
                         conn.open.borrow_mut().remove(&id);
-                        ticket = held.take();
-                        Err(not_taken(not))
+                        ticket = ticket_cell.take();
+                        Err(not_taken_reply(reason))
                     }
                 }
             }
         };
-        conn.machine.borrow_mut().answer(id, &answer);
+        conn.protocol.borrow_mut().answer(id, &answer);
         let refused = matches!(&answer, Err(error) if error.code == Code::Refused);
         let end = if refused { End::Deferred } else { End::Errored };
         ticket.into_iter().for_each(|ticket| ticket.end(end));
     }
 
-    /// Checks what a call must bring, by the same bounds as a request over HTTP.
-    fn check(&self, asked: Asked, began: Instant) -> Result<Incoming<Rc<Call>>, ErrorReply> {
+    /// Validates a call against the same limits as an HTTP request.
+    fn validate(&self, request: RpcCall, began: Instant) -> Result<Incoming<Rc<Call>>, ErrorReply> {
         let settings = self.hub.settings();
-        let Some(class) = self.class(&asked.class) else {
+        let Some(class) = self.class(&request.class) else {
             return Err(ErrorReply::new(Code::UnknownClass, "method: no such class"));
         };
-        if asked.body.len() > BODY_MOST {
+        if request.body.len() > BODY_MOST {
             return Err(ErrorReply::new(Code::TooLarge, "body: longer than 65536 bytes"));
         }
-        if asked.path.len() > PATH_MOST {
+        if request.path.len() > MAX_PATH_BYTES {
             return Err(ErrorReply::new(Code::TooLarge, "path: longer than 8192 bytes"));
         }
-        let bad = |words: &str| ErrorReply::new(Code::BadRequest, words);
+        let invalid = |message: &str| ErrorReply::new(Code::BadRequest, message);
         let token = |text: Option<String>, name: &str| match text {
-            None => Err(bad(&format!("{name}: missing"))),
-            Some(text) => Token::new(&text).map_err(|e| bad(&format!("{name}: {e}"))),
+            None => Err(invalid(&format!("{name}: missing"))),
+            Some(text) => Token::new(&text).map_err(|e| invalid(&format!("{name}: {e}"))),
         };
-        let word = |text: Option<String>, name: &str| match text {
+        let optional_text = |text: Option<String>, name: &str| match text {
             None => Ok(None),
-            // What would end the cookie or the header that it goes on in.
+            // These characters would terminate the cookie or header that carries the text.
             Some(text) if Token::new(&text).is_err() || text.contains([';', ',', '"']) => {
-                Err(bad(&format!("{name}: 1 to 256 visible ASCII characters without ; , \" expected")))
+                Err(invalid(&format!("{name}: 1 to 256 visible ASCII characters without ; , \" expected")))
             }
             Some(text) => Ok(Some(text.into_boxed_str())),
         };
-        let id = token(asked.txn, "txn")?;
-        let remaining = asked.remaining_ms.ok_or_else(|| bad("remaining_ms: missing"))?;
+        let id = token(request.txn, "txn")?;
+        let remaining = request.remaining_ms.ok_or_else(|| invalid("remaining_ms: missing"))?;
         let effect = settings.policy.classes[class.number].effect;
         let key = match effect {
-            Effect::Keyed { .. } => Some(token(asked.key, "key")?),
+            Effect::Keyed { .. } => Some(token(request.key, "key")?),
             Effect::Safe | Effect::Unsafe => None,
         };
-        let (org, user) = (word(asked.org, "org")?, word(asked.user, "user")?);
+        let (org, user) = (optional_text(request.org, "org")?, optional_text(request.user, "user")?);
         let method = if effect == Effect::Safe { Method::GET } else { Method::POST };
-        if method == Method::GET && !asked.body.is_empty() {
-            return Err(bad("body: a class that is safe to repeat has none"));
+        if method == Method::GET && !request.body.is_empty() {
+            return Err(invalid("body: a class that is safe to repeat has none"));
         }
-        if asked.path.contains('#') {
-            return Err(bad("path: # has no place there"));
+        if request.path.contains('#') {
+            return Err(invalid("path: # has no place there"));
         }
-        let target: Uri = format!("/{}{}", asked.class, asked.path)
+        let target: Uri = format!("/{}{}", request.class, request.path)
             .parse()
-            .map_err(|_| bad("path: not a path and query"))?;
+            .map_err(|_| invalid("path: not a path and query"))?;
         let tenant = org.as_deref().and_then(|org| self.hub.tenant(org));
         let began = self.hub.clock.at(began);
         let deadline = began + remaining.min(LONGEST_WAIT as u64) as f64;
-        // What is kept of the message must not be all of it, where the body is a small part.
-        let body = if asked.body.len() < 1024 { Bytes::copy_from_slice(&asked.body) } else { asked.body };
+        // A small body is copied so that it does not keep the buffer of the complete message alive.
+        let body =
+            if request.body.len() < 1024 { Bytes::copy_from_slice(&request.body) } else { request.body };
         let call = Call {
             of: (class.clone(), tenant.clone()),
             id: id.clone(),
@@ -344,32 +360,32 @@
 
     // ---- Memory ----
 
-    /// Is there memory for one more call with its answer?
+    /// Returns whether there is memory for one more call and its answer.
     fn has_memory(&self, body: usize) -> bool {
-        self.held.get() + body + ANSWER_MOST <= self.held_most
+        self.reserved.get() + body + MAX_ANSWER_BYTES <= self.max_reserved
     }
 
-    fn in_use(&self, conn: &Conn) -> usize {
-        let machine = conn.machine.borrow();
-        // A call's own bytes count as much as its answer may.
-        machine.open() * ANSWER_MOST + machine.output().len() + machine.held()
+    fn bytes_in_use(&self, conn: &Conn) -> usize {
+        let protocol = conn.protocol.borrow();
+        // Each open call is counted with the size of its longest answer.
+        protocol.open() * MAX_ANSWER_BYTES + protocol.output().len() + protocol.held()
     }
 
-    fn hold(&self, conn: &Conn, bytes: usize) {
-        self.held.set(self.held.get() + bytes - conn.held.replace(bytes));
+    fn set_reserved(&self, conn: &Conn, bytes: usize) {
+        self.reserved.set(self.reserved.get() + bytes - conn.reserved.replace(bytes));
     }
 }
 
-/// Writes what can be written; true where something was.
+/// Writes as much as the kernel accepts; returns whether anything was written.
 fn write(sock: &Sock, conn: &Conn) -> std::io::Result<bool> {
-    let mut machine = conn.machine.borrow_mut();
+    let mut protocol = conn.protocol.borrow_mut();
     let mut any = false;
-    while !machine.output().is_empty() {
-        let wrote = sock.try_write(&[IoSlice::new(machine.output())]);
-        match wrote {
+    while !protocol.output().is_empty() {
+        let written = sock.try_write(&[IoSlice::new(protocol.output())]);
+        match written {
             Ok(n) => {
                 any = true;
-                machine.wrote(n);
+                protocol.wrote(n);
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
             Err(error) => return Err(error),
@@ -378,34 +394,36 @@
     Ok(any)
 }
 
-/// The module's word on when to come back, where it has one.
-fn advice(stay_away: Millis) -> Option<u64> {
+/// The core's retry delay, rounded up to milliseconds, if there is one.
+fn retry_after(stay_away: Millis) -> Option<u64> {
     (stay_away > 0.0).then_some(stay_away.ceil() as u64)
 }
 
-fn refused(words: &str, stay_away: Millis) -> ErrorReply {
-    let message = words.to_string();
-    ErrorReply { code: Code::Refused, message, retry_after_ms: advice(stay_away) }
+fn refused_reply(message: &str, stay_away: Millis) -> ErrorReply {
+    let message = message.to_string();
+    ErrorReply { code: Code::Refused, message, retry_after_ms: retry_after(stay_away) }
 }
 
-fn answer_of(last: Final<Reply>) -> Answer {
-    match last {
+fn answer_of(final_answer: Final<Reply>) -> Answer {
+    match final_answer {
         Final::Served(reply) => match reply.body {
             Content::Whole(body) => Ok(body),
-            // A message is one piece, and one so long would stand in the way of all others on its connection.
-            Content::Flow(_) => Err(ErrorReply::new(Code::TooLarge, "the answer is longer than 65536 bytes")),
+            // An answer must be one message, and one this long would delay all others on the connection.
+            Content::Streamed(_) => {
+                Err(ErrorReply::new(Code::TooLarge, "the answer is longer than 65536 bytes"))
+            }
         },
-        Final::Refused { stay_away } => Err(refused("refused", stay_away)),
+        Final::Refused { stay_away } => Err(refused_reply("refused", stay_away)),
         Final::Failed => Err(ErrorReply::new(Code::Failed, "failed; it may have run")),
         Final::Overdue => Err(ErrorReply::new(Code::Failed, "no answer in time; it may have run")),
         Final::Rejected => Err(ErrorReply::new(Code::BadRequest, "turned down by the server")),
     }
 }
 
-fn not_taken(not: NotTaken) -> ErrorReply {
-    match not {
+fn not_taken_reply(reason: NotTaken) -> ErrorReply {
+    match reason {
         NotTaken::IdOpen => ErrorReply::new(Code::BadRequest, "txn: a request with this id is open"),
-        NotTaken::NoRoom { stay_away } => refused("too many open requests", stay_away),
+        NotTaken::NoRoom { stay_away } => refused_reply("too many open requests", stay_away),
         NotTaken::NoSuchClass => ErrorReply::new(Code::UnknownClass, "method: no such class"),
         NotTaken::KeyMissing => ErrorReply::new(Code::BadRequest, "key: missing"),
     }
--- a/crates/node/src/front/table.rs
+++ b/crates/node/src/front/table.rs
@@ -1,4 +1,4 @@
-//! The connections of clients, whatever they speak: how many there may be, and which are closed.
+//! The table of client connections for all protocols: their limit, timeouts and eviction.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,181 +13,186 @@
 use crate::hub::Hub;
 use crate::sock::{Phase, Sock};
 
-/// For how long a client may take nothing of its answer.
-pub const ANSWERING: Duration = Duration::from_secs(5);
-/// How long a new connection may say nothing. Bad clients connect by hundreds and do just that.
-const SILENT: Duration = Duration::from_millis(1800);
+/// How long a client may go without reading any of its answer.
+pub const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a new connection may stay silent. Misbehaving clients open hundreds of connections and send
+/// nothing.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(1800);
 /// How long a connection may be idle between requests.
-const IDLE: Duration = Duration::from_secs(20);
-/// The same for one that has brought a single request: many clients ask once and never let go.
-const IDLE_ONCE: Duration = Duration::from_secs(2);
-/// From this age on a request that is still coming makes room for others where there is none.
-const STALE: Duration = Duration::from_millis(250);
-/// A connection that has just come gets this long to bring its request, before it is closed as idle.
-const FRESH: Duration = Duration::from_millis(200);
-/// Which part of all connections may be idle before new ones are not kept.
-const IDLE_PART: usize = 8;
-/// How many connections a stopping node keeps free, within a quarter of them: those that come together find one each.
-const SPARE: usize = 8;
-/// For how long a stopping node may still count on new connections.
-const STILL_DEALT: Duration = Duration::from_millis(200);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The idle timeout after a single request: many clients send one request and never close the connection.
+const IDLE_TIMEOUT_AFTER_ONE: Duration = Duration::from_secs(2);
+/// The age from which a request that is still being received may be evicted when there is no room.
+const EVICTABLE_REQUEST_AGE: Duration = Duration::from_millis(250);
+/// How long a new connection has to send its first request before it may be closed as idle.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
+/// New connections are not kept after their first answer once one part in so many of all connections is idle.
+const MAX_IDLE_DIVISOR: usize = 8;
+/// The number of idle connections that a stopping node keeps available, limited to a quarter of its
+/// connections, so that requests arriving together each find one.
+const MAX_SPARE_CONNECTIONS: usize = 8;
+/// How long a stopping node still expects to receive new connections.
+const STOPPING_GRACE: Duration = Duration::from_millis(200);
 
-/// Why a client's connection ends.
+/// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Its conversation was over: by either side's word, or by what can't be read.
+    /// Either side closed it in the regular way, or what was received could not be parsed.
     Over,
-    /// The client has closed it.
+    /// The client closed it.
     Left,
-    /// It never brought a request.
+    /// It never sent a request.
     Silent,
     /// It was idle for too long.
     Idle,
-    /// A request took too long to come.
+    /// A request took too long to arrive.
     Slow,
-    /// An answer was not taken.
+    /// The client did not read an answer.
     Stuck,
-    /// It made room for another.
+    /// It was evicted to make room for another.
     Evicted,
-    /// The node stops.
+    /// The node is stopping.
     Stopping,
 }
 
-/// A connection of a client.
+/// A client's connection.
 pub struct Client {
-    /// Its socket.
+    /// The connection's socket.
     pub sock: Rc<Sock>,
-    /// Told when the connection is to be closed, if [`Clients::closes`] then finds so too.
+    /// Notified when the connection is to be closed, which [`Clients::confirm_close`] must still confirm.
     pub close: Notify,
-    /// Where it is from, where operators want to know.
-    from: Option<SocketAddr>,
+    /// The client's address; recorded only if tracing is on.
+    peer: Option<SocketAddr>,
     ending: Cell<Ending>,
-    /// It has been told so to make room, which is counted on.
+    /// Whether it has been asked to close to make room; it is then counted as about to be freed.
     evicted: Cell<bool>,
 }
 
 impl Client {
-    /// Says why the connection ends, if it does now.
-    pub fn ends(&self, ending: Ending) {
+    /// Records the reason for which the connection is about to end.
+    pub fn set_ending(&self, ending: Ending) {
         self.ending.set(ending);
     }
 
-    fn is_to_close(&self, ending: Ending) {
-        self.ends(ending);
+    fn request_close(&self, ending: Ending) {
+        self.set_ending(ending);
         self.close.notify_one();
     }
 
-    fn evicted(&self, evicted: bool, of: &Cell<usize>) {
+    fn set_evicted(&self, evicted: bool, counter: &Cell<usize>) {
         match (self.evicted.replace(evicted), evicted) {
-            (false, true) => of.set(of.get() + 1),
-            (true, false) => of.set(of.get() - 1),
+            (false, true) => counter.set(counter.get() + 1),
+            (true, false) => counter.set(counter.get() - 1),
             _ => {}
         }
     }
 
-    fn answer_is_stuck(&self) -> bool {
-        self.sock.moved().max(self.sock.phase().1).elapsed() >= ANSWERING
+    fn is_answer_stuck(&self) -> bool {
+        self.sock.last_write_at().max(self.sock.phase().1).elapsed() >= ANSWER_STALL_TIMEOUT
     }
 }
 
-/// The connections of clients.
+/// The table of client connections.
 pub struct Clients {
     hub: Rc<Hub>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
-    last: Cell<u64>,
-    most: Cell<usize>,
-    /// How many are about to be closed to make room.
-    evicted: Cell<usize>,
+    last_number: Cell<u64>,
+    limit: Cell<usize>,
+    /// How many connections are about to close to make room.
+    evicting: Cell<usize>,
     freed: Notify,
 }
 
 impl Clients {
-    /// No connections yet.
+    /// Creates an empty table.
     pub fn new(hub: Rc<Hub>) -> Rc<Self> {
-        let most = Cell::new(hub.config.clients_most());
-        let (open, last, freed) = (RefCell::default(), Cell::new(0), Notify::new());
-        Rc::new(Self { hub, open, last, most, evicted: Cell::new(0), freed })
+        let limit = Cell::new(hub.config.clients_most());
+        let (open, last_number, freed) = (RefCell::default(), Cell::new(0), Notify::new());
+        Rc::new(Self { hub, open, last_number, limit, evicting: Cell::new(0), freed })
     }
 
-    /// Does another process take what comes?
+    /// Returns whether another process accepts new connections from now on.
     pub fn left_to_another(&self) -> bool {
         self.hub.leaving.get()
     }
 
-    /// So many there may be from now on.
-    pub fn bound(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the limit on connections.
+    pub fn bound(&self, limit: usize) {
+        self.limit.set(limit);
         self.freed.notify_one();
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Waits until there may be one more connection; one that is of little use makes room.
-    pub async fn room(&self) {
-        while self.count() - self.evicted.get() >= self.most.get() && !self.evict() {
+    /// Waits until there is room for another connection, evicting one that is of little use if necessary.
+    pub async fn wait_for_room(&self) {
+        while self.count() - self.evicting.get() >= self.limit.get() && !self.evict() {
             self.freed.notified().await;
         }
     }
 
-    /// Takes a connection into the table, until [`Clients::left`] with its number.
-    pub fn came(&self, stream: TcpStream) -> Option<(u64, Rc<Client>)> {
-        let from = if self.hub.config.operator.trace.is_on() { stream.peer_addr().ok() } else { None };
+    /// Adds a connection to the table; it stays until [`Clients::remove`] is called with its number.
+    pub fn add(&self, stream: TcpStream) -> Option<(u64, Rc<Client>)> {
+        let peer = if self.hub.config.operator.trace.is_on() { stream.peer_addr().ok() } else { None };
         let sock = Sock::of_client(stream).ok()?;
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let (close, ending, evicted) = (Notify::new(), Cell::new(Ending::Over), Cell::new(false));
-        let client = Rc::new(Client { sock, close, from, ending, evicted });
+        let client = Rc::new(Client { sock, close, peer, ending, evicted });
         self.open.borrow_mut().insert(number, client.clone());
         Some((number, client))
     }
 
-    /// A connection has ended.
-    pub fn left(&self, number: u64) {
+    /// Removes a connection that has ended.
+    pub fn remove(&self, number: u64) {
         if let Some(client) = self.open.borrow_mut().remove(&number) {
-            client.evicted(false, &self.evicted);
-            if let Some(from) = client.from {
+            client.set_evicted(false, &self.evicting);
+            if let Some(peer) = client.peer {
                 let reason = format!("{:?}", client.ending.get());
-                self.hub.trace(|_| Doing::Close { client: from.to_string(), reason });
+                self.hub.trace(|_| Doing::Close { client: peer.to_string(), reason });
             }
         }
         self.freed.notify_one();
     }
 
-    /// A connection that was to be closed: is it, now that all has been read of it that was there? A request that came
-    /// between the decision and now has been taken, or is about to be, and is owed its answer; and to close over unread
-    /// bytes is a reset.
-    pub fn closes(&self, client: &Client) -> bool {
-        let closes = match client.sock.phase().0 {
-            Phase::Idle | Phase::Reading => client.sock.quiet(),
+    /// Decides whether a connection that was asked to close may close, after everything available has been
+    /// read. A request that arrived in the meantime has been or is about to be taken and must be answered;
+    /// closing with unread bytes would send a reset.
+    pub fn confirm_close(&self, client: &Client) -> bool {
+        let confirmed = match client.sock.phase().0 {
+            Phase::Idle | Phase::Reading => client.sock.is_quiet(),
             Phase::Busy => false,
-            Phase::Answering => client.answer_is_stuck(),
+            Phase::Answering => client.is_answer_stuck(),
         };
-        if !closes {
-            client.ends(Ending::Over);
-            client.evicted(false, &self.evicted);
+        if !confirmed {
+            client.set_ending(Ending::Over);
+            client.set_evicted(false, &self.evicting);
         }
-        closes
+        confirmed
     }
 
-    /// Closes connections that say nothing, on which a request takes too long to come, or whose answer is not read.
+    /// Closes connections that stay silent, whose request takes too long to arrive, or whose answer is not
+    /// read.
     pub fn sweep(&self) {
         for client in self.open.borrow().values() {
             let (phase, since) = client.sock.phase();
-            let over = match phase {
-                Phase::Idle if !client.sock.spoke() => (since.elapsed() >= SILENT).then_some(Ending::Silent),
+            let expired = match phase {
+                Phase::Idle if !client.sock.has_received() => {
+                    (since.elapsed() >= FIRST_REQUEST_TIMEOUT).then_some(Ending::Silent)
+                }
                 Phase::Idle => {
-                    let once = client.sock.answers() == 1 && self.hub.stopping.get().is_none();
-                    let most = if once { IDLE_ONCE } else { IDLE };
-                    (since.elapsed() >= most && client.sock.quiet()).then_some(Ending::Idle)
+                    let after_one = client.sock.answer_count() == 1 && self.hub.stopping.get().is_none();
+                    let limit = if after_one { IDLE_TIMEOUT_AFTER_ONE } else { IDLE_TIMEOUT };
+                    (since.elapsed() >= limit && client.sock.is_quiet()).then_some(Ending::Idle)
                 }
-                Phase::Reading => client.sock.overdue().then_some(Ending::Slow),
+                Phase::Reading => client.sock.is_request_overdue().then_some(Ending::Slow),
                 Phase::Busy => None,
-                Phase::Answering => client.answer_is_stuck().then_some(Ending::Stuck),
+                Phase::Answering => client.is_answer_stuck().then_some(Ending::Stuck),
             };
-            over.into_iter().for_each(|ending| client.is_to_close(ending));
+            expired.into_iter().for_each(|ending| client.request_close(ending));
         }
     }
 
@@ -195,67 +200,74 @@
     pub fn close_idle(&self) {
         for client in self.open.borrow().values() {
             let (phase, since) = client.sock.phase();
-            if phase == Phase::Idle && since.elapsed() >= FRESH && client.sock.quiet() {
-                client.is_to_close(Ending::Stopping);
+            if phase == Phase::Idle && since.elapsed() >= NEW_CONNECTION_GRACE && client.sock.is_quiet() {
+                client.request_close(Ending::Stopping);
             }
         }
     }
 
-    /// Does the node stop, and have clients few connections left that are not busy? New ones are dealt to other nodes by
-    /// then, if there are any. Where there are none, a front that finds no free connection takes the node for gone, with
-    /// all that are open, and what comes is lost until another is up: seen on days of two nodes restarted in turn. To
-    /// refuse some requests of a burst at once keeps the way open for all that follow. It guards as well against slow
-    /// servers that would tie up all connections of a stopping node. It does harm where another node would have served
-    /// those few, so it holds only while this one stops.
-    pub fn all_in_use(&self) -> bool {
-        // What is read from then on would be failed at once, or lost with the process: there is time for a refusal.
+    /// Returns whether new requests are refused: because the node is failing, or because it is stopping and its
+    /// clients have too few idle connections left.
+    ///
+    /// By then new connections go to other nodes, if there are any. If there are none, a client that finds no
+    /// idle connection takes the node for dead, together with all its open connections, and loses requests
+    /// until another node is up; this happened when two nodes were restarted in turn. Refusing some requests
+    /// of a burst keeps connections available for those that follow, and also prevents slow servers from
+    /// occupying all connections of a stopping node. It costs requests that another node could have served,
+    /// so it applies only while the node stops.
+    pub fn must_refuse(&self) -> bool {
+        // A request read from now on would fail at once or be lost with the process; a refusal can still be
+        // sent.
         if self.hub.failing.get() {
             return true;
         }
-        if self.hub.leaving.get() || self.hub.stopping.get().is_none_or(|since| since.elapsed() < STILL_DEALT)
+        if self.hub.leaving.get()
+            || self.hub.stopping.get().is_none_or(|since| since.elapsed() < STOPPING_GRACE)
         {
             return false;
         }
-        self.idle() < SPARE.min(self.count() / 4)
+        self.idle_count() < MAX_SPARE_CONNECTIONS.min(self.count() / 4)
     }
 
-    /// How many connections have been used and are idle.
-    fn idle(&self) -> usize {
-        let idle = |c: &&Rc<Client>| c.sock.phase().0 == Phase::Idle && c.sock.spoke();
-        self.open.borrow().values().filter(idle).count()
+    /// How many connections have been used before and are idle.
+    fn idle_count(&self) -> usize {
+        let is_idle = |c: &&Rc<Client>| c.sock.phase().0 == Phase::Idle && c.sock.has_received();
+        self.open.borrow().values().filter(is_idle).count()
     }
 
-    /// Are so many idle that one more would better close with its first answer? Who uses connections again opens one
-    /// only where none is free; one that comes while many are idle is likely from a client that asks once and lets it
-    /// stand. Hundreds of those take up all the connections that clients and node may have, and whoever comes next
-    /// finds none. It guards as well against crowds that ask for /ready over ever new ones. It does harm where many
-    /// clients come for the first time at a quiet moment: each has to connect a second time; and while the node stops, when
-    /// they get no new one.
-    pub fn many_idle(&self) -> bool {
-        self.hub.stopping.get().is_none() && self.idle() >= self.most.get() / IDLE_PART
+    /// Returns whether so many connections are idle that a new one should be closed after its first answer.
+    ///
+    /// A client that reuses connections opens a new one only if none is idle, so a connection that arrives
+    /// while many are idle probably belongs to a client that sends one request and keeps the connection open.
+    /// Hundreds of those use up the connections of clients and node, and later clients find none. The rule
+    /// also covers many clients that poll /ready on new connections. Its cost: when many clients connect for
+    /// the first time at an idle moment, each must connect twice. It does not apply while the node stops, as
+    /// clients then get no new connection to it.
+    pub fn has_many_idle(&self) -> bool {
+        self.hub.stopping.get().is_none() && self.idle_count() >= self.limit.get() / MAX_IDLE_DIVISOR
     }
 
-    /// Closes one connection, those first that never said a word, then the one that has been idle for longest, then
-    /// the one whose request has been coming for longest; false where all are busy.
+    /// Closes one connection: first those that never sent anything, then the one idle for longest, then the
+    /// one whose request has been arriving for longest. Returns false if all are busy.
     pub fn evict(&self) -> bool {
         let client = {
             let open = self.open.borrow();
             let rank = |c: &Client| match c.sock.phase() {
-                (Phase::Idle, since) if c.sock.quiet() => {
-                    // A crowd that says nothing must not push out those that are used.
-                    let crowd = !c.sock.spoke() && since.elapsed() >= FRESH;
-                    Some((if crowd { 0 } else { 1 }, since))
+                (Phase::Idle, since) if c.sock.is_quiet() => {
+                    // Many silent connections must not displace those that are in use.
+                    let is_unused = !c.sock.has_received() && since.elapsed() >= NEW_CONNECTION_GRACE;
+                    Some((if is_unused { 0 } else { 1 }, since))
                 }
-                (Phase::Reading, since) if since.elapsed() >= STALE => Some((2, since)),
+                (Phase::Reading, since) if since.elapsed() >= EVICTABLE_REQUEST_AGE => Some((2, since)),
                 _ => None,
             };
-            let some = open.values().filter(|c| !c.evicted.get());
-            let least = some.filter_map(|c| Some((rank(c)?, c))).min_by_key(|(rank, _)| *rank);
-            let Some((_, client)) = least else { return false };
+            let candidates = open.values().filter(|c| !c.evicted.get());
+            let first = candidates.filter_map(|c| Some((rank(c)?, c))).min_by_key(|(rank, _)| *rank);
+            let Some((_, client)) = first else { return false };
             client.clone()
         };
-        client.evicted(true, &self.evicted);
-        client.is_to_close(Ending::Evicted);
+        client.set_evicted(true, &self.evicting);
+        client.request_close(Ending::Evicted);
         true
     }
 }
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -1,11 +1,11 @@
-//! Headers between one connection and the next.
+//! Filtering of hop-by-hop headers.
 
 use hyper::header::{HeaderName, CONNECTION};
 use hyper::HeaderMap;
 
-/// The headers that are not about one connection alone.
+/// Returns the end-to-end headers: all but the hop-by-hop ones and those named in `Connection`.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    const HOP: [&str; 10] = [
+    const HOP_BY_HOP: [&str; 10] = [
         "connection",
         "content-length",
         "expect",
@@ -17,13 +17,15 @@
         "transfer-encoding",
         "upgrade",
     ];
-    let named: Vec<String> = headers
+    let named_by_connection: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let goes = |name: &HeaderName| !HOP.contains(&name.as_str()) && !named.iter().any(|n| n == name.as_str());
-    headers.iter().filter(|(name, _)| goes(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
+    let is_forwarded = |name: &HeaderName| {
+        !HOP_BY_HOP.contains(&name.as_str()) && !named_by_connection.iter().any(|n| n == name.as_str())
+    };
+    headers.iter().filter(|(name, _)| is_forwarded(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
--- a/crates/node/src/sock.rs
+++ b/crates/node/src/sock.rs
@@ -1,5 +1,5 @@
-//! A TCP socket that hyper drives and that we can watch: what the kernel took of a message, and whether the
-//! other side has closed.
+//! A TCP socket for hyper that tracks how much of a message the kernel has accepted, what was received, and
+//! whether the peer has closed.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -14,62 +14,62 @@
 use tokio::io::{Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-use crate::blocks::Uptake;
+use crate::blocks::UploadProgress;
 
-/// How much one read takes at the most.
-const CHUNK: usize = 16 * 1024;
+/// The largest single read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How long a request may take to come whole; that of a new connection counts from the connection's start.
-pub const REQUEST_WITHIN: Duration = Duration::from_millis(2500);
-/// How long a body may pause, and how many bytes a second it has to come with once its first moment is over: a quarter of
-/// what a slow client sends.
-const BODY_PAUSE: Duration = Duration::from_millis(2200);
+/// How long a request may take to arrive; for the first one it counts from the start of the connection.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long a body may pause, and how many bytes per second it must deliver after an initial grace period: a
+/// quarter of what a slow client sends.
+const MAX_BODY_PAUSE: Duration = Duration::from_millis(2200);
 const BODY_GRACE: Duration = Duration::from_millis(2500);
-const BODY_PACE: f64 = 16_000.0;
-/// How much of a request is kept for a look at its head.
-const HEAD_KEPT: usize = 32 * 1024;
+const MIN_BODY_BYTES_PER_S: f64 = 16_000.0;
+/// How much of a request is copied to inspect its head.
+const MAX_HEAD_COPY_BYTES: usize = 32 * 1024;
 
-/// How much of one HTTP message the kernel has taken.
+/// The transfer progress of one HTTP message.
 #[derive(Default)]
 struct Progress {
-    body: usize,
+    body_bytes: usize,
     /// The last four bytes of the head so far.
-    tail: [u8; 4],
-    /// What is missing of the body; `None` until the head is out.
-    left: Option<usize>,
-    any: bool,
-    /// Of one whose length is not known: how far its body has come, and its last bytes.
-    open: Option<Rc<Uptake>>,
-    last: [u8; 5],
+    head_tail: [u8; 4],
+    /// The bytes of the body still to come; `None` until the head is complete.
+    body_left: Option<usize>,
+    any_bytes: bool,
+    /// For a body of undeclared length: its progress, and the last bytes of the message.
+    streamed_body: Option<Rc<UploadProgress>>,
+    last_bytes: [u8; 5],
 }
 
 impl Progress {
-    fn took(&mut self, bytes: &[u8]) {
-        self.any |= !bytes.is_empty();
-        if self.open.is_some() {
-            push_last(&mut self.last, bytes);
+    fn advance(&mut self, bytes: &[u8]) {
+        self.any_bytes |= !bytes.is_empty();
+        if self.streamed_body.is_some() {
+            append_last_bytes(&mut self.last_bytes, bytes);
         }
         let mut rest = bytes;
-        while self.left.is_none() {
+        while self.body_left.is_none() {
             let Some((byte, after)) = rest.split_first() else { return };
-            self.tail = [self.tail[1], self.tail[2], self.tail[3], *byte];
+            self.head_tail = [self.head_tail[1], self.head_tail[2], self.head_tail[3], *byte];
             rest = after;
-            if &self.tail == b"\r\n\r\n" {
-                self.left = Some(self.body);
+            if &self.head_tail == b"\r\n\r\n" {
+                self.body_left = Some(self.body_bytes);
             }
         }
-        self.left = self.left.map(|left| left.saturating_sub(rest.len()));
+        self.body_left = self.body_left.map(|left| left.saturating_sub(rest.len()));
     }
 
-    fn whole(&self) -> bool {
-        match &self.open {
-            None => self.left == Some(0),
-            Some(uptake) => uptake.ended.get() && &self.last == b"0\r\n\r\n",
+    fn is_complete(&self) -> bool {
+        match &self.streamed_body {
+            None => self.body_left == Some(0),
+            Some(upload) => upload.ended.get() && &self.last_bytes == b"0\r\n\r\n",
         }
     }
 }
 
-/// Where the head of a request ends. Blank lines ahead of it are passed over by the parser too.
+/// The end of a request's head. Like hyper's parser, skips blank lines before it.
 fn head_end(head: &[u8]) -> Option<usize> {
     let mut end = head.iter().position(|b| !matches!(b, b'\r' | b'\n'))?;
     for line in head[end..].split_inclusive(|b| *b == b'\n') {
@@ -82,281 +82,292 @@
 }
 
 /// Keeps the last five bytes of a stream.
-fn push_last(last: &mut [u8; 5], bytes: &[u8]) {
+fn append_last_bytes(last_bytes: &mut [u8; 5], bytes: &[u8]) {
     let tail = &bytes[bytes.len().saturating_sub(5)..];
-    last.copy_within(tail.len().., 0);
-    last[5 - tail.len()..].copy_from_slice(tail);
+    last_bytes.copy_within(tail.len().., 0);
+    last_bytes[5 - tail.len()..].copy_from_slice(tail);
 }
 
-/// How the first line of a head begins, up to the first digit of its status.
-const STATUS_AT: usize = "HTTP/1.1 ".len();
+/// The offset of the first status digit in an answer's head.
+const STATUS_OFFSET: usize = "HTTP/1.1 ".len();
 
-/// What came back: interim heads, a final head, and how many bytes behind it.
-struct Back {
+/// What was received after a message: interim heads, a final head, and the number of bytes after it.
+struct ReceivedAnswer {
     head: Progress,
-    /// How many bytes of the present head have come, and the first digit of its status.
-    head_came: usize,
-    status: Option<u8>,
-    last: [u8; 5],
-    /// It began to come before the message that it answers had been taken whole.
-    is_ahead: bool,
-    /// When its first byte came.
-    began: Option<Instant>,
+    /// How many bytes of the current head were received, and the first digit of its status.
+    head_bytes_read: usize,
+    status_digit: Option<u8>,
+    last_bytes: [u8; 5],
+    /// Whether the answer began before its request was written completely.
+    is_early: bool,
+    /// When the first byte was received.
+    first_byte_at: Option<Instant>,
 }
 
-impl Default for Back {
+impl Default for ReceivedAnswer {
     fn default() -> Self {
-        let head = Progress { body: usize::MAX, ..Progress::default() };
-        Self { head, head_came: 0, status: None, last: [0; 5], is_ahead: false, began: None }
+        let head = Progress { body_bytes: usize::MAX, ..Progress::default() };
+        Self {
+            head,
+            head_bytes_read: 0,
+            status_digit: None,
+            last_bytes: [0; 5],
+            is_early: false,
+            first_byte_at: None,
+        }
     }
 }
 
-impl Back {
-    fn came(&mut self, bytes: &[u8]) {
-        push_last(&mut self.last, bytes);
+impl ReceivedAnswer {
+    fn receive(&mut self, bytes: &[u8]) {
+        append_last_bytes(&mut self.last_bytes, bytes);
         let mut rest = bytes;
         while !rest.is_empty() {
-            let taken = if self.head.left.is_some() { rest.len() } else { self.head_bytes(rest) };
-            self.head.took(&rest[..taken]);
+            let taken = if self.head.body_left.is_some() { rest.len() } else { self.head_bytes(rest) };
+            self.head.advance(&rest[..taken]);
             rest = &rest[taken..];
-            if self.head.left.is_some() && self.status == Some(b'1') {
-                // An interim answer: the final one begins behind it.
-                self.head = Progress { body: usize::MAX, any: true, ..Progress::default() };
-                (self.head_came, self.status) = (0, None);
+            if self.head.body_left.is_some() && self.status_digit == Some(b'1') {
+                // An interim (1xx) answer: the final one follows.
+                self.head = Progress { body_bytes: usize::MAX, any_bytes: true, ..Progress::default() };
+                (self.head_bytes_read, self.status_digit) = (0, None);
             }
         }
     }
 
-    /// How many of these bytes belong to the present head.
+    /// How many of these bytes belong to the current head.
     fn head_bytes(&mut self, bytes: &[u8]) -> usize {
-        if self.status.is_none() {
-            self.status = STATUS_AT.checked_sub(self.head_came).and_then(|at| bytes.get(at)).copied();
+        if self.status_digit.is_none() {
+            self.status_digit =
+                STATUS_OFFSET.checked_sub(self.head_bytes_read).and_then(|at| bytes.get(at)).copied();
         }
-        let mut tail = self.head.tail;
+        let mut tail = self.head.head_tail;
         let end = bytes.iter().position(|byte| {
             tail = [tail[1], tail[2], tail[3], *byte];
             &tail == b"\r\n\r\n"
         });
         let count = end.map_or(bytes.len(), |end| end + 1);
-        self.head_came += count;
+        self.head_bytes_read += count;
         count
     }
 }
 
-/// What a client's connection is in the middle of.
+/// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Between requests.
     Idle,
-    /// A request has begun to come.
+    /// Receiving a request.
     Reading,
-    /// A request is being served.
+    /// Serving a request.
     Busy,
-    /// Its answer is on its way out.
+    /// Writing the answer.
     Answering,
 }
 
-/// What stands to be read on a connection of which nothing is expected.
+/// What can be read from a connection on which nothing is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pending {
-    /// Nothing, and the other side has not closed.
+    /// Nothing, and the peer has not closed.
     Nothing,
-    /// Bytes.
+    /// At least one byte.
     Bytes,
-    /// The other side has closed, or the connection is broken.
+    /// The peer has closed, or the connection is broken.
     End,
 }
 
-/// A watched socket.
+/// A TCP socket that tracks the messages sent and received on it.
 pub struct Sock {
     stream: TcpStream,
-    out: RefCell<Progress>,
-    /// What came back since the message was begun.
-    back: RefCell<Back>,
-    /// Told once the kernel has the message's last byte.
-    when_whole: Cell<Option<Box<dyn FnOnce()>>>,
+    outgoing: RefCell<Progress>,
+    /// What was received since the current message was begun.
+    answer: RefCell<ReceivedAnswer>,
+    /// Called once the kernel has accepted the message's last byte.
+    on_written: Cell<Option<Box<dyn FnOnce()>>>,
     phase: Cell<Phase>,
     /// When the phase began.
-    since: Cell<Instant>,
-    /// By when a request that is coming must be whole.
-    due: Cell<Instant>,
-    /// A client's connection.
-    serves: Cell<bool>,
-    /// Anything ever came.
-    spoke: Cell<bool>,
-    /// How many requests have been answered, or are being.
-    answers: Cell<usize>,
-    /// Something came while a request was served: the next one, or a part of it.
-    ahead: Cell<bool>,
-    /// How many bytes came since the present request began to, when the last of them did, and the last five.
-    came: Cell<usize>,
-    came_at: Cell<Instant>,
-    last: Cell<[u8; 5]>,
-    /// When the body of the present request began to come, and how many bytes had come before it.
-    body: Cell<Option<(Instant, usize)>>,
-    /// When the other side last took anything.
-    moved: Cell<Instant>,
-    /// How far the body of the present request has come, where it goes on while it comes.
-    uptake: RefCell<Option<Rc<Uptake>>>,
-    /// What came of the present request, from its first byte on; `None` where that is not known.
-    head: RefCell<Option<Vec<u8>>>,
-    /// An answer is owed that is not there yet.
-    owes: Cell<bool>,
+    phase_since: Cell<Instant>,
+    /// When the request being received must be complete.
+    request_due: Cell<Instant>,
+    /// Whether this is a client's HTTP connection, whose requests are tracked here.
+    tracks_requests: Cell<bool>,
+    /// Whether any byte was ever received.
+    has_received: Cell<bool>,
+    /// How many answers were begun or completed.
+    answer_count: Cell<usize>,
+    /// Whether bytes of a next request arrived while one was being served.
+    pipelined: Cell<bool>,
+    /// The bytes received since the current request began, when the last of them arrived, and the last five.
+    request_bytes: Cell<usize>,
+    last_read_at: Cell<Instant>,
+    last_bytes: Cell<[u8; 5]>,
+    /// When the body of the current request began to arrive, and how many bytes preceded it.
+    body_start: Cell<Option<(Instant, usize)>>,
+    /// When the kernel last accepted bytes to write.
+    last_write_at: Cell<Instant>,
+    /// The progress of the current request's body, if it is streamed.
+    upload: RefCell<Option<Rc<UploadProgress>>>,
+    /// A copy of the start of the current request; `None` if it was not recorded.
+    request_head: RefCell<Option<Vec<u8>>>,
+    /// Whether a request is being processed whose answer is not available yet.
+    answer_pending: Cell<bool>,
 }
 
 impl Sock {
-    /// Takes over a connected stream and turns off Nagle's delay.
+    /// Takes over a connected stream and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// Where the socket is already broken.
+    /// If the socket is already broken.
     pub fn new(stream: TcpStream) -> io::Result<Rc<Self>> {
         Self::open(stream, false)
     }
 
-    /// Takes over the connection of a client, whose requests are watched.
+    /// Takes over a client's connection, whose requests are tracked.
     ///
     /// # Errors
-    /// Where the socket is already broken.
+    /// If the socket is already broken.
     pub fn of_client(stream: TcpStream) -> io::Result<Rc<Self>> {
         Self::open(stream, true)
     }
 
-    fn open(stream: TcpStream, serves: bool) -> io::Result<Rc<Self>> {
+    fn open(stream: TcpStream, tracks_requests: bool) -> io::Result<Rc<Self>> {
         stream.set_nodelay(true)?;
         let now = Instant::now();
         Ok(Rc::new(Self {
             stream,
-            out: RefCell::default(),
-            back: RefCell::default(),
-            when_whole: Cell::default(),
+            outgoing: RefCell::default(),
+            answer: RefCell::default(),
+            on_written: Cell::default(),
             phase: Cell::new(Phase::Idle),
-            since: Cell::new(now),
-            due: Cell::new(now + REQUEST_WITHIN),
-            serves: Cell::new(serves),
-            spoke: Cell::new(false),
-            answers: Cell::new(0),
-            ahead: Cell::new(false),
-            came: Cell::new(0),
-            came_at: Cell::new(now),
-            last: Cell::default(),
-            body: Cell::new(None),
-            moved: Cell::new(now),
-            uptake: RefCell::default(),
-            head: RefCell::default(),
-            owes: Cell::new(false),
+            phase_since: Cell::new(now),
+            request_due: Cell::new(now + REQUEST_TIMEOUT),
+            tracks_requests: Cell::new(tracks_requests),
+            has_received: Cell::new(false),
+            answer_count: Cell::new(0),
+            pipelined: Cell::new(false),
+            request_bytes: Cell::new(0),
+            last_read_at: Cell::new(now),
+            last_bytes: Cell::default(),
+            body_start: Cell::new(None),
+            last_write_at: Cell::new(now),
+            upload: RefCell::default(),
+            request_head: RefCell::default(),
+            answer_pending: Cell::new(false),
         }))
     }
 
-    /// A message with so long a body is about to be written.
-    pub fn begin(&self, body: usize) {
-        *self.out.borrow_mut() = Progress { body, ..Progress::default() };
-        *self.back.borrow_mut() = Back::default();
-        self.when_whole.take();
+    /// Starts tracking a message with a body of `body_bytes` bytes that is about to be written.
+    pub fn begin_message(&self, body_bytes: usize) {
+        *self.outgoing.borrow_mut() = Progress { body_bytes, ..Progress::default() };
+        *self.answer.borrow_mut() = ReceivedAnswer::default();
+        self.on_written.take();
     }
 
-    /// A message is about to be written whose body ends with its last chunk.
-    pub fn begin_open(&self, uptake: Rc<Uptake>) {
-        self.begin(usize::MAX);
-        self.out.borrow_mut().open = Some(uptake);
+    /// Starts tracking a message with a chunked body that is about to be written.
+    pub fn begin_streamed_message(&self, upload: Rc<UploadProgress>) {
+        self.begin_message(usize::MAX);
+        self.outgoing.borrow_mut().streamed_body = Some(upload);
     }
 
-    /// Tells when the kernel has taken the last byte of the message that was begun.
-    pub fn when_whole(&self, tell: impl FnOnce() + 'static) {
-        self.when_whole.set(Some(Box::new(tell)));
+    /// Registers a callback for when the kernel has accepted the last byte of the current message.
+    pub fn on_written(&self, callback: impl FnOnce() + 'static) {
+        self.on_written.set(Some(Box::new(callback)));
     }
 
-    /// Has the kernel taken any byte of the message?
-    pub fn any(&self) -> bool {
-        self.out.borrow().any
+    /// Returns whether the kernel has accepted any byte of the message.
+    pub fn any_written(&self) -> bool {
+        self.outgoing.borrow().any_bytes
     }
 
-    /// Has any byte come back?
-    pub fn heard_any(&self) -> bool {
-        self.back.borrow().head.any
+    /// Returns whether any byte was received since the message was begun.
+    pub fn any_received(&self) -> bool {
+        self.answer.borrow().head.any_bytes
     }
 
-    /// When the first byte came back.
-    pub fn heard_at(&self) -> Option<Instant> {
-        self.back.borrow().began
+    /// When the first byte of the answer was received.
+    pub fn answer_began_at(&self) -> Option<Instant> {
+        self.answer.borrow().first_byte_at
     }
 
-    /// Did what came back begin to come before the kernel had taken the message's last byte?
-    pub fn heard_ahead(&self) -> bool {
-        self.back.borrow().is_ahead
+    /// Returns whether the answer began before the kernel had accepted the message's last byte.
+    pub fn answered_early(&self) -> bool {
+        self.answer.borrow().is_early
     }
 
-    /// Has the kernel taken the message's last byte?
-    pub fn whole(&self) -> bool {
-        self.out.borrow().whole()
+    /// Returns whether the kernel has accepted the message's last byte.
+    pub fn is_written(&self) -> bool {
+        self.outgoing.borrow().is_complete()
     }
 
-    /// What a client's connection is in the middle of, and since when.
+    /// The phase of a client's connection, and since when.
     pub fn phase(&self) -> (Phase, Instant) {
-        (self.phase.get(), self.since.get())
+        (self.phase.get(), self.phase_since.get())
     }
 
     /// Enters a phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
+        self.phase_since.set(Instant::now());
         if phase == Phase::Answering {
-            self.answers.set(self.answers.get() + 1);
+            self.answer_count.set(self.answer_count.get() + 1);
         }
         if phase != Phase::Reading {
-            *self.head.borrow_mut() = None;
+            *self.request_head.borrow_mut() = None;
         }
     }
 
-    /// Has the request that is coming taken too long? A head has its time. A body may take long, as long as it comes: what
-    /// pauses, or trickles, holds a connection and memory for nothing.
-    pub fn overdue(&self) -> bool {
+    /// Returns whether the request being received is overdue. A head has a fixed deadline. A body may take
+    /// long while it makes progress; one that pauses or trickles would occupy a connection and memory.
+    pub fn is_request_overdue(&self) -> bool {
         if self.phase.get() != Phase::Reading {
             return false;
         }
-        let Some((began, before)) = self.body.get() else { return Instant::now() >= self.due.get() };
-        // Where nobody asks for more it is not its client that is slow.
-        if self.uptake.borrow().as_ref().is_some_and(|u| u.ended.get() || !u.waits.get()) {
+        let Some((began, before)) = self.body_start.get() else {
+            return Instant::now() >= self.request_due.get();
+        };
+        // While the server accepts no more data, the client is not the slow side.
+        if self.upload.borrow().as_ref().is_some_and(|u| u.ended.get() || !u.awaits_data.get()) {
             return false;
         }
-        let came = self.came.get().saturating_sub(before) as f64;
-        self.came_at.get().elapsed() >= BODY_PAUSE
-            || began.elapsed() >= BODY_GRACE + Duration::from_secs_f64(came / BODY_PACE)
+        let received = self.request_bytes.get().saturating_sub(before) as f64;
+        self.last_read_at.get().elapsed() >= MAX_BODY_PAUSE
+            || began.elapsed() >= BODY_GRACE + Duration::from_secs_f64(received / MIN_BODY_BYTES_PER_S)
     }
 
-    /// The head of the present request has come, and its body is being read.
-    pub fn body_begins(&self) {
-        self.body.set(Some((Instant::now(), self.came.get())));
+    /// Marks the head of the current request as complete and its body as being read.
+    pub fn begin_body(&self) {
+        self.body_start.set(Some((Instant::now(), self.request_bytes.get())));
     }
 
-    /// The body of the present request goes on while it comes.
-    pub fn body_goes_on(&self, uptake: Rc<Uptake>) {
-        self.uptake.replace(Some(uptake));
+    /// Marks the body of the current request as streamed.
+    pub fn stream_body(&self, upload: Rc<UploadProgress>) {
+        self.upload.replace(Some(upload));
     }
 
-    /// When the last byte came that was read so far.
-    pub fn came_at(&self) -> Instant {
-        self.came_at.get()
+    /// When the last byte read so far was received.
+    pub fn last_read_at(&self) -> Instant {
+        self.last_read_at.get()
     }
 
-    /// When the other side last took anything of what is written.
-    pub fn moved(&self) -> Instant {
-        self.moved.get()
+    /// When the kernel last accepted bytes to write.
+    pub fn last_write_at(&self) -> Instant {
+        self.last_write_at.get()
     }
 
-    /// Has anything ever come?
-    pub fn spoke(&self) -> bool {
-        self.spoke.get()
+    /// Returns whether any byte was ever received.
+    pub fn has_received(&self) -> bool {
+        self.has_received.get()
     }
 
-    /// How many requests have been answered, or are being.
-    pub fn answers(&self) -> usize {
-        self.answers.get()
+    /// How many answers were begun or completed.
+    pub fn answer_count(&self) -> usize {
+        self.answer_count.get()
     }
 
-    /// Is it sure that the head of the present request, as it came, has no such header (named in lower case)?
-    /// hyper drops a length that stands behind a transfer coding before anyone can see it.
+    /// Returns whether the head of the current request as received is known to lack a header (named in lower
+    /// case). hyper removes a content length that follows a transfer coding, so the parsed headers can't
+    /// tell.
     pub fn head_lacks(&self, name: &str) -> bool {
-        let head = self.head.borrow();
+        let head = self.request_head.borrow();
         let Some(head) = head.as_deref() else { return false };
         let Some(end) = head_end(head) else { return false };
         head[..end].split(|b| *b == b'\n').all(|line| {
@@ -365,25 +376,26 @@
         })
     }
 
-    /// The present request is whole, with a body of so many bytes as it came (`None`: not known). Has anything
-    /// come behind it? Where that is not known it is taken to be so.
-    pub fn look_ahead(&self, body: Option<usize>) {
-        let end = self.head.borrow().as_deref().and_then(head_end);
-        let whole = end.zip(body).map(|(head, body)| head + body);
-        // One in chunks is over with a blank line, behind its last chunk or its trailers. A whole request behind it ends so
-        // too, and is answered next; a part of one ends so only by chance.
-        self.ahead.set(match body {
-            Some(_) => whole != Some(self.came.get()),
-            None => !self.last.get().ends_with(b"\r\n\r\n"),
+    /// Determines whether bytes follow the current, complete request, whose body was `body` bytes long as
+    /// received (`None` if unknown). If that can't be determined, they are assumed to.
+    pub fn detect_pipelined(&self, body: Option<usize>) {
+        let end = self.request_head.borrow().as_deref().and_then(head_end);
+        let expected = end.zip(body).map(|(head, body)| head + body);
+        // A chunked request ends with a blank line after its last chunk or its trailers. A complete request
+        // after it ends so too and is answered next; a partial one ends so only by chance.
+        self.pipelined.set(match body {
+            Some(_) => expected != Some(self.request_bytes.get()),
+            None => !self.last_bytes.get().ends_with(b"\r\n\r\n"),
         });
     }
 
-    /// Nothing to read, and not closed by the other side.
-    pub fn quiet(&self) -> bool {
+    /// Returns whether there is nothing to read and the peer has not closed.
+    pub fn is_quiet(&self) -> bool {
         self.pending() == Pending::Nothing
     }
 
-    /// What stands to be read. Asks the kernel, as what the runtime knows may be a turn of its loop old.
+    /// What can be read. Asks the kernel, because the runtime's readiness may be one iteration of its loop
+    /// old.
     pub fn pending(&self) -> Pending {
         let mut byte = [MaybeUninit::uninit(); 1];
         loop {
@@ -397,8 +409,8 @@
         }
     }
 
-    /// Ready once something stands to be read, or the other side has closed. Must not be polled beside hyper's reading.
-    pub fn poll_disturbed(&self, cx: &mut Context<'_>) -> Poll<Pending> {
+    /// Ready once bytes can be read or the peer has closed. Must not be polled while hyper reads.
+    pub fn poll_readable_or_closed(&self, cx: &mut Context<'_>) -> Poll<Pending> {
         let mut byte = [MaybeUninit::uninit(); 1];
         loop {
             let peeked = ready!(self.stream.poll_peek(cx, &mut ReadBuf::uninit(&mut byte)));
@@ -411,15 +423,15 @@
         }
     }
 
-    /// An answer is owed from now on, or not any more.
-    pub fn owe(&self, owes: bool) {
-        self.owes.set(owes);
+    /// Sets whether a request is being processed whose answer is not available yet.
+    pub fn set_answer_pending(&self, answer_pending: bool) {
+        self.answer_pending.set(answer_pending);
     }
 
-    /// Waits until the other side has closed, or broken the connection. The kernel tells that also where bytes ahead of it
-    /// have not been read, as nobody wants them yet: whoever reads would learn of it only behind them.
-    pub async fn closed(&self) {
-        // Of what may be waited for, this is the end of what the other side sends, and urgent data.
+    /// Waits until the peer has closed or reset the connection. The kernel reports this even while earlier
+    /// bytes are unread, which a reader would have to consume first.
+    pub async fn wait_closed(&self) {
+        // This interest covers only the end of the peer's stream and urgent data.
         while let Ok(ready) = self.stream.ready(Interest::PRIORITY).await {
             if ready.is_read_closed() {
                 return;
@@ -428,14 +440,15 @@
         }
     }
 
-    /// Waits until the other side has closed while an answer is owed to it. Must be polled with whatever serves the
-    /// connection, and after it.
-    pub async fn deserted(&self) {
-        self.closed().await;
-        std::future::poll_fn(|_| if self.owes.get() { Poll::Ready(()) } else { Poll::Pending }).await;
+    /// Waits until the peer closes while an answer is pending. Must be polled together with the task that
+    /// serves the connection, and after it.
+    pub async fn closed_while_answer_pending(&self) {
+        self.wait_closed().await;
+        std::future::poll_fn(|_| if self.answer_pending.get() { Poll::Ready(()) } else { Poll::Pending })
+            .await;
     }
 
-    /// The first byte that can be read, which stays to be read; `None` where the other side has closed.
+    /// Peeks at the first readable byte without consuming it; `None` if the peer has closed.
     pub async fn peek(&self) -> Option<u8> {
         let mut byte = [0];
         match self.stream.peek(&mut byte).await {
@@ -444,53 +457,53 @@
         }
     }
 
-    /// This connection is not HTTP's: whoever serves it says what it is in the middle of.
-    pub fn serve_otherwise(&self) {
-        self.serves.set(false);
+    /// Turns off request tracking for a protocol other than HTTP, whose front sets the phase itself.
+    pub fn track_phase_externally(&self) {
+        self.tracks_requests.set(false);
     }
 
-    /// Is in this phase from now on, if it was not; of a connection that is served otherwise.
-    pub fn be(&self, phase: Phase) {
+    /// Sets the phase if it changed, for a connection whose requests are not tracked here.
+    pub fn set_phase(&self, phase: Phase) {
         if phase != Phase::Idle {
-            self.spoke.set(true);
+            self.has_received.set(true);
         }
         if self.phase.get() != phase {
             if self.phase.get() != Phase::Idle && phase == Phase::Idle {
-                self.answers.set(self.answers.get() + 1);
+                self.answer_count.set(self.answer_count.get() + 1);
             }
             self.phase.set(phase);
-            self.since.set(Instant::now());
+            self.phase_since.set(Instant::now());
         }
     }
 
-    /// Waits until something may be read, or the other side has closed.
+    /// Waits until bytes can be read or the peer has closed.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Waits until something may be written.
+    /// Waits until bytes can be written.
     pub async fn writable(&self) -> io::Result<()> {
         self.stream.writable().await
     }
 
-    /// Reads what has come.
+    /// Reads available bytes.
     pub fn try_read(&self, into: &mut [u8]) -> io::Result<usize> {
         uninterrupted(|| self.stream.try_read(into))
     }
 
-    /// Writes what the kernel takes.
+    /// Writes as much as the kernel accepts.
     pub fn try_write(&self, parts: &[IoSlice<'_>]) -> io::Result<usize> {
         uninterrupted(|| self.stream.try_write_vectored(parts))
     }
 
-    /// Says that nothing more will be written, and reads what still comes until the other side closes.
-    /// Closing a socket with unread bytes resets it, and the reset can overtake the answer.
+    /// Shuts down the write side and reads until the peer closes. Closing a socket with unread bytes sends a
+    /// reset, which can overtake the answer.
     pub async fn linger(&self) {
         if SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write).is_err() {
             return;
         }
-        // Not part of the task, which would be as much larger all its life.
-        let mut sink = vec![0; CHUNK];
+        // Allocated on the heap, as an array would enlarge the task for its entire lifetime.
+        let mut sink = vec![0; READ_CHUNK_BYTES];
         while self.stream.readable().await.is_ok() {
             match self.stream.try_read(&mut sink) {
                 Ok(0) => return,
@@ -500,90 +513,92 @@
         }
     }
 
-    /// The last bytes that came back, on a connection that this node opened.
+    /// The last bytes received on a connection that this node opened.
     pub fn last_heard(&self) -> [u8; 5] {
-        self.back.borrow().last
+        self.answer.borrow().last_bytes
     }
 
-    /// Was what came back one head and a body of this length as it stands, or else chunks up to the last? More
-    /// than that would be taken for the answer to the next request.
-    pub fn heard_just(&self, body: usize, chunked: bool) -> bool {
-        let back = self.back.borrow();
-        let came = back.head.left.map(|left| usize::MAX - left);
+    /// Returns whether what was received is exactly one head and a body of this length or, if chunked, ends
+    /// with the last chunk. Additional bytes would be taken for the answer to the next request.
+    pub fn received_exactly(&self, body: usize, chunked: bool) -> bool {
+        let answer = self.answer.borrow();
+        let body_bytes = answer.head.body_left.map(|left| usize::MAX - left);
         if chunked {
-            came.is_some() && &back.last == b"0\r\n\r\n"
+            body_bytes.is_some() && &answer.last_bytes == b"0\r\n\r\n"
         } else {
-            came == Some(body)
+            body_bytes == Some(body)
         }
     }
 
-    fn read(&self, came: &[u8]) {
-        if !came.is_empty() && !self.heard_any() {
-            let is_ahead = !self.whole();
-            let mut back = self.back.borrow_mut();
-            (back.is_ahead, back.began) = (is_ahead, Some(Instant::now()));
+    fn record_read(&self, bytes: &[u8]) {
+        if !bytes.is_empty() && !self.any_received() {
+            let is_early = !self.is_written();
+            let mut answer = self.answer.borrow_mut();
+            (answer.is_early, answer.first_byte_at) = (is_early, Some(Instant::now()));
         }
-        self.back.borrow_mut().came(came);
-        if came.is_empty() || !self.serves.get() {
+        self.answer.borrow_mut().receive(bytes);
+        if bytes.is_empty() || !self.tracks_requests.get() {
             return;
         }
         match self.phase.get() {
             Phase::Idle => {
-                self.coming(self.spoke.replace(true));
-                *self.head.borrow_mut() = Some(Vec::new());
+                self.begin_request(self.has_received.replace(true));
+                *self.request_head.borrow_mut() = Some(Vec::new());
             }
-            // What was taken for a part of the next request was none, or its rest has come: its time begins anew, once.
-            Phase::Reading if self.came.get() == 0 => {
-                self.coming(true);
-                *self.head.borrow_mut() = Some(Vec::new());
+            // The bytes taken for the start of the next request were not part of one, or its rest has now
+            // arrived: restart its timeout, once.
+            Phase::Reading if self.request_bytes.get() == 0 => {
+                self.begin_request(true);
+                *self.request_head.borrow_mut() = Some(Vec::new());
             }
             Phase::Reading => {}
-            Phase::Busy | Phase::Answering => self.ahead.set(true),
+            Phase::Busy | Phase::Answering => self.pipelined.set(true),
         }
-        self.came.set(self.came.get() + came.len());
-        self.came_at.set(Instant::now());
-        let mut last = self.last.get();
-        push_last(&mut last, came);
-        self.last.set(last);
-        if let Some(head) = &mut *self.head.borrow_mut() {
-            let room = HEAD_KEPT.saturating_sub(head.len());
-            head.extend_from_slice(&came[..came.len().min(room)]);
+        self.request_bytes.set(self.request_bytes.get() + bytes.len());
+        self.last_read_at.set(Instant::now());
+        let mut last_bytes = self.last_bytes.get();
+        append_last_bytes(&mut last_bytes, bytes);
+        self.last_bytes.set(last_bytes);
+        if let Some(head) = &mut *self.request_head.borrow_mut() {
+            let room = MAX_HEAD_COPY_BYTES.saturating_sub(head.len());
+            head.extend_from_slice(&bytes[..bytes.len().min(room)]);
         }
     }
 
-    /// A request begins to come, the first of its connection or a later one.
-    fn coming(&self, later: bool) {
-        self.enter(Phase::Reading);
-        self.came.set(0);
-        self.body.set(None);
-        self.uptake.take();
-        if later {
-            self.due.set(self.since.get() + REQUEST_WITHIN);
+    /// Starts tracking a request, the first on its connection or a later one.
+    fn begin_request(&self, is_later: bool) {
+        self.enter_phase(Phase::Reading);
+        self.request_bytes.set(0);
+        self.body_start.set(None);
+        self.upload.take();
+        if is_later {
+            self.request_due.set(self.phase_since.get() + REQUEST_TIMEOUT);
         }
     }
 
-    fn took(&self, bytes: &[u8]) {
-        self.out.borrow_mut().took(bytes);
+    fn record_write(&self, bytes: &[u8]) {
+        self.outgoing.borrow_mut().advance(bytes);
         if !bytes.is_empty() {
-            self.moved.set(Instant::now());
+            self.last_write_at.set(Instant::now());
         }
-        if self.whole() {
-            if let Some(tell) = self.when_whole.take() {
-                tell();
+        if self.is_written() {
+            if let Some(callback) = self.on_written.take() {
+                callback();
             }
         }
-        if self.phase.get() == Phase::Answering && self.whole() {
-            // What came ahead is the next request: half of one must not pass for an idle connection.
-            if self.ahead.take() {
-                self.coming(true);
+        if self.phase.get() == Phase::Answering && self.is_written() {
+            // Bytes that arrived early belong to the next request; a connection with a partial request is not
+            // idle.
+            if self.pipelined.take() {
+                self.begin_request(true);
             } else {
-                self.enter(Phase::Idle);
+                self.enter_phase(Phase::Idle);
             }
         }
     }
 }
 
-/// Makes a call again for as long as a signal interrupts it.
+/// Repeats a call while it is interrupted by a signal.
 fn uninterrupted(mut call: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
     loop {
         match call() {
@@ -593,12 +608,12 @@
     }
 }
 
-/// Nothing was read or written, and the connection stands.
-fn is_to_be_repeated(error: &io::Error) -> bool {
+/// Returns whether nothing was transferred and the connection is intact.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// hyper's side of a watched socket.
+/// The adapter through which hyper reads and writes a [`Sock`].
 pub struct Io(pub Rc<Sock>);
 
 impl Read for Io {
@@ -608,17 +623,17 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let sock = &self.0;
-        let mut chunk = [0; CHUNK];
-        let want = buf.remaining().min(CHUNK);
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let want = buf.remaining().min(READ_CHUNK_BYTES);
         loop {
             ready!(sock.stream.poll_read_ready(cx))?;
             match sock.stream.try_read(&mut chunk[..want]) {
                 Ok(n) => {
-                    sock.read(&chunk[..n]);
+                    sock.record_read(&chunk[..n]);
                     buf.put_slice(&chunk[..n]);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if is_to_be_repeated(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -632,10 +647,10 @@
             ready!(sock.stream.poll_write_ready(cx))?;
             match sock.stream.try_write(buf) {
                 Ok(n) => {
-                    sock.took(&buf[..n]);
+                    sock.record_write(&buf[..n]);
                     return Poll::Ready(Ok(n));
                 }
-                Err(e) if is_to_be_repeated(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -655,19 +670,19 @@
                     for part in parts {
                         let taken = left.min(part.len());
                         if taken > 0 {
-                            sock.took(&part[..taken]);
+                            sock.record_write(&part[..taken]);
                         }
                         left -= taken;
                     }
                     return Poll::Ready(Ok(n));
                 }
-                Err(e) if is_to_be_repeated(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 
-    /// Pieces are written from where they are: hyper need not copy bodies into a buffer that each connection keeps.
+    /// Vectored writes save hyper from copying bodies into a buffer kept for each connection.
     fn is_write_vectored(&self) -> bool {
         true
     }
