--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -1,9 +1,9 @@
-//! The decisions; interface: `crates/policy/src/api.rs`.
+//! The load-balancing decisions of one node; the interface is in `crates/policy/src/api.rs`.
 //!
-//! Each request goes to the server whose turn it is: a smooth weighted rotation over the sorted servers,
-//! begun at the node's own offset, one send per turn, blind to load. A server that is not ready is passed
-//! over in place. All else here settles who is ready, when an attempt is given up or repeated, and when a
-//! request is refused.
+//! Requests follow a smooth weighted round-robin over the sorted servers that starts at an offset of the
+//! node's own. Each turn is one send, and load does not change the order. A server that is not ready is
+//! skipped and loses that turn. The rest of this module decides which servers are ready, when an attempt is
+//! given up or repeated, and when a request is refused.
 
 mod checks;
 mod ejection;
@@ -24,221 +24,232 @@
 use crate::unserved::{First, Unserved};
 use knowledge::{Cleared, Knowledge};
 
-/// Part of the cold budget that is used; the rest is for chance and for uneven nodes.
+/// Share of the slow-start budget that is used; the rest absorbs chance and uneven traffic between nodes.
 const SLOW_START_CAUTION: f64 = 0.5;
-/// Further attempts that may have cost work, as a part of the first ones.
+/// Retries that may have cost a server work, as a share of the first attempts.
 const RETRY_BUDGET_SHARE: f64 = 0.1;
-/// The retry budget that may be saved up, in attempts.
+/// Upper bound of the retry budget, in attempts.
 const RETRY_BUDGET_MAX: f64 = 10.0;
-/// After how many times its usual time a second copy is sent, and how many copies each answer allows that got
-/// lost. One that comes first was worth itself and no more: in an overload, copies would else feed copies.
+/// A second copy is sent after this many times the usual response time; each lost answer adds this many
+/// copies to the copy budget. A copy that wins adds only one: otherwise copies would feed more copies in an
+/// overload.
 const COPY_AFTER: f64 = 2.0;
 const COPIES: f64 = 2.0;
-/// What each other end takes away: where fewer than one in a hundred got lost, no copies are sent.
+/// Taken from the copy budget by every other end of an attempt: with fewer than one answer in a hundred
+/// lost, no copies are sent.
 const COPIES_FADE: f64 = 0.02;
 
-/// In how many steps the subset follows the warmth of its servers.
+/// Number of steps in which the subset is recomputed while its servers warm up.
 const WARMTH_STEPS: f64 = 32.0;
 
-/// Part of its aim that an answer should take on average: what is more makes too many late.
+/// Target for the average response time, as a share of the aim; above it too many answers are late.
 const PACE_TARGET: f64 = 0.35;
-/// What an answer that came too late, or never, counts as, in parts of its aim.
+/// Response time that is assumed for a late or missing answer, as a multiple of the aim.
 const LATE: f64 = 1.25;
-/// What an attempt that was cut off at its aim counts as: it would have taken about as long again.
+/// Response time that is assumed for an attempt cut off at its aim, as a multiple of the aim: it would have
+/// taken about as long again.
 const CUT: f64 = 2.0;
-/// How strongly one answer moves the limit of its server.
+/// How strongly one answer moves the concurrency limit of its server.
 const LIMIT_GAIN: f64 = 0.25;
-/// Part of its aim beyond which an answer tells that its server has too many turns.
+/// Response time, as a share of the aim, above which a server is taken to get too many turns.
 const SHARE_FROM: f64 = 0.25;
-/// How strongly one answer moves the learned share of its server, and how much of it is forgotten.
+/// How strongly one answer moves the learned share of its server, and how much of the share decays with it.
 const SHARE_GAIN: (f64, f64) = (0.05, 0.005);
-/// How strongly one answer moves the usual time of its class on its kind of machine.
+/// How strongly one answer moves the usual response time of its class on its kind of machine.
 const TIME_GAIN: f64 = 0.02;
-/// How much of a limit that is far from reached an answer takes away.
+/// Share of a mostly unused limit that each answer removes.
 const LIMIT_FADE: f64 = 0.02;
-/// Attempts of all nodes out at a server at first, and the least own limit; below one, it rests between them.
+/// The initial limit, in attempts of all nodes at one server, and the minimum limit of one node. Below a
+/// limit of one, the node rests between two sends to the server.
 const LIMITS: (f64, f64) = (8.0, 0.05);
-/// From how many sharing nodes on the first of these is less than one for each: as they all may send at once,
-/// they would crowd a server before any has heard of it.
+/// Largest number of nodes per server that each start with a limit of at least one. With more, simultaneous
+/// first sends would overload a server before any node has seen an answer.
 const CROWD: f64 = 16.0;
-/// How far it may fall: with too little out, the answers that would tell of the recovery are too few.
+/// Minimum of the fleet factor: with too little in flight, there are too few answers to see a recovery.
 const FLEET_LEAST: f64 = 0.25;
-/// How far the fleet's factor may rise above 1, so that a few late answers do not make it act.
+/// Maximum of the fleet factor; the reserve above 1 keeps a few late answers from lowering the limits.
 const FLEET_RESERVE: f64 = 2.0;
-/// From which part of the longest aim on an attempt that is out takes no place in its server's limit, and how
-/// many times the limit may be out with those.
+/// An attempt that has been in flight for longer than this share of the longest aim no longer counts
+/// against its server's limit; all attempts together may reach this multiple of the limit.
 const STUCK: f64 = 0.6;
 const STUCK_MOST: f64 = 4.0;
-/// The number of an attempt that runs on is this much higher: far above any limit on attempts.
+/// Added to the number of an attempt that runs on at its server; far above any limit on attempts.
 const RUNS_ON: usize = 1 << 20;
-/// Part of its aim that a request may be held at the node: in a burst, and in a lasting overload.
+/// How long a request may wait at the node, as a share of its aim: in a burst, and in a lasting overload.
 const HOLD: (f64, f64) = (0.25, 0.1);
-/// From how many servers on the last place is left to the best classes, from which part of the best gain and
-/// of what is asked for a class is one of them.
+/// From this number of servers on, the last free slot is reserved for the best classes. A class is not one
+/// of them if its gain is below this ratio of the best gain; a class below this share of the requested
+/// worth does not set the best gain.
 const RESERVE_FROM: usize = 4;
 const LESSER: f64 = 0.5;
 const RARE: f64 = 0.02;
 
-/// Part of its aim that the client of a refused request should stay away.
+/// How long the client of a refused request should wait before it tries again, as a share of the aim.
 const STAY_AWAY: f64 = 0.25;
 
-/// The most work that a guess is believed, in aims of its class.
+/// Upper bound of a client's estimate of the work, in aims of its class.
 const WORK_MOST: f64 = 8.0;
 
-/// Over which time it is counted who is served how well.
+/// Averaging window for how much of the requested worth each class and tenant is served.
 const MEMORY: Millis = 60_000.0;
-/// How far above the worst served part a class or tenant still counts nearly as the worst.
+/// How far above the worst served ratio a class or tenant still counts nearly as the worst.
 const NEAR_WORST: f64 = 0.05;
 
-/// The decision module of one node.
+/// The load-balancing state of one node; see the module's documentation.
 pub struct Balancer {
     set: Settings,
     random: u64,
     now: Millis,
     servers: BTreeMap<ServerId, Server>,
-    /// Servers that are listed no more, and are kept for their attempts that are out.
+    /// Servers that are no longer listed and are kept until their attempts have ended.
     gone: BTreeSet<ServerId>,
-    /// All that are ejected, and some that were.
+    /// All ejected servers; may also contain some that no longer are.
     suspected: BTreeSet<ServerId>,
-    /// Those of the subset that are ejected.
+    /// Ejected servers of the subset.
     ejected: BTreeSet<ServerId>,
-    /// When each server of the subset is to be probed that is to be.
+    /// When the servers of the subset are due for a health check.
     probes: Queue<ServerId>,
-    /// Those that are being asked now.
+    /// Servers with a health check in flight.
     asked: BTreeSet<ServerId>,
-    /// The loss of the list for which the servers of the subset are being asked.
+    /// The loss of the list for which the subset is being checked.
     checked_for: Option<Lost>,
-    /// The loss of the list as of the last look.
+    /// The loss of the list as seen by the last call of `follow_list`.
     lost_before: Option<Lost>,
-    /// Servers are asked whether they drain, and those in use are as many as can be.
+    /// The servers of the subset are health-checked for drains, and the subset is limited to what can be
+    /// checked.
     is_checking: bool,
-    /// Until when servers of the subset are proved to be as they were when the list was lost.
+    /// Servers of the subset proved to be the processes that were listed when the list was lost, and until
+    /// when each proof is valid.
     proved: Queue<ServerId>,
-    /// Until when they are proved to be as they were shortly after.
+    /// The same for the processes that ran shortly after the loss.
     seen: Queue<ServerId>,
-    /// Those of the subset that have refused, or ended, since the list was lost.
+    /// Servers of the subset that have refused or ended since the list was lost.
     refused: BTreeSet<ServerId>,
     /// See [`Balancer::steps`].
     steps: Cell<u64>,
-    /// Sends against what is known of their servers.
+    /// Counts of sends that were made despite doubtful knowledge of their servers.
     sends: DoubtfulSends,
-    /// All that have less than their capacity as yet, and some that have all of it by now.
+    /// All servers that are still warming up; may also contain some that are warm by now.
     warming: BTreeSet<ServerId>,
-    /// All whose turn was set when they were cold, and some that have left the subset since.
+    /// All servers whose turn was computed while they were cold; may also contain some that have left the
+    /// subset.
     cold: BTreeSet<ServerId>,
-    /// All servers that are up, sorted.
+    /// All servers that are listed as up, sorted.
     members: Vec<ServerId>,
-    /// The same, in the order in which this node would rather use them.
+    /// The members in this node's order of preference.
     order: Vec<ServerId>,
-    /// Those that it rotates over, sorted.
+    /// The servers that the node rotates over, sorted.
     subset: Vec<ServerId>,
-    /// Of these, those that have lost their turn and have not been given another.
+    /// Servers of the subset that have lost their turn and not been assigned another.
     without_turn: Vec<ServerId>,
-    /// How many there are at the most, where the node's part of the fleet is not more.
+    /// Maximum size of the subset, unless the node's part of the fleet is larger.
     rotation_most: usize,
-    /// The sum of their sizes.
+    /// Sum of the sizes of the subset's servers.
     size: f64,
-    /// Their turns.
+    /// The next turn of each server of the subset.
     turns: Queue<ServerId>,
     /// When the subset was last chosen.
     chosen: Millis,
     requests: BTreeMap<RequestId, Request>,
-    /// What went unserved and may be asked for again.
+    /// Recent requests that were not served, to recognize their repeats.
     unserved: Unserved,
-    /// Requests held at the node.
+    /// Requests that wait at the node for a server.
     waiting: Vec<RequestId>,
-    /// The turn that was taken last.
+    /// Position of the last turn taken.
     cursor: f64,
-    /// The server that it fell to.
+    /// Server that had the last turn.
     cursor_at: Option<ServerId>,
-    /// How many times more nodes share a server than are wanted, where a subset can be no smaller.
+    /// How many times more nodes share a server than intended, where the subset can't be smaller; at least
+    /// 1.
     crowd: f64,
-    /// Since when some have been held without a break.
+    /// Since when requests have been waiting without interruption.
     held_since: Option<Millis>,
     classes: Vec<ClassStats>,
-    /// Factor to all limits where it is below 1: how far the fleet as a whole has slowed down.
+    /// Factor on all limits where it is below 1: how far the fleet as a whole has slowed down.
     fleet: f64,
-    /// How well each class, and each tenant within its share, is served.
+    /// How much of its requested worth each class is served, and each tenant within its share.
     class_served: Vec<Served>,
     tenant_served: Vec<Served>,
-    /// Own part of each tenant's share, in requests that may still come within it.
+    /// This node's part of each tenant's share: requests left within it, and when that was computed.
     quotas: Vec<(f64, Millis)>,
-    /// Requests answered a second, for one unit of weight.
+    /// Requests answered per second and unit of weight.
     pace: Rate,
-    /// Requests that came a second, for one unit of weight; stands in until one has been answered.
+    /// Requests received per second and unit of weight; used until one has been answered.
     arrivals: Rate,
-    /// For each kind of machine, the usual time of each class on a server that has nothing else of ours.
+    /// For each kind of machine, the usual response time of each class at a server with no other attempt of
+    /// this node.
     times: BTreeMap<u64, Vec<Millis>>,
     retry_budget: f64,
-    /// Second copies that what got lost allows.
+    /// Copy budget: second copies that may be sent because of lost answers.
     copies: f64,
-    /// When the timer comes that was asked for last.
+    /// When the timer that was set last is due.
     timer_due: Millis,
-    /// When what time brings was last looked at.
+    /// When `sweep` last ran.
     swept: Millis,
     calls: Calls,
 }
 
-/// A server of the list, and what this node has seen of it.
+/// A listed server, and what this node has observed of it.
 struct Server {
     entry: Entry,
-    /// Its size as far as the list tells.
+    /// Its size by the list's weights.
     size: f64,
-    /// Learned factor to its size.
+    /// Learned factor on its size.
     share: f64,
-    /// When its next turn comes; the rotation takes the least.
+    /// Position of its next turn; the rotation takes the lowest.
     turn: f64,
-    /// Its warmth when the turn was set.
+    /// Its warmth when the turn was computed.
     turn_warmth: f64,
-    /// Own attempts that are out: request, attempt, time of the send.
+    /// This node's attempts in flight: request, attempt number, time of the send.
     out: Vec<(RequestId, usize, Millis)>,
-    /// How many own attempts may be out while the fleet as a whole is not slow.
+    /// Limit on this node's attempts in flight while the fleet as a whole is not slow.
     limit: f64,
     last_sent: Millis,
-    /// How long its last answer took.
+    /// Response time of its last answer.
     last_took: Millis,
-    /// Failures in a row.
+    /// Consecutive failures.
     consecutive_failures: u32,
-    /// When a connection last broke, with nothing served since.
+    /// When a connection last broke, if nothing has been served since.
     last_reset: Millis,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     ejections: u32,
-    /// Ejected; looked at again from then on.
+    /// Set while the server is ejected; when it is probed next.
     ejected: Option<Millis>,
-    /// Ejected for refused or broken connections: a process that will come back cold.
+    /// Ejected for refused or broken connections: its process will come back cold.
     down: bool,
-    /// What has been seen of it.
+    /// What has been observed of its process.
     known: Knowledge,
-    /// When it is next to be asked whether it drains, where the list is not followed.
+    /// When its next health check is due while the list is not followed.
     next_check: Millis,
-    /// When it is to be asked after that, where that is not in the usual rhythm.
+    /// When the check after that is due, if not after the usual interval.
     check_after: Millis,
-    /// Came back at that time from what looked like a restart.
+    /// When it came back from what looked like a restart.
     returned: Option<Millis>,
-    /// A part of 1, by which the first send to it is put off while it is cold.
+    /// Random factor from 0 to 1 on the delay before the first send to it while it is cold.
     stagger: f64,
 }
 
 struct Request {
     class: usize,
-    /// What its class allowed when it came.
+    /// The effect of its class when the request arrived.
     effect: Effect,
     tenant: Option<usize>,
     in_share: bool,
-    /// What a repeat of it has in common with it.
+    /// Key that a client's repeat of this request shares with it.
     repeat_key: Option<u64>,
-    /// Its work, where worth goes by that.
+    /// Its estimated work, if worth is counted by work; else 1.
     work: f64,
-    /// When the client first asked, as far as its deadline tells.
+    /// When the client first sent it, as far as its deadline shows.
     asked: Millis,
-    /// When this try of it came.
+    /// When this try of it arrived.
     came: Millis,
     deadline: Millis,
     attempts: Vec<Attempt>,
     bound: Bound,
 }
 
-/// What binds a request to the attempt that is out: its body, which can't be sent again, or its answer.
+/// Why a request can have no other attempt: its body has been sent and can't be sent again, or its answer
+/// has begun to stream.
 #[derive(PartialEq)]
 enum Bound {
     Free,
@@ -252,24 +263,24 @@
     zone: u64,
     cell: u64,
     sent: Millis,
-    /// The server was at half its limit at least with it, or had rested for less than twice its time.
+    /// The server was at half its limit or more with it, or had rested for less than twice its rest time.
     at_limit: bool,
-    /// The server held nothing else of ours.
+    /// The server had no other attempt of this node in flight.
     alone: bool,
-    /// How it ended; `None` while it is out.
+    /// How it ended; `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
-/// What is usual for a class.
+/// Response-time statistics of a class.
 struct ClassStats {
-    /// Mean time to an answer.
+    /// Mean response time.
     mean: Millis,
     seen: u32,
-    /// By how much of its aim answers exceed the target, on average.
+    /// Average of how far response times exceed the share threshold, as a share of the aim.
     excess: f64,
-    /// The most time that a request had left when it came.
+    /// The most time that a request had left when it arrived.
     most_left: Millis,
-    /// Mean work, by the clients' guesses.
+    /// Mean work by the clients' estimates.
     work: Option<f64>,
 }
 
@@ -279,7 +290,7 @@
     }
 }
 
-/// Worth asked for and served.
+/// Rates of requested and served worth.
 #[derive(Default)]
 struct Served {
     asked: Rate,
@@ -291,12 +302,13 @@
         self.entry.state == Listed::Up
     }
 
-    /// How many own attempts may be out, with the fleet's factor and the least limit.
+    /// How many attempts of this node may be in flight, with the fleet factor and the minimum limit
+    /// applied.
     fn allowed(&self, fleet: f64, least: f64) -> f64 {
         (self.limit * fleet.min(1.0)).max(least)
     }
 
-    /// The part of its capacity that it has at the least, by the time since its start.
+    /// The share of its capacity that it has at least, by the time since its start.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
         let start = self.entry.started.into_iter().chain(self.returned).fold(f64::NEG_INFINITY, f64::max);
         let age = (now - start).max(0.0);
@@ -308,8 +320,8 @@
 }
 
 impl Request {
-    /// Rule 2, for every further attempt and every refusal: is it harmless by what is known of the earlier
-    /// ones? `to` is the server to send to; `None` asks about a refusal.
+    /// Rule 2, for every retry and every refusal: whether it is harmless by what is known of the earlier
+    /// attempts. `to` is the server to send to; `None` asks about a refusal.
     fn may_repeat(&self, limits: &Limits, now: Millis, to: Option<&Entry>) -> bool {
         let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         if to.is_some() {
@@ -339,7 +351,7 @@
         self.attempts.iter().any(|a| a.outcome.is_none())
     }
 
-    /// Calls off what is out but for `one`, where that may be done.
+    /// Cancels all attempts in flight except `one`, if cancelling is permitted.
     fn cancel_all(&self, id: RequestId, one: Option<usize>, limits: &Limits, actions: &mut Vec<Action>) {
         let out = |n: &usize| limits.cancel && Some(*n) != one && self.attempts[*n].outcome.is_none();
         actions.extend((0..self.attempts.len()).filter(out).map(|attempt| Action::Cancel { id, attempt }));
@@ -347,10 +359,11 @@
 }
 
 impl Balancer {
-    /// A node at its start. `seed` is for its random numbers and should differ from node to node.
+    /// Creates the state of a node at its start. `seed` initializes its random numbers and should differ
+    /// from node to node.
     ///
     /// # Errors
-    /// Where the settings make no sense; see [`Settings::check`].
+    /// If the settings are invalid; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let calls = Calls::new(settings.discovery);
@@ -409,7 +422,7 @@
         })
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Processes one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.expire_proofs();
@@ -428,7 +441,7 @@
             event @ Event::Ended { .. } => self.on_ended(event, actions),
             Event::RunsOn { id, attempt, server } => {
                 let out = self.servers.get_mut(&server).into_iter().flat_map(|s| &mut s.out);
-                // Under a number that its end does not find.
+                // Renumbered so that the end of the attempt does not remove it.
                 out.filter(|o| (o.0, o.1) == (id, attempt)).for_each(|o| o.1 = RUNS_ON + attempt);
             }
             Event::Left { id, attempt, server } => {
@@ -451,7 +464,7 @@
         if now >= self.next_due() {
             self.sweep(actions);
         }
-        // Timers cost CPU, of which a node has little: none is set but for what is to be done then.
+        // Timers cost CPU time, of which a node has little: one is set only if something will be due.
         let due = self.next_due().max(now + self.set.tick.max(1.0));
         if due < self.timer_due {
             self.timer_due = due;
@@ -459,7 +472,8 @@
         }
     }
 
-    /// Takes over new settings. Whoever keeps its place keeps what was learned of it; the others begin anew.
+    /// Applies new settings. Classes and tenants that keep their index keep what was learned of them; the
+    /// others are reset.
     fn on_settings(&mut self, settings: Settings, classes: &[bool], tenants: &[bool]) {
         self.set = settings;
         renew(&mut self.classes, classes, |n| ClassStats::new(&self.set.classes[n]));
@@ -467,12 +481,12 @@
         renew(&mut self.tenant_served, tenants, |_| Served::default());
         renew(&mut self.quotas, tenants, |_| (0.0, f64::NEG_INFINITY));
         self.times.values_mut().for_each(|times| renew(times, classes, |_| 0.0));
-        // There may be another count of nodes: the order of the servers is made anew.
+        // The number of nodes may have changed, so the order of the servers is recomputed.
         self.remember_members();
         self.on_list(Vec::new(), false, false);
     }
 
-    /// Takes one tenant over, at a cost that does not grow with the others.
+    /// Applies a change of one tenant; the cost does not depend on the number of tenants.
     fn on_tenant(&mut self, TenantChange { place, tenant, anew }: TenantChange) {
         put(&mut self.set.tenants, place, tenant);
         if anew {
@@ -481,34 +495,34 @@
         }
     }
 
-    /// For how long the client of a refused request of this class should stay away.
+    /// How long the client of a refused request of this class should wait before it tries again.
     pub fn stay_away(&self, class: usize) -> Millis {
         let aim = self.set.classes.get(class).map_or(0.0, |c| c.aim);
         (STAY_AWAY * aim).min(self.set.limits.max_retry_after)
     }
 
-    /// Does a request like that repeat another one, which is counted already?
+    /// Whether a request with this key repeats one that is already counted.
     pub fn repeats(&self, now: Millis, repeat_key: Option<u64>) -> bool {
         repeat_key.is_some_and(|repeat_key| self.unserved.knows(now, repeat_key))
     }
 
-    /// How many listed servers this node sends nothing to, as they seem to be down or to fail.
+    /// Number of servers that are listed as up but ejected, because they seem to be down or to fail.
     pub fn avoided(&self) -> usize {
         let known = self.suspected.iter().filter_map(|id| self.servers.get(id));
         known.filter(|server| server.listed_up() && server.ejected.is_some()).count()
     }
 
-    /// Is the list not followed, so that what is seen of servers counts?
+    /// Whether the list is not being followed, so that health checks of the servers count.
     pub fn has_lost_list(&self) -> bool {
         self.calls.lost().is_some()
     }
 
-    /// When discovery is to be called next, where that is settled.
+    /// When discovery is to be called next, if a call is scheduled.
     pub fn next_call(&self) -> Option<Millis> {
         self.calls.next()
     }
 
-    /// When time alone next calls for something.
+    /// When `sweep` is next due, if no event comes before.
     fn next_due(&self) -> Millis {
         let looks = !self.waiting.is_empty() || (self.copies >= 1.0 && !self.requests.is_empty());
         let held = if looks { self.swept + self.period() } else { f64::INFINITY };
@@ -524,17 +538,18 @@
         }
     }
 
-    /// Is any server of the subset cold, as far as its turn was set by that?
+    /// Whether the turn of any server of the subset was computed while it was cold.
     fn any_cold(&self) -> bool {
         self.rotated_of(&self.cold).any(|server| server.turn_warmth < 1.0)
     }
 
-    /// How often the subset follows the warmth of its servers.
+    /// How often the subset is recomputed while servers warm up.
     fn warmth_step(&self) -> Millis {
         self.set.rules.warm_within / WARMTH_STEPS
     }
 
-    /// How often requests that wait are looked at: far below every aim, and within the slack of a deadline.
+    /// Interval at which waiting requests are examined: far below every aim, and within the slack of a
+    /// deadline.
     fn period(&self) -> Millis {
         let aim = self.set.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
         (aim / 20.0).max(self.set.tick).max(1.0)
@@ -547,13 +562,14 @@
 
     // ---- The rotation ----
 
-    /// The concurrency limit that a server begins with. Below one only for more nodes than a server bears: a
-    /// node would rest from servers to which nobody sends, and refuse what an idle fleet could serve.
+    /// The initial concurrency limit of a server. It is below one only if more nodes share a server than it
+    /// can bear: otherwise nodes would rest from servers that get no requests at all, and refuse what an
+    /// idle fleet could serve.
     fn first_limit(&self) -> f64 {
         (LIMITS.0 / self.sharing()).max((CROWD / self.sharing()).min(1.0))
     }
 
-    /// The least that a server's limit can fall to.
+    /// The minimum of a server's limit.
     fn least_limit(&self) -> f64 {
         LIMITS.1 / self.crowd
     }
@@ -564,10 +580,11 @@
         server.ejected.is_none() && self.within_slow_start(server) && self.has_room(server)
     }
 
-    /// A server full with our own attempts is passed over: on turns alone a slow one keeps its full turn
-    /// while its queue grows until nothing that it is sent comes in time. What has been out for long takes no
-    /// place, up to a bound: a few requests of enormous work, or whose answers got lost, would else keep an
-    /// idle server full. A server this slow with everything has a limit that falls with each late answer.
+    /// Whether the server is below its limit of this node's attempts. By turns alone, a slow server would
+    /// keep its full share while its queue grows until no answer comes in time. Attempts in flight for long
+    /// are not counted, up to a bound: otherwise a few requests with enormous work, or with lost answers,
+    /// would keep an idle server full. If a server is this slow with all requests, each late answer lowers
+    /// its limit.
     fn has_room(&self, server: &Server) -> bool {
         let limit = server.allowed(self.fleet, self.least_limit());
         if limit >= 1.0 {
@@ -579,16 +596,17 @@
         server.out.is_empty() && self.now - server.last_sent >= self.rest(server)
     }
 
-    /// How long a server with a limit below one rests from one send to the next: so long that on average no
-    /// more is out than the limit, but never so long that its recovery would go unseen.
+    /// How long a server with a limit below one rests between two sends: long enough that the average
+    /// number in flight stays within the limit, but never so long that its recovery would go unnoticed.
     fn rest(&self, server: &Server) -> Millis {
         let most = self.set.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
         (server.last_took / server.allowed(self.fleet, self.least_limit())).min(most * self.crowd)
     }
 
-    /// Rule 4: what all nodes send to a cold server in one window must stay below a multiple of what it can
-    /// do by now. What a warm one of its size is seen to answer is the measure, and nodes space their sends
-    /// by their own traffic; a random part of the space is waited first, or all would send at once.
+    /// Rule 4: what all nodes together send to a cold server in one window must stay below a multiple of
+    /// its present capacity. The capacity is derived from what a warm server of its size answers. Each node
+    /// spaces its sends by its own traffic, and waits a random part of the first interval: otherwise all
+    /// nodes would send at once.
     fn within_slow_start(&self, server: &Server) -> bool {
         let rules = &self.set.rules;
         let warmth = server.warmth(self.now, rules);
@@ -608,7 +626,7 @@
             return;
         };
         if self.requests.contains_key(&id) {
-            // An id never comes twice: to answer the repeat would answer the first, which is still owed.
+            // Ids are unique: answering the duplicate would answer the first request, which is still open.
             return;
         }
         let Some(effect) = self.set.classes.get(class).map(|c| c.effect) else {
@@ -620,8 +638,9 @@
         let size = self.present_size();
         self.arrivals.add(self.now, self.set.rules.fall_window, 1.0 / size.max(1.0));
         let tenant = tenant.filter(|t| *t < self.set.tenants.len());
-        // A client that comes back is served by the time of its first asking or not at all, and counts once:
-        // else, where more is refused than served, most work would be spent on what is too late.
+        // A client's repeat is served by the time of its first try or not at all, and counts once:
+        // otherwise, when more is refused than served, most work would be spent on answers that are too
+        // late.
         let first = repeat_key.and_then(|repeat_key| self.unserved.take(self.now, repeat_key));
         let in_share = match &first {
             Some(first) => first.in_share,
@@ -652,7 +671,8 @@
             self.tally(id, |care| &mut care.asked);
         }
         if earlier.is_some() {
-            // It counts as a repeat: what a lost tenth of the fleet had must not all come at once.
+            // It counts as a retry, against the retry budget: the requests of a lost tenth of the fleet
+            // must not all be sent at once.
             self.further(id, Outcome::Reset, actions);
         } else {
             self.waiting.push(id);
@@ -660,8 +680,9 @@
         self.serve_waiting(actions);
     }
 
-    /// A request's work as it counts: the client's guess, where it gives one that makes sense. None can take
-    /// longer than its client waits: a guess beyond that would weigh for as long as anything is remembered.
+    /// A request's work: the client's estimate if it is valid, else the usual one. It is capped, as no
+    /// request can take longer than its client waits, and a larger estimate would distort the averages for
+    /// their whole window.
     fn work_of(&mut self, class: usize, guess: Option<f64>) -> f64 {
         let Some(told) = self.set.classes.get(class) else { return 1.0 };
         let most = told.patience.min(WORK_MOST * told.aim);
@@ -674,7 +695,7 @@
         work
     }
 
-    /// Notes that a request goes unserved, for when its client comes back.
+    /// Records that a request is not served, to recognize the client's repeat.
     fn remember(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(repeat_key) = request.repeat_key {
@@ -684,9 +705,10 @@
         }
     }
 
-    /// How long ago the client first asked: one that comes back after a refusal still gives up when the time
-    /// of its first asking ends. The most time that a class's requests ever had left is that of new ones.
-    /// Where clients may repeat what they have given up, the deadline is that of the try and tells nothing.
+    /// How long ago the client first sent the request: a repeat after a refusal still has the deadline of
+    /// the first try. The most time left that was ever seen in a class is taken for that of a new request.
+    /// Where clients may repeat what they have given up, the deadline belongs to the latest try and shows
+    /// nothing.
     fn age(&mut self, class: usize, deadline: Millis) -> Millis {
         let left = deadline - self.now;
         let most = &mut self.classes[class].most_left;
@@ -699,7 +721,8 @@
         }
     }
 
-    /// Is a request within its tenant's share? The share of all nodes is taken to come evenly to each.
+    /// Whether a request is within its tenant's share, and takes it from there. The share is assumed to be
+    /// spread evenly over the nodes.
     fn take_quota(&mut self, tenant: usize) -> bool {
         let own = self.set.tenants[tenant].quota_per_s / self.set.nodes as f64;
         let (left, since) = self.quotas[tenant];
@@ -723,8 +746,8 @@
         }
     }
 
-    /// What serving one unit of worth adds to the part of the goal that goes by the worst served, for each of
-    /// `cares`: all of it for the worst, less for those above it.
+    /// The gain per unit of served worth, for each entry, in the part of the goal that goes by the worst
+    /// served one: the full weight for the worst, less for those above it.
     fn goal_weights(&self, cares: &[Served], goal: f64) -> Vec<f64> {
         let asked: Vec<f64> = cares.iter().map(|c| c.asked.at(self.now, MEMORY)).collect();
         let part = |(c, a): (&Served, &f64)| if *a > 0.0 { c.served.at(self.now, MEMORY) / a } else { 1.0 };
@@ -736,8 +759,8 @@
         near.iter().zip(&asked).map(weight).collect()
     }
 
-    /// May the request go to this server? Not again to the one that just failed it, unless it may go to no
-    /// other: one that is bound to the cell of its first attempt would else be held for nothing.
+    /// Whether the request may be sent to this server. The server that just failed it is excluded unless no
+    /// other is permitted: a request bound to the cell of its first attempt would otherwise wait in vain.
     fn may_go(&self, id: RequestId, to: &Server) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let may = |s: &Server| request.may_repeat(&self.set.limits, self.now, Some(&s.entry));
@@ -746,8 +769,8 @@
         may(to) && !(again && self.rotated().any(|s| Some(s.entry.server) != last && may(s)))
     }
 
-    /// May an attempt that was decided on still be written now? Servers may have forgotten the attempts
-    /// before it while it waited for its connection.
+    /// Whether an attempt that was decided on may still be written now. While it waited for its connection,
+    /// servers may have forgotten the keys of the earlier attempts.
     pub fn may_write(&self, now: Millis, id: RequestId, attempt: usize) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         let Effect::Keyed { memory, .. } = request.effect else { return true };
@@ -779,7 +802,7 @@
         actions.push(Action::Send { id, server: to, timeout: Some(timeout.max(0.001)) });
     }
 
-    /// Until when an answer has its full worth, less the way back to the client.
+    /// Until when an answer has its full worth, less the time for its way back to the client.
     fn useful_until(&self, request: &Request) -> Millis {
         let aim = self.set.classes[request.class].aim;
         (request.asked + aim - self.set.tick).min(request.deadline)
@@ -791,7 +814,7 @@
         request.cancel_all(id, Some(attempt), &self.set.limits, actions);
     }
 
-    /// An attempt takes no more place at its server.
+    /// Removes an attempt from its server's attempts in flight.
     fn free(&mut self, server: ServerId, id: RequestId, attempt: usize) {
         let out = self.servers.get_mut(&server).into_iter().map(|s| &mut s.out);
         out.for_each(|out| out.retain(|o| (o.0, o.1) != (id, attempt)));
@@ -815,7 +838,8 @@
         let gain = if lost { COPIES } else { overtaken.map_or(-COPIES_FADE, |_| 1.0) };
         self.copies = (self.copies + gain).clamp(0.0, RETRY_BUDGET_MAX);
         self.learn(class, ended, outcome, took);
-        // Called off with its request, it would tell nothing of a server that hangs.
+        // Recorded now, as the attempt is cancelled with its request and would show nothing of a server
+        // that hangs.
         let slow = |a: Attempt| self.detect_outlier(a.server, Outcome::TimedOut, now - a.sent);
         overtaken.into_iter().for_each(slow);
         if finished {
@@ -829,7 +853,7 @@
         self.serve_waiting(actions);
     }
 
-    /// What the end of an attempt says of its server's pace, for the limit, the share and the usual times.
+    /// Updates the limit, the share and the usual response times from the end of an attempt.
     fn learn(&mut self, class: usize, attempt: Attempt, outcome: Outcome, took: Millis) {
         let Attempt { server: id, at_limit, alone, .. } = attempt;
         let (now, rules, done) = (self.now, &self.set.rules, outcome == Outcome::Done);
@@ -837,9 +861,10 @@
         let late = self.set.classes[class].late_worth > 0.0;
         let part = match outcome {
             Outcome::Done => (took / self.set.classes[class].aim).min(LATE),
-            // Where answers get lost, one that does not come says nothing of its server's pace.
+            // If answers get lost, a missing one shows nothing of its server's speed.
             Outcome::TimedOut if self.copies >= 1.0 => return,
-            // Cut off when it was of no more use. One that had little time says little, and nothing good.
+            // It was cut off at the end of its usefulness. An attempt that had little time shows little,
+            // and nothing good.
             Outcome::TimedOut if !late => {
                 let part = CUT * (took / self.set.classes[class].aim).min(1.0).powi(2);
                 part.max(PACE_TARGET.next_up())
@@ -849,7 +874,8 @@
         };
         let warm = |s: &Server| s.warmth(now, rules) >= 1.0;
         if done && self.servers.get(&id).is_some_and(warm) {
-            // Measured on warm servers alone: measured on cold ones too, a cold budget would feed on itself.
+            // Measured on warm servers only: if it included cold ones, a low slow-start budget would lower
+            // itself further.
             let size = self.warm_size();
             self.pace.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
@@ -859,8 +885,9 @@
             pace.seen = pace.seen.saturating_add(1);
             pace.mean += (took - pace.mean) / f64::from(pace.seen.min(200));
         }
-        // A fleet that slows down at once is seen by all its answers long before each limit has heard enough
-        // of its own. Where half as many are late as come well in time, there is too much out.
+        // When the whole fleet slows down at once, its answers together show it long before each server's
+        // limit has had enough answers of its own. The factor falls when more than half as many answers are
+        // late as are well in time.
         let step = LIMIT_GAIN * (LATE - PACE_TARGET) / (self.subset.len().max(1) as f64).sqrt();
         if part >= 1.0 && outcome != Outcome::Full {
             self.fleet = (self.fleet * (-2.0 * step).exp()).max(FLEET_LEAST);
@@ -873,29 +900,30 @@
             let time = &mut self.times.entry(s.entry.kind).or_insert_with(|| vec![0.0; count])[class];
             *time += (took - *time) * if *time > 0.0 { TIME_GAIN } else { 1.0 };
         }
-        // Sizes that the list does not tell: a server whose answers come later than the fleet's beyond a
-        // part of the aim has too many turns. In calm nothing is beyond it, and turns stay even.
+        // Learns sizes that the list does not tell: a server whose answers exceed the threshold by more
+        // than the average gets too many turns. At low load none exceeds it, and the turns stay even.
         let excess = (part - SHARE_FROM).max(0.0);
         pace.excess += (excess - pace.excess) * SHARE_GAIN.0;
         s.share = s.share.powf(1.0 - SHARE_GAIN.1) * (SHARE_GAIN.0 * (pace.excess - excess)).exp();
         let unused = s.allowed(self.fleet, least_limit) > 2.0 * (s.out.len() as f64 + 1.0);
         if unused || (s.limit < 1.0 && !at_limit) {
-            // A limit that was never reached protects nobody when the fleet slows down at once.
+            // A limit that is never reached gives no protection when the fleet slows down at once.
             s.limit *= 1.0 - LIMIT_FADE;
         }
         if s.limit < first && part <= PACE_TARGET && at_limit {
-            // Answers are rare below one: without a quick way back a server that was slow for seconds would
-            // stay out for minutes. Only to where limits begin: from there on many nodes would crowd it.
+            // Answers are rare below a limit of one: without a quick recovery, a server that was slow for
+            // seconds would stay out for minutes. The quick recovery ends at the initial limit, as beyond
+            // it many nodes would overload the server.
             s.limit *= (LIMIT_GAIN * (LATE - PACE_TARGET)).exp();
         } else if at_limit {
-            // One attempt at a time that still comes in time is not too much, even where the whole fleet is
-            // so slow that it misses the target.
+            // One attempt at a time that is answered in time is not too much, even if the whole fleet is so
+            // slow that it misses the target.
             let least = if part < 1.0 { s.limit.min(1.0) } else { least_limit };
             s.limit = (s.limit * (LIMIT_GAIN * (PACE_TARGET - part)).exp()).max(least);
         }
     }
 
-    /// What becomes of a request whose attempts have all failed.
+    /// Queues a request whose attempts have all failed for a retry, or concludes it.
     fn further(&mut self, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.set.classes[request.class];
@@ -904,7 +932,7 @@
         let cost = if outcome.never_ran() { 0.0 } else { 1.0 };
         let may_go = |s: &Server| request.may_repeat(&self.set.limits, self.now, Some(&s.entry));
         let is_bound = matches!(request.effect, Effect::Keyed { group: Group::Zone | Group::Cell, .. });
-        // Where no zone or cell binds it, one server is as good as any other.
+        // Unless the request is bound to a zone or cell, all servers are equivalent.
         let may = self.by_turn().take(if is_bound { usize::MAX } else { 1 }).any(may_go);
         let reason = if !time {
             Reason::NoTime
@@ -919,7 +947,7 @@
         self.conclude(id, reason, actions);
     }
 
-    /// The final answer of a request that is not served: refused where rule 2 lets it, else failed.
+    /// Gives the final answer of a request that is not served: refused if rule 2 allows it, else failed.
     fn conclude(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         self.remember(id);
         let Some(request) = self.requests.get(&id) else { return };
@@ -930,30 +958,32 @@
         self.forget(id, actions);
     }
 
-    /// Drops a request that is over; attempts that are still out are of no use any more.
+    /// Removes a finished request and cancels its attempts that are still in flight.
     fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.remove(&id).filter(|r| r.bound != Bound::Answer) {
             request.cancel_all(id, None, &self.set.limits, actions);
         }
     }
 
-    /// Sends what is held, in the order of what it adds to the goal for the work it takes, and answers what
-    /// has waited too long. First come, first served would shed by the length of the aims, not by worth.
+    /// Sends waiting requests in the order of their gain in the goal per unit of work, and concludes those
+    /// that have waited too long. First come, first served would shed by the length of the aims, not by
+    /// worth.
     fn serve_waiting(&mut self, actions: &mut Vec<Action>) {
         let last = 2.0 * self.period();
         let mut held = Vec::new();
         for id in std::mem::take(&mut self.waiting) {
             let Some(request) = self.requests.get(&id) else { continue };
             let class = request.class;
-            // As long as an answer may still come in time.
+            // An answer may still come in time until then.
             let spare = self.useful_until(request) - self.classes[class].mean;
-            // Sent with less, it would most likely be cut off, and its work be lost. A new one is always let
-            // try, or a class that has once become slow would never be seen to recover.
+            // With less time it would most likely be cut off and its work lost. A new request is always
+            // tried: otherwise a class that was slow once would never be seen to recover.
             let hopeless = self.set.classes[class].late_worth == 0.0 && self.now > spare.max(request.asked);
             let end = if hopeless {
                 f64::NEG_INFINITY
             } else if request.attempts.is_empty() {
-                // In a lasting overload a long hold helps nobody: all that is served has lost its time.
+                // In a lasting overload a long wait helps nobody: every request that is served has lost
+                // that time.
                 let aim = self.set.classes[class].aim;
                 let lasting = self.held_since.is_some_and(|since| self.now - since > aim);
                 (request.came + aim * if lasting { HOLD.1 } else { HOLD.0 }).min(spare).max(request.came)
@@ -971,8 +1001,9 @@
                 self.conclude(id, reason, actions);
             }
         }
-        // No turn is taken but for a request that may go, and the last place is left to the classes that gain
-        // most: a node that sends little is full for moments all the time, and who can't be held is refused.
+        // A turn is taken only for a request that may be sent, and the last free slot is left to the
+        // classes with the highest gain: a node that sends little is full for moments all the time, and a
+        // request that can't wait is refused.
         let lesser = if held.is_empty() { Vec::new() } else { self.lesser() };
         while !held.is_empty() {
             let last = self.subset.len() >= RESERVE_FROM && !self.has_places(2);
@@ -989,7 +1020,7 @@
         self.waiting = held;
     }
 
-    /// Which classes add much less to the goal, for the time they take, than the best one does.
+    /// Marks the classes whose gain in the goal per unit of time is much lower than that of the best one.
     fn lesser(&self) -> Vec<bool> {
         let asked: Vec<f64> = self.class_served.iter().map(|c| c.asked.at(self.now, MEMORY)).collect();
         let sum: f64 = asked.iter().sum();
@@ -1002,8 +1033,9 @@
         gains.into_iter().map(|gain| gain < LESSER * best).collect()
     }
 
-    /// Sends second copies of what has long been out, where answers get lost: at the end of its use this
-    /// leaves no time for another. None goes in the place of one that waits; heavy work has more time.
+    /// Sends second copies of requests that have been in flight for long, where answers get lost: a retry
+    /// at the end of their useful time would come too late. No copy is sent while requests wait, and heavy
+    /// requests get more time.
     fn send_copies(&mut self, actions: &mut Vec<Action>) {
         let slow = |r: &Request| {
             let heavy = self.classes[r.class].work.map_or(1.0, |mean| (r.work / mean).max(1.0));
@@ -1020,11 +1052,11 @@
         }
     }
 
-    /// Could so many more be sent now?
+    /// Whether at least `wanted` more attempts could be sent now.
     fn has_places(&self, wanted: usize) -> bool {
         let least = self.least_limit();
         let free = |s: &Server| (s.allowed(self.fleet, least) as usize).saturating_sub(s.out.len()).max(1);
-        // By their turns, as those that come first are the ones that are ready.
+        // In the order of turns, as the first ones are the likeliest to be ready.
         let mut places =
             self.by_turn().filter(|s| self.is_usable(s) && self.ready(s)).map(free).scan(0, |sum, places| {
                 *sum += places;
@@ -1033,8 +1065,9 @@
         places.any(|sum| sum >= wanted)
     }
 
-    /// Which held request this server's turn goes to: the one that adds most to the goal for the time that
-    /// its class takes there; of equal ones the newest, as the oldest has lost the time of its hold.
+    /// The waiting request that gets this server's turn: the one with the highest gain in the goal per unit
+    /// of time that its class takes there. Among equals the newest is taken, as the oldest has lost the
+    /// time of its wait.
     fn best_held(&self, held: &[RequestId], server: ServerId) -> Option<usize> {
         let to = self.servers.get(&server)?;
         let mut may = (0..held.len()).filter(|i| self.may_go(held[*i], to));
@@ -1060,7 +1093,7 @@
         best.map(|(place, _)| place)
     }
 
-    // ---- What time brings ----
+    // ---- Periodic work ----
 
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
--- a/crates/policy/src/balance/checks.rs
+++ b/crates/policy/src/balance/checks.rs
@@ -1,8 +1,8 @@
-//! When servers are asked by their health checks: one that is ejected, to see it recover; the others, to hear
-//! whether they drain while the list is not followed.
+//! Scheduling of health checks: ejected servers are probed for their recovery; the others are checked for
+//! drains while the list is not followed.
 //!
-//! Checks are spread over their period and bounded: a node that checks as many servers as it can within the
-//! time in which news count as told uses no others meanwhile.
+//! Checks are spread over their interval and their number is bounded. While it checks, a node rotates only
+//! over servers that it can check within the time after which a change of the list counts as notified.
 
 use super::ejection::is_down;
 use super::{Balancer, Server};
@@ -10,41 +10,42 @@
 use crate::discovery::Lost;
 use crate::queue::Queue;
 
-/// How often each server is asked: what was due meanwhile counts as told no sooner.
+/// Interval of a server's checks: a change counts as notified no sooner than that.
 const CHECK_EVERY: Millis = 2000.0;
-/// The time between two checks of the first round.
+/// Time between two checks of the first round.
 const FIRST_ROUND_SPACE: Millis = 1.0;
-/// Up to how many servers are asked again in the rhythm of the first round, as so few are no burst.
+/// Up to this many servers, the next round is sent as fast as the first one, as so few checks are no burst.
 const BURST_MOST: usize = 64;
-/// How soon a server is asked again that could not be, at the latest: such checks are spread over half of it.
+/// Longest delay before a check that could not be made is repeated; the delays are spread over the second
+/// half of it.
 const CHECK_AGAIN: Millis = 100.0;
-/// How many checks are out at the most.
+/// Maximum number of checks in flight.
 const ASKED_MOST: usize = 128;
-/// How many servers a node can check, where its part of all servers is no more than that ...
+/// Number of servers that a node checks, unless its part of all servers is larger.
 const CHECKED: usize = 256;
-/// ... and at the most.
+/// Upper bound of that number.
 const CHECKED_MOST: usize = 1024;
 
-/// What a server says of itself.
+/// The result of a server's health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Says {
-    /// It takes what is new.
+    /// It accepts new requests.
     Takes,
-    /// It takes nothing new, or does not run.
+    /// It accepts no new requests, or does not run.
     Refuses,
-    /// There was no answer, or none that tells.
+    /// There was no answer, or none that shows either.
     Nothing,
 }
 
 impl Balancer {
-    /// How many servers this node can check while the list is not followed. Those of all nodes together cover
-    /// the fleet, whatever its size.
+    /// How many servers this node can check while the list is not followed. All nodes together cover the
+    /// fleet, whatever its size.
     pub(super) fn checked_most(&self) -> usize {
         let part = self.members.len().div_ceil(self.set.nodes);
         part.clamp(CHECKED, CHECKED_MOST)
     }
 
-    /// When a server is next to be asked.
+    /// When a server's next check is due; infinite if none is.
     pub(super) fn probe_due(&self, server: &Server) -> Millis {
         if self.asked.contains(&server.entry.server) {
             return f64::INFINITY;
@@ -56,15 +57,15 @@
         }
     }
 
-    /// Notes when a server is next to be asked; to be called after each change of what that goes by.
+    /// Updates when a server's next check is due; to be called after each change of what that depends on.
     pub(super) fn schedule_probe(&mut self, id: ServerId) {
         let server = self.servers.get(&id).filter(|_| self.is_rotated(id));
         let due = server.map_or(f64::INFINITY, |server| self.probe_due(server));
         self.probes.set(id, due);
     }
 
-    /// Takes over whether the list is followed: some time after it was lost the servers of the rotation are
-    /// asked, and none but the ejected ones where it is there again.
+    /// Updates the checks to whether the list is followed: some time after it was lost all servers of the
+    /// rotation are checked, and only the ejected ones once it is followed again.
     pub(super) fn follow_list(&mut self) {
         let lost = self.calls.lost().filter(|_| self.set.limits.probes);
         let is_due = |lost: Lost| self.is_checking || self.now >= lost.check_from;
@@ -91,7 +92,7 @@
         self.checked_for = lost.filter(|_| is_checking);
     }
 
-    /// Spreads a round of checks, in the order of the servers' turns, and the one after it.
+    /// Schedules a round of checks in the order of the servers' turns, and the round after it.
     fn schedule_round(&mut self, from: Millis, is_first: bool) {
         let count = self.turns.iter().count();
         let ends = from + FIRST_ROUND_SPACE * count as f64;
@@ -107,7 +108,7 @@
         (0..self.subset.len()).for_each(|place| self.schedule_probe(self.subset[place]));
     }
 
-    /// When the first server is to be asked, where another may be asked at all, or when checks begin.
+    /// When the next check is due, if another may be in flight, or when a round of checks begins.
     pub(super) fn next_probe(&self) -> Millis {
         let lost = self.calls.lost().filter(|_| self.set.limits.probes && !self.is_checking);
         let begin = lost.map_or(f64::INFINITY, |lost| lost.check_from);
@@ -117,7 +118,7 @@
         self.probes.first_time().min(begin)
     }
 
-    /// Asks servers that are due.
+    /// Starts the checks that are due.
     pub(super) fn probe(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let room = ASKED_MOST.saturating_sub(self.asked.len());
@@ -137,13 +138,13 @@
         }
     }
 
-    /// Takes what a health check says. What is no answer tells nothing.
+    /// Records the result of a health check. A check without an answer shows nothing.
     pub(super) fn take_check(&mut self, id: ServerId, outcome: Outcome, took: Millis) -> Says {
         let now = self.now;
         let again = now + CHECK_AGAIN * (1.0 + self.spread_of(id)) / 2.0;
         let has_ended = is_down(outcome, took, &self.set.limits);
         let Some(server) = self.servers.get_mut(&id) else { return Says::Nothing };
-        // It was not asked, or its connection broke.
+        // The check was not sent, or its connection broke.
         if matches!(outcome, Outcome::NotSent | Outcome::Reset) && server.ejected.is_none() {
             server.next_check = again;
             return Says::Nothing;
@@ -155,7 +156,7 @@
                 Says::Refuses
             }
             Outcome::Done => {
-                // What it said holds for the time at which it was asked.
+                // The answer holds as of the time when the check was sent.
                 server.known.takes(now - took);
                 Says::Takes
             }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// A part of 1 that differs from server to server.
+    /// A value from 0 to 1 that differs from server to server.
     pub(super) fn spread_of(&self, id: ServerId) -> f64 {
         (crate::table::mix(id.0 ^ self.set.number as u64) >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/policy/src/balance/ejection.rs
+++ b/crates/policy/src/balance/ejection.rs
@@ -1,32 +1,34 @@
-//! Which servers are taken out of the rotation for what was seen of them.
+//! Outlier ejection: servers are taken out of the rotation for what was observed of them.
 
 use super::checks::Says;
 use super::Balancer;
 use crate::api::*;
 use crate::discovery::Lost;
 
-/// Consecutive failures that make a server an outlier, where a single one proves nothing.
+/// Consecutive failures that make a server an outlier, for failures that prove nothing singly.
 const OUTLIER_FAILURES: u32 = 3;
-/// The same of requests turned away: it drains, and the list is late.
+/// The same for requests that were turned away: the server drains, and the list is late.
 const TURNED_AWAY: u32 = 2;
-/// How many times the longest ejection a server is left alone that refuses while the list is not followed.
+/// Multiple of the longest ejection for which a server that refuses is left alone while the list is not
+/// followed.
 const REFUSES_FOR: f64 = 4.0;
-/// The most of the fleet that time-outs may eject: beyond it, the fault is likelier the work's or the
-/// fleet's.
+/// Largest share of the subset that uncertain failures such as time-outs may eject: beyond it, the fault is
+/// likelier in the work or the whole fleet.
 const EJECT_AT_MOST: f64 = 0.5;
 
-/// Does this tell that the process is down? A refusal is quick; where the way is cut it takes all the time.
+/// Whether this outcome shows that the process is down. A refused connection fails quickly; if the network
+/// path is cut, the attempt takes the full timeout.
 pub(super) fn is_down(outcome: Outcome, took: Millis, limits: &Limits) -> bool {
     outcome == Outcome::ConnectFailed && took < 0.9 * limits.connect_timeout
 }
 
 impl Balancer {
-    /// Is a server ejected for what was seen of it?
+    /// Whether a server is ejected.
     pub fn is_ejected(&self, id: ServerId) -> bool {
         self.servers.get(&id).is_some_and(|server| server.ejected.is_some())
     }
 
-    /// Ejects a server until then, or takes it back.
+    /// Ejects a server until the given time, or puts it back.
     fn set_ejected(&mut self, id: ServerId, until: Option<Millis>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.ejected = until;
@@ -44,7 +46,8 @@
         self.adapt_subset();
     }
 
-    /// Takes a server out of the rotation for a while, unless too many are out and this one need not be.
+    /// Ejects a server for a while, unless too many are ejected and the evidence against this one is not
+    /// certain.
     fn eject(&mut self, id: ServerId, sure: bool) {
         let too_many = (self.ejected.len() + 1) as f64 > EJECT_AT_MOST * self.subset.len() as f64;
         let (now, base) = (self.now, 4.0 * self.set.limits.connect_timeout);
@@ -55,18 +58,20 @@
         }
         server.ejections += 1;
         let span = (base * f64::from(1u32 << server.ejections.min(10))).min(most);
-        // One that drains says the same again: it is asked rarely until the list is followed, which tells.
+        // A draining server keeps refusing: it is probed rarely until the list is followed again and shows
+        // its state.
         let refuses = lost.is_some_and(|lost| server.known.has_refused(lost));
         let span = if refuses && is_checking { span.max(REFUSES_FOR * most) } else { span };
         self.set_ejected(id, Some(now + span));
     }
 
-    /// For how long a server is ejected at the most, where it does not refuse.
+    /// Longest ejection of a server that does not refuse.
     fn longest_ejection(&self) -> Millis {
         self.set.rules.ask_within / 4.0
     }
 
-    /// Once the list is followed it tells who drains: all that refused are asked soon, each at its own time.
+    /// Once the list is followed again it shows which servers drain, so all that refused are probed soon,
+    /// each at its own time.
     pub(super) fn ask_who_refused(&mut self, lost: Lost) {
         let has_refused = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.known.has_refused(lost));
         let refused: Vec<ServerId> = self.ejected.iter().copied().filter(has_refused).collect();
@@ -78,8 +83,9 @@
         }
     }
 
-    /// Ejects a server whose process may be down until a probe, sent at once, has told: connections that end
-    /// must not cost a good server a second of its turns and a cold start. A way that is cut has told enough.
+    /// Ejects a server whose process may be down until an immediate probe has shown its state: closed
+    /// connections must not cost a good server a second of its turns and a slow start. A cut network path
+    /// needs no probe.
     fn suspect(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
         let limits = &self.set.limits;
         let refused = is_down(outcome, took, limits);
@@ -118,8 +124,8 @@
             return;
         }
         if outcome == Outcome::Done {
-            // Only a process that was down is cold. To take one that was merely slow for cold would put the
-            // whole fleet on cold budgets in a jam that ejects each server once.
+            // Only a process that was down is cold. If a server that was merely slow counted as cold, an
+            // overload that ejects each server once would put the whole fleet into slow start.
             if server.down && server.returned.is_none() {
                 (server.returned, server.last_sent, server.stagger) = (Some(now), now, stagger);
                 self.warming.insert(id);
@@ -127,7 +133,8 @@
             (server.consecutive_failures, server.down) = (0, false);
             self.set_ejected(id, None);
         } else {
-            // The connection of a probe may break like any other: one refused alone is asked again.
+            // A probe's connection may break like any other: after a single refused one, the server is
+            // probed again.
             let refused = is_down(outcome, took, &self.set.limits);
             if refused && server.ejections == 0 {
                 (server.ejections, server.ejected) = (1, Some(now));
@@ -138,7 +145,7 @@
         }
     }
 
-    /// What an attempt's end says of its server.
+    /// Updates a server's failure counts from the end of an attempt, and ejects it if it is an outlier.
     pub(super) fn detect_outlier(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         match outcome {
@@ -146,11 +153,12 @@
                 (server.consecutive_failures, server.ejections) = (0, 0);
                 server.last_reset = f64::NEG_INFINITY;
             }
-            // What a client sends says nothing of the server that turns it down, nor does a dead connection.
+            // A rejected request shows nothing of its server, nor does a dead connection.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected | Outcome::Unheard => {}
             Outcome::ConnectFailed => self.suspect(id, outcome, took),
-            // Servers close on what they can't read, and break off single answers: several that break at once
-            // are a crash. One that drains, or is full with what others sent, costs a turn each time.
+            // Servers close connections on input that they can't read, and abort single answers; several
+            // connections that break at once are a crash. A server that drains, or is full with the
+            // requests of others, costs a turn each time.
             Outcome::TimedOut | Outcome::Error | Outcome::Reset | Outcome::Full => {
                 let broke = outcome == Outcome::Reset;
                 let together = broke && self.now - server.last_reset <= self.set.limits.connect_timeout;
--- a/crates/policy/src/balance/knowledge.rs
+++ b/crates/policy/src/balance/knowledge.rs
@@ -1,63 +1,63 @@
-//! What is known of a server besides its entry in the list: of which process of it, and as of when. Every
-//! send goes by it: first and further attempts, second copies, and what has waited for its connection.
+//! What is known of a server besides its entry in the list: about which of its processes, and as of when.
+//! Every send depends on it: first attempts, retries, second copies, and attempts that have waited for a
+//! connection.
 //!
-//! While the list is followed it alone tells. While it is not, what is seen of a server lowers the trust in
-//! it, and raises it only where the process is proved to be the one that the list spoke of: by an answer on a
-//! connection that has stood since before the list was lost. A server that restarted may have been removed
-//! meanwhile; what its new process says is no word of the list.
+//! While the list is followed, the list alone decides. While it is not, observations can lower the
+//! confidence in a server, and raise it only if the process is proved to be the one that was listed: by an
+//! answer on a connection opened before the list was lost. A server that restarted may have been removed
+//! meanwhile, so what its new process reports does not replace the list.
 
 use super::{Balancer, Server};
 use crate::api::*;
 use crate::discovery::Lost;
 
-/// For how long what a server says in its health check may be acted on: until the next check has been
-/// answered, and no longer than news that it could not know of need to count as told.
+/// How long the result of a health check is valid: until the next check has been answered, and no longer
+/// than it takes until a change that the server could not know of counts as notified.
 const CHECK_HOLDS: Millis = 2400.0;
-/// Servers with a worse word are used where fewer than this part of the rotation has a better one: else an
-/// outage of discovery would empty it.
+/// Servers with less confidence are used if fewer than this share of the rotation has more: otherwise an
+/// outage of discovery would empty the rotation.
 const TRUSTED_LEAST: f64 = 0.5;
 
-/// How good what is known of a server is, the best first.
+/// Confidence that a server may get new requests, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Word {
-    /// It takes what is new, as of lately, and is the process that was listed.
+    /// It recently accepted new requests, and is the process that was listed.
     Fresh,
-    /// It takes what is new, as of lately, and is the process that ran while the word of the lost list still
-    /// held.
+    /// It recently accepted new requests, and is the process that ran while the lost list was still valid.
     Seen,
-    /// It is listed as up and has not refused, but it is not known, or not lately, which process this is.
+    /// It is listed as up and has not refused, but which process this is was not proved recently.
     Unproved,
-    /// Its process ended since the list was lost, and another one takes what is new.
+    /// Its process has ended since the list was lost, and another one accepts new requests.
     Restarted,
-    /// It takes nothing new, or has come into use and not said yet that it does.
+    /// It accepts no new requests, or has joined the rotation and not been checked yet.
     Refuses,
 }
 
 impl Word {
-    /// All by which something may be sent, the best first.
+    /// All levels at which requests may be sent, the highest first.
     const USABLE: [Self; 4] = [Self::Fresh, Self::Seen, Self::Unproved, Self::Restarted];
 }
 
-/// What has been seen of a server.
+/// What has been observed of a server.
 pub(super) struct Knowledge {
-    /// When it was last asked that it said that it takes what is new.
+    /// When the last health check was sent to which it answered that it accepts new requests.
     takes_at: Millis,
-    /// When it last answered on a connection that has stood since before the list was lost ...
+    /// When it last answered on a connection opened before the list was lost.
     same_process_at: Millis,
-    /// ... and on one that has stood since its word still held.
+    /// When it last answered on a connection opened while the lost list was still valid.
     seen_process_at: Millis,
-    /// When it last said that it takes nothing new.
+    /// When it last reported that it accepts no new requests.
     refused_at: Millis,
     /// When its process was last found to have ended.
     ended_at: Millis,
-    /// When a source of the list that is followed spoke of it last.
+    /// When another source of the list, which is still followed, last listed it.
     listed_at: Millis,
-    /// It came into the rotation while the list is not followed, and has not been heard yet.
+    /// It joined the rotation while the list was not followed, and has not been checked yet.
     is_unheard: bool,
 }
 
 impl Default for Knowledge {
-    /// Nothing has been seen.
+    /// Nothing has been observed.
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
         Self {
@@ -73,37 +73,38 @@
 }
 
 impl Knowledge {
-    /// Another source than the one that was lost, which is followed, lists it as up.
+    /// Records that a source other than the lost one, which is still followed, lists it as up.
     pub(super) fn is_listed_elsewhere(&mut self, now: Millis) {
         self.listed_at = now;
     }
 
-    /// It says that it takes what is new, as of when it was asked.
+    /// Records that it accepts new requests, as of when the check was sent.
     pub(super) fn takes(&mut self, asked_at: Millis) {
         self.takes_at = asked_at;
     }
 
-    /// It says that it takes nothing new.
+    /// Records that it accepts no new requests.
     pub(super) fn refuses(&mut self, now: Millis) {
         self.refused_at = now;
     }
 
-    /// Its process has ended.
+    /// Records that its process has ended.
     pub(super) fn has_ended(&mut self, now: Millis) {
         self.ended_at = now;
     }
 
-    /// It has come into the rotation while the list is not followed: it is to be heard first.
+    /// Records that it joined the rotation while the list is not followed: it has to be checked before it
+    /// is used.
     pub(super) fn joins_unheard(&mut self) {
         self.is_unheard = true;
     }
 
-    /// It has been asked, whatever it said, or need not be.
+    /// Records that it has been checked, with whatever result, or need not be.
     pub(super) fn is_asked(&mut self) {
         self.is_unheard = false;
     }
 
-    /// It has answered on a connection that was opened then.
+    /// Records an answer on a connection that was opened at `opened`.
     fn answered_on(&mut self, now: Millis, opened: Millis, lost: Lost) {
         if opened <= lost.since || self.listed_at >= lost.since {
             self.same_process_at = now;
@@ -113,13 +114,12 @@
         }
     }
 
-    /// Until when it is known that the process that was listed takes what is new; `None` where that is not
-    /// proved.
+    /// Until when it is proved that the listed process accepts new requests; `None` if it is not.
     fn proved_until(&self, lost: Lost) -> Option<Millis> {
         Self::holds_until(self.takes_at.min(self.same_process_at), lost)
     }
 
-    /// The same of the process that ran while the word of the lost list still held.
+    /// The same for the process that ran while the lost list was still valid.
     fn seen_until(&self, lost: Lost) -> Option<Millis> {
         Self::holds_until(self.takes_at.min(self.seen_process_at), lost)
     }
@@ -128,12 +128,13 @@
         (at >= lost.at).then_some(at + CHECK_HOLDS)
     }
 
-    /// Has its process ended since the list was lost? One that answers on a connection of before has not.
+    /// Whether its process has ended since the list was lost. An answer on an older connection shows that
+    /// it has not.
     fn has_restarted(&self, lost: Lost) -> bool {
         self.ended_at >= lost.since.max(self.listed_at) && self.same_process_at <= self.ended_at
     }
 
-    /// Has it refused, or ended, since the list was lost?
+    /// Whether it has refused or ended since the list was lost.
     pub(super) fn has_refused(&self, lost: Lost) -> bool {
         self.refused_at >= lost.since.max(self.listed_at) || self.has_restarted(lost)
     }
@@ -157,36 +158,36 @@
     }
 }
 
-/// A server that something new may be sent to now, by what is known of it. Only this module makes one, so
-/// that no send can be written that does not go by that.
+/// A server to which a new attempt may be sent now. Only this module creates one, so that every send has
+/// passed the check of what is known of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Cleared(ServerId);
 
 impl Cleared {
-    /// Which server.
+    /// The server's id.
     pub(super) fn server(self) -> ServerId {
         self.0
     }
 }
 
 impl Balancer {
-    /// Since when the list has not been followed, where servers can be asked instead: else nothing is
-    /// fresher than anything.
+    /// The loss of the list, if servers can be health-checked instead: otherwise there is no fresher
+    /// knowledge than the list's.
     fn doubt(&self) -> Option<Lost> {
         self.calls.lost().filter(|_| self.set.limits.probes)
     }
 
-    /// What is known of a server that is listed as up.
+    /// The confidence in a server that is listed as up.
     pub(super) fn word_of(&self, server: &Server) -> Word {
         self.doubt().map_or(Word::Fresh, |lost| server.known.word(self.now, lost))
     }
 
-    /// A server has answered on a connection that was opened then.
+    /// Processes an answer of a server on a connection that was opened at `opened`.
     pub(super) fn on_connection_answered(&mut self, id: ServerId, opened: Millis) {
         let (now, Some(lost)) = (self.now, self.doubt()) else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
-        // Seen to restart, with no word of the list of that since: the connection may be to a process that
-        // the list has not spoken of.
+        // It was seen to restart, and the list has not confirmed that since: the connection may be to a
+        // process that was never listed.
         let warm_within = self.set.rules.warm_within;
         let has_restarted = server.down || server.returned.is_some_and(|at| now - at < warm_within);
         if !has_restarted {
@@ -195,8 +196,7 @@
         }
     }
 
-    /// Notes until when a server is proved, and until when seen; to be called after each change of what that
-    /// goes by.
+    /// Updates the proofs of a server; to be called after each change of what they depend on.
     pub(super) fn note_proof(&mut self, id: ServerId) {
         let lost = self.doubt();
         let known = self.servers.get(&id).filter(|_| self.is_rotated(id)).map(|server| &server.known);
@@ -212,7 +212,7 @@
         self.seen.set(id, seen_until.unwrap_or(f64::INFINITY));
     }
 
-    /// Forgets proofs that are too old by now.
+    /// Drops proofs that are too old by now.
     pub(super) fn expire_proofs(&mut self) {
         for proofs in [&mut self.proved, &mut self.seen] {
             while let Some((id, _)) = proofs.first().filter(|(_, until)| *until < self.now) {
@@ -221,12 +221,13 @@
         }
     }
 
-    /// Are so few of the rotation trusted that others are to be used besides?
+    /// Whether this number of trusted servers is too small a part of the rotation, so that others have to
+    /// be used too.
     fn are_too_few(&self, trusted: usize) -> bool {
         (trusted as f64) < TRUSTED_LEAST * self.rotation_size() as f64
     }
 
-    /// The worst word by which something may be sent.
+    /// The lowest confidence at which requests may be sent now.
     fn worst_usable(&self) -> Word {
         if self.doubt().is_none() || !self.are_too_few(self.proved.len()) {
             Word::Fresh
@@ -239,7 +240,8 @@
         }
     }
 
-    /// Whose turn it is, of those that `ready` lets through: of the ones with the best word.
+    /// The server whose turn it is among those that satisfy the predicate and have the highest confidence
+    /// available.
     pub(super) fn next_known(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<Cleared> {
         let worst = self.worst_usable();
         for word in Word::USABLE.into_iter().take_while(|word| *word <= worst) {
@@ -251,14 +253,14 @@
         None
     }
 
-    /// May a server get something new, if it has its turn?
+    /// Whether a server may get a new attempt on its turn.
     pub(super) fn is_usable(&self, server: &Server) -> bool {
         let word = self.word_of(server);
         word == Word::Fresh || (word < Word::Refuses && word <= self.worst_usable())
     }
 
-    /// May something new be sent to a server that is listed as up, also what has waited for its connection?
-    /// Not where another with a better word has room.
+    /// Whether a new attempt, or one that has waited for its connection, may be sent to a server that is
+    /// listed as up. It may not if a server with higher confidence has room.
     pub fn accepts(&self, id: ServerId) -> bool {
         let Some(server) = self.servers.get(&id) else { return true };
         let word = self.word_of(server);
@@ -266,7 +268,7 @@
         word == Word::Fresh || (self.is_usable(server) && !self.by_turn().any(is_better))
     }
 
-    /// Counts a send by what is known of its server.
+    /// Counts a send that was made despite doubtful knowledge of its server.
     pub(super) fn count_send(&mut self, to: Cleared) {
         let Some(server) = self.servers.get(&to.server()) else { return };
         let word = self.word_of(server);
@@ -275,7 +277,7 @@
         self.sends.refused += u64::from(word == Word::Refuses || !server.listed_up());
     }
 
-    /// How the servers of the rotation stand that the list, which is not followed, had as up.
+    /// What is known of the rotation's servers while the list is not followed.
     pub fn trust(&self) -> Trust {
         let refuse = |server: &&Server| self.word_of(server) >= Word::Restarted;
         Trust {
@@ -286,7 +288,7 @@
         }
     }
 
-    /// How many attempts were begun against what is known of their servers.
+    /// Counts of attempts that were sent despite doubtful knowledge of their servers.
     pub fn doubtful_sends(&self) -> DoubtfulSends {
         self.sends
     }
--- a/crates/policy/src/balance/rotation.rs
+++ b/crates/policy/src/balance/rotation.rs
@@ -1,16 +1,17 @@
-//! The rotation: whose turn it is, and how much capacity the servers have that have turns.
+//! The rotation: which server has the next turn, and how much capacity the servers in it have.
 
 use super::{Balancer, Server};
 use crate::api::*;
 
 impl Balancer {
-    /// Sets when the next turn of a server comes; no number takes its turn away.
+    /// Sets the position of a server's next turn; NaN removes it from the rotation.
     pub(super) fn set_turn(&mut self, id: ServerId, turn: f64) {
         self.turns.set(id, turn);
         self.servers.get_mut(&id).into_iter().for_each(|server| server.turn = turn);
     }
 
-    /// Takes turns until one falls to a server that `ready` lets through; others are passed over in place.
+    /// Takes turns until one falls to a server that satisfies the predicate; the others are skipped and
+    /// lose that turn.
     pub(super) fn next_turn(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
         if !self.by_turn().any(|server| ready(self, server)) {
             return None;
@@ -33,7 +34,7 @@
         }
     }
 
-    /// As a cold server warms up its turns come closer.
+    /// Moves the turns of cold servers closer as they warm up.
     fn bring_warming_closer(&mut self) {
         let (now, cursor) = (self.now, self.cursor);
         let mut turns = Vec::new();
@@ -51,24 +52,24 @@
         turns.into_iter().for_each(|(id, turn)| self.set_turn(id, turn));
     }
 
-    /// Servers of the subset that have less than their capacity by now.
+    /// Servers of the subset that are still warming up.
     pub(super) fn cold_rotated(&self) -> impl Iterator<Item = &Server> {
         let is_cold = |server: &&Server| server.warmth(self.now, &self.set.rules) < 1.0;
         self.rotated_of(&self.warming).filter(is_cold)
     }
 
-    /// The sizes of the subset's servers, each by what it has of its capacity by now.
+    /// Total size of the subset, each server weighted by its present share of its capacity.
     pub(super) fn present_size(&self) -> f64 {
         let missing = |s: &Server| s.size * (1.0 - s.warmth(self.now, &self.set.rules));
         self.size - self.cold_rotated().map(missing).sum::<f64>()
     }
 
-    /// The sizes of those that have all of it.
+    /// Total size of the subset's warm servers.
     pub(super) fn warm_size(&self) -> f64 {
         self.size - self.cold_rotated().map(|server| server.size).sum::<f64>()
     }
 
-    /// Forgets those as warming that have all of their capacity by now.
+    /// Removes servers that are warm by now from the set of warming ones.
     pub(super) fn forget_warm(&mut self) {
         let (now, rules, servers) = (self.now, &self.set.rules, &self.servers);
         self.warming.retain(|id| servers.get(id).is_some_and(|server| server.warmth(now, rules) < 1.0));
