--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,19 +1,20 @@
-//! The interface of the decision module: settings, events, actions. Times are in milliseconds.
+//! The interface of the decision module: settings, events and actions. All times are in milliseconds.
 
 use std::fmt;
 
-/// A time or a span, in milliseconds; the clock may start anywhere but never runs backwards.
+/// A point in time or a duration, in milliseconds. The clock may start at any value but never runs
+/// backwards.
 pub type Millis = f64;
 
-/// A server, as the list names it.
+/// Identifies a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A client request; never used twice in the life of a node.
+/// Identifies a client request; never reused while a node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Which servers drop the repeat of a keyed request.
+/// The servers that recognize and drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Every server.
@@ -24,153 +25,154 @@
     Cell,
 }
 
-/// May a request run again?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Any number of times.
+    /// It may run any number of times.
     Safe,
     /// Repeats are dropped by the servers of one group, for `memory` after the first send.
     Keyed {
-        /// The servers that know of each other's work.
+        /// The servers that share their memory of keys.
         group: Group,
-        /// How long they remember it.
+        /// How long they remember a key.
         memory: Millis,
     },
-    /// Never.
+    /// It must never run again.
     Unsafe,
 }
 
-/// A request class.
+/// A class of requests with the same value and timing.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time has its full worth.
     pub aim: Millis,
     /// Worth of an answer in time.
     pub worth: f64,
-    /// Part of the worth that a later answer still has.
+    /// Share of the worth that a later answer still has, from 0 to 1.
     pub late_worth: f64,
-    /// How long a client waits in all, over all its tries; infinite where that is not told.
+    /// Total time that a client waits, over all its tries; infinite if unknown.
     pub patience: Millis,
-    /// May it run again?
+    /// Whether a request may run more than once.
     pub effect: Effect,
 }
 
 /// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all nodes.
+    /// Requests per second within its share, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// How much each part of the service counts for the operators.
+/// The operators' goal: the weights of its parts.
 #[derive(Clone, Debug, Default)]
 pub struct Goal {
-    /// The worth served, over all and in the worst stretch.
+    /// Weight of the worth served, overall and in the worst period.
     pub worth: f64,
-    /// The class that is served worst.
+    /// Weight of the class that is served worst.
     pub worst_class: f64,
-    /// The tenant that is served worst, within its share.
+    /// Weight of the tenant that is served worst, within its share.
     pub worst_tenant: f64,
 }
 
-/// What the deployment permits.
+/// Limits that the deployment sets.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Maximum number of attempts of one request.
     pub attempts: usize,
-    /// Two attempts of a request may be out at the same time.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub second_copies: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// A connection that takes longer has failed.
+    /// Time after which opening a connection has failed.
     pub connect_timeout: Millis,
-    /// The longest that a refused client can be told to stay away; 0: it can't be told.
+    /// Longest time that a refused client can be asked to stay away; 0 if it can't be asked.
     pub max_retry_after: Millis,
 }
 
-/// The figures of the four rules.
+/// The parameters of the four rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Where the list is asked for: the longest a node may leave off asking.
+    /// If the list has to be requested: the longest time that a node may go without a request.
     pub ask_within: Millis,
-    /// Part of its capacity that a started server has at least.
+    /// Share of its capacity that a server has at least when it starts.
     pub cold_share: f64,
-    /// When it has all of it at the latest.
+    /// Time after its start by which it has its full capacity.
     pub warm_within: Millis,
-    /// A cold server falls over when sent more than this many times its present capacity ...
+    /// A cold server fails when it is sent more than this many times its present capacity ...
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// ... over a window of this length.
     pub fall_window: Millis,
 }
 
 /// How a call to discovery failed, or a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListFailure {
-    /// No answer began. Of a subscription that stands this is the end.
+    /// No answer began. For an established subscription this is its end.
     Unanswered,
-    /// An answer had begun, which nobody can read to its end: discovery is there, and not jammed.
+    /// An answer had begun that can't be read to its end: discovery is running and not overloaded.
     Unreadable,
-    /// A subscription that stood ended, and with it perhaps what was being told: that counts as told.
+    /// An established subscription ended, perhaps with a change that was being sent: such a change counts
+    /// as notified.
     Ended,
-    /// A subscription that stood fell silent.
+    /// An established subscription went silent.
     Silent {
-        /// How soon discovery has to have been asked anew, as what was missed counts as told then.
+        /// Time within which discovery has to be called again, as missed changes count as notified then.
         told_in: Millis,
     },
 }
 
-/// How news of the servers arrives.
+/// How changes of the list reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// By itself.
+    /// They are pushed without a request.
     Pushed,
-    /// Once the node has subscribed or asked.
+    /// They are sent once the node has subscribed or asked.
     Asked,
 }
 
-/// What the listed weights stand for.
+/// What the listed weights mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// Nothing; they are ignored.
     None,
     /// The size of the server, exact or nearly so.
     Listed,
-    /// Size divided by one more than the requests a core held a while ago.
+    /// The size divided by one plus the number of requests per core a while ago.
     Live,
 }
 
-/// What a node is told at its start.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its own number, from 0.
+    /// The node's own number, counted from 0.
     pub number: usize,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// The request classes; events name them by their index.
+    /// The request classes; events refer to them by index.
     pub classes: Vec<Class>,
     /// The tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth counts for each unit of a request's work, not for each request.
+    /// Whether worth counts per unit of a request's work instead of per request.
     pub by_work: bool,
-    /// Worth of a request beyond its tenant's share, as a part of its class's.
+    /// Worth of a request beyond its tenant's share, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// What counts how much.
+    /// The weights of the operators' goal.
     pub goal: Goal,
-    /// What is permitted.
+    /// Limits that the deployment sets.
     pub limits: Limits,
-    /// The figures of the four rules.
+    /// The parameters of the four rules.
     pub rules: Rules,
-    /// How the list arrives.
+    /// How the list reaches the node.
     pub discovery: Discovery,
-    /// What its weights mean.
+    /// What the listed weights mean.
     pub weights: Weights,
-    /// Events come in at most this often.
+    /// Shortest interval between two events.
     pub tick: Millis,
 }
 
-/// Why settings were refused.
+/// Says which setting is invalid and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -183,11 +185,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
-    /// not finite, an own number not below the count of nodes, a share outside 0 to 1.
+    /// Names the first invalid field and its bound: no classes, a time or amount that is negative or not
+    /// finite, an own number that is not below the number of nodes, a share outside 0 to 1.
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
@@ -243,14 +245,14 @@
     }
 }
 
-/// What the list says of a server.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
     /// In service.
     Up,
-    /// Finishing its work; nothing new may be sent.
+    /// Finishing its work; it gets no new requests.
     Draining,
-    /// Gone.
+    /// No longer listed.
     Gone,
 }
 
@@ -259,28 +261,28 @@
 pub struct Entry {
     /// The server.
     pub server: ServerId,
-    /// Its zone, as a number.
+    /// Number of its zone.
     pub zone: u64,
-    /// The cell that it shares its memory of keys with.
+    /// Number of its cell, whose servers share their memory of keys.
     pub cell: u64,
-    /// Its kind of machine, as a number.
+    /// Number of its kind of machine.
     pub kind: u64,
     /// Its state.
     pub state: Listed,
-    /// A figure to compare with other servers'.
+    /// Its weight relative to the other servers; see [`Weights`].
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if that is long ago.
     pub started: Option<Millis>,
 }
 
-/// One tenant that is new, or has another share.
+/// A tenant that is new or has another share.
 #[derive(Clone, Debug)]
 pub struct TenantChange {
-    /// Its index, which is there already or is the next one.
+    /// Its index: an existing one, or the next one.
     pub place: usize,
-    /// What it is from now on.
+    /// The tenant's new settings.
     pub tenant: Tenant,
-    /// It is new there: nothing that was counted at that place is its own.
+    /// Whether it is a new tenant, so that the counts kept at that index are reset.
     pub anew: bool,
 }
 
@@ -289,149 +291,151 @@
 pub enum Outcome {
     /// Served.
     Done,
-    /// Answered by an error; it may have run.
+    /// Answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Turned away before it ran.
     Full,
-    /// No answer in time; it may have run, or may still.
+    /// No answer in time; it may have run, or may still run.
     TimedOut,
-    /// Lost with its connection, which says nothing more of its server; it may have run. No byte came in time on a kept
-    /// one, while the server answered what was sent later; or several were open on one that broke, and another's end
-    /// tells of that.
+    /// Lost with its connection, which shows nothing more of its server; it may have run. Either no byte
+    /// came in time on a kept connection while the server answered what was sent later, or several attempts
+    /// were open on a connection that broke, and the end of another one reports that.
     Unheard,
-    /// No connection; it never ran.
+    /// The connection could not be opened; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// The server finds the request itself bad; its client has been told so.
+    /// The server rejects the request as invalid, and its client has been told so.
     Rejected,
 }
 
 impl Outcome {
-    /// Does this outcome prove that the request never ran?
+    /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// An attempt that another node made, or meant to make.
+/// An attempt that another node made, or intended to make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Earlier {
-    /// Where to.
+    /// The server it was sent to.
     pub server: ServerId,
     /// That server's zone.
     pub zone: u64,
     /// That server's cell.
     pub cell: u64,
-    /// When, by this node's clock.
+    /// When it was sent, by this node's clock.
     pub sent: Millis,
-    /// How it ended, as far as that is known: one that is not known to end counts as unheard.
+    /// How it ended; `Unheard` if that is not known.
     pub outcome: Outcome,
 }
 
-/// What happens to a node.
+/// Input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list: what it leaves out is gone.
+    /// The full list; servers that it does not contain are gone.
     List {
         /// Its entries.
         entries: Vec<Entry>,
-        /// As last seen before a restart: perhaps out of date, and no answer to a call.
+        /// Whether this is a copy saved before a restart: it may be out of date, and is no answer to a
+        /// call.
         saved: bool,
     },
-    /// The entries that changed.
+    /// The entries that changed, from the source that was called.
     ListChange(Vec<Entry>),
-    /// The same from another source than the one that was asked: no answer to a call.
+    /// Changed entries from another source than the one that was called, so no answer to a call.
     ListNews(Vec<Entry>),
-    /// The answer to what was asked has begun: how soon that is tells how busy discovery is.
+    /// The answer to a call has begun; its delay shows how busy discovery is.
     ListAnswering,
-    /// Asking failed, or the subscription dropped.
+    /// A call failed, or the subscription ended.
     ListFailed(ListFailure),
-    /// Discovery is elsewhere from now on: what was asked of it so far is void.
+    /// The address of discovery has changed: calls made so far are void.
     DiscoveryMoved,
-    /// New settings, which count from now on: for attempts of requests that are open too, but for what a class allows, which
-    /// each request keeps as it was when it came. How the list arrives does not change.
+    /// New settings, which apply from now on, also to attempts of open requests. Only the effect of a class
+    /// is kept by each request as it was when it arrived. How the list arrives does not change.
     Settings {
-        /// The settings. Classes and tenants that stay have the index that they had.
+        /// The settings. Classes and tenants that stay keep their index.
         settings: Box<Settings>,
-        /// Which classes begin anew, by index: those that took the place of another one, and those at the end that are new.
+        /// Which classes are reset, by index: those that replaced another one, and new ones at the end.
         classes: Vec<bool>,
-        /// The same of tenants.
+        /// The same for tenants.
         tenants: Vec<bool>,
     },
-    /// Some tenants are otherwise from now on, and nothing else.
+    /// Some tenants have changed, and nothing else.
     Tenants(Vec<TenantChange>),
-    /// A client asks for something; one final answer is owed from now on.
+    /// A client's request has arrived and has to get one final answer.
     Request {
         /// The request.
         id: RequestId,
-        /// Its class, an index into the settings'.
+        /// Index of its class in the settings.
         class: usize,
-        /// Its tenant, if any.
+        /// Index of its tenant, if it has one.
         tenant: Option<usize>,
-        /// When the client gives up. A repeat of a refused request whose client still counts from its first
-        /// asking comes with less time than a new one, and is treated as the older one that it is.
+        /// When the client gives up. If the client of a refused request counts its time from the first try,
+        /// a repeat has less time left than a new request, and is treated as being as old as it is.
         deadline: Millis,
-        /// What a client's repeat has in common with what it repeats, and hardly any other request: a number made of
-        /// its key, or of what it asks for and for whom. `None`: repeats can't be told.
+        /// A hash of the request's key, or of its content and sender, that a client's repeat shares with
+        /// the original and hardly any other request has. `None` if repeats can't be recognized.
         repeat_key: Option<u64>,
-        /// The client's guess at its work, as time on a standard core; `None` where it gives none.
+        /// The client's estimate of its work, as time on a standard core; `None` if it gives none.
         work: Option<Millis>,
-        /// Whether it is within its tenant's share, where that is counted over all nodes; `None`: this node's part counts. Of
-        /// a repeat it says nothing.
+        /// Whether it is within its tenant's share, if that is counted over all nodes; `None` if this node
+        /// counts its own part. Ignored for a repeat.
         within: Option<bool>,
-        /// Where it was taken over from another node: the attempts that others have made or meant to make. They count as its
-        /// own, and it as a repeat.
+        /// If it was taken over from another node: the attempts that others made or intended to make. They
+        /// count as its own attempts, and the request counts as a retry.
         earlier: Option<Vec<Earlier>>,
     },
-    /// The body of this request is on its way out, and can't be sent again: no other attempt can be made.
+    /// The body of this request is being sent and can't be sent again, so no other attempt can be made.
     Spent(RequestId),
-    /// A streamed answer has begun; the client is bound to this attempt.
+    /// A streamed answer has begun, so the client is bound to this attempt.
     Streaming {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, counted from 0.
         attempt: usize,
     },
     /// An attempt ended.
     Ended {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, counted from 0.
         attempt: usize,
-        /// Where it was sent.
+        /// The server it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         took: Millis,
-        /// The client has its final answer.
+        /// Whether the client has its final answer.
         finished: bool,
     },
-    /// An attempt is about to end whose server can't be told and works on: it counts as out there until it has left.
-    /// Its [`Event::Ended`] follows, and rule 2 goes by that.
+    /// An attempt is about to end at the node while its server can't be told to stop and keeps running it:
+    /// it counts as in flight there until [`Event::Left`]. Its [`Event::Ended`] follows, and rule 2 goes by
+    /// that.
     RunsOn {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, counted from 0.
         attempt: usize,
-        /// Where it was sent.
+        /// The server it was sent to.
         server: ServerId,
     },
     /// The server has finished, or lost, an attempt that ran on.
     Left {
-        /// The request; it may be over.
+        /// The request, which may be over already.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, counted from 0.
         attempt: usize,
-        /// Where it was sent.
+        /// The server it was sent to.
         server: ServerId,
     },
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The server.
         server: ServerId,
@@ -440,39 +444,39 @@
         /// Time since it was sent.
         took: Millis,
     },
-    /// A server has answered, an attempt or a probe, on a connection that was opened then: it is still the process of that time. Comes before
-    /// the event that the answer brings.
+    /// A server has answered an attempt or a probe on a connection that was opened at `opened`, so it is
+    /// still the same process as then. Comes before the event of the answer itself.
     ConnectionAnswered {
         /// The server.
         server: ServerId,
         /// When the connection was opened.
         opened: Millis,
     },
-    /// The client left; nothing is owed any more.
+    /// The client disconnected and needs no answer any more.
     ClientGone(RequestId),
-    /// The timer asked for is due.
+    /// The timer that was set is due.
     Timer,
 }
 
-/// How the servers of a node's rotation stand while the list is not followed.
+/// What is known of the servers in a node's rotation while the list is not followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trust {
-    /// How many there are.
+    /// Number of servers in the rotation.
     pub rotated: usize,
-    /// How many are proved to be the processes that were listed.
+    /// Number of servers proved to be the processes that were listed.
     pub proved: usize,
-    /// How many are proved to be the processes that ran shortly after.
+    /// Number of servers proved to be the processes that ran shortly after the loss of the list.
     pub seen: usize,
-    /// How many have refused, or ended, since.
+    /// Number of servers that have refused or ended since the loss.
     pub refuse: usize,
 }
 
-/// Attempts that were begun against what is known of their servers, since the node's start.
+/// Attempts since the node's start that were sent despite doubtful knowledge of their servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DoubtfulSends {
-    /// What was known was too old, and nothing fresher had room.
+    /// The knowledge was too old, and no server with fresher knowledge had room.
     pub stale: u64,
-    /// The server had said, or the list, that it takes nothing new. There must be none.
+    /// The server or the list had reported that it accepts no new requests. This must stay 0.
     pub refused: u64,
 }
 
@@ -485,52 +489,52 @@
     NoServer,
     /// No server had room for it for as long as it may wait.
     NoRoom,
-    /// Too little of its time is left for an answer.
+    /// Too little time is left for an answer.
     NoTime,
-    /// It may have run, and may not run again.
+    /// It may have run, and must not run again.
     MayHaveRun,
-    /// Attempts have failed, and further ones would take more than their part of the work.
+    /// Its attempts have failed, and a retry would exceed the retry budget.
     NoRetryBudget,
 }
 
-/// What a node does.
+/// Output of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the request's next attempt; attempts are numbered from 0.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Give it up after this; `None`: when the client does.
+        /// Time after which to give it up; `None` if it ends only when the client gives up.
         timeout: Option<Millis>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0.
         attempt: usize,
     },
-    /// Says why the final answer that follows is a refusal or a failure.
+    /// Gives the reason for the final refusal or failure that follows.
     Explain {
         /// The request.
         id: RequestId,
         /// Why it is not served.
         reason: Reason,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; it is safe to send the request again.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: no advice.
+        /// How long the client should stay away; 0 for no advice.
         stay_away: Millis,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Send [`Event::Timer`] after this time; an earlier one still holds.
+    /// Send [`Event::Timer`] after this time; an earlier timer stays set.
     SetTimer(Millis),
-    /// Ask for the list's changes from now on.
+    /// Subscribe to the list's changes.
     Subscribe,
     /// Probe a server.
     Probe(ServerId),
--- a/crates/policy/src/balance/listed.rs
+++ b/crates/policy/src/balance/listed.rs
@@ -1,4 +1,5 @@
-//! The list of servers as the module holds it: what a list or a change of it says, at a cost of what changed.
+//! The list of servers as the module stores it; the cost of an update depends on the number of changed
+//! entries.
 
 use super::knowledge::Knowledge;
 use super::subset::NODES_PER_SERVER;
@@ -6,7 +7,7 @@
 use crate::api::*;
 
 impl Server {
-    /// One that was just listed, with nothing known of it.
+    /// A newly listed server, of which nothing is known yet.
     fn new(entry: Entry, size: f64) -> Self {
         Self {
             entry,
@@ -33,7 +34,7 @@
 }
 
 impl Balancer {
-    /// Takes a list over, whole or the entries of it that changed. `answer`: it was asked for.
+    /// Applies a full list, or the changed entries of one. `answer`: it answers a call.
     pub(super) fn on_list(&mut self, entries: Vec<Entry>, answer: bool, whole: bool) {
         if answer {
             let news = self.are_news(&entries, whole);
@@ -49,15 +50,15 @@
         touched.sort_unstable();
         touched.dedup();
         entries.into_iter().for_each(|entry| self.enter(entry));
-        // Kept while attempts are out, so that their outcomes still find it.
+        // Gone servers are kept while attempts are in flight, so that their outcomes can be recorded.
         self.drop_gone();
         if whole {
             self.remember_members();
         } else {
             self.update_members(&touched);
         }
-        // Rests and least limits of all sharing nodes add up: kept per node, the looks of a crowd of nodes
-        // alone would keep a slow server from the rest that it needs.
+        // Rest times and minimum limits of all sharing nodes add up: if they did not account for the number
+        // of nodes, the sends of many nodes alone would keep a slow server from the rest that it needs.
         self.crowd = (self.sharing() / NODES_PER_SERVER as f64).max(1.0);
         let limit = self.first_limit();
         let is_news = !answer && !whole;
@@ -71,14 +72,14 @@
         self.choose_subset();
     }
 
-    /// Notes what the list says of one server.
+    /// Applies the list's entry of one server.
     fn enter(&mut self, mut entry: Entry) {
         if !entry.weight.is_finite() || entry.weight <= 0.0 {
             entry.weight = 1.0;
         }
         let id = entry.server;
-        // Live weights are load in disguise, late and alike for all nodes. The most that a server was
-        // ever listed at, when it held least, is its size.
+        // Live weights reflect the load, with a delay and the same for all nodes. The size of a server is
+        // the highest weight that it was ever listed with, when it was least busy.
         let seen = self.servers.get(&id).map_or(0.0, |s| s.size);
         let size = match self.set.weights {
             Weights::Listed => entry.weight,
@@ -87,13 +88,13 @@
         };
         let server = self.servers.entry(id).or_insert_with(|| Server::new(entry.clone(), size));
         if entry.started != server.entry.started {
-            // It restarted: what was seen of the process before says nothing about this one.
+            // It restarted: what was observed of the previous process does not apply to this one.
             (server.consecutive_failures, server.ejections, server.down) = (0, 0, false);
             (server.ejected, server.returned, server.known) = (None, None, Knowledge::default());
         }
         let is_back = !server.listed_up() && entry.state == Listed::Up;
         if is_back {
-            // What it refused while it drained says nothing from now on.
+            // What it refused while it drained does not count from now on.
             (server.consecutive_failures, server.ejections) = (0, 0);
             (server.ejected, server.known) = (None, Knowledge::default());
         }
@@ -119,7 +120,7 @@
         self.schedule_probe(id);
     }
 
-    /// Do these entries say anything that was not known?
+    /// Whether these entries contain anything that was not known.
     fn are_news(&self, entries: &[Entry], whole: bool) -> bool {
         let listed = self.servers.values().filter(|s| s.entry.state != Listed::Gone);
         let is_new = |entry: &Entry| match self.servers.get(&entry.server) {
@@ -137,7 +138,7 @@
         self.calls.failed(self.now, failure, &self.set, chance);
     }
 
-    /// Forgets servers that are listed no more and have no attempt out.
+    /// Removes servers that are no longer listed and have no attempt in flight.
     pub(super) fn drop_gone(&mut self) {
         let over = |id: &ServerId| self.servers.get(id).is_none_or(|server| server.out.is_empty());
         let over: Vec<ServerId> = self.gone.iter().copied().filter(over).collect();
@@ -156,14 +157,14 @@
         self.servers.get(&id).is_some_and(Server::listed_up)
     }
 
-    /// Finds the servers that are up anew, and their order.
+    /// Recomputes the members and their order of preference.
     pub(super) fn remember_members(&mut self) {
         let up = self.servers.values().filter(|server| server.listed_up());
         self.members = up.map(|server| server.entry.server).collect();
         self.order = self.preference(&self.members);
     }
 
-    /// The same where no other servers than these, sorted, have changed.
+    /// Updates the members and their order when only the given servers, sorted, have changed.
     fn update_members(&mut self, touched: &[ServerId]) {
         let is_member = |id: &ServerId| self.members.binary_search(id).is_ok();
         if touched.iter().all(|id| is_member(id) == self.is_up(*id)) {
@@ -172,7 +173,7 @@
         let mut members = std::mem::take(&mut self.members);
         members.retain(|id| touched.binary_search(id).is_err());
         members.extend(touched.iter().copied().filter(|id| self.is_up(*id)));
-        // Two sorted runs, which are merged.
+        // Two sorted runs, which the sort merges.
         members.sort();
         self.members = members;
         self.order = self.preference(&self.members);
@@ -209,7 +210,7 @@
         vec(entry, 0..6)
     }
 
-    /// A list, whole or not, and how an attempt at some server ends then.
+    /// Whether a list is full, its entries, and the outcome of an attempt after it.
     type Step = (bool, Vec<Entry>, Outcome);
 
     fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -217,7 +218,7 @@
         vec((prop::bool::weighted(0.1), entries(), outcome), 1..40)
     }
 
-    /// What is kept up to date change by change is what a look at all servers finds.
+    /// Asserts that the incrementally updated state equals what a scan of all servers finds.
     fn is_consistent(balancer: &Balancer) {
         let ids = |is: &dyn Fn(&Server) -> bool| -> Vec<ServerId> {
             balancer.servers.values().filter(|s| is(s)).map(|s| s.entry.server).collect()
@@ -268,7 +269,7 @@
                 Action::Send { id, server, .. } => Some((id, server)),
                 _ => None,
             }));
-            // Some stay out over several changes.
+            // Some attempts stay in flight over several changes.
             if out.len() > 3 {
                 let (id, server) = out.remove(0);
                 let ended = Event::Ended { id, attempt: 0, server, outcome, took: 30.0, finished: true };
--- a/crates/policy/src/balance/subset.rs
+++ b/crates/policy/src/balance/subset.rs
@@ -1,4 +1,4 @@
-//! The servers that a node rotates over: all that are up, or where many nodes share them a part of its own.
+//! The servers that a node rotates over: all that are up, or a subset of them if many nodes share them.
 
 use std::collections::BTreeSet;
 
@@ -6,18 +6,18 @@
 use crate::api::*;
 use crate::table;
 
-/// Nodes that share one server where there are many: enough that their uneven traffic evens out, few enough
-/// for its connections, and for each to see the server often.
+/// Intended number of nodes per server where there are many: enough to even out their uneven traffic, and
+/// few enough for the server's connections and for each node to see the server often.
 pub(super) const NODES_PER_SERVER: usize = 8;
-/// The most servers that a node rotates over, where its part of the fleet is not more: each needs a
+/// Maximum number of servers that a node rotates over, unless its part of the fleet is larger; each needs a
 /// connection.
 pub(super) const ROTATION_MOST: usize = 256;
-/// Nodes that share one server at the least, however many servers there are.
+/// Minimum number of nodes per server, however many servers there are.
 const NODES_PER_SERVER_LEAST: usize = 2;
-/// The fewest servers that a node rotates over, so that there is a round, and another when one fails.
+/// Minimum size of the subset, so that there is another server when one fails.
 const SUBSET_LEAST: usize = 2;
 
-/// What one sorted set has that another has not.
+/// The elements of one sorted slice that another one does not contain.
 fn without<'a>(all: &'a [ServerId], others: &'a [ServerId]) -> impl Iterator<Item = ServerId> + 'a {
     let mut rest = others;
     all.iter().copied().filter(move |id| {
@@ -33,7 +33,7 @@
         self.subset.iter().filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
 
-    /// The servers of the subset, in the order of their turns.
+    /// The servers of the subset in the order of their turns.
     pub(super) fn by_turn(&self) -> impl Iterator<Item = &Server> {
         self.turns.iter().filter_map(|id| self.servers.get(&id)).inspect(|_| self.count_step())
     }
@@ -42,38 +42,39 @@
         self.steps.set(self.steps.get() + 1);
     }
 
-    /// How many looks at single servers the walks over the rotation have taken so far: what an event costs
-    /// must not grow with the servers.
+    /// Number of servers visited so far while walking over the rotation, to check that the cost of an event
+    /// does not grow with the number of servers.
     pub fn steps(&self) -> u64 {
         self.steps.get()
     }
 
-    /// Is a server in the subset?
+    /// Whether a server is in the subset.
     pub(super) fn is_rotated(&self, id: ServerId) -> bool {
         self.subset.binary_search(&id).is_ok()
     }
 
-    /// Those of these servers that are in the subset.
+    /// The given servers that are in the subset.
     pub(super) fn rotated_of<'a>(&'a self, ids: &'a BTreeSet<ServerId>) -> impl Iterator<Item = &'a Server> {
         let rotated = ids.iter().filter(|id| self.is_rotated(**id));
         rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
 
-    /// Rotates over no more servers than so many, where its part of the fleet is not more: those that its
-    /// connections suffice for. Counts from the next list on.
+    /// Limits the size of the rotation to the number of connections that the node can keep, unless the
+    /// node's part of the fleet is larger. Applies from the next list on.
     pub fn bound_rotation(&mut self, most: usize) {
         self.rotation_most = most.clamp(SUBSET_LEAST, ROTATION_MOST);
     }
 
-    /// How many warm servers a node rotates over. All of them, until that would be more nodes to a server
-    /// than it should bear: connections, and what a node must send to learn of each, grow with both.
+    /// Number of warm servers that a node rotates over: all of them, unless that exceeds the number of
+    /// nodes that a server should bear. Connections, and what a node must send to learn of each server,
+    /// grow with both.
     pub(super) fn subset_size(&self, up: usize) -> usize {
         let shared_by = |nodes: usize| (nodes * up).div_ceil(self.set.nodes);
         let most = self.rotation_most.max(shared_by(NODES_PER_SERVER_LEAST));
         shared_by(NODES_PER_SERVER).min(most).max(SUBSET_LEAST).min(up)
     }
 
-    /// How many it rotates over now: no more than it can check while it does.
+    /// Number of servers that it rotates over now: while it checks servers, no more than it can check.
     pub(super) fn rotation_size(&self) -> usize {
         let size = self.subset_size(self.order.len());
         if self.is_checking {
@@ -83,25 +84,27 @@
         }
     }
 
-    /// How many nodes send to a server.
+    /// Average number of nodes that send to a server.
     pub(super) fn sharing(&self) -> f64 {
         let up = self.members.len().max(1);
         (self.set.nodes * self.subset_size(up)) as f64 / up as f64
     }
 
-    /// The order in which this node prefers the sorted `members`: an even cover of the fleet by all nodes.
+    /// This node's order of preference of the sorted `members`, chosen so that all nodes together cover the
+    /// fleet evenly.
     pub(super) fn preference(&self, members: &[ServerId]) -> Vec<ServerId> {
         let is_whole = self.subset_size(members.len()) == members.len();
-        // Of more it uses a part while the list is not followed, which must not be the same part at all
-        // nodes.
+        // With more members, the node uses only a part of them while the list is not followed, which must
+        // not be the same part for all nodes.
         if is_whole && members.len() <= self.checked_most() {
             return members.to_vec();
         }
         table::preference(members, self.set.number, self.set.nodes, SUBSET_LEAST)
     }
 
-    /// Takes servers from the order until those that are not ejected make up enough warm ones: a subset of
-    /// which many are down or cold widens, so that its node's traffic does not fall on the few others.
+    /// Chooses the subset: servers in order of preference until those not ejected add up to enough warm
+    /// ones. If many are down or cold, the subset widens, so that the node's traffic does not fall on the
+    /// few others.
     pub(super) fn choose_subset(&mut self) {
         let subset = self.wanted_subset();
         let left: Vec<ServerId> = without(&self.subset, &subset).collect();
@@ -114,7 +117,7 @@
         self.forget_warm();
     }
 
-    /// The same where nothing but the ejection of single servers has changed.
+    /// Updates the subset when only the ejection of single servers has changed.
     pub(super) fn adapt_subset(&mut self) {
         let wanted = self.rotation_size();
         if self.cold_rotated().next().is_some() {
@@ -126,7 +129,7 @@
         }
         while self.in_use() < wanted && self.subset.len() < self.order.len() {
             if self.warming.contains(&self.order[self.subset.len()]) {
-                // It counts for less than one.
+                // A warming server counts for less than one.
                 return self.choose_subset();
             }
             self.widen();
@@ -137,12 +140,12 @@
         self.place_newcomers();
     }
 
-    /// How many servers of the subset are not ejected.
+    /// Number of servers of the subset that are not ejected.
     fn in_use(&self) -> usize {
         self.subset.len() - self.ejected.len()
     }
 
-    /// Do the others suffice without the server that was taken from the order last?
+    /// Whether the other servers suffice without the one that was added last.
     fn last_is_spare(&self, wanted: usize) -> bool {
         let Some(last) = self.subset.len().checked_sub(1).map(|place| self.order[place]) else {
             return false;
@@ -166,7 +169,7 @@
         self.has_left(id);
     }
 
-    /// A server is not in the subset any more; it may not be listed either.
+    /// Removes the state of a server that has left the subset; it may not be listed any more.
     fn has_left(&mut self, id: ServerId) {
         self.set_turn(id, f64::NAN);
         self.ejected.remove(&id);
@@ -176,7 +179,7 @@
         self.probes.remove(id);
     }
 
-    /// A server is in the subset from now on; it is still to be given its turn.
+    /// Sets up a server that has joined the subset; its turn is assigned later.
     fn has_come(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if self.is_checking {
@@ -194,7 +197,7 @@
     fn wanted_subset(&self) -> Vec<ServerId> {
         let wanted = self.rotation_size();
         if wanted == self.order.len() {
-            // None counts for more than one.
+            // No server counts for more than one.
             return self.members.clone();
         }
         let (mut warm, mut subset) = (0.0, Vec::new());
@@ -214,10 +217,11 @@
         self.wanted_subset()
     }
 
-    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at
-    /// (p + k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that
-    /// is the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: were
-    /// all to begin again at each change, the servers after their offsets would get everything meanwhile.
+    /// Assigns the first turns of servers that are new to the rotation. A server of size w has its turns at
+    /// (p + k) / w for k = 0, 1, ..., where p from 0 to 1 is its position after the cursor: with equal
+    /// sizes this is the plain cyclic order, with unequal ones an even interleaving. The other servers keep
+    /// their turns: if all began again at each change, the servers after the nodes' offsets would get all
+    /// requests meanwhile.
     fn place_newcomers(&mut self) {
         let count = self.subset.len().max(1);
         let cursor_at = self.cursor_at.map(|at| self.subset.partition_point(|id| *id <= at));
@@ -234,7 +238,7 @@
             let Some(server) = self.servers.get_mut(&id) else { continue };
             let after = (place + count - first) % count;
             let warmth = server.warmth(self.now, &self.set.rules);
-            // Cold ones take a random place: by the cursors alone, many nodes would come at once.
+            // Cold servers get a random position: by the cursors alone, many nodes would send at once.
             let part = if warmth < 1.0 { stagger } else { after as f64 / count as f64 };
             let turn = self.cursor + part / (server.size * warmth);
             server.turn_warmth = warmth;
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -1,106 +1,106 @@
-//! When to call the one service of lists that all nodes share: at once where news may have been lost, and
-//! spread over the fleet where the service seems to be jammed or down. Until it has answered the node does
-//! not know who drains, however soon it asked: the service may be busy with the calls of all others.
-//! Meanwhile the servers themselves are asked, by their health checks.
+//! Decides when to call the discovery service that all nodes share: at once when changes may have been
+//! lost, and spread over the fleet when the service seems to be overloaded or down. Until it has answered,
+//! the node does not know which servers drain, however soon it called, as the service may be busy with the
+//! calls of the other nodes. Meanwhile the servers themselves are health-checked.
 
 use crate::api::{Discovery, ListFailure, Millis, Settings};
 use crate::crowd::{Crowd, Drawn};
 
-/// Time of the service that is left for each node's call where calls fail. Calls that wait in vain for one
-/// another are worked off all the same.
+/// Time that the service has for each node's call when calls fail. It still has to process calls that no
+/// longer wait for an answer.
 const CALL_SPACE: Millis = 75.0;
-/// Where a watch ended that stood, only as many calls are spread as would wait in vain, as each moment of
-/// spread is one in which the node knows less than it was told: over this at the least for each node, and
-/// at the most.
+/// When an established watch ended, the calls are spread only as far as needed to keep them from waiting in
+/// vain, as the node knows less than it was notified of meanwhile: over this time per node, up to an upper
+/// bound.
 const REOPEN_SPACE: Millis = 3.0;
 const REOPEN_LEAST: Millis = 250.0;
-/// Over this at the most where servers can't be asked whether they drain.
+/// Upper bound of that spread if servers can't be health-checked for drains.
 const REOPEN_UNCHECKED: Millis = 2200.0;
-/// How many watches may be opened anew without delay, one soon after another.
+/// Number of watches that may be reopened without delay, one soon after another.
 const REOPENINGS: f64 = 4.0;
-/// From when on servers are asked, after the list was last followed, and over which time nodes are spread:
-/// a service that is not busy has answered by then, and what a server says is there before the grace of a
-/// drain is over.
+/// Health checks begin this long after the list was last followed, spread over the nodes: by then a service
+/// that is not busy has answered, and the results are there before the grace period of a drain is over.
 const CHECK_AFTER: Millis = 275.0;
 const CHECK_SPREAD: Millis = 75.0;
-/// For how long the list may be acted on that was followed until then.
+/// How long the list may be used after it was last followed.
 const STALE_AFTER: Millis = 1400.0;
-/// What a node may still do in the grace of a drain, once that counts as told.
+/// How much of the grace period of a drain a node may use once the drain counts as notified.
 const GRACE_USED: Millis = 300.0;
-/// For the answer to the call that is made in time after a watch fell silent.
+/// Time allowed for the answer to the call after a watch went silent.
 const ANSWER_TIME: Millis = 1000.0;
-/// Over which part of the time, at its end, those calls are spread that are due later than they may be:
-/// the more of it, the more calls an outage costs.
+/// Final share of the available time over which calls are spread that were drawn later than permitted: the
+/// larger it is, the more calls an outage costs.
 const LAST_PART: f64 = 0.2;
-/// Failures in a row beyond which the pause grows no further.
+/// Number of consecutive failures beyond which the backoff stops growing.
 const FAILURES_MOST: u32 = 8;
 
-/// The state of the calls.
+/// State of the calls.
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    /// Not needed, or subscribed.
+    /// No call is needed, or the subscription is established.
     Settled,
-    /// Called at this time, after so many failures.
+    /// A call was made at this time, after this many failures.
     Called(Millis, u32),
-    /// To be called at this time.
+    /// A call is due at this time, after this many failures.
     Due(Millis, u32),
 }
 
-/// What a look at the time calls for.
+/// What has to be done at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sweep {
     /// Nothing.
     Nothing,
-    /// A call is to be made now.
+    /// A call has to be made now.
     Call,
-    /// The call that is out has no answer at all, and is taken for a failure.
+    /// The call in flight has had no answer at all and has to be treated as failed.
     Overdue,
 }
 
 /// Decides when to call.
 pub struct Calls {
     state: State,
-    /// Watches that may be opened anew without delay, as of a time.
+    /// Watches that may be reopened without delay, as of `counted`.
     reopenings: f64,
     counted: Millis,
-    /// How crowded the service has shown itself to be.
+    /// Estimated load of the service.
     crowd: Crowd,
-    /// What the time of the call that is due or out was drawn from.
+    /// The random draw of the time of the call that is due or in flight.
     drawn: Drawn,
-    /// Since when the list has not been followed; `None` while it is.
+    /// Details of the loss while the list is not followed; `None` while it is.
     lost: Option<Lost>,
 }
 
-/// The list is not followed: what the node knows of its servers grows old.
+/// The list is not followed, so the node's knowledge of its servers ages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lost {
-    /// When the list was lost that was followed until then.
+    /// When the list was first lost.
     pub since: Millis,
-    /// When news were lost, or may have been, for the last time.
+    /// When changes were, or may have been, lost last.
     pub at: Millis,
-    /// From when on servers are asked whether they drain.
+    /// When the health checks of the servers begin.
     pub check_from: Millis,
-    /// From when on what was known at that time is too old to send anything new by.
+    /// When knowledge from before the loss becomes too old for new sends.
     pub stale_from: Millis,
 }
 
 impl Lost {
-    /// `stale_after` is counted from now.
+    /// `stale_after` is counted from `now`.
     fn new(now: Millis, spread: Millis, stale_after: Millis) -> Self {
         let (check_from, stale_from) = (now + CHECK_AFTER + spread, now + stale_after);
         Self { since: now, at: now, check_from, stale_from }
     }
 
-    /// The same after an earlier loss: what was known then grows no fresher by another one.
+    /// Combines this loss with an earlier one, which keeps the knowledge as old as it was.
     fn after(self, earlier: Option<Self>) -> Self {
         let Some(earlier) = earlier else { return self };
         Self { since: earlier.since, stale_from: self.stale_from.min(earlier.stale_from), ..self }
     }
 }
 
-/// How long after a failure the call comes: drawn from a span, and not later than `most`. What lies beyond
-/// that must not come at one moment, which jams the service. Where the service is there, the span just ends
-/// earlier; where a call failed, what lay beyond is spread over the last part of the time.
+/// The delay of the call after a failure: drawn from `span`, and not longer than `most`. What lies beyond
+/// `most` must not be called at one moment, which would overload the service. If the service is running,
+/// the span is just shortened; if a call failed, the draws beyond `most` are spread over the final share of
+/// the time.
 fn spread(span: Millis, most: Millis, failure: ListFailure, chance: f64) -> Millis {
     let (drawn, most) = (span * chance, most.max(0.0));
     match failure {
@@ -112,7 +112,7 @@
 }
 
 impl Calls {
-    /// A node at its start: it calls at once where it has to.
+    /// The state at a node's start: it calls at once if it has to.
     pub fn new(discovery: Discovery) -> Self {
         let state = match discovery {
             Discovery::Pushed => State::Settled,
@@ -128,7 +128,8 @@
         }
     }
 
-    /// The service is elsewhere: whatever pause the old one had earned, the new one is called at once.
+    /// The address of the service has changed: it is called at once, whatever backoff applied to the old
+    /// one.
     pub fn moved(&mut self, now: Millis) {
         (self.state, self.drawn, self.crowd) = (State::Due(now, 0), Drawn::AT_ONCE, Crowd::default());
         self.lost.get_or_insert(Lost::new(now, 0.0, STALE_AFTER));
@@ -141,8 +142,8 @@
         }
     }
 
-    /// The call was answered, or the watch that stands has told something. Where it was news, opening the
-    /// watch anew was worth it: a service that ends watches in place of telling on them may go on doing so.
+    /// The call was answered, or the established watch sent something. If it was news, reopening the watch
+    /// was worth it: a service that ends watches instead of sending changes on them may keep doing so.
     pub fn answered(&mut self, news: bool) {
         self.state = State::Settled;
         self.lost = None;
@@ -151,12 +152,12 @@
         }
     }
 
-    /// Since when the list has not been followed; `None` while it is.
+    /// The loss of the list while it is not followed; `None` while it is.
     pub fn lost(&self) -> Option<Lost> {
         self.lost
     }
 
-    /// When the next call is to be made, where that is settled.
+    /// When the next call is due, if one is scheduled.
     pub fn next(&self) -> Option<Millis> {
         match self.state {
             State::Due(at, _) => Some(at),
@@ -164,7 +165,7 @@
         }
     }
 
-    /// When time alone next calls for something.
+    /// When `sweep` next has something to do.
     pub fn due(&self, settings: &Settings) -> Millis {
         match self.state {
             State::Settled => f64::INFINITY,
@@ -173,7 +174,7 @@
         }
     }
 
-    /// What the time calls for.
+    /// Returns what has to be done now.
     pub fn sweep(&mut self, now: Millis, settings: &Settings) -> Sweep {
         match self.state {
             State::Due(at, failures) if now >= at => {
@@ -186,14 +187,14 @@
         }
     }
 
-    /// A call failed, or a watch that stood ended. `chance` lies between 0 and 1.
+    /// A call failed, or an established watch ended. `chance` is a random number from 0 to 1.
     pub fn failed(&mut self, now: Millis, failure: ListFailure, settings: &Settings, chance: f64) {
         let (called, failures) = match self.state {
             State::Called(at, failures) => (at, failures + 1),
             State::Settled | State::Due(..) => (now, 1),
         };
         let failure = match failure {
-            // It was answered long ago: this is the end of its watch.
+            // It was answered long ago, so this is the end of its watch.
             ListFailure::Unanswered if self.state == State::Settled => ListFailure::Ended,
             other => other,
         };
@@ -202,20 +203,21 @@
             self.crowd.failed();
         }
         let span = self.span(now, failure, failures, settings);
-        // A node that has not asked for so long counts as told as well.
+        // A change also counts as notified to a node that has not called for this long.
         let latest = called + 0.85 * settings.rules.ask_within;
         let pause = spread(span, latest - now, failure, chance);
         self.drawn = Drawn { span: span.min((latest - now).max(0.0)), chance };
         self.state = State::Due(now + pause, failures);
     }
 
-    /// Notes that the list is not followed. A call without answer has told nothing, so it has lost no news.
+    /// Records that the list is not followed. A call without an answer has sent nothing, so no changes were
+    /// lost.
     fn lose(&mut self, now: Millis, failure: ListFailure, chance: f64) {
         let stale_after = match failure {
             ListFailure::Silent { told_in } => told_in + ANSWER_TIME + GRACE_USED,
             ListFailure::Unanswered | ListFailure::Unreadable | ListFailure::Ended => STALE_AFTER,
         };
-        // Watches of all nodes may end together.
+        // The watches of all nodes may end together.
         let lost = Lost::new(now, CHECK_SPREAD * chance, stale_after);
         if failure == ListFailure::Unanswered {
             self.lost.get_or_insert(lost);
@@ -224,11 +226,11 @@
         }
     }
 
-    /// The time over which the next call is spread.
+    /// The span over which the next call is spread.
     fn span(&mut self, now: Millis, failure: ListFailure, failures: u32, settings: &Settings) -> Millis {
         let (fleet, within) = (settings.nodes as f64 * CALL_SPACE, settings.rules.ask_within);
-        // Backoff with jitter, so that nodes cut off together do not come back together, over a span as
-        // much longer as there are more nodes.
+        // Backoff with jitter, so that nodes that were cut off together do not return together, over a span
+        // that grows with the number of nodes.
         let grown = within / 20.0 * f64::from(1u32 << (failures.min(FAILURES_MOST) - 1));
         let jam = grown.max(fleet).min((0.4 * within).max(fleet));
         let most = if settings.limits.probes { jam } else { REOPEN_UNCHECKED };
@@ -236,7 +238,7 @@
         let reopen = self.crowd.least_spread(fleet).max(least).min(most.max(least));
         match failure {
             ListFailure::Unanswered => jam,
-            // What was written counts as told soon, whether or not it can be read.
+            // A change that was written counts as notified soon, whether or not it can be read.
             ListFailure::Unreadable => (grown / 2.0).min(within / 10.0),
             ListFailure::Ended if self.may_reopen(now, REOPENINGS * jam) => reopen,
             ListFailure::Ended => jam,
@@ -244,8 +246,8 @@
         }
     }
 
-    /// May a watch be opened anew without delay? Where that brings no news, one for each `interval` in the
-    /// long run: a service that ends all its watches at once must not be called without end.
+    /// Whether a watch may be reopened without delay. If that brings no news, one per `interval` is
+    /// permitted in the long run: a service that ends all its watches at once must not be called endlessly.
     fn may_reopen(&mut self, now: Millis, interval: Millis) -> bool {
         self.reopenings = (self.reopenings + (now - self.counted) / interval).min(REOPENINGS);
         self.counted = now;
@@ -262,7 +264,7 @@
     use super::*;
     use crate::api::{Goal, Limits, Rules, Weights};
 
-    /// Settings of one of so many nodes, with no class.
+    /// Settings of one node of `nodes`, with no class.
     pub(crate) fn fleet(nodes: usize) -> Settings {
         Settings {
             number: 0,
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Opens a watch that ends `stands` later, again and again; gives the longest pauses before each of the
+    /// Repeatedly opens a watch that ends `stands` later, and returns the longest delay before each of the
     /// next calls.
     fn pauses(nodes: usize, times: usize, stands: Millis, news: bool) -> Vec<Millis> {
         let (settings, mut calls, mut now) = (fleet(nodes), Calls::new(Discovery::Asked), 0.0);
@@ -354,8 +356,8 @@
         }
     }
 
-    /// A server that is removed and still answers is known by the list alone: where the service can work
-    /// off the calls of all nodes, they are made before what the watch was to tell counts as told.
+    /// Only the list shows that a server was removed that still answers: if the service can process the
+    /// calls of all nodes, they are made before the changes that the watch was to send count as notified.
     #[test]
     fn a_large_fleet_asks_in_time_where_the_service_is_not_busy() {
         let cases: [(usize, Millis, Millis); 5] = [
@@ -379,7 +381,7 @@
         }
     }
 
-    /// One that has failed a call since its last answer is busy.
+    /// A service that has failed a call since its last answer is busy.
     #[test]
     fn a_large_fleet_spreads_its_calls_where_the_service_failed_one() {
         let (settings, mut calls) = (fleet(300), Calls::new(Discovery::Asked));
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,10 +1,10 @@
-//! An ordered queue of times, one for each key: whoever is due first is found without a look at the others.
+//! A priority queue with one time per key; the first key is found without a scan.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::Millis;
 
-/// A number in the total order of floating-point numbers.
+/// A floating-point number with a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Ordered(f64);
 
@@ -22,20 +22,19 @@
     }
 }
 
-/// Keys by their times; among equal times the smaller key comes first.
+/// Keys ordered by their times; of equal times the smaller key comes first.
 pub struct Queue<K> {
     order: BTreeSet<(Ordered, K)>,
     times: BTreeMap<K, f64>,
 }
 
 impl<K: Copy + Ord> Queue<K> {
-    /// Nobody is in it.
+    /// An empty queue.
     pub fn new() -> Self {
         Self { order: BTreeSet::new(), times: BTreeMap::new() }
     }
 
-    /// Puts a key at a time, in place of any other; one that never comes (infinite, or no number) takes it
-    /// out.
+    /// Sets the time of a key, replacing any other. An infinite time or NaN removes the key.
     pub fn set(&mut self, key: K, time: f64) {
         if self.times.get(&key) == Some(&time) {
             return;
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Takes a key out.
+    /// Removes a key.
     pub fn remove(&mut self, key: K) {
         self.set(key, f64::INFINITY);
     }
@@ -59,12 +58,12 @@
         self.order.first().map(|(time, key)| (*key, time.0))
     }
 
-    /// When the first is due; infinite where there is none.
+    /// The earliest time; infinite if the queue is empty.
     pub fn first_time(&self) -> Millis {
         self.first().map_or(f64::INFINITY, |(_, time)| time)
     }
 
-    /// Those that are due by then, so many at the most, by key.
+    /// The keys due by `now`, at most `most` of them, sorted by key.
     pub fn due(&self, now: Millis, most: usize) -> Vec<K> {
         let due = self.order.iter().take_while(|(time, _)| time.0 <= now).take(most);
         let mut keys: Vec<K> = due.map(|(_, key)| *key).collect();
@@ -72,12 +71,12 @@
         keys
     }
 
-    /// How many there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.times.len()
     }
 
-    /// All keys, in order.
+    /// All keys, ordered by time.
     pub fn iter(&self) -> impl Iterator<Item = K> + '_ {
         self.order.iter().map(|(_, key)| *key)
     }
--- a/crates/policy/src/table.rs
+++ b/crates/policy/src/table.rs
@@ -1,25 +1,27 @@
-//! The order in which each of many nodes prefers the same members, so that all nodes together cover them evenly and little
-//! changes when members come or go: a table of places as Maglev's, or for very many members the ring of their mixed ids.
+//! The order in which each of many nodes prefers the same members, such that all nodes together cover them
+//! evenly and little changes when members join or leave: a lookup table as in Maglev hashing, or for very
+//! many members a ring of their hashed ids.
 
 use crate::api::ServerId;
 
-/// The step of SplitMix64's walk.
+/// The increment of SplitMix64.
 pub const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The mixing of SplitMix64.
+/// The mixing function of SplitMix64.
 pub fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     z ^ (z >> 31)
 }
 
-/// From how many members on the order is the ring of their ids: to fill the table costs more than in proportion to its size,
-/// at each change of the list, while a window on the ring that moves by one member is a small part of a large one.
+/// From this number of members on, the order is the ring of their ids. The cost of filling the table at
+/// each change of the list grows faster than its size, while a window on the ring that moves by one member
+/// is a small part of a large one.
 pub const RING_FROM: usize = 2048;
 
-/// The order in which the node of that number, one of `nodes`, prefers the sorted `members`. All nodes fill the same table (each
-/// member in turn takes its next free place by its own order), so all members have as many places and keep most when the list
-/// changes; each node reads from its own place.
+/// The order in which node `number` of `nodes` prefers the sorted `members`. All nodes fill the same table,
+/// in which each member in turn takes the next free slot of its own sequence. So all members have equally
+/// many slots and keep most of them when the list changes. Each node reads the table from its own offset.
 pub fn preference(members: &[ServerId], number: usize, nodes: usize, block: usize) -> Vec<ServerId> {
     if members.len() >= RING_FROM {
         let (before, after) = members.split_at(number * members.len() / nodes);
@@ -36,9 +38,9 @@
         .collect()
 }
 
-/// Fills a table of `size` places, at least as many as there are members: each member in turn takes its next free place by
-/// an order of its own, and not twice within a block of `block` places but where nothing else is left. A place holds its
-/// member's number in `members`.
+/// Fills a table of `size` slots, at least as many as there are members. Each member in turn takes the next
+/// free slot of its own sequence, and not twice within a block of `block` slots unless nothing else is
+/// left. A slot holds its member's index in `members`.
 pub fn fill(members: &[ServerId], size: usize, block: usize) -> Vec<usize> {
     const FREE: usize = usize::MAX;
     let mut walks: Vec<u64> = members.iter().map(|id| mix(id.0)).collect();
@@ -93,7 +95,7 @@
         assert!(kept > 1024 * 8 / 10, "{kept} of 1024 places stay");
     }
 
-    /// How many of the nodes have each member among the first of their order.
+    /// For each member, the number of nodes that have it among the first of their order.
     fn covered(members: &[ServerId], nodes: usize, first: usize) -> Vec<usize> {
         let mut count = vec![0; members.len()];
         for number in 0..nodes {
--- a/crates/policy/src/unserved.rs
+++ b/crates/policy/src/unserved.rs
@@ -1,31 +1,33 @@
-//! What went unserved and may be asked for again: a memory, which decides nothing.
+//! A bounded memory of requests that were not served, to recognize their repeats.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::Millis;
 
-/// The most that is kept; beyond it the oldest goes first. By reckoning that is a quarter of a megabyte.
+/// Maximum number of entries, which is about a quarter of a megabyte; beyond it the oldest is dropped
+/// first.
 pub const MOST: usize = 4096;
 
-/// What a repeat has to know of what it repeats.
+/// What has to be known of the original when its repeat arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct First {
-    /// When the client first asked.
+    /// When the client first sent it.
     pub asked: Millis,
-    /// It was within its tenant's share.
+    /// Whether it was within its tenant's share.
     pub in_share: bool,
 }
 
-/// Requests that went unserved, by what a client's repeat has in common with them.
+/// Requests that were not served, by the key that a client's repeat shares with them.
 #[derive(Default)]
 pub struct Unserved {
     kept: BTreeMap<u64, (First, Millis)>,
-    /// The same in the order in which they went, with when each is of no more use.
+    /// The keys in the order in which they were added, with their expiry times.
     order: VecDeque<(Millis, u64)>,
 }
 
 impl Unserved {
-    /// Keeps one until then. One that is like another takes its place: the younger is likelier to come back.
+    /// Adds a request until the given time. It replaces one with the same key, as the younger is likelier
+    /// to be repeated.
     pub fn put(&mut self, now: Millis, repeat_key: u64, first: First, until: Millis) {
         self.kept.insert(repeat_key, (first, until));
         self.order.push_back((until, repeat_key));
@@ -37,12 +39,13 @@
         }
     }
 
-    /// Is there one like that, for a request to repeat?
+    /// Whether there is a request that one with this key would repeat.
     pub fn knows(&self, now: Millis, repeat_key: u64) -> bool {
         self.kept.get(&repeat_key).is_some_and(|(_, until)| *until > now)
     }
 
-    /// What a request repeats, where it repeats anything. Each explains one repeat: what is like it and comes after is new.
+    /// Removes and returns the request that one with this key repeats. Each original accounts for one
+    /// repeat; any later request with the key is new.
     pub fn take(&mut self, now: Millis, repeat_key: u64) -> Option<First> {
         self.kept.remove(&repeat_key).filter(|(_, until)| *until > now).map(|(first, _)| first)
     }
@@ -85,7 +88,7 @@
         }
         assert_eq!((unserved.kept.len(), unserved.order.len()), (MOST, MOST));
         assert!(unserved.take(0.0, 0).is_none() && unserved.take(0.0, 3 * MOST as u64 - 1).is_some());
-        // Taken ones leave their place in the order behind; that is bounded as well.
+        // Entries that were taken stay in the order, which is bounded as well.
         for n in 0..3 * MOST as u64 {
             unserved.put(0.0, n, first(0.0), 1e9);
             unserved.take(0.0, n);
