--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -191,15 +191,15 @@
     /// Names the first invalid field and its bound: no classes, a time or amount that is negative or not
     /// finite, an own number that is not below the number of nodes, a share outside 0 to 1.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |what: String| Err(SettingsError(what));
+        let invalid = |message: String| Err(SettingsError(message));
         if self.classes.is_empty() {
-            return fail("classes: no classes, one is needed at least".into());
+            return invalid("classes: no classes, at least one is required".into());
         }
         if self.number >= self.nodes {
-            return fail("number: own number must be below the count of nodes".into());
+            return invalid("number: own number must be below the number of nodes".into());
         }
         if self.limits.attempts == 0 {
-            return fail("limits.attempts: no attempts allowed, one is needed at least".into());
+            return invalid("limits.attempts: no attempts allowed, at least one is required".into());
         }
         let (l, r, g) = (&self.limits, &self.rules, &self.goal);
         let mut amounts = vec![
@@ -226,20 +226,23 @@
             }
             shares.push((format!("classes[{n}].late_worth"), class.late_worth));
             if class.patience.is_nan() || class.patience < 0.0 {
-                return fail(format!("classes[{n}].patience: {} is negative or no number", class.patience));
+                return invalid(format!(
+                    "classes[{n}].patience: {} is negative or not a number",
+                    class.patience
+                ));
             }
             if class.aim <= 0.0 {
-                return fail(format!("classes[{n}].aim: must be above 0"));
+                return invalid(format!("classes[{n}].aim: must be greater than 0"));
             }
         }
         for (n, tenant) in self.tenants.iter().enumerate() {
             amounts.push((format!("tenants[{n}].quota_per_s"), tenant.quota_per_s));
         }
         if let Some((name, value)) = amounts.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
-            return fail(format!("{name}: {value} is negative or not finite"));
+            return invalid(format!("{name}: {value} is negative or not finite"));
         }
         if let Some((name, value)) = shares.iter().find(|(_, v)| !(0.0..=1.0).contains(v)) {
-            return fail(format!("{name}: {value} is a share outside 0 to 1"));
+            return invalid(format!("{name}: {value} is a share outside the range 0 to 1"));
         }
         Ok(())
     }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -16,88 +16,88 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::*;
-use crate::discovery::{Calls, Lost, Sweep};
-use crate::places::{put, renew};
+use crate::discovery::{Calls, ListLoss, Sweep};
+use crate::indexed::{reset_marked, set_at};
 use crate::queue::Queue;
 use crate::rate::Rate;
 use crate::table::{mix, GOLDEN};
-use crate::unserved::{First, Unserved};
-use knowledge::{Cleared, Knowledge};
+use crate::unserved::{Original, Unserved};
+use knowledge::{ApprovedServer, Knowledge};
 
 /// Share of the slow-start budget that is used; the rest absorbs chance and uneven traffic between nodes.
-const SLOW_START_CAUTION: f64 = 0.5;
+const SLOW_START_BUDGET_SHARE: f64 = 0.5;
 /// Retries that may have cost a server work, as a share of the first attempts.
 const RETRY_BUDGET_SHARE: f64 = 0.1;
 /// Upper bound of the retry budget, in attempts.
-const RETRY_BUDGET_MAX: f64 = 10.0;
+const MAX_RETRY_BUDGET: f64 = 10.0;
 /// A second copy is sent after this many times the usual response time; each lost answer adds this many
 /// copies to the copy budget. A copy that wins adds only one: otherwise copies would feed more copies in an
 /// overload.
-const COPY_AFTER: f64 = 2.0;
-const COPIES: f64 = 2.0;
+const COPY_AFTER_FACTOR: f64 = 2.0;
+const COPIES_PER_LOST_ANSWER: f64 = 2.0;
 /// Taken from the copy budget by every other end of an attempt: with fewer than one answer in a hundred
 /// lost, no copies are sent.
-const COPIES_FADE: f64 = 0.02;
+const COPY_BUDGET_DECAY: f64 = 0.02;
 
 /// Number of steps in which the subset is recomputed while its servers warm up.
 const WARMTH_STEPS: f64 = 32.0;
 
 /// Target for the average response time, as a share of the aim; above it too many answers are late.
-const PACE_TARGET: f64 = 0.35;
+const TARGET_TIME_SHARE: f64 = 0.35;
 /// Response time that is assumed for a late or missing answer, as a multiple of the aim.
-const LATE: f64 = 1.25;
+const LATE_TIME_SHARE: f64 = 1.25;
 /// Response time that is assumed for an attempt cut off at its aim, as a multiple of the aim: it would have
 /// taken about as long again.
-const CUT: f64 = 2.0;
+const CUT_OFF_FACTOR: f64 = 2.0;
 /// How strongly one answer moves the concurrency limit of its server.
 const LIMIT_GAIN: f64 = 0.25;
 /// Response time, as a share of the aim, above which a server is taken to get too many turns.
-const SHARE_FROM: f64 = 0.25;
+const EXCESS_TIME_SHARE: f64 = 0.25;
 /// How strongly one answer moves the learned share of its server, and how much of the share decays with it.
-const SHARE_GAIN: (f64, f64) = (0.05, 0.005);
+const LEARNED_SHARE_GAIN_AND_DECAY: (f64, f64) = (0.05, 0.005);
 /// How strongly one answer moves the usual response time of its class on its kind of machine.
-const TIME_GAIN: f64 = 0.02;
+const USUAL_TIME_GAIN: f64 = 0.02;
 /// Share of a mostly unused limit that each answer removes.
-const LIMIT_FADE: f64 = 0.02;
+const UNUSED_LIMIT_DECAY: f64 = 0.02;
 /// The initial limit, in attempts of all nodes at one server, and the minimum limit of one node. Below a
 /// limit of one, the node rests between two sends to the server.
-const LIMITS: (f64, f64) = (8.0, 0.05);
+const INITIAL_AND_MIN_LIMIT: (f64, f64) = (8.0, 0.05);
 /// Largest number of nodes per server that each start with a limit of at least one. With more, simultaneous
 /// first sends would overload a server before any node has seen an answer.
-const CROWD: f64 = 16.0;
+const MAX_NODES_AT_LIMIT_ONE: f64 = 16.0;
 /// Minimum of the fleet factor: with too little in flight, there are too few answers to see a recovery.
-const FLEET_LEAST: f64 = 0.25;
+const MIN_FLEET_FACTOR: f64 = 0.25;
 /// Maximum of the fleet factor; the reserve above 1 keeps a few late answers from lowering the limits.
-const FLEET_RESERVE: f64 = 2.0;
+const MAX_FLEET_FACTOR: f64 = 2.0;
 /// An attempt that has been in flight for longer than this share of the longest aim no longer counts
 /// against its server's limit; all attempts together may reach this multiple of the limit.
-const STUCK: f64 = 0.6;
-const STUCK_MOST: f64 = 4.0;
+const STUCK_AFTER_SHARE: f64 = 0.6;
+const MAX_STUCK_FACTOR: f64 = 4.0;
 /// Added to the number of an attempt that runs on at its server; far above any limit on attempts.
-const RUNS_ON: usize = 1 << 20;
+const RUNS_ON_OFFSET: usize = 1 << 20;
 /// How long a request may wait at the node, as a share of its aim: in a burst, and in a lasting overload.
-const HOLD: (f64, f64) = (0.25, 0.1);
+const MAX_WAIT_SHARES: (f64, f64) = (0.25, 0.1);
 /// From this number of servers on, the last free slot is reserved for the best classes. A class is not one
 /// of them if its gain is below this ratio of the best gain; a class below this share of the requested
 /// worth does not set the best gain.
-const RESERVE_FROM: usize = 4;
-const LESSER: f64 = 0.5;
-const RARE: f64 = 0.02;
+const MIN_SERVERS_FOR_RESERVE: usize = 4;
+const LOW_GAIN_RATIO: f64 = 0.5;
+const RARE_CLASS_SHARE: f64 = 0.02;
 
 /// How long the client of a refused request should wait before it tries again, as a share of the aim.
-const STAY_AWAY: f64 = 0.25;
+const STAY_AWAY_SHARE: f64 = 0.25;
 
 /// Upper bound of a client's estimate of the work, in aims of its class.
-const WORK_MOST: f64 = 8.0;
+const MAX_WORK_FACTOR: f64 = 8.0;
 
 /// Averaging window for how much of the requested worth each class and tenant is served.
-const MEMORY: Millis = 60_000.0;
+const SERVED_WINDOW: Millis = 60_000.0;
 /// How far above the worst served ratio a class or tenant still counts nearly as the worst.
-const NEAR_WORST: f64 = 0.05;
+const NEAR_WORST_MARGIN: f64 = 0.05;
 
 /// The load-balancing state of one node; see the module's documentation.
 pub struct Balancer {
-    set: Settings,
+    config: Settings,
     random: u64,
     now: Millis,
     servers: BTreeMap<ServerId, Server>,
@@ -110,11 +110,11 @@
     /// When the servers of the subset are due for a health check.
     probes: Queue<ServerId>,
     /// Servers with a health check in flight.
-    asked: BTreeSet<ServerId>,
+    probing: BTreeSet<ServerId>,
     /// The loss of the list for which the subset is being checked.
-    checked_for: Option<Lost>,
+    checked_loss: Option<ListLoss>,
     /// The loss of the list as seen by the last call of `follow_list`.
-    lost_before: Option<Lost>,
+    previous_loss: Option<ListLoss>,
     /// The servers of the subset are health-checked for drains, and the subset is limited to what can be
     /// checked.
     is_checking: bool,
@@ -143,13 +143,13 @@
     /// Servers of the subset that have lost their turn and not been assigned another.
     without_turn: Vec<ServerId>,
     /// Maximum size of the subset, unless the node's part of the fleet is larger.
-    rotation_most: usize,
+    max_rotation: usize,
     /// Sum of the sizes of the subset's servers.
     size: f64,
     /// The next turn of each server of the subset.
     turns: Queue<ServerId>,
     /// When the subset was last chosen.
-    chosen: Millis,
+    chosen_at: Millis,
     requests: BTreeMap<RequestId, Request>,
     /// Recent requests that were not served, to recognize their repeats.
     unserved: Unserved,
@@ -158,34 +158,34 @@
     /// Position of the last turn taken.
     cursor: f64,
     /// Server that had the last turn.
-    cursor_at: Option<ServerId>,
+    cursor_server: Option<ServerId>,
     /// How many times more nodes share a server than intended, where the subset can't be smaller; at least
     /// 1.
-    crowd: f64,
+    sharing_factor: f64,
     /// Since when requests have been waiting without interruption.
-    held_since: Option<Millis>,
+    waiting_since: Option<Millis>,
     classes: Vec<ClassStats>,
     /// Factor on all limits where it is below 1: how far the fleet as a whole has slowed down.
-    fleet: f64,
+    fleet_factor: f64,
     /// How much of its requested worth each class is served, and each tenant within its share.
     class_served: Vec<Served>,
     tenant_served: Vec<Served>,
     /// This node's part of each tenant's share: requests left within it, and when that was computed.
     quotas: Vec<(f64, Millis)>,
     /// Requests answered per second and unit of weight.
-    pace: Rate,
+    answer_rate: Rate,
     /// Requests received per second and unit of weight; used until one has been answered.
-    arrivals: Rate,
+    arrival_rate: Rate,
     /// For each kind of machine, the usual response time of each class at a server with no other attempt of
     /// this node.
-    times: BTreeMap<u64, Vec<Millis>>,
+    usual_times: BTreeMap<u64, Vec<Millis>>,
     retry_budget: f64,
     /// Copy budget: second copies that may be sent because of lost answers.
-    copies: f64,
+    copy_budget: f64,
     /// When the timer that was set last is due.
     timer_due: Millis,
     /// When `sweep` last ran.
-    swept: Millis,
+    swept_at: Millis,
     calls: Calls,
 }
 
@@ -201,7 +201,7 @@
     /// Its warmth when the turn was computed.
     turn_warmth: f64,
     /// This node's attempts in flight: request, attempt number, time of the send.
-    out: Vec<(RequestId, usize, Millis)>,
+    in_flight: Vec<(RequestId, usize, Millis)>,
     /// Limit on this node's attempts in flight while the fleet as a whole is not slow.
     limit: f64,
     last_sent: Millis,
@@ -214,7 +214,7 @@
     /// Consecutive ejections.
     ejections: u32,
     /// Set while the server is ejected; when it is probed next.
-    ejected: Option<Millis>,
+    ejected_until: Option<Millis>,
     /// Ejected for refused or broken connections: its process will come back cold.
     down: bool,
     /// What has been observed of its process.
@@ -223,8 +223,8 @@
     next_check: Millis,
     /// When the check after that is due, if not after the usual interval.
     check_after: Millis,
-    /// When it came back from what looked like a restart.
-    returned: Option<Millis>,
+    /// When it arrived back from what looked like a restart.
+    returned_at: Option<Millis>,
     /// Random factor from 0 to 1 on the delay before the first send to it while it is cold.
     stagger: f64,
 }
@@ -242,7 +242,7 @@
     /// When the client first sent it, as far as its deadline shows.
     asked: Millis,
     /// When this try of it arrived.
-    came: Millis,
+    arrived: Millis,
     deadline: Millis,
     attempts: Vec<Attempt>,
     bound: Bound,
@@ -293,7 +293,7 @@
 /// Rates of requested and served worth.
 #[derive(Default)]
 struct Served {
-    asked: Rate,
+    requested: Rate,
     served: Rate,
 }
 
@@ -304,13 +304,13 @@
 
     /// How many attempts of this node may be in flight, with the fleet factor and the minimum limit
     /// applied.
-    fn allowed(&self, fleet: f64, least: f64) -> f64 {
-        (self.limit * fleet.min(1.0)).max(least)
+    fn allowed(&self, fleet_factor: f64, least: f64) -> f64 {
+        (self.limit * fleet_factor.min(1.0)).max(least)
     }
 
     /// The share of its capacity that it has at least, by the time since its start.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
-        let start = self.entry.started.into_iter().chain(self.returned).fold(f64::NEG_INFINITY, f64::max);
+        let start = self.entry.started.into_iter().chain(self.returned_at).fold(f64::NEG_INFINITY, f64::max);
         let age = (now - start).max(0.0);
         if age >= rules.warm_within {
             return 1.0;
@@ -326,7 +326,7 @@
         let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         if to.is_some() {
             let bound = self.bound != Bound::Free || self.attempts.len() >= limits.attempts;
-            if bound || (self.pending() && !limits.second_copies) {
+            if bound || (self.has_pending() && !limits.second_copies) {
                 return false;
             }
         }
@@ -347,13 +347,13 @@
         }
     }
 
-    fn pending(&self) -> bool {
+    fn has_pending(&self) -> bool {
         self.attempts.iter().any(|a| a.outcome.is_none())
     }
 
     /// Cancels all attempts in flight except `one`, if cancelling is permitted.
-    fn cancel_all(&self, id: RequestId, one: Option<usize>, limits: &Limits, actions: &mut Vec<Action>) {
-        let out = |n: &usize| limits.cancel && Some(*n) != one && self.attempts[*n].outcome.is_none();
+    fn cancel_except(&self, id: RequestId, kept: Option<usize>, limits: &Limits, actions: &mut Vec<Action>) {
+        let out = |n: &usize| limits.cancel && Some(*n) != kept && self.attempts[*n].outcome.is_none();
         actions.extend((0..self.attempts.len()).filter(out).map(|attempt| Action::Cancel { id, attempt }));
     }
 }
@@ -372,7 +372,7 @@
         let tenant_served = settings.tenants.iter().map(|_| Served::default()).collect();
         let quotas = settings.tenants.iter().map(|_| (0.0, f64::NEG_INFINITY)).collect();
         Ok(Self {
-            set: settings,
+            config: settings,
             random: seed,
             now: 0.0,
             servers: BTreeMap::new(),
@@ -380,9 +380,9 @@
             suspected: BTreeSet::new(),
             ejected: BTreeSet::new(),
             probes: Queue::new(),
-            asked: BTreeSet::new(),
-            checked_for: None,
-            lost_before: None,
+            probing: BTreeSet::new(),
+            checked_loss: None,
+            previous_loss: None,
             is_checking: false,
             proved: Queue::new(),
             seen: Queue::new(),
@@ -395,29 +395,29 @@
             order: Vec::new(),
             subset: Vec::new(),
             without_turn: Vec::new(),
-            rotation_most: subset::ROTATION_MOST,
+            max_rotation: subset::MAX_ROTATION,
             size: 0.0,
             turns: Queue::new(),
-            chosen: f64::NEG_INFINITY,
+            chosen_at: f64::NEG_INFINITY,
             requests: BTreeMap::new(),
             unserved: Unserved::default(),
             waiting: Vec::new(),
             cursor: 0.0,
-            cursor_at: None,
-            crowd: 1.0,
-            held_since: None,
+            cursor_server: None,
+            sharing_factor: 1.0,
+            waiting_since: None,
             classes,
-            fleet: 1.0,
+            fleet_factor: 1.0,
             class_served,
             tenant_served,
             quotas,
-            pace: Rate::default(),
-            arrivals: Rate::default(),
-            times: BTreeMap::new(),
-            retry_budget: RETRY_BUDGET_MAX,
-            copies: 0.0,
+            answer_rate: Rate::default(),
+            arrival_rate: Rate::default(),
+            usual_times: BTreeMap::new(),
+            retry_budget: MAX_RETRY_BUDGET,
+            copy_budget: 0.0,
             timer_due: f64::INFINITY,
-            swept: f64::NEG_INFINITY,
+            swept_at: f64::NEG_INFINITY,
             calls,
         })
     }
@@ -430,9 +430,9 @@
             Event::List { entries, saved } => self.on_list(entries, !saved, true),
             Event::ListChange(entries) => self.on_list(entries, true, false),
             Event::ListNews(entries) => self.on_list(entries, false, false),
-            Event::ListAnswering => self.calls.answering(now, &self.set),
+            Event::ListAnswering => self.calls.on_answering(now, &self.config),
             Event::ListFailed(failure) => self.on_list_failed(failure),
-            Event::DiscoveryMoved if self.set.discovery == Discovery::Asked => self.calls.moved(now),
+            Event::DiscoveryMoved if self.config.discovery == Discovery::Asked => self.calls.on_moved(now),
             event @ Event::Request { .. } => self.on_request(event, actions),
             Event::Settings { settings, classes, tenants } => self.on_settings(*settings, &classes, &tenants),
             Event::Tenants(changes) => changes.into_iter().for_each(|change| self.on_tenant(change)),
@@ -440,19 +440,19 @@
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt, actions),
             event @ Event::Ended { .. } => self.on_ended(event, actions),
             Event::RunsOn { id, attempt, server } => {
-                let out = self.servers.get_mut(&server).into_iter().flat_map(|s| &mut s.out);
+                let out = self.servers.get_mut(&server).into_iter().flat_map(|s| &mut s.in_flight);
                 // Renumbered so that the end of the attempt does not remove it.
-                out.filter(|o| (o.0, o.1) == (id, attempt)).for_each(|o| o.1 = RUNS_ON + attempt);
+                out.filter(|o| (o.0, o.1) == (id, attempt)).for_each(|o| o.1 = RUNS_ON_OFFSET + attempt);
             }
             Event::Left { id, attempt, server } => {
-                self.free(server, id, RUNS_ON + attempt);
+                self.release(server, id, RUNS_ON_OFFSET + attempt);
                 self.drop_gone();
                 self.serve_waiting(actions);
             }
             Event::Probed { server, outcome, took } => self.on_probed(server, outcome, took),
             Event::ConnectionAnswered { server, opened } => self.on_connection_answered(server, opened),
             Event::ClientGone(id) => {
-                self.remember(id);
+                self.remember_unserved(id);
                 self.forget(id, actions);
             }
             Event::DiscoveryMoved | Event::Timer => {}
@@ -465,7 +465,7 @@
             self.sweep(actions);
         }
         // Timers cost CPU time, of which a node has little: one is set only if something will be due.
-        let due = self.next_due().max(now + self.set.tick.max(1.0));
+        let due = self.next_due().max(now + self.config.tick.max(1.0));
         if due < self.timer_due {
             self.timer_due = due;
             actions.push(Action::SetTimer(due - now));
@@ -475,41 +475,41 @@
     /// Applies new settings. Classes and tenants that keep their index keep what was learned of them; the
     /// others are reset.
     fn on_settings(&mut self, settings: Settings, classes: &[bool], tenants: &[bool]) {
-        self.set = settings;
-        renew(&mut self.classes, classes, |n| ClassStats::new(&self.set.classes[n]));
-        renew(&mut self.class_served, classes, |_| Served::default());
-        renew(&mut self.tenant_served, tenants, |_| Served::default());
-        renew(&mut self.quotas, tenants, |_| (0.0, f64::NEG_INFINITY));
-        self.times.values_mut().for_each(|times| renew(times, classes, |_| 0.0));
+        self.config = settings;
+        reset_marked(&mut self.classes, classes, |n| ClassStats::new(&self.config.classes[n]));
+        reset_marked(&mut self.class_served, classes, |_| Served::default());
+        reset_marked(&mut self.tenant_served, tenants, |_| Served::default());
+        reset_marked(&mut self.quotas, tenants, |_| (0.0, f64::NEG_INFINITY));
+        self.usual_times.values_mut().for_each(|times| reset_marked(times, classes, |_| 0.0));
         // The number of nodes may have changed, so the order of the servers is recomputed.
-        self.remember_members();
+        self.rebuild_members();
         self.on_list(Vec::new(), false, false);
     }
 
     /// Applies a change of one tenant; the cost does not depend on the number of tenants.
     fn on_tenant(&mut self, TenantChange { place, tenant, anew }: TenantChange) {
-        put(&mut self.set.tenants, place, tenant);
+        set_at(&mut self.config.tenants, place, tenant);
         if anew {
-            put(&mut self.tenant_served, place, Served::default());
-            put(&mut self.quotas, place, (0.0, f64::NEG_INFINITY));
+            set_at(&mut self.tenant_served, place, Served::default());
+            set_at(&mut self.quotas, place, (0.0, f64::NEG_INFINITY));
         }
     }
 
     /// How long the client of a refused request of this class should wait before it tries again.
     pub fn stay_away(&self, class: usize) -> Millis {
-        let aim = self.set.classes.get(class).map_or(0.0, |c| c.aim);
-        (STAY_AWAY * aim).min(self.set.limits.max_retry_after)
+        let aim = self.config.classes.get(class).map_or(0.0, |c| c.aim);
+        (STAY_AWAY_SHARE * aim).min(self.config.limits.max_retry_after)
     }
 
     /// Whether a request with this key repeats one that is already counted.
     pub fn repeats(&self, now: Millis, repeat_key: Option<u64>) -> bool {
-        repeat_key.is_some_and(|repeat_key| self.unserved.knows(now, repeat_key))
+        repeat_key.is_some_and(|repeat_key| self.unserved.contains(now, repeat_key))
     }
 
     /// Number of servers that are listed as up but ejected, because they seem to be down or to fail.
     pub fn avoided(&self) -> usize {
         let known = self.suspected.iter().filter_map(|id| self.servers.get(id));
-        known.filter(|server| server.listed_up() && server.ejected.is_some()).count()
+        known.filter(|server| server.listed_up() && server.ejected_until.is_some()).count()
     }
 
     /// Whether the list is not being followed, so that health checks of the servers count.
@@ -519,18 +519,19 @@
 
     /// When discovery is to be called next, if a call is scheduled.
     pub fn next_call(&self) -> Option<Millis> {
-        self.calls.next()
+        self.calls.next_call()
     }
 
     /// When `sweep` is next due, if no event comes before.
     fn next_due(&self) -> Millis {
-        let looks = !self.waiting.is_empty() || (self.copies >= 1.0 && !self.requests.is_empty());
-        let held = if looks { self.swept + self.period() } else { f64::INFINITY };
-        let warms = if self.any_cold() { self.chosen + self.warmth_step() } else { f64::INFINITY };
-        self.calls.due(&self.set).min(held).min(warms).min(self.next_probe())
+        let needs_sweep = !self.waiting.is_empty() || (self.copy_budget >= 1.0 && !self.requests.is_empty());
+        let waiting_due = if needs_sweep { self.swept_at + self.sweep_interval() } else { f64::INFINITY };
+        let warm_up_due =
+            if self.has_cold_servers() { self.chosen_at + self.warmth_step() } else { f64::INFINITY };
+        self.calls.due(&self.config).min(waiting_due).min(warm_up_due).min(self.next_probe_due())
     }
 
-    fn note_cold(&mut self, id: ServerId, cold: bool) {
+    fn mark_cold(&mut self, id: ServerId, cold: bool) {
         if cold {
             self.cold.insert(id);
         } else {
@@ -539,20 +540,20 @@
     }
 
     /// Whether the turn of any server of the subset was computed while it was cold.
-    fn any_cold(&self) -> bool {
+    fn has_cold_servers(&self) -> bool {
         self.rotated_of(&self.cold).any(|server| server.turn_warmth < 1.0)
     }
 
     /// How often the subset is recomputed while servers warm up.
     fn warmth_step(&self) -> Millis {
-        self.set.rules.warm_within / WARMTH_STEPS
+        self.config.rules.warm_within / WARMTH_STEPS
     }
 
     /// Interval at which waiting requests are examined: far below every aim, and within the slack of a
     /// deadline.
-    fn period(&self) -> Millis {
-        let aim = self.set.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
-        (aim / 20.0).max(self.set.tick).max(1.0)
+    fn sweep_interval(&self) -> Millis {
+        let aim = self.config.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
+        (aim / 20.0).max(self.config.tick).max(1.0)
     }
 
     fn random(&mut self) -> f64 {
@@ -566,18 +567,19 @@
     /// can bear: otherwise nodes would rest from servers that get no requests at all, and refuse what an
     /// idle fleet could serve.
     fn first_limit(&self) -> f64 {
-        (LIMITS.0 / self.sharing()).max((CROWD / self.sharing()).min(1.0))
+        (INITIAL_AND_MIN_LIMIT.0 / self.nodes_per_server())
+            .max((MAX_NODES_AT_LIMIT_ONE / self.nodes_per_server()).min(1.0))
     }
 
     /// The minimum of a server's limit.
     fn least_limit(&self) -> f64 {
-        LIMITS.1 / self.crowd
+        INITIAL_AND_MIN_LIMIT.1 / self.sharing_factor
     }
 
     // ---- Which servers are ready ----
 
-    fn ready(&self, server: &Server) -> bool {
-        server.ejected.is_none() && self.within_slow_start(server) && self.has_room(server)
+    fn is_ready(&self, server: &Server) -> bool {
+        server.ejected_until.is_none() && self.is_allowed_by_slow_start(server) && self.has_room(server)
     }
 
     /// Whether the server is below its limit of this node's attempts. By turns alone, a slow server would
@@ -586,35 +588,38 @@
     /// would keep an idle server full. If a server is this slow with all requests, each late answer lowers
     /// its limit.
     fn has_room(&self, server: &Server) -> bool {
-        let limit = server.allowed(self.fleet, self.least_limit());
+        let limit = server.allowed(self.fleet_factor, self.least_limit());
         if limit >= 1.0 {
-            let stuck_from = self.now - STUCK * self.set.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
-            let moving = server.out.iter().filter(|(_, _, sent)| *sent > stuck_from).count();
+            let stuck_from =
+                self.now - STUCK_AFTER_SHARE * self.config.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+            let moving = server.in_flight.iter().filter(|(_, _, sent)| *sent > stuck_from).count();
             return (moving as f64) < limit.floor()
-                && (server.out.len() as f64) < STUCK_MOST * self.first_limit().max(limit);
+                && (server.in_flight.len() as f64) < MAX_STUCK_FACTOR * self.first_limit().max(limit);
         }
-        server.out.is_empty() && self.now - server.last_sent >= self.rest(server)
+        server.in_flight.is_empty() && self.now - server.last_sent >= self.rest_time(server)
     }
 
     /// How long a server with a limit below one rests between two sends: long enough that the average
     /// number in flight stays within the limit, but never so long that its recovery would go unnoticed.
-    fn rest(&self, server: &Server) -> Millis {
-        let most = self.set.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
-        (server.last_took / server.allowed(self.fleet, self.least_limit())).min(most * self.crowd)
+    fn rest_time(&self, server: &Server) -> Millis {
+        let most = self.config.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
+        (server.last_took / server.allowed(self.fleet_factor, self.least_limit()))
+            .min(most * self.sharing_factor)
     }
 
     /// Rule 4: what all nodes together send to a cold server in one window must stay below a multiple of
     /// its present capacity. The capacity is derived from what a warm server of its size answers. Each node
     /// spaces its sends by its own traffic, and waits a random part of the first interval: otherwise all
     /// nodes would send at once.
-    fn within_slow_start(&self, server: &Server) -> bool {
-        let rules = &self.set.rules;
+    fn is_allowed_by_slow_start(&self, server: &Server) -> bool {
+        let rules = &self.config.rules;
         let warmth = server.warmth(self.now, rules);
         if warmth >= 1.0 {
             return true;
         }
-        let part = SLOW_START_CAUTION * rules.fall_multiple * warmth;
-        let pace = if self.pace.per_s > 0.0 { self.pace.per_s } else { self.arrivals.per_s };
+        let part = SLOW_START_BUDGET_SHARE * rules.fall_multiple * warmth;
+        let pace =
+            if self.answer_rate.per_s > 0.0 { self.answer_rate.per_s } else { self.arrival_rate.per_s };
         let space = 1000.0 / (part * pace * server.size);
         self.now - server.last_sent >= space * server.stagger
     }
@@ -629,30 +634,31 @@
             // Ids are unique: answering the duplicate would answer the first request, which is still open.
             return;
         }
-        let Some(effect) = self.set.classes.get(class).map(|c| c.effect) else {
+        let Some(effect) = self.config.classes.get(class).map(|c| c.effect) else {
             actions.push(Action::Explain { id, reason: Reason::NoSuchClass });
             return actions.push(Action::Fail(id));
         };
-        let work = if self.set.by_work { self.work_of(class, work) } else { 1.0 };
-        self.retry_budget = (self.retry_budget + RETRY_BUDGET_SHARE).min(RETRY_BUDGET_MAX);
-        let size = self.present_size();
-        self.arrivals.add(self.now, self.set.rules.fall_window, 1.0 / size.max(1.0));
-        let tenant = tenant.filter(|t| *t < self.set.tenants.len());
+        let work = if self.config.by_work { self.work_of(class, work) } else { 1.0 };
+        self.retry_budget = (self.retry_budget + RETRY_BUDGET_SHARE).min(MAX_RETRY_BUDGET);
+        let size = self.current_size();
+        self.arrival_rate.add(self.now, self.config.rules.fall_window, 1.0 / size.max(1.0));
+        let tenant = tenant.filter(|t| *t < self.config.tenants.len());
         // A client's repeat is served by the time of its first try or not at all, and counts once:
         // otherwise, when more is refused than served, most work would be spent on answers that are too
         // late.
-        let first = repeat_key.and_then(|repeat_key| self.unserved.take(self.now, repeat_key));
-        let in_share = match &first {
-            Some(first) => first.in_share,
+        let original = repeat_key.and_then(|repeat_key| self.unserved.take(self.now, repeat_key));
+        let in_share = match &original {
+            Some(original) => original.in_share,
             None => within.unwrap_or_else(|| tenant.is_none_or(|t| self.take_quota(t))),
         };
-        let before = |e: &Earlier| {
+        let to_attempt = |e: &Earlier| {
             let Earlier { server, zone, cell, sent, outcome } = *e;
             Attempt { server, zone, cell, sent, at_limit: false, alone: false, outcome: Some(outcome) }
         };
-        let attempts = earlier.iter().flatten().map(before).collect();
-        let (came, bound) = (self.now, Bound::Free);
-        let asked = (came - self.age(class, deadline)).min(first.as_ref().map_or(came, |u| u.asked));
+        let attempts = earlier.iter().flatten().map(to_attempt).collect();
+        let (arrived, bound) = (self.now, Bound::Free);
+        let asked =
+            (arrived - self.client_age(class, deadline)).min(original.as_ref().map_or(arrived, |u| u.asked));
         let request = Request {
             class,
             effect,
@@ -661,19 +667,19 @@
             repeat_key,
             work,
             asked,
-            came,
+            arrived,
             deadline,
             attempts,
             bound,
         };
         self.requests.insert(id, request);
-        if first.is_none() {
-            self.tally(id, |care| &mut care.asked);
+        if original.is_none() {
+            self.tally(id, |counts| &mut counts.requested);
         }
         if earlier.is_some() {
             // It counts as a retry, against the retry budget: the requests of a lost tenth of the fleet
             // must not all be sent at once.
-            self.further(id, Outcome::Reset, actions);
+            self.retry_or_conclude(id, Outcome::Reset, actions);
         } else {
             self.waiting.push(id);
         }
@@ -684,24 +690,24 @@
     /// request can take longer than its client waits, and a larger estimate would distort the averages for
     /// their whole window.
     fn work_of(&mut self, class: usize, guess: Option<f64>) -> f64 {
-        let Some(told) = self.set.classes.get(class) else { return 1.0 };
-        let most = told.patience.min(WORK_MOST * told.aim);
+        let Some(class_settings) = self.config.classes.get(class) else { return 1.0 };
+        let most = class_settings.patience.min(MAX_WORK_FACTOR * class_settings.aim);
         let usual = &mut self.classes[class].work;
         let Some(guess) = guess.filter(|w| w.is_finite() && *w > 0.0) else {
-            return usual.unwrap_or(told.aim / 8.0);
+            return usual.unwrap_or(class_settings.aim / 8.0);
         };
         let work = guess.min(most);
-        *usual = Some(usual.map_or(work, |usual| usual + (work - usual) * TIME_GAIN));
+        *usual = Some(usual.map_or(work, |usual| usual + (work - usual) * USUAL_TIME_GAIN));
         work
     }
 
     /// Records that a request is not served, to recognize the client's repeat.
-    fn remember(&mut self, id: RequestId) {
+    fn remember_unserved(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(repeat_key) = request.repeat_key {
-            let until = request.asked + self.set.classes[request.class].patience.min(MEMORY);
-            let first = First { asked: request.asked, in_share: request.in_share };
-            self.unserved.put(self.now, repeat_key, first, until);
+            let until = request.asked + self.config.classes[request.class].patience.min(SERVED_WINDOW);
+            let first = Original { asked: request.asked, in_share: request.in_share };
+            self.unserved.insert(self.now, repeat_key, first, until);
         }
     }
 
@@ -709,13 +715,13 @@
     /// the first try. The most time left that was ever seen in a class is taken for that of a new request.
     /// Where clients may repeat what they have given up, the deadline belongs to the latest try and shows
     /// nothing.
-    fn age(&mut self, class: usize, deadline: Millis) -> Millis {
+    fn client_age(&mut self, class: usize, deadline: Millis) -> Millis {
         let left = deadline - self.now;
         let most = &mut self.classes[class].most_left;
         if left.is_finite() {
             *most = most.max(left);
         }
-        match self.set.classes[class].effect {
+        match self.config.classes[class].effect {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => 0.0,
             _ => (*most - left).max(0.0),
         }
@@ -724,7 +730,7 @@
     /// Whether a request is within its tenant's share, and takes it from there. The share is assumed to be
     /// spread evenly over the nodes.
     fn take_quota(&mut self, tenant: usize) -> bool {
-        let own = self.set.tenants[tenant].quota_per_s / self.set.nodes as f64;
+        let own = self.config.tenants[tenant].quota_per_s / self.config.nodes as f64;
         let (left, since) = self.quotas[tenant];
         let left = (left + own * (self.now - since) / 1000.0).min(own.max(1.0));
         let within = left >= 1.0;
@@ -733,27 +739,28 @@
     }
 
     fn worth(&self, request: &Request) -> f64 {
-        let share = if request.in_share { 1.0 } else { self.set.over_share_worth };
-        self.set.classes[request.class].worth * share * request.work
+        let share = if request.in_share { 1.0 } else { self.config.over_share_worth };
+        self.config.classes[request.class].worth * share * request.work
     }
 
-    fn tally(&mut self, id: RequestId, of: impl Fn(&mut Served) -> &mut Rate) {
+    fn tally(&mut self, id: RequestId, rate_of: impl Fn(&mut Served) -> &mut Rate) {
         let Some(request) = self.requests.get(&id) else { return };
         let (now, worth) = (self.now, self.worth(request));
-        of(&mut self.class_served[request.class]).add(now, MEMORY, worth);
+        rate_of(&mut self.class_served[request.class]).add(now, SERVED_WINDOW, worth);
         if let (Some(tenant), true) = (request.tenant, request.in_share) {
-            of(&mut self.tenant_served[tenant]).add(now, MEMORY, worth);
+            rate_of(&mut self.tenant_served[tenant]).add(now, SERVED_WINDOW, worth);
         }
     }
 
     /// The gain per unit of served worth, for each entry, in the part of the goal that goes by the worst
     /// served one: the full weight for the worst, less for those above it.
-    fn goal_weights(&self, cares: &[Served], goal: f64) -> Vec<f64> {
-        let asked: Vec<f64> = cares.iter().map(|c| c.asked.at(self.now, MEMORY)).collect();
-        let part = |(c, a): (&Served, &f64)| if *a > 0.0 { c.served.at(self.now, MEMORY) / a } else { 1.0 };
-        let parts: Vec<f64> = cares.iter().zip(&asked).map(part).collect();
+    fn goal_weights(&self, tallies: &[Served], goal: f64) -> Vec<f64> {
+        let asked: Vec<f64> = tallies.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).collect();
+        let part =
+            |(c, a): (&Served, &f64)| if *a > 0.0 { c.served.at(self.now, SERVED_WINDOW) / a } else { 1.0 };
+        let parts: Vec<f64> = tallies.iter().zip(&asked).map(part).collect();
         let worst = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        let near: Vec<f64> = parts.iter().map(|p| (-(p - worst) / NEAR_WORST).exp()).collect();
+        let near: Vec<f64> = parts.iter().map(|p| (-(p - worst) / NEAR_WORST_MARGIN).exp()).collect();
         let sum: f64 = near.iter().sum();
         let weight = |(n, a): (&f64, &f64)| if *a > 0.0 { goal * n / sum / a } else { 0.0 };
         near.iter().zip(&asked).map(weight).collect()
@@ -763,7 +770,7 @@
     /// other is permitted: a request bound to the cell of its first attempt would otherwise wait in vain.
     fn may_go(&self, id: RequestId, to: &Server) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let may = |s: &Server| request.may_repeat(&self.set.limits, self.now, Some(&s.entry));
+        let may = |s: &Server| request.may_repeat(&self.config.limits, self.now, Some(&s.entry));
         let last = request.attempts.last().map(|a| a.server);
         let again = last == Some(to.entry.server);
         may(to) && !(again && self.rotated().any(|s| Some(s.entry.server) != last && may(s)))
@@ -779,24 +786,24 @@
         ran.all(|a| now - a.sent < memory)
     }
 
-    fn send(&mut self, id: RequestId, to: Cleared, actions: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, to: ApprovedServer, actions: &mut Vec<Action>) {
         self.count_send(to);
         let to = to.server();
         let Some(request) = self.requests.get(&id) else { return };
-        let late = self.set.classes[request.class].late_worth > 0.0;
+        let late = self.config.classes[request.class].late_worth > 0.0;
         let timeout = if late { request.deadline } else { self.useful_until(request) } - self.now;
-        let (rest, least) = (self.servers.get(&to).map_or(0.0, |s| self.rest(s)), self.least_limit());
+        let (rest, least) = (self.servers.get(&to).map_or(0.0, |s| self.rest_time(s)), self.least_limit());
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
             return;
         };
         let (zone, cell) = (server.entry.zone, server.entry.cell);
-        server.out.push((id, request.attempts.len(), self.now));
-        let allowed = server.allowed(self.fleet, least);
+        server.in_flight.push((id, request.attempts.len(), self.now));
+        let allowed = server.allowed(self.fleet_factor, least);
         let rested = self.now - server.last_sent;
         (server.last_sent, server.stagger) = (self.now, 1.0);
-        let alone = server.out.len() == 1;
+        let alone = server.in_flight.len() == 1;
         let at_limit =
-            if allowed < 1.0 { rested <= 2.0 * rest } else { 2.0 * server.out.len() as f64 >= allowed };
+            if allowed < 1.0 { rested <= 2.0 * rest } else { 2.0 * server.in_flight.len() as f64 >= allowed };
         let (server, sent) = (to, self.now);
         request.attempts.push(Attempt { server, zone, cell, sent, at_limit, alone, outcome: None });
         actions.push(Action::Send { id, server: to, timeout: Some(timeout.max(0.001)) });
@@ -804,19 +811,19 @@
 
     /// Until when an answer has its full worth, less the time for its way back to the client.
     fn useful_until(&self, request: &Request) -> Millis {
-        let aim = self.set.classes[request.class].aim;
-        (request.asked + aim - self.set.tick).min(request.deadline)
+        let aim = self.config.classes[request.class].aim;
+        (request.asked + aim - self.config.tick).min(request.deadline)
     }
 
     fn on_streaming(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.bound = Bound::Answer;
-        request.cancel_all(id, Some(attempt), &self.set.limits, actions);
+        request.cancel_except(id, Some(attempt), &self.config.limits, actions);
     }
 
     /// Removes an attempt from its server's attempts in flight.
-    fn free(&mut self, server: ServerId, id: RequestId, attempt: usize) {
-        let out = self.servers.get_mut(&server).into_iter().map(|s| &mut s.out);
+    fn release(&mut self, server: ServerId, id: RequestId, attempt: usize) {
+        let out = self.servers.get_mut(&server).into_iter().map(|s| &mut s.in_flight);
         out.for_each(|out| out.retain(|o| (o.0, o.1) != (id, attempt)));
     }
 
@@ -824,52 +831,52 @@
         let Event::Ended { id, attempt, server, outcome, took, finished } = event else { return };
         let now = self.now;
         let took = if took.is_finite() { took.max(0.0) } else { 0.0 };
-        self.free(server, id, attempt);
-        self.detect_outlier(server, outcome, took);
+        self.release(server, id, attempt);
+        self.record_outcome(server, outcome, took);
         self.drop_gone();
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(ended) = request.attempts.get_mut(attempt).filter(|a| a.outcome.is_none()) else { return };
         ended.outcome = Some(outcome);
         let (class, ended, asked) = (request.class, *ended, request.asked);
-        let open = request.pending() || request.bound == Bound::Answer;
+        let open = request.has_pending() || request.bound == Bound::Answer;
         let done = outcome == Outcome::Done;
         let overtaken = request.attempts.iter().find(|a| done && a.outcome.is_none()).copied();
-        let lost = self.set.limits.second_copies && outcome == Outcome::Unheard;
-        let gain = if lost { COPIES } else { overtaken.map_or(-COPIES_FADE, |_| 1.0) };
-        self.copies = (self.copies + gain).clamp(0.0, RETRY_BUDGET_MAX);
-        self.learn(class, ended, outcome, took);
+        let lost = self.config.limits.second_copies && outcome == Outcome::Unheard;
+        let gain = if lost { COPIES_PER_LOST_ANSWER } else { overtaken.map_or(-COPY_BUDGET_DECAY, |_| 1.0) };
+        self.copy_budget = (self.copy_budget + gain).clamp(0.0, MAX_RETRY_BUDGET);
+        self.update_estimates(class, ended, outcome, took);
         // Recorded now, as the attempt is cancelled with its request and would show nothing of a server
         // that hangs.
-        let slow = |a: Attempt| self.detect_outlier(a.server, Outcome::TimedOut, now - a.sent);
+        let slow = |a: Attempt| self.record_outcome(a.server, Outcome::TimedOut, now - a.sent);
         overtaken.into_iter().for_each(slow);
         if finished {
-            if now - asked <= self.set.classes[class].aim {
-                self.tally(id, |care| &mut care.served);
+            if now - asked <= self.config.classes[class].aim {
+                self.tally(id, |counts| &mut counts.served);
             }
             self.forget(id, actions);
         } else if !open {
-            self.further(id, outcome, actions);
+            self.retry_or_conclude(id, outcome, actions);
         }
         self.serve_waiting(actions);
     }
 
     /// Updates the limit, the share and the usual response times from the end of an attempt.
-    fn learn(&mut self, class: usize, attempt: Attempt, outcome: Outcome, took: Millis) {
+    fn update_estimates(&mut self, class: usize, attempt: Attempt, outcome: Outcome, took: Millis) {
         let Attempt { server: id, at_limit, alone, .. } = attempt;
-        let (now, rules, done) = (self.now, &self.set.rules, outcome == Outcome::Done);
+        let (now, rules, done) = (self.now, &self.config.rules, outcome == Outcome::Done);
         let (first, least_limit) = (self.first_limit(), self.least_limit());
-        let late = self.set.classes[class].late_worth > 0.0;
+        let late = self.config.classes[class].late_worth > 0.0;
         let part = match outcome {
-            Outcome::Done => (took / self.set.classes[class].aim).min(LATE),
+            Outcome::Done => (took / self.config.classes[class].aim).min(LATE_TIME_SHARE),
             // If answers get lost, a missing one shows nothing of its server's speed.
-            Outcome::TimedOut if self.copies >= 1.0 => return,
+            Outcome::TimedOut if self.copy_budget >= 1.0 => return,
             // It was cut off at the end of its usefulness. An attempt that had little time shows little,
             // and nothing good.
             Outcome::TimedOut if !late => {
-                let part = CUT * (took / self.set.classes[class].aim).min(1.0).powi(2);
-                part.max(PACE_TARGET.next_up())
+                let part = CUT_OFF_FACTOR * (took / self.config.classes[class].aim).min(1.0).powi(2);
+                part.max(TARGET_TIME_SHARE.next_up())
             }
-            Outcome::TimedOut | Outcome::Full => LATE,
+            Outcome::TimedOut | Outcome::Full => LATE_TIME_SHARE,
             _ => return,
         };
         let warm = |s: &Server| s.warmth(now, rules) >= 1.0;
@@ -877,9 +884,9 @@
             // Measured on warm servers only: if it included cold ones, a low slow-start budget would lower
             // itself further.
             let size = self.warm_size();
-            self.pace.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
+            self.answer_rate.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
-        let count = self.set.classes.len();
+        let count = self.config.classes.len();
         let pace = &mut self.classes[class];
         if done {
             pace.seen = pace.seen.saturating_add(1);
@@ -888,49 +895,51 @@
         // When the whole fleet slows down at once, its answers together show it long before each server's
         // limit has had enough answers of its own. The factor falls when more than half as many answers are
         // late as are well in time.
-        let step = LIMIT_GAIN * (LATE - PACE_TARGET) / (self.subset.len().max(1) as f64).sqrt();
+        let step =
+            LIMIT_GAIN * (LATE_TIME_SHARE - TARGET_TIME_SHARE) / (self.subset.len().max(1) as f64).sqrt();
         if part >= 1.0 && outcome != Outcome::Full {
-            self.fleet = (self.fleet * (-2.0 * step).exp()).max(FLEET_LEAST);
-        } else if part <= PACE_TARGET {
-            self.fleet = (self.fleet * step.exp()).min(FLEET_RESERVE);
+            self.fleet_factor = (self.fleet_factor * (-2.0 * step).exp()).max(MIN_FLEET_FACTOR);
+        } else if part <= TARGET_TIME_SHARE {
+            self.fleet_factor = (self.fleet_factor * step.exp()).min(MAX_FLEET_FACTOR);
         }
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.last_took = took;
         if done && alone {
-            let time = &mut self.times.entry(s.entry.kind).or_insert_with(|| vec![0.0; count])[class];
-            *time += (took - *time) * if *time > 0.0 { TIME_GAIN } else { 1.0 };
+            let time = &mut self.usual_times.entry(s.entry.kind).or_insert_with(|| vec![0.0; count])[class];
+            *time += (took - *time) * if *time > 0.0 { USUAL_TIME_GAIN } else { 1.0 };
         }
         // Learns sizes that the list does not tell: a server whose answers exceed the threshold by more
         // than the average gets too many turns. At low load none exceeds it, and the turns stay even.
-        let excess = (part - SHARE_FROM).max(0.0);
-        pace.excess += (excess - pace.excess) * SHARE_GAIN.0;
-        s.share = s.share.powf(1.0 - SHARE_GAIN.1) * (SHARE_GAIN.0 * (pace.excess - excess)).exp();
-        let unused = s.allowed(self.fleet, least_limit) > 2.0 * (s.out.len() as f64 + 1.0);
+        let excess = (part - EXCESS_TIME_SHARE).max(0.0);
+        pace.excess += (excess - pace.excess) * LEARNED_SHARE_GAIN_AND_DECAY.0;
+        s.share = s.share.powf(1.0 - LEARNED_SHARE_GAIN_AND_DECAY.1)
+            * (LEARNED_SHARE_GAIN_AND_DECAY.0 * (pace.excess - excess)).exp();
+        let unused = s.allowed(self.fleet_factor, least_limit) > 2.0 * (s.in_flight.len() as f64 + 1.0);
         if unused || (s.limit < 1.0 && !at_limit) {
             // A limit that is never reached gives no protection when the fleet slows down at once.
-            s.limit *= 1.0 - LIMIT_FADE;
+            s.limit *= 1.0 - UNUSED_LIMIT_DECAY;
         }
-        if s.limit < first && part <= PACE_TARGET && at_limit {
+        if s.limit < first && part <= TARGET_TIME_SHARE && at_limit {
             // Answers are rare below a limit of one: without a quick recovery, a server that was slow for
             // seconds would stay out for minutes. The quick recovery ends at the initial limit, as beyond
             // it many nodes would overload the server.
-            s.limit *= (LIMIT_GAIN * (LATE - PACE_TARGET)).exp();
+            s.limit *= (LIMIT_GAIN * (LATE_TIME_SHARE - TARGET_TIME_SHARE)).exp();
         } else if at_limit {
             // One attempt at a time that is answered in time is not too much, even if the whole fleet is so
             // slow that it misses the target.
             let least = if part < 1.0 { s.limit.min(1.0) } else { least_limit };
-            s.limit = (s.limit * (LIMIT_GAIN * (PACE_TARGET - part)).exp()).max(least);
+            s.limit = (s.limit * (LIMIT_GAIN * (TARGET_TIME_SHARE - part)).exp()).max(least);
         }
     }
 
     /// Queues a request whose attempts have all failed for a retry, or concludes it.
-    fn further(&mut self, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
+    fn retry_or_conclude(&mut self, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let class = &self.set.classes[request.class];
+        let class = &self.config.classes[request.class];
         let end = if class.late_worth > 0.0 { request.deadline } else { self.useful_until(request) };
         let time = end - self.now > self.classes[request.class].mean;
         let cost = if outcome.never_ran() { 0.0 } else { 1.0 };
-        let may_go = |s: &Server| request.may_repeat(&self.set.limits, self.now, Some(&s.entry));
+        let may_go = |s: &Server| request.may_repeat(&self.config.limits, self.now, Some(&s.entry));
         let is_bound = matches!(request.effect, Effect::Keyed { group: Group::Zone | Group::Cell, .. });
         // Unless the request is bound to a zone or cell, all servers are equivalent.
         let may = self.by_turn().take(if is_bound { usize::MAX } else { 1 }).any(may_go);
@@ -949,10 +958,10 @@
 
     /// Gives the final answer of a request that is not served: refused if rule 2 allows it, else failed.
     fn conclude(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
-        self.remember(id);
+        self.remember_unserved(id);
         let Some(request) = self.requests.get(&id) else { return };
         let stay_away = self.stay_away(request.class);
-        let harmless = request.may_repeat(&self.set.limits, self.now, None);
+        let harmless = request.may_repeat(&self.config.limits, self.now, None);
         actions.push(Action::Explain { id, reason });
         actions.push(if harmless { Action::Refuse { id, stay_away } } else { Action::Fail(id) });
         self.forget(id, actions);
@@ -961,7 +970,7 @@
     /// Removes a finished request and cancels its attempts that are still in flight.
     fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.remove(&id).filter(|r| r.bound != Bound::Answer) {
-            request.cancel_all(id, None, &self.set.limits, actions);
+            request.cancel_except(id, None, &self.config.limits, actions);
         }
     }
 
@@ -969,8 +978,8 @@
     /// that have waited too long. First come, first served would shed by the length of the aims, not by
     /// worth.
     fn serve_waiting(&mut self, actions: &mut Vec<Action>) {
-        let last = 2.0 * self.period();
-        let mut held = Vec::new();
+        let last = 2.0 * self.sweep_interval();
+        let mut waiting_ids = Vec::new();
         for id in std::mem::take(&mut self.waiting) {
             let Some(request) = self.requests.get(&id) else { continue };
             let class = request.class;
@@ -978,20 +987,23 @@
             let spare = self.useful_until(request) - self.classes[class].mean;
             // With less time it would most likely be cut off and its work lost. A new request is always
             // tried: otherwise a class that was slow once would never be seen to recover.
-            let hopeless = self.set.classes[class].late_worth == 0.0 && self.now > spare.max(request.asked);
+            let hopeless =
+                self.config.classes[class].late_worth == 0.0 && self.now > spare.max(request.asked);
             let end = if hopeless {
                 f64::NEG_INFINITY
             } else if request.attempts.is_empty() {
                 // In a lasting overload a long wait helps nobody: every request that is served has lost
                 // that time.
-                let aim = self.set.classes[class].aim;
-                let lasting = self.held_since.is_some_and(|since| self.now - since > aim);
-                (request.came + aim * if lasting { HOLD.1 } else { HOLD.0 }).min(spare).max(request.came)
+                let aim = self.config.classes[class].aim;
+                let lasting = self.waiting_since.is_some_and(|since| self.now - since > aim);
+                (request.arrived + aim * if lasting { MAX_WAIT_SHARES.1 } else { MAX_WAIT_SHARES.0 })
+                    .min(spare)
+                    .max(request.arrived)
             } else {
                 spare
             };
             if self.now <= end.min(request.deadline - last) {
-                held.push(id);
+                waiting_ids.push(id);
             } else {
                 let reason = match (self.subset.is_empty(), hopeless) {
                     (true, _) => Reason::NoServer,
@@ -1004,33 +1016,36 @@
         // A turn is taken only for a request that may be sent, and the last free slot is left to the
         // classes with the highest gain: a node that sends little is full for moments all the time, and a
         // request that can't wait is refused.
-        let lesser = if held.is_empty() { Vec::new() } else { self.lesser() };
-        while !held.is_empty() {
-            let last = self.subset.len() >= RESERVE_FROM && !self.has_places(2);
-            let goes = |r: &Request| !last || !r.attempts.is_empty() || !lesser[r.class];
-            let goes = |id: &&RequestId| self.requests.get(id).is_some_and(goes);
-            let eager: Vec<RequestId> = held.iter().filter(goes).copied().collect();
-            let turn = self.next_known(|b, s| b.ready(s) && eager.iter().any(|id| b.may_go(*id, s)));
+        let low_gain = if waiting_ids.is_empty() { Vec::new() } else { self.low_gain_classes() };
+        while !waiting_ids.is_empty() {
+            let last = self.subset.len() >= MIN_SERVERS_FOR_RESERVE && !self.has_free_slots(2);
+            let may_use_slot = |r: &Request| !last || !r.attempts.is_empty() || !low_gain[r.class];
+            let may_use_slot = |id: &&RequestId| self.requests.get(id).is_some_and(may_use_slot);
+            let eligible: Vec<RequestId> = waiting_ids.iter().filter(may_use_slot).copied().collect();
+            let turn = self.next_approved(|b, s| b.is_ready(s) && eligible.iter().any(|id| b.may_go(*id, s)));
             let Some(server) = turn else { break };
-            let Some(place) = self.best_held(&eager, server.server()) else { break };
-            held.retain(|id| *id != eager[place]);
-            self.send(eager[place], server, actions);
+            let Some(index) = self.best_waiting(&eligible, server.server()) else { break };
+            waiting_ids.retain(|id| *id != eligible[index]);
+            self.send(eligible[index], server, actions);
         }
-        self.held_since = if held.is_empty() { None } else { self.held_since.or(Some(self.now)) };
-        self.waiting = held;
+        self.waiting_since =
+            if waiting_ids.is_empty() { None } else { self.waiting_since.or(Some(self.now)) };
+        self.waiting = waiting_ids;
     }
 
     /// Marks the classes whose gain in the goal per unit of time is much lower than that of the best one.
-    fn lesser(&self) -> Vec<bool> {
-        let asked: Vec<f64> = self.class_served.iter().map(|c| c.asked.at(self.now, MEMORY)).collect();
+    fn low_gain_classes(&self) -> Vec<bool> {
+        let asked: Vec<f64> =
+            self.class_served.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).collect();
         let sum: f64 = asked.iter().sum();
-        let mut gains = self.goal_weights(&self.class_served, self.set.goal.worst_class);
+        let mut gains = self.goal_weights(&self.class_served, self.config.goal.worst_class);
         for (n, gain) in gains.iter_mut().enumerate() {
-            let worth = if asked[n] > RARE * sum { self.set.classes[n].worth } else { 0.0 };
-            *gain = worth * (*gain + self.set.goal.worth / sum) / self.classes[n].mean.max(f64::MIN_POSITIVE);
+            let worth = if asked[n] > RARE_CLASS_SHARE * sum { self.config.classes[n].worth } else { 0.0 };
+            *gain =
+                worth * (*gain + self.config.goal.worth / sum) / self.classes[n].mean.max(f64::MIN_POSITIVE);
         }
         let best = gains.iter().copied().fold(0.0, f64::max);
-        gains.into_iter().map(|gain| gain < LESSER * best).collect()
+        gains.into_iter().map(|gain| gain < LOW_GAIN_RATIO * best).collect()
     }
 
     /// Sends second copies of requests that have been in flight for long, where answers get lost: a retry
@@ -1040,72 +1055,76 @@
         let slow = |r: &Request| {
             let heavy = self.classes[r.class].work.map_or(1.0, |mean| (r.work / mean).max(1.0));
             let (usual, end) = (heavy * self.classes[r.class].mean, self.useful_until(r) - self.now);
-            let out = r.pending() && r.attempts.len() == 1 && end > usual;
-            out && self.now - r.attempts[0].sent >= COPY_AFTER * usual
+            let out = r.has_pending() && r.attempts.len() == 1 && end > usual;
+            out && self.now - r.attempts[0].sent >= COPY_AFTER_FACTOR * usual
         };
         let slow: Vec<RequestId> = self.requests.iter().filter(|(_, r)| slow(r)).map(|(id, _)| *id).collect();
-        let most = if self.waiting.is_empty() { self.copies as usize } else { 0 };
+        let most = if self.waiting.is_empty() { self.copy_budget as usize } else { 0 };
         for id in slow.into_iter().take(most) {
-            let Some(server) = self.next_known(|b, s| b.ready(s) && b.may_go(id, s)) else { continue };
-            self.copies -= 1.0;
+            let Some(server) = self.next_approved(|b, s| b.is_ready(s) && b.may_go(id, s)) else { continue };
+            self.copy_budget -= 1.0;
             self.send(id, server, actions);
         }
     }
 
     /// Whether at least `wanted` more attempts could be sent now.
-    fn has_places(&self, wanted: usize) -> bool {
+    fn has_free_slots(&self, wanted: usize) -> bool {
         let least = self.least_limit();
-        let free = |s: &Server| (s.allowed(self.fleet, least) as usize).saturating_sub(s.out.len()).max(1);
+        let free = |s: &Server| {
+            (s.allowed(self.fleet_factor, least) as usize).saturating_sub(s.in_flight.len()).max(1)
+        };
         // In the order of turns, as the first ones are the likeliest to be ready.
-        let mut places =
-            self.by_turn().filter(|s| self.is_usable(s) && self.ready(s)).map(free).scan(0, |sum, places| {
-                *sum += places;
+        let mut slots = self.by_turn().filter(|s| self.is_usable(s) && self.is_ready(s)).map(free).scan(
+            0,
+            |sum, slots| {
+                *sum += slots;
                 Some(*sum)
-            });
-        places.any(|sum| sum >= wanted)
+            },
+        );
+        slots.any(|sum| sum >= wanted)
     }
 
     /// The waiting request that gets this server's turn: the one with the highest gain in the goal per unit
     /// of time that its class takes there. Among equals the newest is taken, as the oldest has lost the
     /// time of its wait.
-    fn best_held(&self, held: &[RequestId], server: ServerId) -> Option<usize> {
+    fn best_waiting(&self, waiting_ids: &[RequestId], server: ServerId) -> Option<usize> {
         let to = self.servers.get(&server)?;
-        let mut may = (0..held.len()).filter(|i| self.may_go(held[*i], to));
-        if held.len() == 1 {
-            return may.next_back();
+        let mut allowed_indexes = (0..waiting_ids.len()).filter(|i| self.may_go(waiting_ids[*i], to));
+        if waiting_ids.len() == 1 {
+            return allowed_indexes.next_back();
         }
-        let goal = &self.set.goal;
-        let asked: f64 = self.class_served.iter().map(|c| c.asked.at(self.now, MEMORY)).sum();
+        let goal = &self.config.goal;
+        let asked: f64 = self.class_served.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).sum();
         let by_class = self.goal_weights(&self.class_served, goal.worst_class);
         let by_tenant = self.goal_weights(&self.tenant_served, goal.worst_tenant);
-        let times = self.times.get(&to.entry.kind);
-        let key = |place: usize| {
-            let r = self.requests.get(&held[place])?;
+        let times = self.usual_times.get(&to.entry.kind);
+        let key = |index: usize| {
+            let r = self.requests.get(&waiting_ids[index])?;
             let tenant = r.tenant.filter(|_| r.in_share).map_or(0.0, |t| by_tenant[t]);
-            let slope = goal.worth / asked.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
+            let marginal_gain = goal.worth / asked.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
             let usual = self.classes[r.class].mean;
             let time = times.map_or(usual, |t| if t[r.class] > 0.0 { t[r.class] } else { usual });
-            let time = if self.set.by_work { r.work } else { time };
-            Some((self.worth(r) * slope / time.max(f64::MIN_POSITIVE), r.came))
+            let time = if self.config.by_work { r.work } else { time };
+            Some((self.worth(r) * marginal_gain / time.max(f64::MIN_POSITIVE), r.arrived))
         };
-        let keyed = may.filter_map(|place| Some((place, key(place)?)));
+        let keyed = allowed_indexes.filter_map(|index| Some((index, key(index)?)));
         let best = keyed.max_by(|(_, a), (_, b)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        best.map(|(place, _)| place)
+        best.map(|(index, _)| index)
     }
 
     // ---- Periodic work ----
 
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        self.swept = now;
-        match self.calls.sweep(now, &self.set) {
+        self.swept_at = now;
+        match self.calls.sweep(now, &self.config) {
             Sweep::Call => actions.push(Action::Subscribe),
             Sweep::Overdue => self.on_list_failed(ListFailure::Unanswered),
             Sweep::Nothing => {}
         }
         self.follow_list();
         self.probe(actions);
-        if now >= self.chosen + self.warmth_step() && self.any_cold() {
+        if now >= self.chosen_at + self.warmth_step() && self.has_cold_servers() {
             self.choose_subset();
         }
         self.serve_waiting(actions);
--- a/crates/policy/src/balance/listed.rs
+++ b/crates/policy/src/balance/listed.rs
@@ -15,19 +15,19 @@
             share: 1.0,
             turn: f64::NAN,
             turn_warmth: 1.0,
-            out: Vec::new(),
+            in_flight: Vec::new(),
             limit: f64::NAN,
             last_sent: f64::NEG_INFINITY,
             last_took: 0.0,
             consecutive_failures: 0,
             last_reset: f64::NEG_INFINITY,
             ejections: 0,
-            ejected: None,
+            ejected_until: None,
             down: false,
             next_check: f64::NEG_INFINITY,
             check_after: f64::NEG_INFINITY,
             known: Knowledge::default(),
-            returned: None,
+            returned_at: None,
             stagger: 0.0,
         }
     }
@@ -35,12 +35,12 @@
 
 impl Balancer {
     /// Applies a full list, or the changed entries of one. `answer`: it answers a call.
-    pub(super) fn on_list(&mut self, entries: Vec<Entry>, answer: bool, whole: bool) {
+    pub(super) fn on_list(&mut self, entries: Vec<Entry>, answer: bool, full: bool) {
         if answer {
-            let news = self.are_news(&entries, whole);
-            self.calls.answered(news);
+            let news = self.has_news(&entries, full);
+            self.calls.on_answered(news);
         }
-        if whole {
+        if full {
             for server in self.servers.values_mut() {
                 server.entry.state = Listed::Gone;
             }
@@ -49,22 +49,22 @@
         let mut touched: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
         touched.sort_unstable();
         touched.dedup();
-        entries.into_iter().for_each(|entry| self.enter(entry));
+        entries.into_iter().for_each(|entry| self.apply_entry(entry));
         // Gone servers are kept while attempts are in flight, so that their outcomes can be recorded.
         self.drop_gone();
-        if whole {
-            self.remember_members();
+        if full {
+            self.rebuild_members();
         } else {
             self.update_members(&touched);
         }
         // Rest times and minimum limits of all sharing nodes add up: if they did not account for the number
         // of nodes, the sends of many nodes alone would keep a slow server from the rest that it needs.
-        self.crowd = (self.sharing() / NODES_PER_SERVER as f64).max(1.0);
+        self.sharing_factor = (self.nodes_per_server() / NODES_PER_SERVER as f64).max(1.0);
         let limit = self.first_limit();
-        let is_news = !answer && !whole;
+        let is_news = !answer && !full;
         for id in touched {
             if let Some(server) = self.servers.get_mut(&id).filter(|_| is_news) {
-                server.known.is_listed_elsewhere(self.now);
+                server.known.note_listed_elsewhere(self.now);
             }
             let server = self.servers.get_mut(&id).filter(|server| server.limit.is_nan());
             server.into_iter().for_each(|server| server.limit = limit);
@@ -73,7 +73,7 @@
     }
 
     /// Applies the list's entry of one server.
-    fn enter(&mut self, mut entry: Entry) {
+    fn apply_entry(&mut self, mut entry: Entry) {
         if !entry.weight.is_finite() || entry.weight <= 0.0 {
             entry.weight = 1.0;
         }
@@ -81,7 +81,7 @@
         // Live weights reflect the load, with a delay and the same for all nodes. The size of a server is
         // the highest weight that it was ever listed with, when it was least busy.
         let seen = self.servers.get(&id).map_or(0.0, |s| s.size);
-        let size = match self.set.weights {
+        let size = match self.config.weights {
             Weights::Listed => entry.weight,
             Weights::Live => entry.weight.max(seen),
             Weights::None => 1.0,
@@ -90,18 +90,18 @@
         if entry.started != server.entry.started {
             // It restarted: what was observed of the previous process does not apply to this one.
             (server.consecutive_failures, server.ejections, server.down) = (0, 0, false);
-            (server.ejected, server.returned, server.known) = (None, None, Knowledge::default());
+            (server.ejected_until, server.returned_at, server.known) = (None, None, Knowledge::default());
         }
         let is_back = !server.listed_up() && entry.state == Listed::Up;
         if is_back {
             // What it refused while it drained does not count from now on.
             (server.consecutive_failures, server.ejections) = (0, 0);
-            (server.ejected, server.known) = (None, Knowledge::default());
+            (server.ejected_until, server.known) = (None, Knowledge::default());
         }
         let begins = !server.listed_up() || entry.started != server.entry.started;
         server.size = size;
         server.entry = entry;
-        let (is_gone, is_ejected) = (server.entry.state == Listed::Gone, server.ejected.is_some());
+        let (is_gone, is_ejected) = (server.entry.state == Listed::Gone, server.ejected_until.is_some());
         if server.entry.started.is_some() {
             self.warming.insert(id);
         }
@@ -121,26 +121,26 @@
     }
 
     /// Whether these entries contain anything that was not known.
-    fn are_news(&self, entries: &[Entry], whole: bool) -> bool {
+    fn has_news(&self, entries: &[Entry], full: bool) -> bool {
         let listed = self.servers.values().filter(|s| s.entry.state != Listed::Gone);
         let is_new = |entry: &Entry| match self.servers.get(&entry.server) {
             Some(known) => (known.entry.state, known.entry.started) != (entry.state, entry.started),
             None => entry.state != Listed::Gone,
         };
-        entries.iter().any(is_new) || (whole && listed.count() > entries.len())
+        entries.iter().any(is_new) || (full && listed.count() > entries.len())
     }
 
     pub(super) fn on_list_failed(&mut self, failure: ListFailure) {
-        if self.set.discovery == Discovery::Pushed {
+        if self.config.discovery == Discovery::Pushed {
             return;
         }
         let chance = self.random();
-        self.calls.failed(self.now, failure, &self.set, chance);
+        self.calls.on_failed(self.now, failure, &self.config, chance);
     }
 
     /// Removes servers that are no longer listed and have no attempt in flight.
     pub(super) fn drop_gone(&mut self) {
-        let over = |id: &ServerId| self.servers.get(id).is_none_or(|server| server.out.is_empty());
+        let over = |id: &ServerId| self.servers.get(id).is_none_or(|server| server.in_flight.is_empty());
         let over: Vec<ServerId> = self.gone.iter().copied().filter(over).collect();
         for id in over {
             self.servers.remove(&id);
@@ -158,7 +158,7 @@
     }
 
     /// Recomputes the members and their order of preference.
-    pub(super) fn remember_members(&mut self) {
+    pub(super) fn rebuild_members(&mut self) {
         let up = self.servers.values().filter(|server| server.listed_up());
         self.members = up.map(|server| server.entry.server).collect();
         self.order = self.preference(&self.members);
@@ -219,21 +219,21 @@
     }
 
     /// Asserts that the incrementally updated state equals what a scan of all servers finds.
-    fn is_consistent(balancer: &Balancer) {
+    fn assert_consistent(balancer: &Balancer) {
         let ids = |is: &dyn Fn(&Server) -> bool| -> Vec<ServerId> {
             balancer.servers.values().filter(|s| is(s)).map(|s| s.entry.server).collect()
         };
         assert_eq!(balancer.members, ids(&Server::listed_up));
         let gone: Vec<ServerId> = balancer.gone.iter().copied().collect();
         assert_eq!(gone, ids(&|s| s.entry.state == Listed::Gone));
-        assert!(ids(&|s| s.ejected.is_some()).iter().all(|id| balancer.suspected.contains(id)));
+        assert!(ids(&|s| s.ejected_until.is_some()).iter().all(|id| balancer.suspected.contains(id)));
         assert!(balancer.rotated().all(|s| !s.turn.is_nan() && s.listed_up()));
         let rotated = |is: &dyn Fn(&Server) -> bool| -> Vec<ServerId> {
             balancer.rotated().filter(|s| is(s)).map(|s| s.entry.server).collect()
         };
         let kept: Vec<ServerId> = balancer.ejected.iter().copied().collect();
-        assert_eq!(kept, rotated(&|s| s.ejected.is_some()));
-        let is_cold = |s: &Server| s.warmth(balancer.now, &balancer.set.rules) < 1.0;
+        assert_eq!(kept, rotated(&|s| s.ejected_until.is_some()));
+        let is_cold = |s: &Server| s.warmth(balancer.now, &balancer.config.rules) < 1.0;
         assert!(rotated(&is_cold).iter().all(|id| balancer.warming.contains(id)));
         let by_turn = |id: &ServerId| balancer.servers[id].turn;
         let turns: Vec<ServerId> = balancer.turns.iter().collect();
@@ -241,11 +241,11 @@
         assert_eq!(turns.len(), balancer.subset.len());
         let first = |due: f64, s: &Server| due.min(balancer.probe_due(s));
         assert_eq!(balancer.probes.first_time(), balancer.rotated().fold(f64::INFINITY, first));
-        assert_eq!(balancer.subset, balancer.clone_of_subset());
+        assert_eq!(balancer.subset, balancer.expected_subset());
         let cold: Vec<ServerId> =
             balancer.rotated().filter(|s| s.turn_warmth < 1.0).map(|s| s.entry.server).collect();
         assert!(cold.iter().all(|id| balancer.cold.contains(id)));
-        assert_eq!(balancer.avoided(), ids(&|s| s.listed_up() && s.ejected.is_some()).len());
+        assert_eq!(balancer.avoided(), ids(&|s| s.listed_up() && s.ejected_until.is_some()).len());
     }
 
     fn request(id: RequestId, deadline: Millis) -> Event {
@@ -253,17 +253,17 @@
         Event::Request { id, class: 0, tenant, deadline, repeat_key, work, within, earlier }
     }
 
-    fn play(nodes: usize, steps: Vec<Step>) {
+    fn run_steps(nodes: usize, steps: Vec<Step>) {
         let mut balancer = Balancer::new(settings(nodes), 1).expect("good settings");
         let (mut actions, mut out) = (Vec::new(), Vec::new());
-        for (number, (whole, entries, outcome)) in (0u64..).zip(steps) {
+        for (number, (full, entries, outcome)) in (0u64..).zip(steps) {
             let now = 1_000.0 + 20.0 * number as f64;
-            let list = match whole {
+            let list = match full {
                 true => Event::List { entries, saved: false },
                 false => Event::ListChange(entries),
             };
             balancer.handle(now, list, &mut actions);
-            is_consistent(&balancer);
+            assert_consistent(&balancer);
             balancer.handle(now, request(RequestId(number), now + 500.0), &mut actions);
             out.extend(actions.drain(..).filter_map(|action| match action {
                 Action::Send { id, server, .. } => Some((id, server)),
@@ -274,18 +274,18 @@
                 let (id, server) = out.remove(0);
                 let ended = Event::Ended { id, attempt: 0, server, outcome, took: 30.0, finished: true };
                 balancer.handle(now + 10.0, ended, &mut actions);
-                is_consistent(&balancer);
+                assert_consistent(&balancer);
             }
         }
     }
 
     proptest! {
         #[test]
-        fn a_change_leaves_what_a_whole_list_would(
+        fn a_change_leads_to_the_same_state_as_a_full_list(
             nodes in prop_oneof![Just(1), Just(40)],
             steps in steps(),
         ) {
-            play(nodes, steps);
+            run_steps(nodes, steps);
         }
     }
 }
--- a/crates/policy/src/balance/rotation.rs
+++ b/crates/policy/src/balance/rotation.rs
@@ -12,22 +12,22 @@
 
     /// Takes turns until one falls to a server that satisfies the predicate; the others are skipped and
     /// lose that turn.
-    pub(super) fn next_turn(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
-        if !self.by_turn().any(|server| ready(self, server)) {
+    pub(super) fn next_turn(&mut self, is_ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
+        if !self.by_turn().any(|server| is_ready(self, server)) {
             return None;
         }
-        self.bring_warming_closer();
+        self.advance_warming_turns();
         loop {
             let (id, turn) = self.turns.first()?;
             self.steps.set(self.steps.get() + 1);
-            let passes = self.servers.get(&id).is_some_and(|server| ready(self, server));
-            (self.cursor, self.cursor_at) = (turn, Some(id));
+            let passes = self.servers.get(&id).is_some_and(|server| is_ready(self, server));
+            (self.cursor, self.cursor_server) = (turn, Some(id));
             let server = self.servers.get_mut(&id)?;
-            server.turn_warmth = server.warmth(self.now, &self.set.rules);
+            server.turn_warmth = server.warmth(self.now, &self.config.rules);
             let next = turn + 1.0 / (server.size * server.share * server.turn_warmth);
             let cold = server.turn_warmth < 1.0;
             self.set_turn(id, next);
-            self.note_cold(id, cold);
+            self.mark_cold(id, cold);
             if passes {
                 return Some(id);
             }
@@ -35,17 +35,17 @@
     }
 
     /// Moves the turns of cold servers closer as they warm up.
-    fn bring_warming_closer(&mut self) {
+    fn advance_warming_turns(&mut self) {
         let (now, cursor) = (self.now, self.cursor);
         let mut turns = Vec::new();
         for id in &self.cold {
-            if !self.is_rotated(*id) {
+            if !self.is_in_subset(*id) {
                 continue;
             }
             let Some(server) = self.servers.get_mut(id).filter(|server| server.turn_warmth < 1.0) else {
                 continue;
             };
-            let warmth = server.warmth(now, &self.set.rules);
+            let warmth = server.warmth(now, &self.config.rules);
             turns.push((*id, cursor + (server.turn - cursor) * server.turn_warmth / warmth));
             server.turn_warmth = warmth;
         }
@@ -54,13 +54,13 @@
 
     /// Servers of the subset that are still warming up.
     pub(super) fn cold_rotated(&self) -> impl Iterator<Item = &Server> {
-        let is_cold = |server: &&Server| server.warmth(self.now, &self.set.rules) < 1.0;
+        let is_cold = |server: &&Server| server.warmth(self.now, &self.config.rules) < 1.0;
         self.rotated_of(&self.warming).filter(is_cold)
     }
 
     /// Total size of the subset, each server weighted by its present share of its capacity.
-    pub(super) fn present_size(&self) -> f64 {
-        let missing = |s: &Server| s.size * (1.0 - s.warmth(self.now, &self.set.rules));
+    pub(super) fn current_size(&self) -> f64 {
+        let missing = |s: &Server| s.size * (1.0 - s.warmth(self.now, &self.config.rules));
         self.size - self.cold_rotated().map(missing).sum::<f64>()
     }
 
@@ -70,8 +70,8 @@
     }
 
     /// Removes servers that are warm by now from the set of warming ones.
-    pub(super) fn forget_warm(&mut self) {
-        let (now, rules, servers) = (self.now, &self.set.rules, &self.servers);
+    pub(super) fn drop_warm(&mut self) {
+        let (now, rules, servers) = (self.now, &self.config.rules, &self.servers);
         self.warming.retain(|id| servers.get(id).is_some_and(|server| server.warmth(now, rules) < 1.0));
     }
 }
--- a/crates/policy/src/balance/subset.rs
+++ b/crates/policy/src/balance/subset.rs
@@ -11,14 +11,14 @@
 pub(super) const NODES_PER_SERVER: usize = 8;
 /// Maximum number of servers that a node rotates over, unless its part of the fleet is larger; each needs a
 /// connection.
-pub(super) const ROTATION_MOST: usize = 256;
+pub(super) const MAX_ROTATION: usize = 256;
 /// Minimum number of nodes per server, however many servers there are.
-const NODES_PER_SERVER_LEAST: usize = 2;
+const MIN_NODES_PER_SERVER: usize = 2;
 /// Minimum size of the subset, so that there is another server when one fails.
-const SUBSET_LEAST: usize = 2;
+const MIN_SUBSET: usize = 2;
 
 /// The elements of one sorted slice that another one does not contain.
-fn without<'a>(all: &'a [ServerId], others: &'a [ServerId]) -> impl Iterator<Item = ServerId> + 'a {
+fn difference<'a>(all: &'a [ServerId], others: &'a [ServerId]) -> impl Iterator<Item = ServerId> + 'a {
     let mut rest = others;
     all.iter().copied().filter(move |id| {
         let smaller = rest.iter().take_while(|other| *other < id).count();
@@ -49,57 +49,57 @@
     }
 
     /// Whether a server is in the subset.
-    pub(super) fn is_rotated(&self, id: ServerId) -> bool {
+    pub(super) fn is_in_subset(&self, id: ServerId) -> bool {
         self.subset.binary_search(&id).is_ok()
     }
 
     /// The given servers that are in the subset.
     pub(super) fn rotated_of<'a>(&'a self, ids: &'a BTreeSet<ServerId>) -> impl Iterator<Item = &'a Server> {
-        let rotated = ids.iter().filter(|id| self.is_rotated(**id));
+        let rotated = ids.iter().filter(|id| self.is_in_subset(**id));
         rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
 
     /// Limits the size of the rotation to the number of connections that the node can keep, unless the
     /// node's part of the fleet is larger. Applies from the next list on.
     pub fn bound_rotation(&mut self, most: usize) {
-        self.rotation_most = most.clamp(SUBSET_LEAST, ROTATION_MOST);
+        self.max_rotation = most.clamp(MIN_SUBSET, MAX_ROTATION);
     }
 
     /// Number of warm servers that a node rotates over: all of them, unless that exceeds the number of
     /// nodes that a server should bear. Connections, and what a node must send to learn of each server,
     /// grow with both.
     pub(super) fn subset_size(&self, up: usize) -> usize {
-        let shared_by = |nodes: usize| (nodes * up).div_ceil(self.set.nodes);
-        let most = self.rotation_most.max(shared_by(NODES_PER_SERVER_LEAST));
-        shared_by(NODES_PER_SERVER).min(most).max(SUBSET_LEAST).min(up)
+        let shared_by = |nodes: usize| (nodes * up).div_ceil(self.config.nodes);
+        let most = self.max_rotation.max(shared_by(MIN_NODES_PER_SERVER));
+        shared_by(NODES_PER_SERVER).min(most).max(MIN_SUBSET).min(up)
     }
 
     /// Number of servers that it rotates over now: while it checks servers, no more than it can check.
     pub(super) fn rotation_size(&self) -> usize {
         let size = self.subset_size(self.order.len());
         if self.is_checking {
-            size.min(self.checked_most())
+            size.min(self.max_checked())
         } else {
             size
         }
     }
 
     /// Average number of nodes that send to a server.
-    pub(super) fn sharing(&self) -> f64 {
+    pub(super) fn nodes_per_server(&self) -> f64 {
         let up = self.members.len().max(1);
-        (self.set.nodes * self.subset_size(up)) as f64 / up as f64
+        (self.config.nodes * self.subset_size(up)) as f64 / up as f64
     }
 
     /// This node's order of preference of the sorted `members`, chosen so that all nodes together cover the
     /// fleet evenly.
     pub(super) fn preference(&self, members: &[ServerId]) -> Vec<ServerId> {
-        let is_whole = self.subset_size(members.len()) == members.len();
+        let is_full = self.subset_size(members.len()) == members.len();
         // With more members, the node uses only a part of them while the list is not followed, which must
         // not be the same part for all nodes.
-        if is_whole && members.len() <= self.checked_most() {
+        if is_full && members.len() <= self.max_checked() {
             return members.to_vec();
         }
-        table::preference(members, self.set.number, self.set.nodes, SUBSET_LEAST)
+        table::preference(members, self.config.number, self.config.nodes, MIN_SUBSET)
     }
 
     /// Chooses the subset: servers in order of preference until those not ejected add up to enough warm
@@ -107,14 +107,14 @@
     /// few others.
     pub(super) fn choose_subset(&mut self) {
         let subset = self.wanted_subset();
-        let left: Vec<ServerId> = without(&self.subset, &subset).collect();
-        let came: Vec<ServerId> = without(&subset, &self.subset).collect();
-        (self.subset, self.chosen) = (subset, self.now);
+        let left: Vec<ServerId> = difference(&self.subset, &subset).collect();
+        let came: Vec<ServerId> = difference(&subset, &self.subset).collect();
+        (self.subset, self.chosen_at) = (subset, self.now);
         self.size = self.rotated().map(|server| server.size).sum();
-        left.into_iter().for_each(|id| self.has_left(id));
-        came.into_iter().for_each(|id| self.has_come(id));
-        self.place_newcomers();
-        self.forget_warm();
+        left.into_iter().for_each(|id| self.on_left_subset(id));
+        came.into_iter().for_each(|id| self.on_joined_subset(id));
+        self.assign_first_turns();
+        self.drop_warm();
     }
 
     /// Updates the subset when only the ejection of single servers has changed.
@@ -123,34 +123,34 @@
         if self.cold_rotated().next().is_some() {
             return self.choose_subset();
         }
-        self.chosen = self.now;
+        self.chosen_at = self.now;
         if wanted == self.order.len() {
             return;
         }
-        while self.in_use() < wanted && self.subset.len() < self.order.len() {
+        while self.active_count() < wanted && self.subset.len() < self.order.len() {
             if self.warming.contains(&self.order[self.subset.len()]) {
                 // A warming server counts for less than one.
                 return self.choose_subset();
             }
             self.widen();
         }
-        while self.last_is_spare(wanted) {
+        while self.is_last_spare(wanted) {
             self.narrow();
         }
-        self.place_newcomers();
+        self.assign_first_turns();
     }
 
     /// Number of servers of the subset that are not ejected.
-    fn in_use(&self) -> usize {
+    fn active_count(&self) -> usize {
         self.subset.len() - self.ejected.len()
     }
 
     /// Whether the other servers suffice without the one that was added last.
-    fn last_is_spare(&self, wanted: usize) -> bool {
+    fn is_last_spare(&self, wanted: usize) -> bool {
         let Some(last) = self.subset.len().checked_sub(1).map(|place| self.order[place]) else {
             return false;
         };
-        self.in_use() - usize::from(!self.ejected.contains(&last)) >= wanted
+        self.active_count() - usize::from(!self.ejected.contains(&last)) >= wanted
     }
 
     fn widen(&mut self) {
@@ -158,7 +158,7 @@
         let Err(place) = self.subset.binary_search(&id) else { return };
         self.subset.insert(place, id);
         self.size += self.servers.get(&id).map_or(0.0, |server| server.size);
-        self.has_come(id);
+        self.on_joined_subset(id);
     }
 
     fn narrow(&mut self) {
@@ -166,11 +166,11 @@
         let Ok(place) = self.subset.binary_search(&id) else { return };
         self.subset.remove(place);
         self.size -= self.servers.get(&id).map_or(0.0, |server| server.size);
-        self.has_left(id);
+        self.on_left_subset(id);
     }
 
     /// Removes the state of a server that has left the subset; it may not be listed any more.
-    fn has_left(&mut self, id: ServerId) {
+    fn on_left_subset(&mut self, id: ServerId) {
         self.set_turn(id, f64::NAN);
         self.ejected.remove(&id);
         self.proved.remove(id);
@@ -180,17 +180,17 @@
     }
 
     /// Sets up a server that has joined the subset; its turn is assigned later.
-    fn has_come(&mut self, id: ServerId) {
+    fn on_joined_subset(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if self.is_checking {
-            server.known.joins_unheard();
+            server.known.require_check();
             server.next_check = f64::NEG_INFINITY;
         }
-        if server.ejected.is_some() {
+        if server.ejected_until.is_some() {
             self.ejected.insert(id);
         }
         self.without_turn.push(id);
-        self.note_proof(id);
+        self.update_proofs(id);
         self.schedule_probe(id);
     }
 
@@ -205,7 +205,11 @@
             if warm >= wanted as f64 {
                 break;
             }
-            warm += if server.ejected.is_none() { server.warmth(self.now, &self.set.rules) } else { 0.0 };
+            warm += if server.ejected_until.is_none() {
+                server.warmth(self.now, &self.config.rules)
+            } else {
+                0.0
+            };
             subset.push(server.entry.server);
         }
         subset.sort_unstable();
@@ -213,7 +217,7 @@
     }
 
     #[cfg(test)]
-    pub(super) fn clone_of_subset(&self) -> Vec<ServerId> {
+    pub(super) fn expected_subset(&self) -> Vec<ServerId> {
         self.wanted_subset()
     }
 
@@ -222,10 +226,10 @@
     /// sizes this is the plain cyclic order, with unequal ones an even interleaving. The other servers keep
     /// their turns: if all began again at each change, the servers after the nodes' offsets would get all
     /// requests meanwhile.
-    fn place_newcomers(&mut self) {
+    fn assign_first_turns(&mut self) {
         let count = self.subset.len().max(1);
-        let cursor_at = self.cursor_at.map(|at| self.subset.partition_point(|id| *id <= at));
-        let first = cursor_at.unwrap_or(self.set.number) % count;
+        let cursor_server = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
+        let first = cursor_server.unwrap_or(self.config.number) % count;
         let mut newcomers = std::mem::take(&mut self.without_turn);
         newcomers.sort_unstable();
         newcomers.dedup();
@@ -237,14 +241,14 @@
             let stagger = self.random();
             let Some(server) = self.servers.get_mut(&id) else { continue };
             let after = (place + count - first) % count;
-            let warmth = server.warmth(self.now, &self.set.rules);
+            let warmth = server.warmth(self.now, &self.config.rules);
             // Cold servers get a random position: by the cursors alone, many nodes would send at once.
             let part = if warmth < 1.0 { stagger } else { after as f64 / count as f64 };
             let turn = self.cursor + part / (server.size * warmth);
             server.turn_warmth = warmth;
             (server.stagger, server.last_sent) = (stagger, server.last_sent.max(self.now));
             self.set_turn(id, turn);
-            self.note_cold(id, warmth < 1.0);
+            self.mark_cold(id, warmth < 1.0);
         }
     }
 }
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -4,41 +4,41 @@
 //! calls of the other nodes. Meanwhile the servers themselves are health-checked.
 
 use crate::api::{Discovery, ListFailure, Millis, Settings};
-use crate::crowd::{Crowd, Drawn};
+use crate::crowd::{CallDraw, LoadEstimate};
 
 /// Time that the service has for each node's call when calls fail. It still has to process calls that no
 /// longer wait for an answer.
-const CALL_SPACE: Millis = 75.0;
+const CALL_SPACING: Millis = 75.0;
 /// When an established watch ended, the calls are spread only as far as needed to keep them from waiting in
 /// vain, as the node knows less than it was notified of meanwhile: over this time per node, up to an upper
 /// bound.
-const REOPEN_SPACE: Millis = 3.0;
-const REOPEN_LEAST: Millis = 250.0;
+const REOPEN_SPACING: Millis = 3.0;
+const MAX_MIN_REOPEN_SPREAD: Millis = 250.0;
 /// Upper bound of that spread if servers can't be health-checked for drains.
-const REOPEN_UNCHECKED: Millis = 2200.0;
+const MAX_UNCHECKED_REOPEN_SPREAD: Millis = 2200.0;
 /// Number of watches that may be reopened without delay, one soon after another.
-const REOPENINGS: f64 = 4.0;
+const MAX_REOPENINGS: f64 = 4.0;
 /// Health checks begin this long after the list was last followed, spread over the nodes: by then a service
 /// that is not busy has answered, and the results are there before the grace period of a drain is over.
 const CHECK_AFTER: Millis = 275.0;
 const CHECK_SPREAD: Millis = 75.0;
 /// How long the list may be used after it was last followed.
-const STALE_AFTER: Millis = 1400.0;
+const LIST_VALID: Millis = 1400.0;
 /// How much of the grace period of a drain a node may use once the drain counts as notified.
-const GRACE_USED: Millis = 300.0;
+const USABLE_GRACE: Millis = 300.0;
 /// Time allowed for the answer to the call after a watch went silent.
-const ANSWER_TIME: Millis = 1000.0;
+const ANSWER_ALLOWANCE: Millis = 1000.0;
 /// Final share of the available time over which calls are spread that were drawn later than permitted: the
 /// larger it is, the more calls an outage costs.
-const LAST_PART: f64 = 0.2;
+const FINAL_SHARE: f64 = 0.2;
 /// Number of consecutive failures beyond which the backoff stops growing.
-const FAILURES_MOST: u32 = 8;
+const MAX_BACKOFF_FAILURES: u32 = 8;
 
 /// State of the calls.
 #[derive(Clone, Copy, PartialEq)]
 enum State {
     /// No call is needed, or the subscription is established.
-    Settled,
+    Idle,
     /// A call was made at this time, after this many failures.
     Called(Millis, u32),
     /// A call is due at this time, after this many failures.
@@ -61,18 +61,18 @@
     state: State,
     /// Watches that may be reopened without delay, as of `counted`.
     reopenings: f64,
-    counted: Millis,
+    refilled_at: Millis,
     /// Estimated load of the service.
-    crowd: Crowd,
+    load: LoadEstimate,
     /// The random draw of the time of the call that is due or in flight.
-    drawn: Drawn,
+    draw: CallDraw,
     /// Details of the loss while the list is not followed; `None` while it is.
-    lost: Option<Lost>,
+    lost: Option<ListLoss>,
 }
 
 /// The list is not followed, so the node's knowledge of its servers ages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lost {
+pub struct ListLoss {
     /// When the list was first lost.
     pub since: Millis,
     /// When changes were, or may have been, lost last.
@@ -83,15 +83,15 @@
     pub stale_from: Millis,
 }
 
-impl Lost {
+impl ListLoss {
     /// `stale_after` is counted from `now`.
-    fn new(now: Millis, spread: Millis, stale_after: Millis) -> Self {
-        let (check_from, stale_from) = (now + CHECK_AFTER + spread, now + stale_after);
+    fn new(now: Millis, check_delay: Millis, stale_after: Millis) -> Self {
+        let (check_from, stale_from) = (now + CHECK_AFTER + check_delay, now + stale_after);
         Self { since: now, at: now, check_from, stale_from }
     }
 
     /// Combines this loss with an earlier one, which keeps the knowledge as old as it was.
-    fn after(self, earlier: Option<Self>) -> Self {
+    fn merge_earlier(self, earlier: Option<Self>) -> Self {
         let Some(earlier) = earlier else { return self };
         Self { since: earlier.since, stale_from: self.stale_from.min(earlier.stale_from), ..self }
     }
@@ -101,12 +101,12 @@
 /// `most` must not be called at one moment, which would overload the service. If the service is running,
 /// the span is just shortened; if a call failed, the draws beyond `most` are spread over the final share of
 /// the time.
-fn spread(span: Millis, most: Millis, failure: ListFailure, chance: f64) -> Millis {
-    let (drawn, most) = (span * chance, most.max(0.0));
+fn delay_after_failure(span: Millis, most: Millis, failure: ListFailure, chance: f64) -> Millis {
+    let (draw, most) = (span * chance, most.max(0.0));
     match failure {
-        _ if span <= most => drawn,
-        ListFailure::Unanswered if drawn <= most => drawn,
-        ListFailure::Unanswered => most * (1.0 - LAST_PART * (span - drawn) / (span - most)),
+        _ if span <= most => draw,
+        ListFailure::Unanswered if draw <= most => draw,
+        ListFailure::Unanswered => most * (1.0 - FINAL_SHARE * (span - draw) / (span - most)),
         _ => most * chance,
     }
 }
@@ -115,60 +115,61 @@
     /// The state at a node's start: it calls at once if it has to.
     pub fn new(discovery: Discovery) -> Self {
         let state = match discovery {
-            Discovery::Pushed => State::Settled,
+            Discovery::Pushed => State::Idle,
             Discovery::Asked => State::Due(f64::NEG_INFINITY, 0),
         };
         Self {
             state,
-            reopenings: REOPENINGS,
-            counted: 0.0,
-            crowd: Crowd::default(),
-            drawn: Drawn::AT_ONCE,
+            reopenings: MAX_REOPENINGS,
+            refilled_at: 0.0,
+            load: LoadEstimate::default(),
+            draw: CallDraw::IMMEDIATE,
             lost: None,
         }
     }
 
     /// The address of the service has changed: it is called at once, whatever backoff applied to the old
     /// one.
-    pub fn moved(&mut self, now: Millis) {
-        (self.state, self.drawn, self.crowd) = (State::Due(now, 0), Drawn::AT_ONCE, Crowd::default());
-        self.lost.get_or_insert(Lost::new(now, 0.0, STALE_AFTER));
+    pub fn on_moved(&mut self, now: Millis) {
+        (self.state, self.draw, self.load) =
+            (State::Due(now, 0), CallDraw::IMMEDIATE, LoadEstimate::default());
+        self.lost.get_or_insert(ListLoss::new(now, 0.0, LIST_VALID));
     }
 
     /// The answer to the call has begun.
-    pub fn answering(&mut self, now: Millis, settings: &Settings) {
+    pub fn on_answering(&mut self, now: Millis, settings: &Settings) {
         if let State::Called(at, _) = self.state {
-            self.crowd.answered(self.drawn, now - at, settings.nodes);
+            self.load.on_answered(self.draw, now - at, settings.nodes);
         }
     }
 
     /// The call was answered, or the established watch sent something. If it was news, reopening the watch
     /// was worth it: a service that ends watches instead of sending changes on them may keep doing so.
-    pub fn answered(&mut self, news: bool) {
-        self.state = State::Settled;
+    pub fn on_answered(&mut self, news: bool) {
+        self.state = State::Idle;
         self.lost = None;
         if news {
-            self.reopenings = (self.reopenings + 1.0).min(REOPENINGS);
+            self.reopenings = (self.reopenings + 1.0).min(MAX_REOPENINGS);
         }
     }
 
     /// The loss of the list while it is not followed; `None` while it is.
-    pub fn lost(&self) -> Option<Lost> {
+    pub fn lost(&self) -> Option<ListLoss> {
         self.lost
     }
 
     /// When the next call is due, if one is scheduled.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_call(&self) -> Option<Millis> {
         match self.state {
             State::Due(at, _) => Some(at),
-            State::Settled | State::Called(..) => None,
+            State::Idle | State::Called(..) => None,
         }
     }
 
     /// When `sweep` next has something to do.
     pub fn due(&self, settings: &Settings) -> Millis {
         match self.state {
-            State::Settled => f64::INFINITY,
+            State::Idle => f64::INFINITY,
             State::Due(at, _) => at.max(0.0),
             State::Called(at, _) => at + settings.rules.ask_within,
         }
@@ -179,7 +180,7 @@
         match self.state {
             State::Due(at, failures) if now >= at => {
                 self.state = State::Called(now, failures);
-                self.lost.get_or_insert(Lost::new(now, 0.0, STALE_AFTER));
+                self.lost.get_or_insert(ListLoss::new(now, 0.0, LIST_VALID));
                 Sweep::Call
             }
             State::Called(at, _) if now - at >= settings.rules.ask_within => Sweep::Overdue,
@@ -188,69 +189,69 @@
     }
 
     /// A call failed, or an established watch ended. `chance` is a random number from 0 to 1.
-    pub fn failed(&mut self, now: Millis, failure: ListFailure, settings: &Settings, chance: f64) {
+    pub fn on_failed(&mut self, now: Millis, failure: ListFailure, settings: &Settings, chance: f64) {
         let (called, failures) = match self.state {
             State::Called(at, failures) => (at, failures + 1),
-            State::Settled | State::Due(..) => (now, 1),
+            State::Idle | State::Due(..) => (now, 1),
         };
         let failure = match failure {
             // It was answered long ago, so this is the end of its watch.
-            ListFailure::Unanswered if self.state == State::Settled => ListFailure::Ended,
+            ListFailure::Unanswered if self.state == State::Idle => ListFailure::Ended,
             other => other,
         };
-        self.lose(now, failure, chance);
+        self.record_loss(now, failure, chance);
         if failure == ListFailure::Unanswered {
-            self.crowd.failed();
+            self.load.on_failed();
         }
         let span = self.span(now, failure, failures, settings);
         // A change also counts as notified to a node that has not called for this long.
         let latest = called + 0.85 * settings.rules.ask_within;
-        let pause = spread(span, latest - now, failure, chance);
-        self.drawn = Drawn { span: span.min((latest - now).max(0.0)), chance };
+        let pause = delay_after_failure(span, latest - now, failure, chance);
+        self.draw = CallDraw { span: span.min((latest - now).max(0.0)), chance };
         self.state = State::Due(now + pause, failures);
     }
 
     /// Records that the list is not followed. A call without an answer has sent nothing, so no changes were
     /// lost.
-    fn lose(&mut self, now: Millis, failure: ListFailure, chance: f64) {
+    fn record_loss(&mut self, now: Millis, failure: ListFailure, chance: f64) {
         let stale_after = match failure {
-            ListFailure::Silent { told_in } => told_in + ANSWER_TIME + GRACE_USED,
-            ListFailure::Unanswered | ListFailure::Unreadable | ListFailure::Ended => STALE_AFTER,
+            ListFailure::Silent { told_in } => told_in + ANSWER_ALLOWANCE + USABLE_GRACE,
+            ListFailure::Unanswered | ListFailure::Unreadable | ListFailure::Ended => LIST_VALID,
         };
         // The watches of all nodes may end together.
-        let lost = Lost::new(now, CHECK_SPREAD * chance, stale_after);
+        let lost = ListLoss::new(now, CHECK_SPREAD * chance, stale_after);
         if failure == ListFailure::Unanswered {
             self.lost.get_or_insert(lost);
         } else {
-            self.lost = Some(lost.after(self.lost));
+            self.lost = Some(lost.merge_earlier(self.lost));
         }
     }
 
     /// The span over which the next call is spread.
     fn span(&mut self, now: Millis, failure: ListFailure, failures: u32, settings: &Settings) -> Millis {
-        let (fleet, within) = (settings.nodes as f64 * CALL_SPACE, settings.rules.ask_within);
+        let (fleet_span, within) = (settings.nodes as f64 * CALL_SPACING, settings.rules.ask_within);
         // Backoff with jitter, so that nodes that were cut off together do not return together, over a span
         // that grows with the number of nodes.
-        let grown = within / 20.0 * f64::from(1u32 << (failures.min(FAILURES_MOST) - 1));
-        let jam = grown.max(fleet).min((0.4 * within).max(fleet));
-        let most = if settings.limits.probes { jam } else { REOPEN_UNCHECKED };
-        let least = (settings.nodes as f64 * REOPEN_SPACE).min(REOPEN_LEAST);
-        let reopen = self.crowd.least_spread(fleet).max(least).min(most.max(least));
+        let backoff = within / 20.0 * f64::from(1u32 << (failures.min(MAX_BACKOFF_FAILURES) - 1));
+        let overload_span = backoff.max(fleet_span).min((0.4 * within).max(fleet_span));
+        let most = if settings.limits.probes { overload_span } else { MAX_UNCHECKED_REOPEN_SPREAD };
+        let least = (settings.nodes as f64 * REOPEN_SPACING).min(MAX_MIN_REOPEN_SPREAD);
+        let reopen = self.load.min_spread(fleet_span).max(least).min(most.max(least));
         match failure {
-            ListFailure::Unanswered => jam,
+            ListFailure::Unanswered => overload_span,
             // A change that was written counts as notified soon, whether or not it can be read.
-            ListFailure::Unreadable => (grown / 2.0).min(within / 10.0),
-            ListFailure::Ended if self.may_reopen(now, REOPENINGS * jam) => reopen,
-            ListFailure::Ended => jam,
-            ListFailure::Silent { told_in } => jam.min(told_in),
+            ListFailure::Unreadable => (backoff / 2.0).min(within / 10.0),
+            ListFailure::Ended if self.may_reopen(now, MAX_REOPENINGS * overload_span) => reopen,
+            ListFailure::Ended => overload_span,
+            ListFailure::Silent { told_in } => overload_span.min(told_in),
         }
     }
 
     /// Whether a watch may be reopened without delay. If that brings no news, one per `interval` is
     /// permitted in the long run: a service that ends all its watches at once must not be called endlessly.
     fn may_reopen(&mut self, now: Millis, interval: Millis) -> bool {
-        self.reopenings = (self.reopenings + (now - self.counted) / interval).min(REOPENINGS);
-        self.counted = now;
+        self.reopenings = (self.reopenings + (now - self.refilled_at) / interval).min(MAX_REOPENINGS);
+        self.refilled_at = now;
         let may = self.reopenings >= 1.0;
         if may {
             self.reopenings -= 1.0;
@@ -295,20 +296,20 @@
         }
     }
 
-    /// Repeatedly opens a watch that ends `stands` later, and returns the longest delay before each of the
+    /// Repeatedly opens a watch that ends `watch_duration` later, and returns the longest delay before each of the
     /// next calls.
-    fn pauses(nodes: usize, times: usize, stands: Millis, news: bool) -> Vec<Millis> {
+    fn pauses(nodes: usize, times: usize, watch_duration: Millis, news: bool) -> Vec<Millis> {
         let (settings, mut calls, mut now) = (fleet(nodes), Calls::new(Discovery::Asked), 0.0);
         let open = |now: Millis, calls: &mut Calls| {
             assert_eq!(calls.sweep(now, &settings), Sweep::Call);
-            calls.answered(news);
+            calls.on_answered(news);
         };
         open(now, &mut calls);
         let mut pauses = Vec::new();
         for _ in 0..times {
-            now += stands;
-            calls.failed(now, ListFailure::Ended, &settings, 1.0);
-            let next = calls.next().expect("it calls again");
+            now += watch_duration;
+            calls.on_failed(now, ListFailure::Ended, &settings, 1.0);
+            let next = calls.next_call().expect("it calls again");
             pauses.push(next - now);
             now = next;
             open(now, &mut calls);
@@ -317,37 +318,37 @@
     }
 
     #[test]
-    fn a_watch_that_ends_is_opened_anew_at_once_for_as_long_as_that_brings_news() {
+    fn an_ended_watch_is_reopened_at_once_while_that_brings_news() {
         assert!(pauses(26, 50, 100.0, true).iter().all(|pause| *pause <= 250.0));
         assert!(pauses(44, 50, 100.0, true).iter().all(|pause| *pause <= 1300.0));
     }
 
     #[test]
-    fn a_service_that_ends_all_watches_is_not_called_without_end() {
+    fn a_service_that_ends_all_watches_is_not_called_endlessly() {
         let pauses = pauses(44, 50, 0.0, false);
-        assert!(pauses[..REOPENINGS as usize].iter().all(|pause| *pause <= 1300.0), "{pauses:?}");
+        assert!(pauses[..MAX_REOPENINGS as usize].iter().all(|pause| *pause <= 1300.0), "{pauses:?}");
         let calls_a_second = 50_000.0 / pauses.iter().sum::<Millis>();
         assert!(calls_a_second < 0.4, "{calls_a_second}: {pauses:?}");
     }
 
     #[test]
-    fn a_call_that_fails_is_spread_over_the_fleet() {
+    fn calls_after_a_failure_are_spread_over_the_fleet() {
         let (settings, mut calls) = (fleet(44), Calls::new(Discovery::Asked));
         assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
-        calls.failed(0.0, ListFailure::Unanswered, &settings, 1.0);
-        assert_eq!(calls.next(), Some(44.0 * CALL_SPACE));
+        calls.on_failed(0.0, ListFailure::Unanswered, &settings, 1.0);
+        assert_eq!(calls.next_call(), Some(44.0 * CALL_SPACING));
     }
 
     #[test]
-    fn no_two_nodes_of_a_large_fleet_call_at_one_moment() {
+    fn no_two_nodes_of_a_large_fleet_call_at_the_same_moment() {
         let settings = fleet(900);
         for failure in [ListFailure::Unanswered, ListFailure::Ended, ListFailure::Silent { told_in: 1800.0 }]
         {
             let call = |number: usize| {
                 let mut calls = Calls::new(Discovery::Asked);
                 assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
-                calls.failed(2000.0, failure, &settings, number as f64 / 900.0);
-                calls.next().expect("it calls again")
+                calls.on_failed(2000.0, failure, &settings, number as f64 / 900.0);
+                calls.next_call().expect("it calls again")
             };
             let mut times: Vec<Millis> = (0..900).map(call).collect();
             times.sort_by(f64::total_cmp);
@@ -359,7 +360,7 @@
     /// Only the list shows that a server was removed that still answers: if the service can process the
     /// calls of all nodes, they are made before the changes that the watch was to send count as notified.
     #[test]
-    fn a_large_fleet_asks_in_time_where_the_service_is_not_busy() {
+    fn a_large_fleet_calls_in_time_if_the_service_is_not_busy() {
         let cases: [(usize, Millis, Millis); 5] = [
             (44, 70.0, 1_388.0),
             (300, 10.0, 1_300.0),
@@ -370,12 +371,12 @@
         for (nodes, answered_in, within) in cases {
             let (settings, mut calls) = (fleet(nodes), Calls::new(Discovery::Asked));
             assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
-            calls.answering(answered_in, &settings);
-            calls.answered(true);
-            calls.failed(5000.0, ListFailure::Ended, &settings, 1.0);
-            let next = calls.next().expect("it calls again") - 5000.0;
+            calls.on_answering(answered_in, &settings);
+            calls.on_answered(true);
+            calls.on_failed(5000.0, ListFailure::Ended, &settings, 1.0);
+            let next = calls.next_call().expect("it calls again") - 5000.0;
             assert!(
-                (next - within.min(nodes as f64 * CALL_SPACE - 2_000.0)).abs() < 1.0,
+                (next - within.min(nodes as f64 * CALL_SPACING - 2_000.0)).abs() < 1.0,
                 "{nodes} nodes, {answered_in} ms: {next}"
             );
         }
@@ -383,23 +384,23 @@
 
     /// A service that has failed a call since its last answer is busy.
     #[test]
-    fn a_large_fleet_spreads_its_calls_where_the_service_failed_one() {
+    fn a_large_fleet_spreads_its_calls_if_the_service_failed_one() {
         let (settings, mut calls) = (fleet(300), Calls::new(Discovery::Asked));
         assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
-        calls.answering(1.0, &settings);
-        calls.failed(10.0, ListFailure::Unanswered, &settings, 0.0);
+        calls.on_answering(1.0, &settings);
+        calls.on_failed(10.0, ListFailure::Unanswered, &settings, 0.0);
         assert_eq!(calls.sweep(10.0, &settings), Sweep::Call);
-        calls.answered(true);
-        calls.failed(5000.0, ListFailure::Ended, &settings, 1.0);
-        assert_eq!(calls.next(), Some(5000.0 + 8_500.0));
+        calls.on_answered(true);
+        calls.on_failed(5000.0, ListFailure::Ended, &settings, 1.0);
+        assert_eq!(calls.next_call(), Some(5000.0 + 8_500.0));
     }
 
     #[test]
-    fn the_end_of_a_watch_is_told_from_a_call_without_answer() {
+    fn the_end_of_a_watch_is_distinguished_from_an_unanswered_call() {
         let (settings, mut calls) = (fleet(44), Calls::new(Discovery::Asked));
         assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
-        calls.answered(true);
-        calls.failed(5000.0, ListFailure::Unanswered, &settings, 1.0);
-        assert_eq!(calls.next(), Some(5000.0 + 44.0 * CALL_SPACE - 2_000.0));
+        calls.on_answered(true);
+        calls.on_failed(5000.0, ListFailure::Unanswered, &settings, 1.0);
+        assert_eq!(calls.next_call(), Some(5000.0 + 44.0 * CALL_SPACING - 2_000.0));
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -41,7 +41,7 @@
 pub mod balance;
 mod crowd;
 mod discovery;
-mod places;
+mod indexed;
 mod queue;
 mod rate;
 mod table;
--- a/crates/policy/src/table.rs
+++ b/crates/policy/src/table.rs
@@ -17,22 +17,22 @@
 /// From this number of members on, the order is the ring of their ids. The cost of filling the table at
 /// each change of the list grows faster than its size, while a window on the ring that moves by one member
 /// is a small part of a large one.
-pub const RING_FROM: usize = 2048;
+pub const MIN_RING_MEMBERS: usize = 2048;
 
 /// The order in which node `number` of `nodes` prefers the sorted `members`. All nodes fill the same table,
 /// in which each member in turn takes the next free slot of its own sequence. So all members have equally
 /// many slots and keep most of them when the list changes. Each node reads the table from its own offset.
 pub fn preference(members: &[ServerId], number: usize, nodes: usize, block: usize) -> Vec<ServerId> {
-    if members.len() >= RING_FROM {
+    if members.len() >= MIN_RING_MEMBERS {
         let (before, after) = members.split_at(number * members.len() / nodes);
         return [after, before].concat();
     }
     let size = (block * nodes).max(block * members.len().next_power_of_two());
-    let table = fill(members, size, block);
+    let table = fill_table(members, size, block);
     let own = number * size / nodes;
     let mut seen = vec![false; members.len()];
-    let places = (own..size).chain(0..own).map(|place| table[place]);
-    places
+    let slots = (own..size).chain(0..own).map(|slot| table[slot]);
+    slots
         .filter(|member| !std::mem::replace(&mut seen[*member], true))
         .map(|member| members[member])
         .collect()
@@ -41,22 +41,22 @@
 /// Fills a table of `size` slots, at least as many as there are members. Each member in turn takes the next
 /// free slot of its own sequence, and not twice within a block of `block` slots unless nothing else is
 /// left. A slot holds its member's index in `members`.
-pub fn fill(members: &[ServerId], size: usize, block: usize) -> Vec<usize> {
-    const FREE: usize = usize::MAX;
-    let mut walks: Vec<u64> = members.iter().map(|id| mix(id.0)).collect();
-    let mut table = vec![FREE; if members.is_empty() { 0 } else { size }];
+pub fn fill_table(members: &[ServerId], size: usize, block: usize) -> Vec<usize> {
+    const EMPTY: usize = usize::MAX;
+    let mut states: Vec<u64> = members.iter().map(|id| mix(id.0)).collect();
+    let mut table = vec![EMPTY; if members.is_empty() { 0 } else { size }];
     for filled in 0..table.len() {
         let member = filled % members.len();
-        let walk = &mut walks[member];
+        let state = &mut states[member];
         let mut tries = 0;
         let free = loop {
-            *walk = walk.wrapping_add(GOLDEN);
+            *state = state.wrapping_add(GOLDEN);
             tries += 1;
-            let place = mix(*walk) as usize % size;
-            let start = place - place % block.max(1);
+            let slot = mix(*state) as usize % size;
+            let start = slot - slot % block.max(1);
             let twice = table[start..size.min(start + block)].contains(&member);
-            if table[place] == FREE && (!twice || tries > size) {
-                break place;
+            if table[slot] == EMPTY && (!twice || tries > size) {
+                break slot;
             }
         };
         table[free] = member;
@@ -73,26 +73,26 @@
     }
 
     #[test]
-    fn each_member_has_as_many_places_as_any_other() {
+    fn all_members_have_equally_many_slots() {
         for count in [1, 2, 7, 60, 100] {
-            let table = fill(&members(count), 256, 2);
+            let table = fill_table(&members(count), 256, 2);
             let of = |member| table.iter().filter(|m| **m == member).count();
             let counts: Vec<usize> = (0..count as usize).map(of).collect();
             let (least, most) = (counts.iter().min(), counts.iter().max());
             assert!(most.zip(least).is_some_and(|(m, l)| m - l <= 1), "{count}: {counts:?}");
         }
-        assert!(fill(&[], 256, 2).is_empty());
+        assert!(fill_table(&[], 256, 2).is_empty());
     }
 
     #[test]
-    fn a_member_that_goes_moves_few_places_of_the_others() {
+    fn removing_a_member_moves_few_slots_of_the_others() {
         let all = members(60);
-        let before = fill(&all, 1024, 2);
+        let before = fill_table(&all, 1024, 2);
         let mut left = all.clone();
         left.remove(17);
-        let after = fill(&left, 1024, 2);
+        let after = fill_table(&left, 1024, 2);
         let kept = before.iter().zip(&after).filter(|(b, a)| all[**b] == left[**a]).count();
-        assert!(kept > 1024 * 8 / 10, "{kept} of 1024 places stay");
+        assert!(kept > 1024 * 8 / 10, "{kept} of 1024 slots are unchanged");
     }
 
     /// For each member, the number of nodes that have it among the first of their order.
@@ -107,8 +107,8 @@
     }
 
     #[test]
-    fn very_many_members_are_covered_evenly_and_little_changes_when_one_goes() {
-        let mut all = members(RING_FROM as u64 + 500);
+    fn a_ring_covers_members_evenly_and_changes_little_when_one_is_removed() {
+        let mut all = members(MIN_RING_MEMBERS as u64 + 500);
         all.sort_unstable();
         let (nodes, first) = (250, 80);
         let covered = covered(&all, nodes, first);
@@ -126,8 +126,8 @@
     }
 
     #[test]
-    fn blocks_hold_each_member_once() {
-        let table = fill(&members(60), 256, 2);
+    fn blocks_rarely_contain_a_member_twice() {
+        let table = fill_table(&members(60), 256, 2);
         assert!(table.chunks(2).filter(|pair| pair[0] == pair[1]).count() <= 2);
     }
 }
