--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -276,7 +276,7 @@
     /// Mean response time.
     mean: Millis,
     seen: u32,
-    /// Average of how far response times exceed the share threshold, as a share of the aim.
+    /// Average of how far response times exceed `EXCESS_TIME_SHARE`, as a share of the aim.
     excess: f64,
     /// The most time that a request had left when it arrived.
     most_left: Millis,
@@ -541,7 +541,7 @@
 
     /// Whether the turn of any server of the subset was computed while it was cold.
     fn has_cold_servers(&self) -> bool {
-        self.rotated_of(&self.cold).any(|server| server.turn_warmth < 1.0)
+        self.in_subset_of(&self.cold).any(|server| server.turn_warmth < 1.0)
     }
 
     /// How often the subset is recomputed while servers warm up.
@@ -706,8 +706,8 @@
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(repeat_key) = request.repeat_key {
             let until = request.asked + self.config.classes[request.class].patience.min(SERVED_WINDOW);
-            let first = Original { asked: request.asked, in_share: request.in_share };
-            self.unserved.insert(self.now, repeat_key, first, until);
+            let original = Original { asked: request.asked, in_share: request.in_share };
+            self.unserved.add(self.now, repeat_key, original, until);
         }
     }
 
@@ -1123,7 +1123,7 @@
             Sweep::Nothing => {}
         }
         self.follow_list();
-        self.probe(actions);
+        self.start_due_probes(actions);
         if now >= self.chosen_at + self.warmth_step() && self.has_cold_servers() {
             self.choose_subset();
         }
--- a/crates/policy/src/balance/checks.rs
+++ b/crates/policy/src/balance/checks.rs
@@ -75,7 +75,7 @@
             (self.proved, self.seen) = (Queue::new(), Queue::new());
             self.refused.retain(|_| lost.is_some());
         }
-        let begins_anew = is_checking && lost != self.checked_loss;
+        let starts_new_round = is_checking && lost != self.checked_loss;
         if is_checking != self.is_checking {
             self.is_checking = is_checking;
             if self.subset_size(self.order.len()) > self.max_checked() {
@@ -84,9 +84,9 @@
             if let Some(lost) = self.checked_loss.filter(|_| !is_checking) {
                 self.probe_refusing(lost);
             }
-            (0..self.subset.len()).for_each(|place| self.schedule_probe(self.subset[place]));
+            (0..self.subset.len()).for_each(|position| self.schedule_probe(self.subset[position]));
         }
-        if let Some(lost) = lost.filter(|_| begins_anew) {
+        if let Some(lost) = lost.filter(|_| starts_new_round) {
             self.schedule_round(lost.check_from.max(self.now), self.checked_loss.is_none());
         }
         self.checked_loss = lost.filter(|_| is_checking);
@@ -95,17 +95,17 @@
     /// Schedules a round of checks in the order of the servers' turns, and the round after it.
     fn schedule_round(&mut self, from: Millis, is_first: bool) {
         let count = self.turns.iter().count();
-        let ends = from + FIRST_ROUND_SPACING * count as f64;
-        for (place, id) in self.turns.iter().enumerate() {
+        let round_end = from + FIRST_ROUND_SPACING * count as f64;
+        for (position, id) in self.turns.iter().enumerate() {
             let Some(server) = self.servers.get_mut(&id) else { continue };
-            server.next_check = from + FIRST_ROUND_SPACING * place as f64;
-            let again = ends + CHECK_INTERVAL * (place + 1) as f64 / count as f64;
+            server.next_check = from + FIRST_ROUND_SPACING * position as f64;
+            let again = round_end + CHECK_INTERVAL * (position + 1) as f64 / count as f64;
             server.check_after = if count > MAX_BURST { again } else { f64::NEG_INFINITY };
             if is_first {
                 server.known.note_checked();
             }
         }
-        (0..self.subset.len()).for_each(|place| self.schedule_probe(self.subset[place]));
+        (0..self.subset.len()).for_each(|position| self.schedule_probe(self.subset[position]));
     }
 
     /// When the next check is due, if another may be in flight, or when a round of checks begins.
@@ -119,7 +119,7 @@
     }
 
     /// Starts the checks that are due.
-    pub(super) fn probe(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn start_due_probes(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let room = MAX_PROBES_IN_FLIGHT.saturating_sub(self.probing.len());
         for id in self.probes.due(now, room) {
--- a/crates/policy/src/balance/knowledge.rs
+++ b/crates/policy/src/balance/knowledge.rs
@@ -246,8 +246,8 @@
         &mut self,
         is_ready: impl Fn(&Self, &Server) -> bool,
     ) -> Option<ApprovedServer> {
-        let max = self.max_doubt();
-        for doubt in Doubt::USABLE.into_iter().take_while(|doubt| *doubt <= max) {
+        let limit = self.max_doubt();
+        for doubt in Doubt::USABLE.into_iter().take_while(|doubt| *doubt <= limit) {
             let next = self.next_turn(|b, s| b.doubt_about(s) == doubt && is_ready(b, s));
             if next.is_some() {
                 return next.map(ApprovedServer);
--- a/crates/policy/src/balance/listed.rs
+++ b/crates/policy/src/balance/listed.rs
@@ -80,10 +80,10 @@
         let id = entry.server;
         // Live weights reflect the load, with a delay and the same for all nodes. The size of a server is
         // the highest weight that it was ever listed with, when it was least busy.
-        let seen = self.servers.get(&id).map_or(0.0, |s| s.size);
+        let largest_size = self.servers.get(&id).map_or(0.0, |s| s.size);
         let size = match self.config.weights {
             Weights::Listed => entry.weight,
-            Weights::Live => entry.weight.max(seen),
+            Weights::Live => entry.weight.max(largest_size),
             Weights::None => 1.0,
         };
         let server = self.servers.entry(id).or_insert_with(|| Server::new(entry.clone(), size));
@@ -140,9 +140,10 @@
 
     /// Removes servers that are no longer listed and have no attempt in flight.
     pub(super) fn drop_gone(&mut self) {
-        let over = |id: &ServerId| self.servers.get(id).is_none_or(|server| server.in_flight.is_empty());
-        let over: Vec<ServerId> = self.gone.iter().copied().filter(over).collect();
-        for id in over {
+        let is_removable =
+            |id: &ServerId| self.servers.get(id).is_none_or(|server| server.in_flight.is_empty());
+        let removable: Vec<ServerId> = self.gone.iter().copied().filter(is_removable).collect();
+        for id in removable {
             self.servers.remove(&id);
             self.suspected.remove(&id);
             self.cold.remove(&id);
@@ -237,7 +238,7 @@
         assert!(rotated(&is_cold).iter().all(|id| balancer.warming.contains(id)));
         let by_turn = |id: &ServerId| balancer.servers[id].turn;
         let turns: Vec<ServerId> = balancer.turns.iter().collect();
-        assert!(turns.windows(2).all(|two| by_turn(&two[0]) <= by_turn(&two[1])));
+        assert!(turns.windows(2).all(|pair| by_turn(&pair[0]) <= by_turn(&pair[1])));
         assert_eq!(turns.len(), balancer.subset.len());
         let first = |due: f64, s: &Server| due.min(balancer.probe_due(s));
         assert_eq!(balancer.probes.first_time(), balancer.rotated().fold(f64::INFINITY, first));
@@ -254,7 +255,7 @@
     }
 
     fn run_steps(nodes: usize, steps: Vec<Step>) {
-        let mut balancer = Balancer::new(settings(nodes), 1).expect("good settings");
+        let mut balancer = Balancer::new(settings(nodes), 1).expect("valid settings");
         let (mut actions, mut out) = (Vec::new(), Vec::new());
         for (number, (full, entries, outcome)) in (0u64..).zip(steps) {
             let now = 1_000.0 + 20.0 * number as f64;
--- a/crates/policy/src/balance/rotation.rs
+++ b/crates/policy/src/balance/rotation.rs
@@ -53,20 +53,20 @@
     }
 
     /// Servers of the subset that are still warming up.
-    pub(super) fn cold_rotated(&self) -> impl Iterator<Item = &Server> {
+    pub(super) fn cold_in_subset(&self) -> impl Iterator<Item = &Server> {
         let is_cold = |server: &&Server| server.warmth(self.now, &self.config.rules) < 1.0;
-        self.rotated_of(&self.warming).filter(is_cold)
+        self.in_subset_of(&self.warming).filter(is_cold)
     }
 
     /// Total size of the subset, each server weighted by its present share of its capacity.
     pub(super) fn current_size(&self) -> f64 {
         let missing = |s: &Server| s.size * (1.0 - s.warmth(self.now, &self.config.rules));
-        self.size - self.cold_rotated().map(missing).sum::<f64>()
+        self.size - self.cold_in_subset().map(missing).sum::<f64>()
     }
 
     /// Total size of the subset's warm servers.
     pub(super) fn warm_size(&self) -> f64 {
-        self.size - self.cold_rotated().map(|server| server.size).sum::<f64>()
+        self.size - self.cold_in_subset().map(|server| server.size).sum::<f64>()
     }
 
     /// Removes servers that are warm by now from the set of warming ones.
--- a/crates/policy/src/balance/subset.rs
+++ b/crates/policy/src/balance/subset.rs
@@ -54,7 +54,10 @@
     }
 
     /// The given servers that are in the subset.
-    pub(super) fn rotated_of<'a>(&'a self, ids: &'a BTreeSet<ServerId>) -> impl Iterator<Item = &'a Server> {
+    pub(super) fn in_subset_of<'a>(
+        &'a self,
+        ids: &'a BTreeSet<ServerId>,
+    ) -> impl Iterator<Item = &'a Server> {
         let rotated = ids.iter().filter(|id| self.is_in_subset(**id));
         rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
@@ -108,11 +111,11 @@
     pub(super) fn choose_subset(&mut self) {
         let subset = self.wanted_subset();
         let left: Vec<ServerId> = difference(&self.subset, &subset).collect();
-        let came: Vec<ServerId> = difference(&subset, &self.subset).collect();
+        let joined: Vec<ServerId> = difference(&subset, &self.subset).collect();
         (self.subset, self.chosen_at) = (subset, self.now);
         self.size = self.rotated().map(|server| server.size).sum();
         left.into_iter().for_each(|id| self.on_left_subset(id));
-        came.into_iter().for_each(|id| self.on_joined_subset(id));
+        joined.into_iter().for_each(|id| self.on_joined_subset(id));
         self.assign_first_turns();
         self.drop_warm();
     }
@@ -120,7 +123,7 @@
     /// Updates the subset when only the ejection of single servers has changed.
     pub(super) fn adapt_subset(&mut self) {
         let wanted = self.rotation_size();
-        if self.cold_rotated().next().is_some() {
+        if self.cold_in_subset().next().is_some() {
             return self.choose_subset();
         }
         self.chosen_at = self.now;
@@ -147,7 +150,7 @@
 
     /// Whether the other servers suffice without the one that was added last.
     fn is_last_spare(&self, wanted: usize) -> bool {
-        let Some(last) = self.subset.len().checked_sub(1).map(|place| self.order[place]) else {
+        let Some(last) = self.subset.len().checked_sub(1).map(|position| self.order[position]) else {
             return false;
         };
         self.active_count() - usize::from(!self.ejected.contains(&last)) >= wanted
@@ -155,16 +158,16 @@
 
     fn widen(&mut self) {
         let id = self.order[self.subset.len()];
-        let Err(place) = self.subset.binary_search(&id) else { return };
-        self.subset.insert(place, id);
+        let Err(position) = self.subset.binary_search(&id) else { return };
+        self.subset.insert(position, id);
         self.size += self.servers.get(&id).map_or(0.0, |server| server.size);
         self.on_joined_subset(id);
     }
 
     fn narrow(&mut self) {
         let id = self.order[self.subset.len() - 1];
-        let Ok(place) = self.subset.binary_search(&id) else { return };
-        self.subset.remove(place);
+        let Ok(position) = self.subset.binary_search(&id) else { return };
+        self.subset.remove(position);
         self.size -= self.servers.get(&id).map_or(0.0, |server| server.size);
         self.on_left_subset(id);
     }
@@ -228,19 +231,19 @@
     /// requests meanwhile.
     fn assign_first_turns(&mut self) {
         let count = self.subset.len().max(1);
-        let cursor_server = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
-        let first = cursor_server.unwrap_or(self.config.number) % count;
+        let after_cursor = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
+        let first = after_cursor.unwrap_or(self.config.number) % count;
         let mut newcomers = std::mem::take(&mut self.without_turn);
         newcomers.sort_unstable();
         newcomers.dedup();
         for id in newcomers {
-            let Ok(place) = self.subset.binary_search(&id) else { continue };
+            let Ok(position) = self.subset.binary_search(&id) else { continue };
             if !self.servers.get(&id).is_some_and(|server| server.turn.is_nan()) {
                 continue;
             }
             let stagger = self.random();
             let Some(server) = self.servers.get_mut(&id) else { continue };
-            let after = (place + count - first) % count;
+            let after = (position + count - first) % count;
             let warmth = server.warmth(self.now, &self.config.rules);
             // Cold servers get a random position: by the cursors alone, many nodes would send at once.
             let part = if warmth < 1.0 { stagger } else { after as f64 / count as f64 };
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -10,8 +10,8 @@
 /// longer wait for an answer.
 const CALL_SPACING: Millis = 75.0;
 /// When an established watch ended, the calls are spread only as far as needed to keep them from waiting in
-/// vain, as the node knows less than it was notified of meanwhile: over this time per node, up to an upper
-/// bound.
+/// vain, as the node knows less than it was notified of meanwhile. The shortest spread is this time per
+/// node, up to an upper bound.
 const REOPEN_SPACING: Millis = 3.0;
 const MAX_MIN_REOPEN_SPREAD: Millis = 250.0;
 /// Upper bound of that spread if servers can't be health-checked for drains.
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Repeatedly opens a watch that ends `watch_duration` later, and returns the longest delay before each of the
-    /// next calls.
+    /// Repeatedly opens a watch that ends `watch_duration` later, and returns the longest delay before each
+    /// of the next calls.
     fn pauses(nodes: usize, times: usize, watch_duration: Millis, news: bool) -> Vec<Millis> {
         let (settings, mut calls, mut now) = (fleet(nodes), Calls::new(Discovery::Asked), 0.0);
         let open = |now: Millis, calls: &mut Calls| {
@@ -309,7 +309,7 @@
         for _ in 0..times {
             now += watch_duration;
             calls.on_failed(now, ListFailure::Ended, &settings, 1.0);
-            let next = calls.next_call().expect("it calls again");
+            let next = calls.next_call().expect("another call is scheduled");
             pauses.push(next - now);
             now = next;
             open(now, &mut calls);
@@ -348,11 +348,11 @@
                 let mut calls = Calls::new(Discovery::Asked);
                 assert_eq!(calls.sweep(0.0, &settings), Sweep::Call);
                 calls.on_failed(2000.0, failure, &settings, number as f64 / 900.0);
-                calls.next_call().expect("it calls again")
+                calls.next_call().expect("another call is scheduled")
             };
             let mut times: Vec<Millis> = (0..900).map(call).collect();
             times.sort_by(f64::total_cmp);
-            assert!(times.windows(10).all(|ten| ten[9] - ten[0] > 10.0), "{failure:?}: {times:?}");
+            assert!(times.windows(10).all(|window| window[9] - window[0] > 10.0), "{failure:?}: {times:?}");
             assert!(times.iter().all(|time| *time <= 8500.0));
         }
     }
@@ -374,7 +374,7 @@
             calls.on_answering(answered_in, &settings);
             calls.on_answered(true);
             calls.on_failed(5000.0, ListFailure::Ended, &settings, 1.0);
-            let next = calls.next_call().expect("it calls again") - 5000.0;
+            let next = calls.next_call().expect("another call is scheduled") - 5000.0;
             assert!(
                 (next - within.min(nodes as f64 * CALL_SPACING - 2_000.0)).abs() < 1.0,
                 "{nodes} nodes, {answered_in} ms: {next}"
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,12 +1,14 @@
-//! The decisions of a load-balancing proxy in front of a fleet of servers.
+//! The load-balancing decisions of a proxy in front of a fleet of servers.
 //!
-//! [`Balancer`] takes [`Event`]s and answers with [`Action`]s; it does no I/O and reads no clock. [`api`] is
-//! its whole interface.
+//! [`Balancer`] processes [`Event`]s and returns [`Action`]s; it does no I/O and reads no clock. [`api`]
+//! contains its full interface.
 //!
 //! ```
 //! use glenwood_policy::*;
 //!
-//! let class = Class { aim: 100.0, worth: 1.0, late_worth: 0.0, patience: f64::INFINITY, effect: Effect::Unsafe };
+//! let class = Class {
+//!     aim: 100.0, worth: 1.0, late_worth: 0.0, patience: f64::INFINITY, effect: Effect::Unsafe,
+//! };
 //! let settings = Settings {
 //!     number: 0,
 //!     nodes: 1,
@@ -20,7 +22,8 @@
 //!         max_retry_after: 1_000.0,
 //!     },
 //!     rules: Rules {
-//!         ask_within: 10_000.0, cold_share: 0.2, warm_within: 20_000.0, fall_multiple: 3.0, fall_window: 1_000.0,
+//!         ask_within: 10_000.0, cold_share: 0.2, warm_within: 20_000.0, fall_multiple: 3.0,
+//!         fall_window: 1_000.0,
 //!     },
 //!     discovery: Discovery::Pushed,
 //!     weights: Weights::None,
@@ -30,7 +33,10 @@
 //! let (mut actions, server) = (Vec::new(), ServerId(7));
 //! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: Listed::Up, weight: 1.0, started: None };
 //! balancer.handle(0.0, Event::List { entries: vec![up], saved: false }, &mut actions);
-//! let request = Event::Request { id: RequestId(1), class: 0, tenant: None, deadline: 500.0, repeat_key: None, work: None, within: None, earlier: None };
+//! let request = Event::Request {
+//!     id: RequestId(1), class: 0, tenant: None, deadline: 500.0, repeat_key: None, work: None, within: None,
+//!     earlier: None,
+//! };
 //! balancer.handle(1.0, request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: to, .. } if *to == server)));
 //! # Ok::<(), SettingsError>(())
--- a/crates/policy/src/table.rs
+++ b/crates/policy/src/table.rs
@@ -29,9 +29,9 @@
     }
     let size = (block * nodes).max(block * members.len().next_power_of_two());
     let table = fill_table(members, size, block);
-    let own = number * size / nodes;
+    let offset = number * size / nodes;
     let mut seen = vec![false; members.len()];
-    let slots = (own..size).chain(0..own).map(|slot| table[slot]);
+    let slots = (offset..size).chain(0..offset).map(|slot| table[slot]);
     slots
         .filter(|member| !std::mem::replace(&mut seen[*member], true))
         .map(|member| members[member])
@@ -54,8 +54,8 @@
             tries += 1;
             let slot = mix(*state) as usize % size;
             let start = slot - slot % block.max(1);
-            let twice = table[start..size.min(start + block)].contains(&member);
-            if table[slot] == EMPTY && (!twice || tries > size) {
+            let is_repeated = table[start..size.min(start + block)].contains(&member);
+            if table[slot] == EMPTY && (!is_repeated || tries > size) {
                 break slot;
             }
         };
--- a/crates/policy/src/unserved.rs
+++ b/crates/policy/src/unserved.rs
@@ -28,8 +28,8 @@
 impl Unserved {
     /// Adds a request until the given time. It replaces one with the same key, as the younger is likelier
     /// to be repeated.
-    pub fn insert(&mut self, now: Millis, repeat_key: u64, first: Original, until: Millis) {
-        self.entries.insert(repeat_key, (first, until));
+    pub fn add(&mut self, now: Millis, repeat_key: u64, original: Original, until: Millis) {
+        self.entries.insert(repeat_key, (original, until));
         self.order.push_back((until, repeat_key));
         while self.order.front().is_some_and(|(until, _)| *until <= now || self.order.len() > MAX_ENTRIES) {
             let Some((until, repeat_key)) = self.order.pop_front() else { break };
@@ -47,7 +47,7 @@
     /// Removes and returns the request that one with this key repeats. Each original accounts for one
     /// repeat; any later request with the key is new.
     pub fn take(&mut self, now: Millis, repeat_key: u64) -> Option<Original> {
-        self.entries.remove(&repeat_key).filter(|(_, until)| *until > now).map(|(first, _)| first)
+        self.entries.remove(&repeat_key).filter(|(_, until)| *until > now).map(|(original, _)| original)
     }
 }
 
@@ -55,17 +55,17 @@
 mod tests {
     use super::*;
 
-    fn first(asked: Millis) -> Original {
+    fn original(asked: Millis) -> Original {
         Original { asked, in_share: true }
     }
 
     #[test]
     fn an_entry_matches_one_repeat_before_it_expires() {
         let mut unserved = Unserved::default();
-        unserved.insert(0.0, 7, first(0.0), 100.0);
-        unserved.insert(10.0, 8, first(5.0), 100.0);
+        unserved.add(0.0, 7, original(0.0), 100.0);
+        unserved.add(10.0, 8, original(5.0), 100.0);
         assert!(unserved.contains(50.0, 7) && !unserved.contains(50.0, 9) && !unserved.contains(100.0, 7));
-        assert_eq!(unserved.take(50.0, 7), Some(first(0.0)));
+        assert_eq!(unserved.take(50.0, 7), Some(original(0.0)));
         assert!(!unserved.contains(50.0, 7));
         assert_eq!(unserved.take(50.0, 7), None, "a second request with the key is new");
         assert_eq!(unserved.take(100.0, 8), None, "its client has given up");
@@ -74,23 +74,23 @@
     #[test]
     fn a_reinserted_entry_outlives_the_expiry_of_the_first() {
         let mut unserved = Unserved::default();
-        unserved.insert(0.0, 7, first(0.0), 10.0);
-        unserved.insert(1.0, 7, first(1.0), 50.0);
-        unserved.insert(20.0, 8, first(20.0), 60.0);
-        assert_eq!(unserved.take(21.0, 7), Some(first(1.0)));
+        unserved.add(0.0, 7, original(0.0), 10.0);
+        unserved.add(1.0, 7, original(1.0), 50.0);
+        unserved.add(20.0, 8, original(20.0), 60.0);
+        assert_eq!(unserved.take(21.0, 7), Some(original(1.0)));
     }
 
     #[test]
     fn the_number_of_entries_is_bounded() {
         let mut unserved = Unserved::default();
         for n in 0..3 * MAX_ENTRIES as u64 {
-            unserved.insert(0.0, n, first(0.0), 1e9);
+            unserved.add(0.0, n, original(0.0), 1e9);
         }
         assert_eq!((unserved.entries.len(), unserved.order.len()), (MAX_ENTRIES, MAX_ENTRIES));
         assert!(unserved.take(0.0, 0).is_none() && unserved.take(0.0, 3 * MAX_ENTRIES as u64 - 1).is_some());
         // Entries that were taken stay in the order, which is bounded as well.
         for n in 0..3 * MAX_ENTRIES as u64 {
-            unserved.insert(0.0, n, first(0.0), 1e9);
+            unserved.add(0.0, n, original(0.0), 1e9);
             unserved.take(0.0, n);
         }
         assert!(unserved.entries.is_empty() && unserved.order.len() <= MAX_ENTRIES);
