--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -312,7 +312,7 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// The server rejects the request as invalid, and its client has been told so.
+    /// The server rejects the request as invalid, and its client has been informed.
     Rejected,
 }
 
@@ -380,7 +380,7 @@
         /// Index of its tenant, if it has one.
         tenant: Option<usize>,
         /// When the client gives up. If the client of a refused request counts its time from the first try,
-        /// a repeat has less time left than a new request, and is treated as being as old as it is.
+        /// a repeat has less time left than a new request, and is treated as being as old as the first try.
         deadline: Millis,
         /// A hash of the request's key, or of its content and sender, that a client's repeat shares with
         /// the original and hardly any other request has. `None` if repeats can't be recognized.
@@ -418,7 +418,7 @@
         /// Whether the client has its final answer.
         finished: bool,
     },
-    /// An attempt is about to end at the node while its server can't be told to stop and keeps running it:
+    /// An attempt is about to end at the node while its server can't be stopped and keeps running it:
     /// it counts as in flight there until [`Event::Left`]. Its [`Event::Ended`] follows, and rule 2 goes by
     /// that.
     RunsOn {
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -304,7 +304,7 @@
 
     /// How many attempts of this node may be in flight, with the fleet factor and the minimum limit
     /// applied.
-    fn allowed(&self, fleet_factor: f64, least: f64) -> f64 {
+    fn max_in_flight(&self, fleet_factor: f64, least: f64) -> f64 {
         (self.limit * fleet_factor.min(1.0)).max(least)
     }
 
@@ -566,13 +566,13 @@
     /// The initial concurrency limit of a server. It is below one only if more nodes share a server than it
     /// can bear: otherwise nodes would rest from servers that get no requests at all, and refuse what an
     /// idle fleet could serve.
-    fn first_limit(&self) -> f64 {
+    fn initial_limit(&self) -> f64 {
         (INITIAL_AND_MIN_LIMIT.0 / self.nodes_per_server())
             .max((MAX_NODES_AT_LIMIT_ONE / self.nodes_per_server()).min(1.0))
     }
 
     /// The minimum of a server's limit.
-    fn least_limit(&self) -> f64 {
+    fn min_limit(&self) -> f64 {
         INITIAL_AND_MIN_LIMIT.1 / self.sharing_factor
     }
 
@@ -588,13 +588,13 @@
     /// would keep an idle server full. If a server is this slow with all requests, each late answer lowers
     /// its limit.
     fn has_room(&self, server: &Server) -> bool {
-        let limit = server.allowed(self.fleet_factor, self.least_limit());
+        let limit = server.max_in_flight(self.fleet_factor, self.min_limit());
         if limit >= 1.0 {
             let stuck_from =
                 self.now - STUCK_AFTER_SHARE * self.config.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
-            let moving = server.in_flight.iter().filter(|(_, _, sent)| *sent > stuck_from).count();
-            return (moving as f64) < limit.floor()
-                && (server.in_flight.len() as f64) < MAX_STUCK_FACTOR * self.first_limit().max(limit);
+            let counted = server.in_flight.iter().filter(|(_, _, sent)| *sent > stuck_from).count();
+            return (counted as f64) < limit.floor()
+                && (server.in_flight.len() as f64) < MAX_STUCK_FACTOR * self.initial_limit().max(limit);
         }
         server.in_flight.is_empty() && self.now - server.last_sent >= self.rest_time(server)
     }
@@ -602,9 +602,9 @@
     /// How long a server with a limit below one rests between two sends: long enough that the average
     /// number in flight stays within the limit, but never so long that its recovery would go unnoticed.
     fn rest_time(&self, server: &Server) -> Millis {
-        let most = self.config.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
-        (server.last_took / server.allowed(self.fleet_factor, self.least_limit()))
-            .min(most * self.sharing_factor)
+        let max_rest = self.config.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
+        (server.last_took / server.max_in_flight(self.fleet_factor, self.min_limit()))
+            .min(max_rest * self.sharing_factor)
     }
 
     /// Rule 4: what all nodes together send to a cold server in one window must stay below a multiple of
@@ -617,11 +617,11 @@
         if warmth >= 1.0 {
             return true;
         }
-        let part = SLOW_START_BUDGET_SHARE * rules.fall_multiple * warmth;
-        let pace =
+        let load_factor = SLOW_START_BUDGET_SHARE * rules.fall_multiple * warmth;
+        let rate_per_size =
             if self.answer_rate.per_s > 0.0 { self.answer_rate.per_s } else { self.arrival_rate.per_s };
-        let space = 1000.0 / (part * pace * server.size);
-        self.now - server.last_sent >= space * server.stagger
+        let interval = 1000.0 / (load_factor * rate_per_size * server.size);
+        self.now - server.last_sent >= interval * server.stagger
     }
 
     // ---- Requests ----
@@ -638,7 +638,7 @@
             actions.push(Action::Explain { id, reason: Reason::NoSuchClass });
             return actions.push(Action::Fail(id));
         };
-        let work = if self.config.by_work { self.work_of(class, work) } else { 1.0 };
+        let work = if self.config.by_work { self.estimated_work(class, work) } else { 1.0 };
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_SHARE).min(MAX_RETRY_BUDGET);
         let size = self.current_size();
         self.arrival_rate.add(self.now, self.config.rules.fall_window, 1.0 / size.max(1.0));
@@ -689,14 +689,14 @@
     /// A request's work: the client's estimate if it is valid, else the usual one. It is capped, as no
     /// request can take longer than its client waits, and a larger estimate would distort the averages for
     /// their whole window.
-    fn work_of(&mut self, class: usize, guess: Option<f64>) -> f64 {
+    fn estimated_work(&mut self, class: usize, estimate: Option<f64>) -> f64 {
         let Some(class_settings) = self.config.classes.get(class) else { return 1.0 };
-        let most = class_settings.patience.min(MAX_WORK_FACTOR * class_settings.aim);
+        let max_work = class_settings.patience.min(MAX_WORK_FACTOR * class_settings.aim);
         let usual = &mut self.classes[class].work;
-        let Some(guess) = guess.filter(|w| w.is_finite() && *w > 0.0) else {
+        let Some(estimate) = estimate.filter(|w| w.is_finite() && *w > 0.0) else {
             return usual.unwrap_or(class_settings.aim / 8.0);
         };
-        let work = guess.min(most);
+        let work = estimate.min(max_work);
         *usual = Some(usual.map_or(work, |usual| usual + (work - usual) * USUAL_TIME_GAIN));
         work
     }
@@ -755,20 +755,20 @@
     /// The gain per unit of served worth, for each entry, in the part of the goal that goes by the worst
     /// served one: the full weight for the worst, less for those above it.
     fn goal_weights(&self, tallies: &[Served], goal: f64) -> Vec<f64> {
-        let asked: Vec<f64> = tallies.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).collect();
+        let requested: Vec<f64> = tallies.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).collect();
         let part =
             |(c, a): (&Served, &f64)| if *a > 0.0 { c.served.at(self.now, SERVED_WINDOW) / a } else { 1.0 };
-        let parts: Vec<f64> = tallies.iter().zip(&asked).map(part).collect();
+        let parts: Vec<f64> = tallies.iter().zip(&requested).map(part).collect();
         let worst = parts.iter().copied().fold(f64::INFINITY, f64::min);
         let near: Vec<f64> = parts.iter().map(|p| (-(p - worst) / NEAR_WORST_MARGIN).exp()).collect();
         let sum: f64 = near.iter().sum();
         let weight = |(n, a): (&f64, &f64)| if *a > 0.0 { goal * n / sum / a } else { 0.0 };
-        near.iter().zip(&asked).map(weight).collect()
+        near.iter().zip(&requested).map(weight).collect()
     }
 
     /// Whether the request may be sent to this server. The server that just failed it is excluded unless no
     /// other is permitted: a request bound to the cell of its first attempt would otherwise wait in vain.
-    fn may_go(&self, id: RequestId, to: &Server) -> bool {
+    fn may_send_to(&self, id: RequestId, to: &Server) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let may = |s: &Server| request.may_repeat(&self.config.limits, self.now, Some(&s.entry));
         let last = request.attempts.last().map(|a| a.server);
@@ -792,13 +792,13 @@
         let Some(request) = self.requests.get(&id) else { return };
         let late = self.config.classes[request.class].late_worth > 0.0;
         let timeout = if late { request.deadline } else { self.useful_until(request) } - self.now;
-        let (rest, least) = (self.servers.get(&to).map_or(0.0, |s| self.rest_time(s)), self.least_limit());
+        let (rest, least) = (self.servers.get(&to).map_or(0.0, |s| self.rest_time(s)), self.min_limit());
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
             return;
         };
         let (zone, cell) = (server.entry.zone, server.entry.cell);
         server.in_flight.push((id, request.attempts.len(), self.now));
-        let allowed = server.allowed(self.fleet_factor, least);
+        let allowed = server.max_in_flight(self.fleet_factor, least);
         let rested = self.now - server.last_sent;
         (server.last_sent, server.stagger) = (self.now, 1.0);
         let alone = server.in_flight.len() == 1;
@@ -864,17 +864,17 @@
     fn update_estimates(&mut self, class: usize, attempt: Attempt, outcome: Outcome, took: Millis) {
         let Attempt { server: id, at_limit, alone, .. } = attempt;
         let (now, rules, done) = (self.now, &self.config.rules, outcome == Outcome::Done);
-        let (first, least_limit) = (self.first_limit(), self.least_limit());
+        let (initial, min_limit) = (self.initial_limit(), self.min_limit());
         let late = self.config.classes[class].late_worth > 0.0;
-        let part = match outcome {
+        let time_share = match outcome {
             Outcome::Done => (took / self.config.classes[class].aim).min(LATE_TIME_SHARE),
             // If answers get lost, a missing one shows nothing of its server's speed.
             Outcome::TimedOut if self.copy_budget >= 1.0 => return,
             // It was cut off at the end of its usefulness. An attempt that had little time shows little,
             // and nothing good.
             Outcome::TimedOut if !late => {
-                let part = CUT_OFF_FACTOR * (took / self.config.classes[class].aim).min(1.0).powi(2);
-                part.max(TARGET_TIME_SHARE.next_up())
+                let time_share = CUT_OFF_FACTOR * (took / self.config.classes[class].aim).min(1.0).powi(2);
+                time_share.max(TARGET_TIME_SHARE.next_up())
             }
             Outcome::TimedOut | Outcome::Full => LATE_TIME_SHARE,
             _ => return,
@@ -887,19 +887,19 @@
             self.answer_rate.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
         let count = self.config.classes.len();
-        let pace = &mut self.classes[class];
+        let stats = &mut self.classes[class];
         if done {
-            pace.seen = pace.seen.saturating_add(1);
-            pace.mean += (took - pace.mean) / f64::from(pace.seen.min(200));
+            stats.seen = stats.seen.saturating_add(1);
+            stats.mean += (took - stats.mean) / f64::from(stats.seen.min(200));
         }
         // When the whole fleet slows down at once, its answers together show it long before each server's
         // limit has had enough answers of its own. The factor falls when more than half as many answers are
         // late as are well in time.
         let step =
             LIMIT_GAIN * (LATE_TIME_SHARE - TARGET_TIME_SHARE) / (self.subset.len().max(1) as f64).sqrt();
-        if part >= 1.0 && outcome != Outcome::Full {
+        if time_share >= 1.0 && outcome != Outcome::Full {
             self.fleet_factor = (self.fleet_factor * (-2.0 * step).exp()).max(MIN_FLEET_FACTOR);
-        } else if part <= TARGET_TIME_SHARE {
+        } else if time_share <= TARGET_TIME_SHARE {
             self.fleet_factor = (self.fleet_factor * step.exp()).min(MAX_FLEET_FACTOR);
         }
         let Some(s) = self.servers.get_mut(&id) else { return };
@@ -910,16 +910,16 @@
         }
         // Learns sizes that the list does not tell: a server whose answers exceed the threshold by more
         // than the average gets too many turns. At low load none exceeds it, and the turns stay even.
-        let excess = (part - EXCESS_TIME_SHARE).max(0.0);
-        pace.excess += (excess - pace.excess) * LEARNED_SHARE_GAIN_AND_DECAY.0;
+        let excess = (time_share - EXCESS_TIME_SHARE).max(0.0);
+        stats.excess += (excess - stats.excess) * LEARNED_SHARE_GAIN_AND_DECAY.0;
         s.share = s.share.powf(1.0 - LEARNED_SHARE_GAIN_AND_DECAY.1)
-            * (LEARNED_SHARE_GAIN_AND_DECAY.0 * (pace.excess - excess)).exp();
-        let unused = s.allowed(self.fleet_factor, least_limit) > 2.0 * (s.in_flight.len() as f64 + 1.0);
+            * (LEARNED_SHARE_GAIN_AND_DECAY.0 * (stats.excess - excess)).exp();
+        let unused = s.max_in_flight(self.fleet_factor, min_limit) > 2.0 * (s.in_flight.len() as f64 + 1.0);
         if unused || (s.limit < 1.0 && !at_limit) {
             // A limit that is never reached gives no protection when the fleet slows down at once.
             s.limit *= 1.0 - UNUSED_LIMIT_DECAY;
         }
-        if s.limit < first && part <= TARGET_TIME_SHARE && at_limit {
+        if s.limit < initial && time_share <= TARGET_TIME_SHARE && at_limit {
             // Answers are rare below a limit of one: without a quick recovery, a server that was slow for
             // seconds would stay out for minutes. The quick recovery ends at the initial limit, as beyond
             // it many nodes would overload the server.
@@ -927,8 +927,8 @@
         } else if at_limit {
             // One attempt at a time that is answered in time is not too much, even if the whole fleet is so
             // slow that it misses the target.
-            let least = if part < 1.0 { s.limit.min(1.0) } else { least_limit };
-            s.limit = (s.limit * (LIMIT_GAIN * (TARGET_TIME_SHARE - part)).exp()).max(least);
+            let least = if time_share < 1.0 { s.limit.min(1.0) } else { min_limit };
+            s.limit = (s.limit * (LIMIT_GAIN * (TARGET_TIME_SHARE - time_share)).exp()).max(least);
         }
     }
 
@@ -939,10 +939,10 @@
         let end = if class.late_worth > 0.0 { request.deadline } else { self.useful_until(request) };
         let time = end - self.now > self.classes[request.class].mean;
         let cost = if outcome.never_ran() { 0.0 } else { 1.0 };
-        let may_go = |s: &Server| request.may_repeat(&self.config.limits, self.now, Some(&s.entry));
+        let may_send_to = |s: &Server| request.may_repeat(&self.config.limits, self.now, Some(&s.entry));
         let is_bound = matches!(request.effect, Effect::Keyed { group: Group::Zone | Group::Cell, .. });
         // Unless the request is bound to a zone or cell, all servers are equivalent.
-        let may = self.by_turn().take(if is_bound { usize::MAX } else { 1 }).any(may_go);
+        let may = self.by_turn().take(if is_bound { usize::MAX } else { 1 }).any(may_send_to);
         let reason = if !time {
             Reason::NoTime
         } else if !may {
@@ -1022,7 +1022,8 @@
             let may_use_slot = |r: &Request| !last || !r.attempts.is_empty() || !low_gain[r.class];
             let may_use_slot = |id: &&RequestId| self.requests.get(id).is_some_and(may_use_slot);
             let eligible: Vec<RequestId> = waiting_ids.iter().filter(may_use_slot).copied().collect();
-            let turn = self.next_approved(|b, s| b.is_ready(s) && eligible.iter().any(|id| b.may_go(*id, s)));
+            let turn =
+                self.next_approved(|b, s| b.is_ready(s) && eligible.iter().any(|id| b.may_send_to(*id, s)));
             let Some(server) = turn else { break };
             let Some(index) = self.best_waiting(&eligible, server.server()) else { break };
             waiting_ids.retain(|id| *id != eligible[index]);
@@ -1035,12 +1036,13 @@
 
     /// Marks the classes whose gain in the goal per unit of time is much lower than that of the best one.
     fn low_gain_classes(&self) -> Vec<bool> {
-        let asked: Vec<f64> =
+        let requested: Vec<f64> =
             self.class_served.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).collect();
-        let sum: f64 = asked.iter().sum();
+        let sum: f64 = requested.iter().sum();
         let mut gains = self.goal_weights(&self.class_served, self.config.goal.worst_class);
         for (n, gain) in gains.iter_mut().enumerate() {
-            let worth = if asked[n] > RARE_CLASS_SHARE * sum { self.config.classes[n].worth } else { 0.0 };
+            let worth =
+                if requested[n] > RARE_CLASS_SHARE * sum { self.config.classes[n].worth } else { 0.0 };
             *gain =
                 worth * (*gain + self.config.goal.worth / sum) / self.classes[n].mean.max(f64::MIN_POSITIVE);
         }
@@ -1059,9 +1061,11 @@
             out && self.now - r.attempts[0].sent >= COPY_AFTER_FACTOR * usual
         };
         let slow: Vec<RequestId> = self.requests.iter().filter(|(_, r)| slow(r)).map(|(id, _)| *id).collect();
-        let most = if self.waiting.is_empty() { self.copy_budget as usize } else { 0 };
-        for id in slow.into_iter().take(most) {
-            let Some(server) = self.next_approved(|b, s| b.is_ready(s) && b.may_go(id, s)) else { continue };
+        let max_copies = if self.waiting.is_empty() { self.copy_budget as usize } else { 0 };
+        for id in slow.into_iter().take(max_copies) {
+            let Some(server) = self.next_approved(|b, s| b.is_ready(s) && b.may_send_to(id, s)) else {
+                continue;
+            };
             self.copy_budget -= 1.0;
             self.send(id, server, actions);
         }
@@ -1069,9 +1073,9 @@
 
     /// Whether at least `wanted` more attempts could be sent now.
     fn has_free_slots(&self, wanted: usize) -> bool {
-        let least = self.least_limit();
+        let least = self.min_limit();
         let free = |s: &Server| {
-            (s.allowed(self.fleet_factor, least) as usize).saturating_sub(s.in_flight.len()).max(1)
+            (s.max_in_flight(self.fleet_factor, least) as usize).saturating_sub(s.in_flight.len()).max(1)
         };
         // In the order of turns, as the first ones are the likeliest to be ready.
         let mut slots = self.by_turn().filter(|s| self.is_usable(s) && self.is_ready(s)).map(free).scan(
@@ -1089,19 +1093,19 @@
     /// time of its wait.
     fn best_waiting(&self, waiting_ids: &[RequestId], server: ServerId) -> Option<usize> {
         let to = self.servers.get(&server)?;
-        let mut allowed_indexes = (0..waiting_ids.len()).filter(|i| self.may_go(waiting_ids[*i], to));
+        let mut allowed_indexes = (0..waiting_ids.len()).filter(|i| self.may_send_to(waiting_ids[*i], to));
         if waiting_ids.len() == 1 {
             return allowed_indexes.next_back();
         }
         let goal = &self.config.goal;
-        let asked: f64 = self.class_served.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).sum();
+        let requested: f64 = self.class_served.iter().map(|c| c.requested.at(self.now, SERVED_WINDOW)).sum();
         let by_class = self.goal_weights(&self.class_served, goal.worst_class);
         let by_tenant = self.goal_weights(&self.tenant_served, goal.worst_tenant);
         let times = self.usual_times.get(&to.entry.kind);
         let key = |index: usize| {
             let r = self.requests.get(&waiting_ids[index])?;
             let tenant = r.tenant.filter(|_| r.in_share).map_or(0.0, |t| by_tenant[t]);
-            let marginal_gain = goal.worth / asked.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
+            let marginal_gain = goal.worth / requested.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
             let usual = self.classes[r.class].mean;
             let time = times.map_or(usual, |t| if t[r.class] > 0.0 { t[r.class] } else { usual });
             let time = if self.config.by_work { r.work } else { time };
--- a/crates/policy/src/balance/listed.rs
+++ b/crates/policy/src/balance/listed.rs
@@ -60,7 +60,7 @@
         // Rest times and minimum limits of all sharing nodes add up: if they did not account for the number
         // of nodes, the sends of many nodes alone would keep a slow server from the rest that it needs.
         self.sharing_factor = (self.nodes_per_server() / NODES_PER_SERVER as f64).max(1.0);
-        let limit = self.first_limit();
+        let limit = self.initial_limit();
         let is_news = !answer && !full;
         for id in touched {
             if let Some(server) = self.servers.get_mut(&id).filter(|_| is_news) {
