--- a/crates/policy/src/balance/knowledge.rs
+++ b/crates/policy/src/balance/knowledge.rs
@@ -1,110 +1,111 @@
-//! What is known of a server besides its entry in the list: of which process of it, and as of when. Every
-//! send goes by it: first and further attempts, second copies, and what has waited for its connection.
+//! What is known of a server besides its entry in the list: about which of its processes, and as of when.
+//! Every send depends on it: first attempts, retries, second copies, and attempts that have waited for a
+//! connection.
 //!
-//! While the list is followed it alone tells. While it is not, what is seen of a server lowers the trust in
-//! it, and raises it only where the process is proved to be the one that the list spoke of: by an answer on a
-//! connection that has stood since before the list was lost. A server that restarted may have been removed
-//! meanwhile; what its new process says is no word of the list.
+//! While the list is followed, the list alone decides. While it is not, observations can raise the doubt
+//! about a server, and lower it only if the process is proved to be the one that was listed: by an
+//! answer on a connection opened before the list was lost. A server that restarted may have been removed
+//! meanwhile, so what its new process reports does not replace the list.
 
 use super::{Balancer, Server};
 use crate::api::*;
-use crate::discovery::Lost;
+use crate::discovery::ListLoss;
 
-/// For how long what a server says in its health check may be acted on: until the next check has been
-/// answered, and no longer than news that it could not know of need to count as told.
-const CHECK_HOLDS: Millis = 2400.0;
-/// Servers with a worse word are used where fewer than this part of the rotation has a better one: else an
-/// outage of discovery would empty it.
-const TRUSTED_LEAST: f64 = 0.5;
+/// How long the result of a health check is valid: until the next check has been answered, and no longer
+/// than it takes until a change that the server could not know of counts as notified.
+const CHECK_VALID: Millis = 2400.0;
+/// More doubtful servers are used if fewer than this share of the rotation is less doubtful: otherwise an
+/// outage of discovery would empty the rotation.
+const MIN_TRUSTED_SHARE: f64 = 0.5;
 
-/// How good what is known of a server is, the best first.
+/// How doubtful it is that a server may get new requests, the least doubtful first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Word {
-    /// It takes what is new, as of lately, and is the process that was listed.
+pub(super) enum Doubt {
+    /// It recently accepted new requests, and is the process that was listed.
     Fresh,
-    /// It takes what is new, as of lately, and is the process that ran while the word of the lost list still
-    /// held.
+    /// It recently accepted new requests, and is the process that ran while the lost list was still valid.
     Seen,
-    /// It is listed as up and has not refused, but it is not known, or not lately, which process this is.
+    /// It is listed as up and has not refused, but which process this is was not proved recently.
     Unproved,
-    /// Its process ended since the list was lost, and another one takes what is new.
+    /// Its process has ended since the list was lost, and another one accepts new requests.
     Restarted,
-    /// It takes nothing new, or has come into use and not said yet that it does.
-    Refuses,
+    /// It accepts no new requests, or has joined the rotation and not been checked yet.
+    Refusing,
 }
 
-impl Word {
-    /// All by which something may be sent, the best first.
+impl Doubt {
+    /// All levels at which requests may be sent, the least doubtful first.
     const USABLE: [Self; 4] = [Self::Fresh, Self::Seen, Self::Unproved, Self::Restarted];
 }
 
-/// What has been seen of a server.
+/// What has been observed of a server.
 pub(super) struct Knowledge {
-    /// When it was last asked that it said that it takes what is new.
-    takes_at: Millis,
-    /// When it last answered on a connection that has stood since before the list was lost ...
+    /// When the last health check was sent to which it answered that it accepts new requests.
+    accepting_at: Millis,
+    /// When it last answered on a connection opened before the list was lost.
     same_process_at: Millis,
-    /// ... and on one that has stood since its word still held.
+    /// When it last answered on a connection opened while the lost list was still valid.
     seen_process_at: Millis,
-    /// When it last said that it takes nothing new.
+    /// When it last reported that it accepts no new requests.
     refused_at: Millis,
     /// When its process was last found to have ended.
     ended_at: Millis,
-    /// When a source of the list that is followed spoke of it last.
+    /// When another source of the list, which is still followed, last listed it.
     listed_at: Millis,
-    /// It came into the rotation while the list is not followed, and has not been heard yet.
-    is_unheard: bool,
+    /// It joined the rotation while the list was not followed, and has not been checked yet.
+    is_unchecked: bool,
 }
 
 impl Default for Knowledge {
-    /// Nothing has been seen.
+    /// Nothing has been observed.
     fn default() -> Self {
         let never = f64::NEG_INFINITY;
         Self {
-            takes_at: never,
+            accepting_at: never,
             same_process_at: never,
             seen_process_at: never,
             refused_at: never,
             ended_at: never,
             listed_at: never,
-            is_unheard: false,
+            is_unchecked: false,
         }
     }
 }
 
 impl Knowledge {
-    /// Another source than the one that was lost, which is followed, lists it as up.
-    pub(super) fn is_listed_elsewhere(&mut self, now: Millis) {
+    /// Records that a source other than the lost one, which is still followed, lists it as up.
+    pub(super) fn note_listed_elsewhere(&mut self, now: Millis) {
         self.listed_at = now;
     }
 
-    /// It says that it takes what is new, as of when it was asked.
-    pub(super) fn takes(&mut self, asked_at: Millis) {
-        self.takes_at = asked_at;
+    /// Records that it accepts new requests, as of when the check was sent.
+    pub(super) fn note_accepting(&mut self, asked_at: Millis) {
+        self.accepting_at = asked_at;
     }
 
-    /// It says that it takes nothing new.
-    pub(super) fn refuses(&mut self, now: Millis) {
+    /// Records that it accepts no new requests.
+    pub(super) fn note_refusing(&mut self, now: Millis) {
         self.refused_at = now;
     }
 
-    /// Its process has ended.
-    pub(super) fn has_ended(&mut self, now: Millis) {
+    /// Records that its process has ended.
+    pub(super) fn note_ended(&mut self, now: Millis) {
         self.ended_at = now;
     }
 
-    /// It has come into the rotation while the list is not followed: it is to be heard first.
-    pub(super) fn joins_unheard(&mut self) {
-        self.is_unheard = true;
+    /// Records that it joined the rotation while the list is not followed: it has to be checked before it
+    /// is used.
+    pub(super) fn require_check(&mut self) {
+        self.is_unchecked = true;
     }
 
-    /// It has been asked, whatever it said, or need not be.
-    pub(super) fn is_asked(&mut self) {
-        self.is_unheard = false;
+    /// Records that it has been checked, with whatever result, or need not be.
+    pub(super) fn note_checked(&mut self) {
+        self.is_unchecked = false;
     }
 
-    /// It has answered on a connection that was opened then.
-    fn answered_on(&mut self, now: Millis, opened: Millis, lost: Lost) {
+    /// Records an answer on a connection that was opened at `opened`.
+    fn note_answer(&mut self, now: Millis, opened: Millis, lost: ListLoss) {
         if opened <= lost.since || self.listed_at >= lost.since {
             self.same_process_at = now;
         }
@@ -113,93 +114,92 @@
         }
     }
 
-    /// Until when it is known that the process that was listed takes what is new; `None` where that is not
-    /// proved.
-    fn proved_until(&self, lost: Lost) -> Option<Millis> {
-        Self::holds_until(self.takes_at.min(self.same_process_at), lost)
+    /// Until when it is proved that the listed process accepts new requests; `None` if it is not.
+    fn proved_until(&self, lost: ListLoss) -> Option<Millis> {
+        Self::valid_until(self.accepting_at.min(self.same_process_at), lost)
     }
 
-    /// The same of the process that ran while the word of the lost list still held.
-    fn seen_until(&self, lost: Lost) -> Option<Millis> {
-        Self::holds_until(self.takes_at.min(self.seen_process_at), lost)
+    /// The same for the process that ran while the lost list was still valid.
+    fn seen_until(&self, lost: ListLoss) -> Option<Millis> {
+        Self::valid_until(self.accepting_at.min(self.seen_process_at), lost)
     }
 
-    fn holds_until(at: Millis, lost: Lost) -> Option<Millis> {
-        (at >= lost.at).then_some(at + CHECK_HOLDS)
+    fn valid_until(at: Millis, lost: ListLoss) -> Option<Millis> {
+        (at >= lost.at).then_some(at + CHECK_VALID)
     }
 
-    /// Has its process ended since the list was lost? One that answers on a connection of before has not.
-    fn has_restarted(&self, lost: Lost) -> bool {
+    /// Whether its process has ended since the list was lost. An answer on an older connection shows that
+    /// it has not.
+    fn has_restarted(&self, lost: ListLoss) -> bool {
         self.ended_at >= lost.since.max(self.listed_at) && self.same_process_at <= self.ended_at
     }
 
-    /// Has it refused, or ended, since the list was lost?
-    pub(super) fn has_refused(&self, lost: Lost) -> bool {
+    /// Whether it has refused or ended since the list was lost.
+    pub(super) fn has_refused(&self, lost: ListLoss) -> bool {
         self.refused_at >= lost.since.max(self.listed_at) || self.has_restarted(lost)
     }
 
-    fn word(&self, now: Millis, lost: Lost) -> Word {
-        if self.is_unheard || self.refused_at >= lost.since.max(self.listed_at) {
-            Word::Refuses
+    fn doubt(&self, now: Millis, lost: ListLoss) -> Doubt {
+        if self.is_unchecked || self.refused_at >= lost.since.max(self.listed_at) {
+            Doubt::Refusing
         } else if self.has_restarted(lost) {
-            if self.takes_at > self.ended_at {
-                Word::Restarted
+            if self.accepting_at > self.ended_at {
+                Doubt::Restarted
             } else {
-                Word::Refuses
+                Doubt::Refusing
             }
         } else if now <= self.proved_until(lost).unwrap_or(lost.stale_from) {
-            Word::Fresh
+            Doubt::Fresh
         } else if self.seen_until(lost).is_some_and(|until| now <= until) {
-            Word::Seen
+            Doubt::Seen
         } else {
-            Word::Unproved
+            Doubt::Unproved
         }
     }
 }
 
-/// A server that something new may be sent to now, by what is known of it. Only this module makes one, so
-/// that no send can be written that does not go by that.
+/// A server to which a new attempt may be sent now. Only this module creates one, so that every send has
+/// passed the check of what is known of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Cleared(ServerId);
+pub(super) struct ApprovedServer(ServerId);
 
-impl Cleared {
-    /// Which server.
+impl ApprovedServer {
+    /// The server's id.
     pub(super) fn server(self) -> ServerId {
         self.0
     }
 }
 
 impl Balancer {
-    /// Since when the list has not been followed, where servers can be asked instead: else nothing is
-    /// fresher than anything.
-    fn doubt(&self) -> Option<Lost> {
-        self.calls.lost().filter(|_| self.set.limits.probes)
+    /// The loss of the list, if servers can be health-checked instead: otherwise there is no fresher
+    /// knowledge than the list's.
+    fn checkable_loss(&self) -> Option<ListLoss> {
+        self.calls.lost().filter(|_| self.config.limits.probes)
     }
 
-    /// What is known of a server that is listed as up.
-    pub(super) fn word_of(&self, server: &Server) -> Word {
-        self.doubt().map_or(Word::Fresh, |lost| server.known.word(self.now, lost))
+    /// The doubt about a server that is listed as up.
+    pub(super) fn doubt_about(&self, server: &Server) -> Doubt {
+        self.checkable_loss().map_or(Doubt::Fresh, |lost| server.known.doubt(self.now, lost))
     }
 
-    /// A server has answered on a connection that was opened then.
+    /// Processes an answer of a server on a connection that was opened at `opened`.
     pub(super) fn on_connection_answered(&mut self, id: ServerId, opened: Millis) {
-        let (now, Some(lost)) = (self.now, self.doubt()) else { return };
+        let (now, Some(lost)) = (self.now, self.checkable_loss()) else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
-        // Seen to restart, with no word of the list of that since: the connection may be to a process that
-        // the list has not spoken of.
-        let warm_within = self.set.rules.warm_within;
-        let has_restarted = server.down || server.returned.is_some_and(|at| now - at < warm_within);
+        // It was seen to restart, and the list has not confirmed that since: the connection may be to a
+        // process that was never listed.
+        let warm_within = self.config.rules.warm_within;
+        let has_restarted = server.down || server.returned_at.is_some_and(|at| now - at < warm_within);
         if !has_restarted {
-            server.known.answered_on(now, opened, lost);
-            self.note_proof(id);
+            server.known.note_answer(now, opened, lost);
+            self.update_proofs(id);
         }
     }
 
-    /// Notes until when a server is proved, and until when seen; to be called after each change of what that
-    /// goes by.
-    pub(super) fn note_proof(&mut self, id: ServerId) {
-        let lost = self.doubt();
-        let known = self.servers.get(&id).filter(|_| self.is_rotated(id)).map(|server| &server.known);
+    /// Updates the proofs of a server; to be called after each change of what they depend on.
+    pub(super) fn update_proofs(&mut self, id: ServerId) {
+        let lost = self.checkable_loss();
+        let known = self.servers.get(&id).filter(|_| self.is_in_subset(id)).map(|server| &server.known);
         let trusted = known.zip(lost).filter(|(known, lost)| !known.has_refused(*lost));
         let proved_until = trusted.and_then(|(known, lost)| known.proved_until(lost));
         let seen_until = trusted.and_then(|(known, lost)| known.seen_until(lost));
@@ -212,7 +212,7 @@
         self.seen.set(id, seen_until.unwrap_or(f64::INFINITY));
     }
 
-    /// Forgets proofs that are too old by now.
+    /// Drops proofs that are too old by now.
     pub(super) fn expire_proofs(&mut self) {
         for proofs in [&mut self.proved, &mut self.seen] {
             while let Some((id, _)) = proofs.first().filter(|(_, until)| *until < self.now) {
@@ -221,63 +221,68 @@
         }
     }
 
-    /// Are so few of the rotation trusted that others are to be used besides?
-    fn are_too_few(&self, trusted: usize) -> bool {
-        (trusted as f64) < TRUSTED_LEAST * self.rotation_size() as f64
+    /// Whether this number of trusted servers is too small a part of the rotation, so that others have to
+    /// be used too.
+    fn is_too_few(&self, trusted: usize) -> bool {
+        (trusted as f64) < MIN_TRUSTED_SHARE * self.rotation_size() as f64
     }
 
-    /// The worst word by which something may be sent.
-    fn worst_usable(&self) -> Word {
-        if self.doubt().is_none() || !self.are_too_few(self.proved.len()) {
-            Word::Fresh
-        } else if !self.are_too_few(self.seen.len()) {
-            Word::Seen
-        } else if !self.are_too_few(self.subset.len() - self.refused.len()) {
-            Word::Unproved
+    /// The highest level of doubt at which requests may be sent now.
+    fn max_doubt(&self) -> Doubt {
+        if self.checkable_loss().is_none() || !self.is_too_few(self.proved.len()) {
+            Doubt::Fresh
+        } else if !self.is_too_few(self.seen.len()) {
+            Doubt::Seen
+        } else if !self.is_too_few(self.subset.len() - self.refused.len()) {
+            Doubt::Unproved
         } else {
-            Word::Restarted
+            Doubt::Restarted
         }
     }
 
-    /// Whose turn it is, of those that `ready` lets through: of the ones with the best word.
-    pub(super) fn next_known(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<Cleared> {
-        let worst = self.worst_usable();
-        for word in Word::USABLE.into_iter().take_while(|word| *word <= worst) {
-            let next = self.next_turn(|b, s| b.word_of(s) == word && ready(b, s));
+    /// The server whose turn it is among those that satisfy the predicate and
+    /// are the least doubtful ones available.
+    pub(super) fn next_approved(
+        &mut self,
+        is_ready: impl Fn(&Self, &Server) -> bool,
+    ) -> Option<ApprovedServer> {
+        let limit = self.max_doubt();
+        for doubt in Doubt::USABLE.into_iter().take_while(|doubt| *doubt <= limit) {
+            let next = self.next_turn(|b, s| b.doubt_about(s) == doubt && is_ready(b, s));
             if next.is_some() {
-                return next.map(Cleared);
+                return next.map(ApprovedServer);
             }
         }
         None
     }
 
-    /// May a server get something new, if it has its turn?
+    /// Whether a server may get a new attempt on its turn.
     pub(super) fn is_usable(&self, server: &Server) -> bool {
-        let word = self.word_of(server);
-        word == Word::Fresh || (word < Word::Refuses && word <= self.worst_usable())
+        let doubt = self.doubt_about(server);
+        doubt == Doubt::Fresh || (doubt < Doubt::Refusing && doubt <= self.max_doubt())
     }
 
-    /// May something new be sent to a server that is listed as up, also what has waited for its connection?
-    /// Not where another with a better word has room.
+    /// Whether a new attempt, or one that has waited for its connection, may be sent to a server that is
+    /// listed as up. It may not if a less doubtful server has room.
     pub fn accepts(&self, id: ServerId) -> bool {
         let Some(server) = self.servers.get(&id) else { return true };
-        let word = self.word_of(server);
-        let is_better = |other: &Server| self.word_of(other) < word && self.ready(other);
-        word == Word::Fresh || (self.is_usable(server) && !self.by_turn().any(is_better))
+        let doubt = self.doubt_about(server);
+        let is_better = |other: &Server| self.doubt_about(other) < doubt && self.is_ready(other);
+        doubt == Doubt::Fresh || (self.is_usable(server) && !self.by_turn().any(is_better))
     }
 
-    /// Counts a send by what is known of its server.
-    pub(super) fn count_send(&mut self, to: Cleared) {
+    /// Counts a send that was made despite doubtful knowledge of its server.
+    pub(super) fn count_send(&mut self, to: ApprovedServer) {
         let Some(server) = self.servers.get(&to.server()) else { return };
-        let word = self.word_of(server);
-        debug_assert!(server.listed_up() && word != Word::Refuses, "{to:?}: {word:?}");
-        self.sends.stale += u64::from((Word::Unproved..=Word::Restarted).contains(&word));
-        self.sends.refused += u64::from(word == Word::Refuses || !server.listed_up());
+        let doubt = self.doubt_about(server);
+        debug_assert!(server.listed_up() && doubt != Doubt::Refusing, "{to:?}: {doubt:?}");
+        self.sends.stale += u64::from((Doubt::Unproved..=Doubt::Restarted).contains(&doubt));
+        self.sends.refused += u64::from(doubt == Doubt::Refusing || !server.listed_up());
     }
 
-    /// How the servers of the rotation stand that the list, which is not followed, had as up.
+    /// What is known of the rotation's servers while the list is not followed.
     pub fn trust(&self) -> Trust {
-        let refuse = |server: &&Server| self.word_of(server) >= Word::Restarted;
+        let refuse = |server: &&Server| self.doubt_about(server) >= Doubt::Restarted;
         Trust {
             rotated: self.turns.iter().count(),
             proved: self.proved.len(),
@@ -286,7 +291,7 @@
         }
     }
 
-    /// How many attempts were begun against what is known of their servers.
+    /// Counts of attempts that were sent despite doubtful knowledge of their servers.
     pub fn doubtful_sends(&self) -> DoubtfulSends {
         self.sends
     }
--- a/crates/policy/src/balance/subset.rs
+++ b/crates/policy/src/balance/subset.rs
@@ -1,4 +1,4 @@
-//! The servers that a node rotates over: all that are up, or where many nodes share them a part of its own.
+//! The servers that a node rotates over: all that are up, or a subset of them if many nodes share them.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +6,19 @@
 use crate::api::*;
 use crate::table;
 
-/// Nodes that share one server where there are many: enough that their uneven traffic evens out, few enough
-/// for its connections, and for each to see the server often.
+/// Intended number of nodes per server where there are many: enough to even out their uneven traffic, and
+/// few enough for the server's connections and for each node to see the server often.
 pub(super) const NODES_PER_SERVER: usize = 8;
-/// The most servers that a node rotates over, where its part of the fleet is not more: each needs a
+/// Maximum number of servers that a node rotates over, unless its part of the fleet is larger; each needs a
 /// connection.
-pub(super) const ROTATION_MOST: usize = 256;
-/// Nodes that share one server at the least, however many servers there are.
-const NODES_PER_SERVER_LEAST: usize = 2;
-/// The fewest servers that a node rotates over, so that there is a round, and another when one fails.
-const SUBSET_LEAST: usize = 2;
-
-/// What one sorted set has that another has not.
-fn without<'a>(all: &'a [ServerId], others: &'a [ServerId]) -> impl Iterator<Item = ServerId> + 'a {
+pub(super) const MAX_ROTATION: usize = 256;
+/// Minimum number of nodes per server, however many servers there are.
+const MIN_NODES_PER_SERVER: usize = 2;
+/// Minimum size of the subset, so that there is another server when one fails.
+const MIN_SUBSET: usize = 2;
+
+/// The elements of one sorted slice that another one does not contain.
+fn difference<'a>(all: &'a [ServerId], others: &'a [ServerId]) -> impl Iterator<Item = ServerId> + 'a {
     let mut rest = others;
     all.iter().copied().filter(move |id| {
         let smaller = rest.iter().take_while(|other| *other < id).count();
@@ -33,7 +33,7 @@
         self.subset.iter().filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
 
-    /// The servers of the subset, in the order of their turns.
+    /// The servers of the subset in the order of their turns.
     pub(super) fn by_turn(&self) -> impl Iterator<Item = &Server> {
         self.turns.iter().filter_map(|id| self.servers.get(&id)).inspect(|_| self.count_step())
     }
@@ -42,132 +42,138 @@
         self.steps.set(self.steps.get() + 1);
     }
 
-    /// How many looks at single servers the walks over the rotation have taken so far: what an event costs
-    /// must not grow with the servers.
+    /// Number of servers visited so far while walking over the rotation, to check that the cost of an event
+    /// does not grow with the number of servers.
     pub fn steps(&self) -> u64 {
         self.steps.get()
     }
 
-    /// Is a server in the subset?
-    pub(super) fn is_rotated(&self, id: ServerId) -> bool {
+    /// Whether a server is in the subset.
+    pub(super) fn is_in_subset(&self, id: ServerId) -> bool {
         self.subset.binary_search(&id).is_ok()
     }
 
-    /// Those of these servers that are in the subset.
-    pub(super) fn rotated_of<'a>(&'a self, ids: &'a BTreeSet<ServerId>) -> impl Iterator<Item = &'a Server> {
-        let rotated = ids.iter().filter(|id| self.is_rotated(**id));
+    /// The given servers that are in the subset.
+    pub(super) fn in_subset_of<'a>(
+        &'a self,
+        ids: &'a BTreeSet<ServerId>,
+    ) -> impl Iterator<Item = &'a Server> {
+        let rotated = ids.iter().filter(|id| self.is_in_subset(**id));
         rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
     }
 
-    /// Rotates over no more servers than so many, where its part of the fleet is not more: those that its
-    /// connections suffice for. Counts from the next list on.
+    /// Limits the size of the rotation to the number of connections that the node can keep, unless the
+    /// node's part of the fleet is larger. Applies from the next list on.
     pub fn bound_rotation(&mut self, most: usize) {
-        self.rotation_most = most.clamp(SUBSET_LEAST, ROTATION_MOST);
+        self.max_rotation = most.clamp(MIN_SUBSET, MAX_ROTATION);
     }
 
-    /// How many warm servers a node rotates over. All of them, until that would be more nodes to a server
-    /// than it should bear: connections, and what a node must send to learn of each, grow with both.
+    /// Number of warm servers that a node rotates over: all of them, unless that exceeds the number of
+    /// nodes that a server should bear. Connections, and what a node must send to learn of each server,
+    /// grow with both.
     pub(super) fn subset_size(&self, up: usize) -> usize {
-        let shared_by = |nodes: usize| (nodes * up).div_ceil(self.set.nodes);
-        let most = self.rotation_most.max(shared_by(NODES_PER_SERVER_LEAST));
-        shared_by(NODES_PER_SERVER).min(most).max(SUBSET_LEAST).min(up)
+        let shared_by = |nodes: usize| (nodes * up).div_ceil(self.config.nodes);
+        let most = self.max_rotation.max(shared_by(MIN_NODES_PER_SERVER));
+        shared_by(NODES_PER_SERVER).min(most).max(MIN_SUBSET).min(up)
     }
 
-    /// How many it rotates over now: no more than it can check while it does.
+    /// Number of servers that it rotates over now: while it checks servers, no more than it can check.
     pub(super) fn rotation_size(&self) -> usize {
         let size = self.subset_size(self.order.len());
         if self.is_checking {
-            size.min(self.checked_most())
+            size.min(self.max_checked())
         } else {
             size
         }
     }
 
-    /// How many nodes send to a server.
-    pub(super) fn sharing(&self) -> f64 {
+    /// Average number of nodes that send to a server.
+    pub(super) fn nodes_per_server(&self) -> f64 {
         let up = self.members.len().max(1);
-        (self.set.nodes * self.subset_size(up)) as f64 / up as f64
+        (self.config.nodes * self.subset_size(up)) as f64 / up as f64
     }
 
-    /// The order in which this node prefers the sorted `members`: an even cover of the fleet by all nodes.
+    /// This node's order of preference of the sorted `members`, chosen so that all nodes together cover the
+    /// fleet evenly.
     pub(super) fn preference(&self, members: &[ServerId]) -> Vec<ServerId> {
-        let is_whole = self.subset_size(members.len()) == members.len();
-        // Of more it uses a part while the list is not followed, which must not be the same part at all
-        // nodes.
-        if is_whole && members.len() <= self.checked_most() {
+        let is_full = self.subset_size(members.len()) == members.len();
+        // With more members, the node uses only a part of them while the list is not followed, which must
+        // not be the same part for all nodes.
+        if is_full && members.len() <= self.max_checked() {
             return members.to_vec();
         }
-        table::preference(members, self.set.number, self.set.nodes, SUBSET_LEAST)
+        table::preference(members, self.config.number, self.config.nodes, MIN_SUBSET)
     }
 
-    /// Takes servers from the order until those that are not ejected make up enough warm ones: a subset of
-    /// which many are down or cold widens, so that its node's traffic does not fall on the few others.
+    /// Chooses the subset: servers in order of preference until those not ejected add up to enough warm
+    /// ones. If many are down or cold, the subset widens, so that the node's traffic does not fall on the
+    /// few others.
     pub(super) fn choose_subset(&mut self) {
         let subset = self.wanted_subset();
-        let left: Vec<ServerId> = without(&self.subset, &subset).collect();
-        let came: Vec<ServerId> = without(&subset, &self.subset).collect();
-        (self.subset, self.chosen) = (subset, self.now);
+        let left: Vec<ServerId> = difference(&self.subset, &subset).collect();
+        let joined: Vec<ServerId> = difference(&subset, &self.subset).collect();
+        (self.subset, self.chosen_at) = (subset, self.now);
         self.size = self.rotated().map(|server| server.size).sum();
-        left.into_iter().for_each(|id| self.has_left(id));
-        came.into_iter().for_each(|id| self.has_come(id));
-        self.place_newcomers();
-        self.forget_warm();
+        left.into_iter().for_each(|id| self.on_left_subset(id));
+        joined.into_iter().for_each(|id| self.on_joined_subset(id));
+        self.assign_first_turns();
+        self.drop_warm();
     }
 
-    /// The same where nothing but the ejection of single servers has changed.
+    /// Updates the subset when only the ejection of single servers has changed.
     pub(super) fn adapt_subset(&mut self) {
         let wanted = self.rotation_size();
-        if self.cold_rotated().next().is_some() {
+        if self.cold_in_subset().next().is_some() {
             return self.choose_subset();
         }
-        self.chosen = self.now;
+        self.chosen_at = self.now;
         if wanted == self.order.len() {
             return;
         }
-        while self.in_use() < wanted && self.subset.len() < self.order.len() {
+        while self.active_count() < wanted && self.subset.len() < self.order.len() {
             if self.warming.contains(&self.order[self.subset.len()]) {
-                // It counts for less than one.
+                // A warming server counts for less than one.
                 return self.choose_subset();
             }
             self.widen();
         }
-        while self.last_is_spare(wanted) {
+        while self.is_last_spare(wanted) {
             self.narrow();
         }
-        self.place_newcomers();
+        self.assign_first_turns();
     }
 
-    /// How many servers of the subset are not ejected.
-    fn in_use(&self) -> usize {
+    /// Number of servers of the subset that are not ejected.
+    fn active_count(&self) -> usize {
         self.subset.len() - self.ejected.len()
     }
 
-    /// Do the others suffice without the server that was taken from the order last?
-    fn last_is_spare(&self, wanted: usize) -> bool {
-        let Some(last) = self.subset.len().checked_sub(1).map(|place| self.order[place]) else {
+    /// Whether the other servers suffice without the one that was added last.
+    fn is_last_spare(&self, wanted: usize) -> bool {
+        let Some(last) = self.subset.len().checked_sub(1).map(|position| self.order[position]) else {
             return false;
         };
-        self.in_use() - usize::from(!self.ejected.contains(&last)) >= wanted
+        self.active_count() - usize::from(!self.ejected.contains(&last)) >= wanted
     }
 
     fn widen(&mut self) {
         let id = self.order[self.subset.len()];
-        let Err(place) = self.subset.binary_search(&id) else { return };
-        self.subset.insert(place, id);
+        let Err(position) = self.subset.binary_search(&id) else { return };
+        self.subset.insert(position, id);
         self.size += self.servers.get(&id).map_or(0.0, |server| server.size);
-        self.has_come(id);
+        self.on_joined_subset(id);
     }
 
     fn narrow(&mut self) {
         let id = self.order[self.subset.len() - 1];
-        let Ok(place) = self.subset.binary_search(&id) else { return };
-        self.subset.remove(place);
+        let Ok(position) = self.subset.binary_search(&id) else { return };
+        self.subset.remove(position);
         self.size -= self.servers.get(&id).map_or(0.0, |server| server.size);
-        self.has_left(id);
+        self.on_left_subset(id);
     }
 
-    /// A server is not in the subset any more; it may not be listed either.
-    fn has_left(&mut self, id: ServerId) {
+    /// Removes the state of a server that has left the subset; it may not be listed any more.
+    fn on_left_subset(&mut self, id: ServerId) {
         self.set_turn(id, f64::NAN);
         self.ejected.remove(&id);
         self.proved.remove(id);
@@ -176,25 +182,25 @@
         self.probes.remove(id);
     }
 
-    /// A server is in the subset from now on; it is still to be given its turn.
-    fn has_come(&mut self, id: ServerId) {
+    /// Sets up a server that has joined the subset; its turn is assigned later.
+    fn on_joined_subset(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if self.is_checking {
-            server.known.joins_unheard();
+            server.known.require_check();
             server.next_check = f64::NEG_INFINITY;
         }
-        if server.ejected.is_some() {
+        if server.ejected_until.is_some() {
             self.ejected.insert(id);
         }
         self.without_turn.push(id);
-        self.note_proof(id);
+        self.update_proofs(id);
         self.schedule_probe(id);
     }
 
     fn wanted_subset(&self) -> Vec<ServerId> {
         let wanted = self.rotation_size();
         if wanted == self.order.len() {
-            // None counts for more than one.
+            // No server counts for more than one.
             return self.members.clone();
         }
         let (mut warm, mut subset) = (0.0, Vec::new());
@@ -202,7 +208,11 @@
             if warm >= wanted as f64 {
                 break;
             }
-            warm += if server.ejected.is_none() { server.warmth(self.now, &self.set.rules) } else { 0.0 };
+            warm += if server.ejected_until.is_none() {
+                server.warmth(self.now, &self.config.rules)
+            } else {
+                0.0
+            };
             subset.push(server.entry.server);
         }
         subset.sort_unstable();
@@ -210,37 +220,38 @@
     }
 
     #[cfg(test)]
-    pub(super) fn clone_of_subset(&self) -> Vec<ServerId> {
+    pub(super) fn expected_subset(&self) -> Vec<ServerId> {
         self.wanted_subset()
     }
 
-    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at
-    /// (p + k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that
-    /// is the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: were
-    /// all to begin again at each change, the servers after their offsets would get everything meanwhile.
-    fn place_newcomers(&mut self) {
+    /// Assigns the first turns of servers that are new to the rotation. A server of size w has its turns at
+    /// (p + k) / w for k = 0, 1, ..., where p from 0 to 1 is its position after the cursor: with equal
+    /// sizes this is the plain cyclic order, with unequal ones an even interleaving. The other servers keep
+    /// their turns: if all began again at each change, the servers after the nodes' offsets would get all
+    /// requests meanwhile.
+    fn assign_first_turns(&mut self) {
         let count = self.subset.len().max(1);
-        let cursor_at = self.cursor_at.map(|at| self.subset.partition_point(|id| *id <= at));
-        let first = cursor_at.unwrap_or(self.set.number) % count;
+        let after_cursor = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
+        let first = after_cursor.unwrap_or(self.config.number) % count;
         let mut newcomers = std::mem::take(&mut self.without_turn);
         newcomers.sort_unstable();
         newcomers.dedup();
         for id in newcomers {
-            let Ok(place) = self.subset.binary_search(&id) else { continue };
+            let Ok(position) = self.subset.binary_search(&id) else { continue };
             if !self.servers.get(&id).is_some_and(|server| server.turn.is_nan()) {
                 continue;
             }
             let stagger = self.random();
             let Some(server) = self.servers.get_mut(&id) else { continue };
-            let after = (place + count - first) % count;
-            let warmth = server.warmth(self.now, &self.set.rules);
-            // Cold ones take a random place: by the cursors alone, many nodes would come at once.
+            let after = (position + count - first) % count;
+            let warmth = server.warmth(self.now, &self.config.rules);
+            // Cold servers get a random position: by the cursors alone, many nodes would send at once.
             let part = if warmth < 1.0 { stagger } else { after as f64 / count as f64 };
             let turn = self.cursor + part / (server.size * warmth);
             server.turn_warmth = warmth;
             (server.stagger, server.last_sent) = (stagger, server.last_sent.max(self.now));
             self.set_turn(id, turn);
-            self.note_cold(id, warmth < 1.0);
+            self.mark_cold(id, warmth < 1.0);
         }
     }
 }
