--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,7 +1,7 @@
-//! Datagrams between nodes: bytes that only who has the common secret can make, and the reading of them.
+//! Authenticated datagrams between nodes that share a secret, and a reader of their fields.
 //!
-//! A datagram is at most [`LONGEST`] bytes; numbers are big-endian, and a keyed digest over all of it (HMAC-SHA-256, cut to 16
-//! bytes) ends it. What the bytes mean is the business of who writes them; a replay is theirs to see through.
+//! A datagram has at most [`LONGEST`] bytes. Numbers are big-endian. It ends with an HMAC-SHA-256 over all preceding
+//! bytes, truncated to 16 bytes. The contents, and protection against replays, are left to the caller.
 #![warn(missing_docs)]
 
 use std::fmt;
@@ -9,12 +9,12 @@
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 
-/// The longest datagram: below what any path carries in one piece.
+/// The maximum size of a datagram in bytes: small enough to avoid fragmentation on any path.
 pub const LONGEST: usize = 1200;
-/// How much of it is the digest.
+/// The size of the authentication tag in bytes.
 pub const TAG: usize = 16;
 
-/// The key that all nodes have in common.
+/// The secret key shared by all nodes.
 #[derive(Clone)]
 pub struct Secret(Vec<u8>);
 
@@ -24,29 +24,30 @@
     }
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsealed {
-    /// Longer than any is.
+    /// Longer than [`LONGEST`].
     Long,
-    /// Too short to hold a digest.
+    /// Too short to contain a tag.
     Short,
-    /// Its digest is not what the key makes of it.
+    /// The tag does not match the key and the contents.
     Forged,
 }
 
 impl Secret {
-    /// Made of these bytes.
+    /// Creates a secret from its bytes.
     pub fn new(bytes: &[u8]) -> Self {
         Self(bytes.to_vec())
     }
 
     fn mac(&self) -> Hmac<Sha256> {
-        // HMAC takes a key of any length.
-        Hmac::<Sha256>::new_from_slice(&self.0).unwrap_or_else(|_| unreachable!("a key of any length"))
+        // HMAC accepts keys of any length.
+        Hmac::<Sha256>::new_from_slice(&self.0)
+            .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"))
     }
 
-    /// Puts the digest behind what was written.
+    /// Appends the tag to the contents.
     pub fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         let mut mac = self.mac();
         mac.update(&bytes);
@@ -54,89 +55,89 @@
         bytes
     }
 
-    /// What was written, where the digest behind it is right.
+    /// Verifies the tag and returns the contents.
     ///
     /// # Errors
-    /// Where it was not made with the key, or has a length that none has.
+    /// If the tag is wrong, or the datagram is too long or too short.
     pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Unsealed> {
         if bytes.len() > LONGEST {
             return Err(Unsealed::Long);
         }
         let at = bytes.len().checked_sub(TAG).ok_or(Unsealed::Short)?;
-        let (said, tag) = bytes.split_at(at);
+        let (contents, tag) = bytes.split_at(at);
         let mut mac = self.mac();
-        mac.update(said);
+        mac.update(contents);
         mac.verify_truncated_left(tag).map_err(|_| Unsealed::Forged)?;
-        Ok(said)
+        Ok(contents)
     }
 }
 
-/// A number made of these words, alike on all nodes: the first eight bytes of their SHA-256.
-pub fn number_of(words: &[&[u8]]) -> u64 {
+/// Hashes byte strings to a number that is the same on all nodes: the first eight bytes of their SHA-256.
+pub fn number_of(parts: &[&[u8]]) -> u64 {
     let mut digest = Sha256::new();
-    for word in words {
-        // Their lengths go in, so that no two lists of words run together into one.
-        digest.update((word.len() as u64).to_be_bytes());
-        digest.update(word);
+    for part in parts {
+        // The lengths are hashed too, so that different splits of the same bytes give different numbers.
+        digest.update((part.len() as u64).to_be_bytes());
+        digest.update(part);
     }
     digest.finalize().iter().take(8).fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
-/// What is left to be read.
+/// Reads fields from the front of a byte slice.
 #[derive(Debug)]
 pub struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// Reads these bytes.
+    /// Creates a reader of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
         Self(bytes)
     }
 
-    /// Is nothing left?
+    /// Whether all bytes have been read.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The next so many bytes; `None` where there are fewer.
+    /// Reads the next `n` bytes; `None` if there are fewer.
     pub fn take(&mut self, n: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(n)?;
         self.0 = rest;
         Some(taken)
     }
 
-    /// The next byte.
+    /// Reads a byte.
     pub fn u8(&mut self) -> Option<u8> {
         Some(self.take(1)?[0])
     }
 
-    /// The next two.
+    /// Reads a big-endian `u16`.
     pub fn u16(&mut self) -> Option<u16> {
         Some(u16::from_be_bytes(self.take(2)?.try_into().ok()?))
     }
 
-    /// The next four.
+    /// Reads a big-endian `u32`.
     pub fn u32(&mut self) -> Option<u32> {
         Some(u32::from_be_bytes(self.take(4)?.try_into().ok()?))
     }
 
-    /// The next eight.
+    /// Reads a big-endian `u64`.
     pub fn u64(&mut self) -> Option<u64> {
         Some(u64::from_be_bytes(self.take(8)?.try_into().ok()?))
     }
 
-    /// A byte that tells a length, and that many bytes.
+    /// Reads a length byte and that many bytes.
     pub fn short(&mut self) -> Option<&'a [u8]> {
         let length = usize::from(self.u8()?);
         self.take(length)
     }
 
-    /// The same, as text.
+    /// Reads a length byte and that many bytes of UTF-8 text.
     pub fn text(&mut self) -> Option<&'a str> {
         std::str::from_utf8(self.short()?).ok()
     }
 }
 
-/// Writes what [`Reader::short`] reads. What is longer than a byte can tell is cut.
+/// Writes a length byte and the bytes, as [`Reader::short`] reads them. Bytes beyond the first 255 are dropped.
 pub fn write_short(out: &mut Vec<u8>, bytes: &[u8]) {
     let length = bytes.len().min(usize::from(u8::MAX));
     out.push(length as u8);
@@ -150,31 +151,31 @@
 
     proptest! {
         #[test]
-        fn only_what_the_key_made_is_opened(
-            said in proptest::collection::vec(any::<u8>(), 0..LONGEST - TAG),
+        fn only_datagrams_sealed_with_the_same_key_are_opened(
+            contents in proptest::collection::vec(any::<u8>(), 0..LONGEST - TAG),
             at in any::<prop::sample::Index>(),
             bit in 0..8u8,
         ) {
             let (ours, theirs) = (Secret::new(b"ours"), Secret::new(b"theirs"));
-            let sealed = ours.seal(said.clone());
-            prop_assert_eq!(ours.open(&sealed), Ok(&said[..]));
+            let sealed = ours.seal(contents.clone());
+            prop_assert_eq!(ours.open(&sealed), Ok(&contents[..]));
             prop_assert_eq!(theirs.open(&sealed), Err(Unsealed::Forged));
-            let mut spoilt = sealed.clone();
-            spoilt[at.index(sealed.len())] ^= 1 << bit;
-            prop_assert_eq!(ours.open(&spoilt), Err(Unsealed::Forged));
+            let mut tampered = sealed.clone();
+            tampered[at.index(sealed.len())] ^= 1 << bit;
+            prop_assert_eq!(ours.open(&tampered), Err(Unsealed::Forged));
             prop_assert!(ours.open(&sealed[..sealed.len() - 1]).is_err());
         }
     }
 
     #[test]
-    fn lengths_that_none_has_are_named() {
+    fn too_short_and_too_long_datagrams_are_rejected() {
         let secret = Secret::new(b"ours");
         assert_eq!(secret.open(&[0; TAG - 1]), Err(Unsealed::Short));
         assert_eq!(secret.open(&[0; LONGEST + 1]), Err(Unsealed::Long));
     }
 
     #[test]
-    fn words_do_not_run_together() {
+    fn different_splits_of_the_same_bytes_give_different_numbers() {
         assert_ne!(number_of(&[b"ab", b"c"]), number_of(&[b"a", b"bc"]));
     }
 }
--- a/crates/fields/src/lib.rs
+++ b/crates/fields/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reading an operator's TOML file field by field. Every error is one line that names the field, what was expected and what
-//! is there; a field that nobody took is an error too, so that a misspelt one is not passed over.
+//! Reads an operator's TOML file field by field. Every error is one line that names the field, the expected type and the
+//! actual value. A field that was not read is an error too, so that a misspelt name does not go unnoticed.
 #![warn(missing_docs)]
 
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 pub use toml::{Table, Value};
 
-/// The entries of a table, each to be taken once; what is left over is unknown.
+/// The fields of a table. Each is removed when it is read; fields left over at the end are unknown.
 #[derive(Debug)]
 pub struct Fields {
     path: String,
@@ -15,10 +15,10 @@
 }
 
 impl Fields {
-    /// Reads the text of a file.
+    /// Parses the text of a file.
     ///
     /// # Errors
-    /// The line and the reason, where it is not TOML.
+    /// If it is not valid TOML, with the line and the reason.
     pub fn parse(text: &str) -> Result<Self, String> {
         let table: Table = text.parse().map_err(|e: toml::de::Error| {
             let at = e.span().map_or(0, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Takes a field as whatever `read` makes of it; `None` where it is not there.
+    /// Removes a field and converts it with `read`; `None` if the field is absent. `want` describes the expected value.
     ///
     /// # Errors
-    /// Where `read` makes nothing of it.
+    /// If `read` returns `None`.
     pub fn take<T>(
         &mut self,
         key: &str,
@@ -52,19 +52,19 @@
         read(value).map(Some).ok_or_else(|| format!("{name}: {want} expected, not {shown}"))
     }
 
-    /// The same, where it must be there.
+    /// Removes and converts a required field, as [`Fields::take`] does.
     ///
     /// # Errors
-    /// Where it is not there, or `read` makes nothing of it.
+    /// If the field is absent or `read` returns `None`.
     pub fn need<T>(&mut self, key: &str, want: &str, read: impl Fn(Value) -> Option<T>) -> Result<T, String> {
         let name = self.name(key);
         self.take(key, want, read)?.ok_or_else(|| format!("{name}: needed, {want}"))
     }
 
-    /// A whole number within bounds.
+    /// Reads an integer within bounds, or returns the default if it is absent.
     ///
     /// # Errors
-    /// Where it is none, or out of bounds.
+    /// If it is not an integer or is out of bounds.
     pub fn within(
         &mut self,
         key: &str,
@@ -72,59 +72,59 @@
         default: usize,
     ) -> Result<usize, String> {
         let want = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        let fits = |value: Value| value.as_integer().and_then(|n| usize::try_from(n).ok());
-        let fits = |value| fits(value).filter(|n| bounds.contains(n));
-        Ok(self.take(key, &want, fits)?.unwrap_or(default))
+        let to_usize = |value: Value| value.as_integer().and_then(|n| usize::try_from(n).ok());
+        let in_bounds = |value| to_usize(value).filter(|n| bounds.contains(n));
+        Ok(self.take(key, &want, in_bounds)?.unwrap_or(default))
     }
 
-    /// A switch, off where it is not there.
+    /// Reads a boolean, or returns false if it is absent.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If it is not a boolean.
     pub fn switch(&mut self, key: &str) -> Result<bool, String> {
         Ok(self.take(key, "true or false", |v| v.as_bool())?.unwrap_or(false))
     }
 
-    /// An address.
+    /// Reads an optional IP address and port.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If it is not an address.
     pub fn address(&mut self, key: &str) -> Result<Option<SocketAddr>, String> {
         self.take(key, "an IP address and port", |v| v.as_str().and_then(|text| text.parse().ok()))
     }
 
-    /// A text that is not empty.
+    /// Reads an optional string that is not empty; `want` describes it.
     ///
     /// # Errors
-    /// Where it is none, or empty.
+    /// If it is not a string, or empty.
     pub fn text(&mut self, key: &str, want: &str) -> Result<Option<String>, String> {
         self.take(key, want, |v| v.as_str().filter(|text| !text.is_empty()).map(str::to_string))
     }
 
-    /// A list of names; an empty one where it is not there.
+    /// Reads an array of names, or returns an empty one if it is absent.
     ///
     /// # Errors
-    /// Where it is none, or one of them is empty.
+    /// If it is not an array of strings, or one of them is empty.
     pub fn names(&mut self, key: &str) -> Result<Vec<String>, String> {
         let text = |v: &Value| v.as_str().filter(|t| !t.is_empty()).map(str::to_string);
         let names = |value: Value| value.as_array()?.iter().map(text).collect();
         Ok(self.take(key, "a list of names", names)?.unwrap_or_default())
     }
 
-    /// A table within this one.
+    /// Reads an optional nested table.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If it is not a table.
     pub fn table(&mut self, key: &str) -> Result<Option<Self>, String> {
         let path = self.name(key);
         let table = self.take(key, "a table", |v| if let Value::Table(t) = v { Some(t) } else { None })?;
         Ok(table.map(|table| Self { path, table }))
     }
 
-    /// The tables of a list of them, each called by its number from 0.
+    /// Reads an array of tables, each named by its index from 0, or returns an empty one if it is absent.
     ///
     /// # Errors
-    /// Where it is no list of tables.
+    /// If it is not an array of tables.
     pub fn tables(&mut self, key: &str) -> Result<Vec<Self>, String> {
         let path = self.name(key);
         let table = |v: &Value| if let Value::Table(t) = v { Some(t.clone()) } else { None };
@@ -135,10 +135,10 @@
         Ok(tables.into_iter().enumerate().map(named).collect())
     }
 
-    /// All that is left, as tables by their names.
+    /// Reads all remaining fields as tables, with their names.
     ///
     /// # Errors
-    /// Where one of them is no table.
+    /// If one of them is not a table.
     pub fn rest(mut self) -> Result<Vec<(String, Self)>, String> {
         let names: Vec<String> = self.table.keys().cloned().collect();
         let mut tables = Vec::new();
@@ -150,10 +150,10 @@
         Ok(tables)
     }
 
-    /// Ends the reading.
+    /// Checks that all fields have been read.
     ///
     /// # Errors
-    /// Names a field that nobody took.
+    /// Names a field that was not read.
     pub fn end(self) -> Result<(), String> {
         match self.table.keys().next() {
             Some(key) => Err(format!("{}: no such field", self.name(key))),
--- a/crates/list/src/entry.rs
+++ b/crates/list/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the list, and a line of them.
+//! Entries of the server list, and updates made of entries.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::Value;
 
-/// What a server speaks.
+/// The protocol of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protocol {
     /// HTTP/1.1.
@@ -16,16 +16,16 @@
     Msgpack,
 }
 
-/// Where a server listens, and what it speaks as far as the list tells.
+/// The address and protocol of a server, as given by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Dial {
     /// Its address.
     pub address: SocketAddr,
-    /// What it speaks.
+    /// Its protocol.
     pub protocol: Protocol,
 }
 
-/// How the list marks a server that speaks MessagePack-RPC.
+/// The prefix of the address of a MessagePack-RPC server.
 const MSGPACK_SCHEME: &str = "msgpack-rpc://";
 
 impl fmt::Display for Dial {
@@ -41,10 +41,10 @@
     }
 }
 
-/// Reads a dial where its text stands.
-struct DialText;
+/// Parses a [`Dial`] from borrowed text.
+struct DialVisitor;
 
-impl Visitor<'_> for DialText {
+impl Visitor<'_> for DialVisitor {
     type Value = Dial;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -65,29 +65,29 @@
 
 impl<'de> Deserialize<'de> for Dial {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_str(DialText)
+        from.deserialize_str(DialVisitor)
     }
 }
 
-/// One line of discovery.
+/// An update of the list: one line of discovery or of registrations.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Update {
     /// The list's version.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// The whole list, not just changes.
+    /// Whether this is the full list rather than changes.
     #[serde(rename = "whole")]
     pub whole: bool,
     /// The entries.
     pub hosts: Vec<Host>,
 }
 
-/// One server of a line.
+/// An entry of an update: one server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Host {
     /// Its name, the same at every node.
     pub host: String,
-    /// Where it listens; one that is gone may have none.
+    /// Its address; optional for a server that is gone.
     #[serde(default, rename = "dial")]
     pub dial: Option<Dial>,
     /// Its zone.
@@ -102,19 +102,19 @@
     /// Its state.
     pub health: Health,
     /// Its weight.
-    #[serde(default = "one", rename = "share")]
+    #[serde(default = "default_weight", rename = "share")]
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When it last started, as Unix time in milliseconds; 0 for long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 impl Host {
-    /// A server in service, with nothing said of it but its name and address.
+    /// An active server with default values for all but its name and address.
     pub fn active(name: &str, dial: Dial) -> Self {
         Self {
             host: name.to_string(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The same server, gone.
+    /// A copy of this entry that marks the server as gone.
     pub fn left(&self) -> Self {
         Self { health: Health::Left, ..self.clone() }
     }
@@ -140,33 +140,33 @@
 pub enum Health {
     /// In service.
     Active,
-    /// Finishing its work.
+    /// Draining: finishing its open requests.
     Leaving,
     /// Gone.
     Left,
 }
 
-/// Reads a line: at once, and by way of its values only where that fails, as they bear a name that comes twice.
+/// Parses an update directly from text. If that fails, parses it by way of a JSON value, which accepts duplicate keys.
 ///
 /// # Errors
-/// Names what is missing or malformed.
+/// Names the field that is missing or malformed.
 pub fn read(text: &[u8]) -> Result<Update, String> {
     match serde_json::from_slice(text) {
-        Ok(update) => checked(update),
+        Ok(update) => validate(update),
         Err(_) => update(serde_json::from_slice(text).map_err(|e| e.to_string())?),
     }
 }
 
-/// Reads a line's object.
+/// Parses an update from a JSON value.
 ///
 /// # Errors
-/// Names what is missing or malformed.
+/// Names the field that is missing or malformed.
 pub fn update(value: Value) -> Result<Update, String> {
-    checked(serde_json::from_value(value).map_err(|e| e.to_string())?)
+    validate(serde_json::from_value(value).map_err(|e| e.to_string())?)
 }
 
-/// Checks that servers that are not gone have an address.
-fn checked(update: Update) -> Result<Update, String> {
+/// Checks that every server that is not gone has an address.
+fn validate(update: Update) -> Result<Update, String> {
     match update.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
         Some(host) => Err(format!("{}: dial is missing", host.host)),
         None => Ok(update),
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -1,10 +1,11 @@
-//! The list of servers: its entries, as discovery and registrations write them, and one list out of both. No I/O.
+//! The list of servers: its entries, as discovery and registrations write them, and the merge of both sources. This
+//! crate does no I/O.
 //!
-//! - [`entry`] holds one entry and a line of entries.
-//! - [`lines`] cuts what a watch brings into messages.
-//! - [`merge`] makes one list of what two sources say.
-//! - [`start`] says when a server started, whatever its clock says.
-//! - [`succession`] says which lists may follow on which.
+//! - [`entry`]: entries, and updates made of entries.
+//! - [`lines`]: splits the stream of a watch into messages.
+//! - [`merge`]: merges the lists of two sources.
+//! - [`start`]: estimates when a server started, allowing for wrong clocks.
+//! - [`succession`]: rejects empty and outdated lists.
 #![warn(missing_docs)]
 
 pub mod entry;
--- a/crates/list/src/lines.rs
+++ b/crates/list/src/lines.rs
@@ -1,111 +1,113 @@
-//! Cuts what a watch brings into messages: one JSON object a line, and blank lines while nothing changes. An object may also
-//! be written over several lines, indented.
+//! Splits the stream of a watch into messages: one JSON object per line, and blank lines as keep-alives. An object may
+//! also be indented over several lines.
 
 use std::fmt;
 
 use crate::entry;
 
-/// The longest message that is taken.
+/// The longest message accepted, in bytes.
 pub const MOST: usize = 4 << 20;
 
-/// What a watch says.
+/// A message of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A blank line: the watch stands, with no news.
+    /// A blank line: the watch is alive and nothing has changed.
     Alive,
-    /// An object, as it came.
+    /// A JSON object, unparsed.
     Object(Vec<u8>),
 }
 
-/// Why what comes can't be followed any further.
+/// Why the stream cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spoilt {
-    /// Longer than a message may be.
+    /// A message is longer than [`MOST`].
     TooLong,
-    /// An object was broken off: what stands behind it is not its end.
+    /// An object was truncated: what follows it is not its end.
     BrokenOff,
 }
 
 impl fmt::Display for Spoilt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLong => "longer than a message may be",
-            Self::BrokenOff => "an object was broken off",
+            Self::TooLong => "message too long",
+            Self::BrokenOff => "JSON object truncated",
         })
     }
 }
 
-/// What has come so far and is no whole message yet.
+/// Buffers the stream up to the next complete message.
 #[derive(Debug, Default)]
 pub struct Lines {
-    held: Vec<u8>,
-    /// How much of it has been looked at, and where its last line begins.
-    looked: usize,
-    line: usize,
+    buffer: Vec<u8>,
+    /// The number of bytes scanned.
+    scanned: usize,
+    /// Where the current line begins.
+    line_start: usize,
+    /// The nesting depth of braces and brackets.
     depth: usize,
-    within_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
 impl Lines {
-    /// More has come.
+    /// Appends received data.
     ///
     /// # Errors
-    /// Where no message may be so long.
+    /// If the buffered message exceeds [`MOST`] bytes.
     pub fn push(&mut self, data: &[u8]) -> Result<(), Spoilt> {
-        if self.held.len() + data.len() > MOST {
+        if self.buffer.len() + data.len() > MOST {
             return Err(Spoilt::TooLong);
         }
-        self.held.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
         Ok(())
     }
 
-    /// Is a message half there?
+    /// Whether a message has been received in part.
     pub fn amid(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// The next message, if it is whole.
+    /// Returns the next complete message, if there is one.
     ///
     /// # Errors
-    /// Where the one that is coming was broken off.
+    /// If the current object was truncated.
     pub fn next_message(&mut self) -> Result<Option<Message>, Spoilt> {
-        while let Some(byte) = self.held.get(self.looked).copied() {
-            self.looked += 1;
+        while let Some(byte) = self.buffer.get(self.scanned).copied() {
+            self.scanned += 1;
             match byte {
-                // No text goes over the end of a line: JSON writes that as \n.
-                b'\n' if self.within_text => return Err(Spoilt::BrokenOff),
-                b'\n' if self.depth == 0 => return Ok(Some(self.cut())),
-                b'\n' => self.line_within()?,
+                // A JSON string contains no raw line break: it is escaped as \n.
+                b'\n' if self.in_string => return Err(Spoilt::BrokenOff),
+                b'\n' if self.depth == 0 => return Ok(Some(self.take_message())),
+                b'\n' => self.check_inner_line()?,
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.within_text => self.escaped = true,
-                b'"' => self.within_text = !self.within_text,
-                b'{' | b'[' if !self.within_text => self.depth += 1,
-                // One too many is seen by whoever reads the object.
-                b'}' | b']' if !self.within_text => self.depth = self.depth.saturating_sub(1),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                // An unmatched closing bracket is reported by the JSON parser.
+                b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
                 _ => {}
             }
         }
         Ok(None)
     }
 
-    /// A line within an object has ended. A watch says something only between objects: a sign of life, or the next
-    /// object, within one means that the rest of that one never came.
-    fn line_within(&mut self) -> Result<(), Spoilt> {
-        let (begins, line) = (self.line == 0, &self.held[self.line..self.looked]);
+    /// Checks a line that ended inside an object. Keep-alives and new objects come only between objects, so either of
+    /// them here means that the rest of the current object was never received.
+    fn check_inner_line(&mut self) -> Result<(), Spoilt> {
+        let (is_first, line) = (self.line_start == 0, &self.buffer[self.line_start..self.scanned]);
         let blank = line.trim_ascii().is_empty();
-        let anew = !begins && line.starts_with(b"{") && is_update(line);
-        self.line = self.looked;
-        if blank || anew {
+        let next_update = !is_first && line.starts_with(b"{") && is_update(line);
+        self.line_start = self.scanned;
+        if blank || next_update {
             return Err(Spoilt::BrokenOff);
         }
         Ok(())
     }
 
-    fn cut(&mut self) -> Message {
-        let rest = self.held.split_off(self.looked);
-        let message = std::mem::replace(&mut self.held, rest);
-        (self.looked, self.line, self.escaped) = (0, 0, false);
+    fn take_message(&mut self) -> Message {
+        let rest = self.buffer.split_off(self.scanned);
+        let message = std::mem::replace(&mut self.buffer, rest);
+        (self.scanned, self.line_start, self.escaped) = (0, 0, false);
         if message.trim_ascii().is_empty() {
             Message::Alive
         } else {
@@ -129,17 +131,17 @@
         serde_json::to_string_pretty(&value).expect("JSON")
     }
 
-    /// All that comes of a text that arrives in pieces of so many bytes.
-    fn all(text: &str, piece: usize) -> Result<Vec<Message>, Spoilt> {
-        let (mut lines, mut all) = (Lines::default(), Vec::new());
-        for data in text.as_bytes().chunks(piece) {
+    /// Reads all messages of a text that arrives in chunks of the given size.
+    fn read_all(text: &str, chunk_bytes: usize) -> Result<Vec<Message>, Spoilt> {
+        let (mut lines, mut messages) = (Lines::default(), Vec::new());
+        for data in text.as_bytes().chunks(chunk_bytes) {
             lines.push(data)?;
             while let Some(message) = lines.next_message()? {
-                all.push(message);
+                messages.push(message);
             }
         }
         assert_eq!(lines.amid(), !text.ends_with('\n'));
-        Ok(all)
+        Ok(messages)
     }
 
     fn parsed(message: &Message) -> serde_json::Value {
@@ -148,35 +150,38 @@
     }
 
     #[test]
-    fn an_object_may_be_indented_and_come_in_any_pieces() {
-        let wanted: serde_json::Value = serde_json::from_str(PLAIN).expect("JSON");
+    fn an_object_may_be_indented_and_split_into_chunks_of_any_size() {
+        let expected: serde_json::Value = serde_json::from_str(PLAIN).expect("JSON");
         for form in [PLAIN.to_string(), indented(), indented().replace('\n', "\r\n")] {
             let text = format!("\n{form}\n\r\n{form}\n");
-            for piece in 1..text.len() {
-                let all = all(&text, piece).expect("good");
-                assert_eq!(all.len(), 4, "{text}");
-                assert_eq!((&all[0], &all[2]), (&Message::Alive, &Message::Alive));
-                assert_eq!((parsed(&all[1]), parsed(&all[3])), (wanted.clone(), wanted.clone()));
+            for chunk_bytes in 1..text.len() {
+                let messages = read_all(&text, chunk_bytes).expect("valid messages");
+                assert_eq!(messages.len(), 4, "{text}");
+                assert_eq!((&messages[0], &messages[2]), (&Message::Alive, &Message::Alive));
+                assert_eq!(
+                    (parsed(&messages[1]), parsed(&messages[3])),
+                    (expected.clone(), expected.clone())
+                );
             }
         }
     }
 
-    /// However an object is broken off, neither a sign of life nor the next object passes for its rest, and nobody waits for
-    /// an end that can't come.
+    /// Guards against a reader that takes a keep-alive or the next object for the rest of a truncated object, or waits
+    /// forever for its end.
     #[test]
-    fn an_object_that_is_broken_off_is_seen_by_what_follows() {
+    fn a_truncated_object_is_detected_by_what_follows() {
         for form in [PLAIN.to_string(), indented()] {
             for cut in 1..form.len() - 1 {
                 for next in ["\n\n", "\n{\"seq\":5,\"whole\":false,\"hosts\":[]}\n"] {
                     let text = format!("{}{next}", &form[..cut]);
-                    assert_eq!(all(&text, 64), Err(Spoilt::BrokenOff), "{text}");
+                    assert_eq!(read_all(&text, 64), Err(Spoilt::BrokenOff), "{text}");
                 }
             }
         }
     }
 
     #[test]
-    fn nothing_longer_than_a_message_is_held() {
+    fn no_more_than_the_longest_message_is_buffered() {
         let mut lines = Lines::default();
         assert_eq!(lines.push(&vec![b' '; MOST]), Ok(()));
         assert_eq!(lines.next_message(), Ok(None));
--- a/crates/list/src/merge.rs
+++ b/crates/list/src/merge.rs
@@ -1,134 +1,139 @@
-//! One list out of what two sources say of the same servers, by their names.
+//! Merges the server lists of two sources, matching servers by name.
 //!
-//! Which word goes first:
+//! Precedence when the sources disagree:
 //!
-//! 1. *A departure holds, whoever says it.* A server that one source takes out is gone, though the other still lists it:
-//!    the slower of two sources is late with departures, and a late one costs requests. It is back when the source that
-//!    took it out brings it again, or when the other says that it was born later than anything known of it before.
-//! 2. *A drain holds, whoever says it*, for as long as that source says it.
-//! 3. *For everything else* (address, zone, kind, cell, weight, birth) the word on the later birth counts; the
-//!    registration's where both say the same, as it is the server's own.
+//! 1. *A removal by either source applies.* A server that one source removes is gone even if the other still
+//!    lists it: the slower source reports departures late, and requests to a departed server fail. The server
+//!    returns when the source that removed it lists it again, or when the other source reports a start time later
+//!    than any known before.
+//! 2. *A drain reported by either source applies*, for as long as that source reports it.
+//! 3. *All other fields* (address, zone, kind, cell, weight, start time) come from the entry with the later start
+//!    time. On a tie the registration wins, since the server itself wrote it.
 //!
-//! A source that has said nothing of a server yet takes nothing out by that: servers may be in one source alone.
+//! A server that a source has never listed is not removed by its absence there: servers may be in one source only.
 
 use std::collections::BTreeMap;
 
 use crate::entry::{Health, Host, Update};
 
-/// Who says it.
+/// The source of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Discovery.
     Discovery,
-    /// The servers' own registrations.
+    /// Registrations written by the servers themselves.
     Registrations,
 }
 
-/// What is said of one server. At least one source has it.
+/// What the sources report about one server. At least one source lists it.
 #[derive(Debug, Default)]
-struct Known {
-    /// The word of each source that has it.
-    words: [Option<Host>; 2],
-    /// A source took it out while the other still has it; the latest birth that was known then.
-    gone: Option<f64>,
-    /// What was last said of it.
-    said: Option<Host>,
+struct ServerRecord {
+    /// The latest entry of each source that lists the server, indexed by [`Source`].
+    by_source: [Option<Host>; 2],
+    /// Set while one source has removed the server and the other still lists it: the latest start time known at
+    /// the removal.
+    removed_at_start: Option<f64>,
+    /// The merged entry as last returned to the caller.
+    published: Option<Host>,
 }
 
-impl Known {
-    /// The latest birth that any word gives.
-    fn born(&self) -> f64 {
-        self.words.iter().flatten().map(|h| h.born_ms).fold(0.0, f64::max)
+impl ServerRecord {
+    /// The latest start time in any source.
+    fn latest_start(&self) -> f64 {
+        self.by_source.iter().flatten().map(|h| h.born_ms).fold(0.0, f64::max)
     }
 
-    /// The one entry that comes of all words; `None` where it is gone.
+    /// The merged entry; `None` if the server is removed.
     fn entry(&self) -> Option<Host> {
-        if self.gone.is_some() {
+        if self.removed_at_start.is_some() {
             return None;
         }
-        let [discovery, registration] = &self.words;
+        let [discovery, registration] = &self.by_source;
         let mut entry = match (discovery, registration) {
             (Some(d), Some(r)) if d.born_ms > r.born_ms => d.clone(),
             (_, Some(r)) => r.clone(),
             (Some(d), None) => d.clone(),
             (None, None) => return None,
         };
-        // Also of an older birth: a drain that is taken for an old one would be missed where clocks differ.
-        entry.health = self.words.iter().flatten().map(|h| h.health).max().unwrap_or(Health::Left);
+        // Includes the entry with the older start time: with clock skew, a drain on it could be a current one.
+        entry.health = self.by_source.iter().flatten().map(|h| h.health).max().unwrap_or(Health::Left);
         Some(entry)
     }
 }
 
-/// All that two sources say.
+/// The merged list of both sources.
 #[derive(Debug, Default)]
 pub struct Merge {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, ServerRecord>,
 }
 
 impl Merge {
-    /// How many servers are in the one list.
+    /// The number of servers in the merged list.
     pub fn len(&self) -> usize {
-        self.known.values().filter(|k| k.said.is_some()).count()
+        self.known.values().filter(|k| k.published.is_some()).count()
     }
 
-    /// Are there none?
+    /// Whether the merged list has no servers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes what one source says; gives what that makes of the one list. It is the whole list where discovery gave the
-    /// whole, and else what has changed.
+    /// Applies an update of one source and returns the resulting update of the merged list: the full list after a
+    /// full update from discovery, otherwise only the entries that changed.
     pub fn take(&mut self, source: Source, update: Update) -> Update {
         let slot = source as usize;
-        let mut touched: Vec<String> = update.hosts.iter().map(|h| h.host.clone()).collect();
+        let mut affected: Vec<String> = update.hosts.iter().map(|h| h.host.clone()).collect();
         if update.whole {
-            let here: std::collections::BTreeSet<&str> =
+            let listed: std::collections::BTreeSet<&str> =
                 update.hosts.iter().filter(|h| h.health != Health::Left).map(|h| h.host.as_str()).collect();
-            let missing = self.known.iter().filter(|(_, k)| k.words[slot].is_some());
-            let missing = missing.map(|(name, _)| name).filter(|name| !here.contains(name.as_str()));
+            let missing = self.known.iter().filter(|(_, k)| k.by_source[slot].is_some());
+            let missing = missing.map(|(name, _)| name).filter(|name| !listed.contains(name.as_str()));
             let missing: Vec<String> = missing.cloned().collect();
-            missing.iter().for_each(|name| self.gone(slot, name));
-            touched.extend(missing);
+            missing.iter().for_each(|name| self.remove_entry(slot, name));
+            affected.extend(missing);
         }
         for host in update.hosts {
             if host.health == Health::Left {
-                self.gone(slot, &host.host.clone());
+                self.remove_entry(slot, &host.host.clone());
             } else {
-                self.here(slot, host);
+                self.insert_entry(slot, host);
             }
         }
         let mut changed = Vec::new();
-        for name in touched {
+        for name in affected {
             let Some(known) = self.known.get_mut(&name) else { continue };
             let entry = known.entry();
-            if entry != known.said {
-                changed.extend(entry.clone().or_else(|| known.said.as_ref().map(Host::left)));
-                known.said = entry;
+            if entry != known.published {
+                changed.extend(entry.clone().or_else(|| known.published.as_ref().map(Host::left)));
+                known.published = entry;
             }
-            if known.words.iter().all(Option::is_none) {
+            if known.by_source.iter().all(Option::is_none) {
                 self.known.remove(&name);
             }
         }
         let whole = update.whole && source == Source::Discovery;
         let hosts =
-            if whole { self.known.values().filter_map(|k| k.said.clone()).collect() } else { changed };
+            if whole { self.known.values().filter_map(|k| k.published.clone()).collect() } else { changed };
         Update { version: update.version, whole, hosts }
     }
 
-    fn here(&mut self, slot: usize, host: Host) {
+    fn insert_entry(&mut self, slot: usize, host: Host) {
         let known = self.known.entry(host.host.clone()).or_default();
-        // It is said anew by who took it out, or it is a later process than the one that went.
-        if known.gone.is_some_and(|born| known.words[slot].is_none() || host.born_ms > born) {
-            known.gone = None;
+        // Listed again by the source that removed it, or started later than the process that was removed.
+        if known
+            .removed_at_start
+            .is_some_and(|latest| known.by_source[slot].is_none() || host.born_ms > latest)
+        {
+            known.removed_at_start = None;
         }
-        known.words[slot] = Some(host);
+        known.by_source[slot] = Some(host);
     }
 
-    fn gone(&mut self, slot: usize, name: &str) {
+    fn remove_entry(&mut self, slot: usize, name: &str) {
         let Some(known) = self.known.get_mut(name) else { return };
-        let born = known.born();
-        if known.words[slot].take().is_some() {
-            known.gone = known.words.iter().any(Option::is_some).then_some(born);
+        let start = known.latest_start();
+        if known.by_source[slot].take().is_some() {
+            known.removed_at_start = known.by_source.iter().any(Option::is_some).then_some(start);
         }
     }
 }
--- a/crates/list/src/succession.rs
+++ b/crates/list/src/succession.rs
@@ -1,40 +1,40 @@
-//! Which lists may follow on which: one that is empty, or older than what is known, is likelier a fault of discovery than
-//! the end of the fleet.
+//! Decides whether a received list may replace the known one. An empty list, or one older than the known list, is more
+//! likely a fault of discovery than the end of the fleet.
 
 use crate::Update;
 
-/// What was taken last, and what was turned down.
+/// The versions last accepted and last rejected.
 #[derive(Clone, Debug, Default)]
 pub struct Succession {
-    taken: Option<u64>,
-    refused: Option<u64>,
+    accepted: Option<u64>,
+    rejected: Option<u64>,
 }
 
 impl Succession {
-    /// May this update be taken, where so many servers are known? A whole list that is older is turned down once: when the
-    /// next one is no newer than what is known either, and no older than the one that was turned down, then discovery
-    /// counts anew, and to go on refusing would leave the node with its old list for ever.
+    /// Checks an update; `known` is the number of known servers. An older full list is rejected once: if the next full
+    /// list is older than the accepted one too, but not older than the rejected one, discovery has restarted its
+    /// version numbers, and further rejection would leave the node with its old list forever.
     ///
     /// # Errors
-    /// Says what is wrong with it.
+    /// The reason why the update is rejected.
     pub fn take(&mut self, update: &Update, known: usize) -> Result<(), String> {
         if update.whole && update.hosts.is_empty() && known > 0 {
-            return Err(format!("an empty list, where {known} servers are known"));
+            return Err(format!("empty list received while {known} servers are known"));
         }
-        if let Some(taken) = self.taken.filter(|taken| update.version < *taken) {
-            let again = update.whole && self.refused.is_some_and(|refused| update.version >= refused);
-            if !again {
+        if let Some(accepted) = self.accepted.filter(|accepted| update.version < *accepted) {
+            let is_restart = update.whole && self.rejected.is_some_and(|rejected| update.version >= rejected);
+            if !is_restart {
                 if update.whole {
-                    self.refused = Some(update.version);
+                    self.rejected = Some(update.version);
                 }
-                return Err(format!("version {}, older than the known {taken}", update.version));
+                return Err(format!("version {}, older than the known {accepted}", update.version));
             }
         }
-        (self.taken, self.refused) = (Some(update.version), None);
+        (self.accepted, self.rejected) = (Some(update.version), None);
         Ok(())
     }
 
-    /// Another service is asked from now on, whose versions have nothing to do with those so far.
+    /// Resets the state for another discovery service, whose versions are unrelated to those seen so far.
     pub fn restart(&mut self) {
         *self = Self::default();
     }
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,6 +1,6 @@
-//! The signals that a process takes, also where system calls fail. The runtime's own driver ends the process where a read of its pipe
-//! fails, and forgets a signal where a write to it does. Here a handler sets a flag, which can't fail, and wakes whoever waits; the
-//! flag is looked at now and then in any case.
+//! Receives signals reliably even when system calls fail. Tokio's signal driver aborts the process if a read from its
+//! pipe fails, and loses a signal if a write to it fails. Here the handler sets a flag, which cannot fail, and then
+//! writes to a pipe to wake the waiting task; the flag is also polled, in case that write fails.
 #![warn(missing_docs)]
 
 use std::io;
@@ -13,15 +13,15 @@
 use signal_hook::{flag, low_level::pipe};
 use tokio::net::UnixStream;
 
-/// How often a flag is looked at though nobody was woken.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often the flag is polled without a wake-up.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a signal asks of a process.
+/// The meaning of a signal for the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asks {
-    /// To stop: SIGTERM or SIGINT.
+    /// Stop: SIGTERM or SIGINT.
     Stop,
-    /// To read its configuration again: SIGHUP.
+    /// Reload the configuration: SIGHUP.
     Reload,
 }
 
@@ -34,45 +34,47 @@
     }
 }
 
-/// Signals of one kind. Those that come before they are waited for, in quick succession, are one.
+/// A receiver of signals of one kind. Signals that arrive before [`Signals::recv`] is called are merged into one.
 pub struct Signals {
-    came: Arc<AtomicBool>,
-    /// What the handlers write comes here.
-    woken: UnixStream,
+    /// Set by the handlers.
+    received: Arc<AtomicBool>,
+    /// The read end of the pipe that the handlers write to.
+    wake_reader: UnixStream,
 }
 
 impl Signals {
-    /// Takes them from now on.
+    /// Registers the handlers.
     ///
     /// # Errors
-    /// Where the process has no descriptors or memory for it, or no runtime runs.
+    /// If the process is out of descriptors or memory, or no runtime is running.
     pub fn new(asks: Asks) -> io::Result<Self> {
-        let (woken, wakes) = Pipe::pair()?;
-        woken.set_nonblocking(true)?;
-        let came = Arc::new(AtomicBool::new(false));
+        let (wake_reader, wake_writer) = Pipe::pair()?;
+        wake_reader.set_nonblocking(true)?;
+        let received = Arc::new(AtomicBool::new(false));
         for signal in asks.signals() {
-            // The flag first: whoever is woken finds it set.
-            flag::register(*signal, came.clone())?;
-            pipe::register(*signal, wakes.try_clone()?)?;
+            // The flag is registered first, so that it is set before the task is woken.
+            flag::register(*signal, received.clone())?;
+            pipe::register(*signal, wake_writer.try_clone()?)?;
         }
-        let woken = UnixStream::from_std(woken)?;
-        Ok(Self { came, woken })
+        let wake_reader = UnixStream::from_std(wake_reader)?;
+        Ok(Self { received, wake_reader })
     }
 
-    /// Waits for the next.
+    /// Waits for the next signal.
     pub async fn recv(&mut self) {
-        while !self.came.swap(false, Ordering::SeqCst) {
+        while !self.received.swap(false, Ordering::SeqCst) {
             tokio::select! {
-                () = self.wake() => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = self.wait_for_wake() => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
         }
     }
 
-    /// Waits until a handler has written, and takes what it wrote. That it can't be read says nothing of the signal.
-    async fn wake(&self) {
-        if self.woken.readable().await.is_ok() {
-            let _ = self.woken.try_read(&mut [0; 64]);
+    /// Waits until a handler has written to the pipe and drains it. A failed read is ignored, since the flag tells whether
+    /// a signal has arrived.
+    async fn wait_for_wake(&self) {
+        if self.wake_reader.readable().await.is_ok() {
+            let _ = self.wake_reader.try_read(&mut [0; 64]);
         }
     }
 }
