--- a/crates/list/tests/merge.rs
+++ b/crates/list/tests/merge.rs
@@ -115,7 +115,7 @@
     /// A follower of the updates has the merged list. Every server in it is listed by a source, and none is active
     /// that a source drains.
     #[test]
-    fn the_updates_add_up_to_the_merged_list(steps in vec((0..2usize, any::<bool>(), vec((0..5u8, 0..3u8, 0..3u8), 0..4)), 1..40)) {
+    fn updates_add_up_to_the_merged_list(steps in vec((0..2usize, any::<bool>(), vec((0..5u8, 0..3u8, 0..3u8), 0..4)), 1..40)) {
         let mut merge = Merge::default();
         let mut followed: BTreeMap<String, Host> = BTreeMap::new();
         let mut sources: [BTreeMap<String, Host>; 2] = Default::default();
--- a/crates/settings/src/apart.rs
+++ b/crates/settings/src/apart.rs
@@ -1,4 +1,4 @@
-//! A JSON object of which one field is read by itself, so that no tree is built of it.
+//! Deserializes a JSON object with one field read into its own type, so that no JSON tree is built for that field.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -6,25 +6,25 @@
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 
-/// Names the field that is read by itself.
+/// The field that is read into its own type.
 pub trait Field {
     /// Its name.
     const NAME: &'static str;
 }
 
-/// An object, and one of its fields read as a `T`.
+/// An object with one of its fields read as a `T`.
 #[derive(Clone, Debug)]
 pub struct Apart<F, T> {
-    /// The other fields; null where it is no object.
+    /// The other fields; null if the value is not an object.
     pub rest: Value,
-    /// The field; `None` where it is absent or null.
+    /// The field; `None` if it is absent or null.
     pub field: Option<T>,
-    of: PhantomData<F>,
+    marker: PhantomData<F>,
 }
 
 impl<F, T> Default for Apart<F, T> {
     fn default() -> Self {
-        Self { rest: Value::Null, field: None, of: PhantomData }
+        Self { rest: Value::Null, field: None, marker: PhantomData }
     }
 }
 
@@ -63,6 +63,6 @@
                 rest.insert(key, map.next_value::<Value>()?);
             }
         }
-        Ok(Apart { rest: Value::Object(rest), field, of: PhantomData })
+        Ok(Apart { rest: Value::Object(rest), field, marker: PhantomData })
     }
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,31 +1,31 @@
-//! Reading fields out of JSON, with errors that name them.
+//! Reads fields of JSON objects, with errors that name the field.
 
 use serde_json::{Map, Value};
 
-/// What is wrong, in words that name the field.
+/// An error message that names the field.
 pub type FieldError = String;
 
-/// A number.
+/// Reads a number.
 ///
 /// # Errors
-/// Where it is something else; names `what`.
+/// If it is not a number; the message names `what`.
 pub fn number(value: &Value, what: &str) -> Result<f64, FieldError> {
     value.as_f64().ok_or_else(|| format!("{what}: number expected"))
 }
 
-/// A whole number that is not negative.
+/// Reads a non-negative integer.
 ///
 /// # Errors
-/// Where it is something else; names `what`.
+/// If it is not a non-negative integer; the message names `what`.
 pub fn whole(value: &Value, what: &str) -> Result<u64, FieldError> {
-    let float = || value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64);
-    value.as_u64().or_else(float).ok_or_else(|| format!("{what}: whole number expected"))
+    let from_float = || value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64);
+    value.as_u64().or_else(from_float).ok_or_else(|| format!("{what}: whole number expected"))
 }
 
-/// A number, or nothing.
+/// Reads a number; `None` for null.
 ///
 /// # Errors
-/// Where it is something else; names `what`.
+/// If it is neither a number nor null; the message names `what`.
 pub fn optional(value: &Value, what: &str) -> Result<Option<f64>, FieldError> {
     if value.is_null() {
         Ok(None)
@@ -34,81 +34,81 @@
     }
 }
 
-/// A text.
+/// Reads a string.
 ///
 /// # Errors
-/// Where it is something else; names `what`.
+/// If it is not a string; the message names `what`.
 pub fn text<'a>(value: &'a Value, what: &str) -> Result<&'a str, FieldError> {
     value.as_str().ok_or_else(|| format!("{what}: text expected"))
 }
 
-/// An array.
+/// Reads an array.
 ///
 /// # Errors
-/// Where it is something else; names `what`.
+/// If it is not an array; the message names `what`.
 pub fn list<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, FieldError> {
     value.as_array().ok_or_else(|| format!("{what}: array expected"))
 }
 
-/// The settings of one object; an absent optional value takes its default, an absent required one is an
-/// error.
+/// The fields of a JSON object. An absent optional field takes its default, an absent required one is an error. Null
+/// counts as absent.
 pub struct Fields<'a> {
     map: &'a Map<String, Value>,
     path: &'a str,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of an object; `path` is its name in errors.
+    /// Wraps an object; `path` is its name in error messages.
     ///
     /// # Errors
-    /// Where it is no object.
+    /// If the value is not an object.
     pub fn of(value: &'a Value, path: &'a str) -> Result<Self, FieldError> {
         let map = value.as_object().ok_or_else(|| format!("{path}: object expected"))?;
         Ok(Self { map, path })
     }
 
-    /// A field that is there and not null.
+    /// Returns a field that is present and not null.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         self.map.get(key).filter(|v| !v.is_null())
     }
 
-    /// A field that must be there.
+    /// Returns a required field.
     ///
     /// # Errors
-    /// Where it is absent.
+    /// If it is absent.
     pub fn need(&self, key: &str) -> Result<&'a Value, FieldError> {
         self.get(key).ok_or_else(|| format!("{}: {key} is missing", self.path))
     }
 
-    /// A number that must be there.
+    /// Reads a required number.
     ///
     /// # Errors
-    /// Where it is absent or no number.
+    /// If it is absent or not a number.
     pub fn number(&self, key: &str) -> Result<f64, FieldError> {
         number(self.need(key)?, key)
     }
 
-    /// A number, or the default.
+    /// Reads a number, or returns the default if it is absent.
     ///
     /// # Errors
-    /// Where it is no number.
+    /// If it is not a number.
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, FieldError> {
         self.get(key).map_or(Ok(default), |v| number(v, key))
     }
 
-    /// A flag, or the default.
+    /// Reads a boolean, or returns the default if it is absent.
     ///
     /// # Errors
-    /// Where it is no flag.
+    /// If it is not a boolean.
     pub fn flag_or(&self, key: &str, default: bool) -> Result<bool, FieldError> {
         let flag = |v: &Value| v.as_bool().ok_or_else(|| format!("{key}: true or false expected"));
         self.get(key).map_or(Ok(default), flag)
     }
 
-    /// An array, empty where it is absent.
+    /// Reads an array, or returns an empty one if it is absent.
     ///
     /// # Errors
-    /// Where it is no array.
+    /// If it is not an array.
     pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
         self.get(key).map_or(Ok(&[]), |v| list(v, key).map(Vec::as_slice))
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings object that an instance on the simulator's wire and a node on sockets are both given.
+//! Parses the settings object, which is the same for instances hosted for the simulator and for nodes on sockets.
 #![warn(missing_docs)]
 
-/// What a visitor makes of a value that is neither an object nor a list: nothing that it can use.
+/// Visitor methods that return `$otherwise` for scalar values.
 macro_rules! scalars {
     ($otherwise:expr) => {
         fn visit_bool<E>(self, _: bool) -> Result<Self::Value, E> {
@@ -38,12 +38,12 @@
 use fields::{text, whole, FieldError, Fields};
 use tenants::Tenants;
 
-fn class(value: &Value) -> Result<(String, Class), FieldError> {
+fn read_class(value: &Value) -> Result<(String, Class), FieldError> {
     let f = Fields::of(value, "Classes")?;
     let group = match f.get("DedupScope").and_then(Value::as_str) {
         Some("all") => Group::All,
         Some("zone") => Group::Zone,
-        // The narrowest group is the safe reading of an absent one.
+        // If it is absent, the narrowest group is the safe choice.
         Some("cell") | None => Group::Cell,
         Some(other) => return Err(format!("DedupScope: {other} is unknown")),
     };
@@ -53,7 +53,7 @@
         "side_effect" => Effect::Unsafe,
         other => return Err(format!("Idempotency: {other} is unknown")),
     };
-    // Absent, a client's patience is not told; null says nothing.
+    // If it is absent or null, the time that clients wait is unknown.
     let patience = f.number_or("Deadline", f64::INFINITY)?;
     if patience.is_nan() || patience <= 0.0 {
         return Err(format!("Deadline: above 0 expected, not {patience}"));
@@ -68,7 +68,7 @@
     Ok((text(f.need("Name")?, "Name")?.to_string(), class))
 }
 
-/// Names the tenants' field of a settings object.
+/// The field of a settings object that holds the tenants.
 #[derive(Clone, Copy, Debug)]
 pub enum Customers {}
 
@@ -76,44 +76,44 @@
     const NAME: &'static str = "Customers";
 }
 
-/// A settings object as it stands in a file, with its tenants read one by one.
+/// A settings object from a file, with its tenants read one by one.
 pub type SettingsObject = Apart<Customers, Tenants>;
 
-/// What the settings object says: the module's part, and what only a node on sockets needs.
+/// The parsed settings object: the settings of the decision module, and those that only a node on sockets needs.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// The decision module's settings.
+    /// The settings of the decision module.
     pub policy: Settings,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
     /// The names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The longest deadline of a class; infinite where one has none.
+    /// The longest deadline of any class; infinite if a class has none.
     pub longest_deadline: Millis,
-    /// Servers close connections that have been idle for this long.
+    /// The idle time after which servers close a connection.
     pub keepalive: Millis,
-    /// The most requests that may be open at a node.
+    /// The maximum number of open requests at a node.
     pub open_cap: usize,
 }
 
-/// The first of some names that stands there a second time. Each is looked at once.
+/// Returns the first name that occurs a second time, in a single pass over the names.
 pub fn first_duplicate<N: Eq + Hash>(names: impl IntoIterator<Item = N>) -> Option<N> {
     let mut seen = HashSet::new();
     for name in names {
-        if let Some(before) = seen.replace(name) {
-            return Some(before);
+        if let Some(duplicate) = seen.replace(name) {
+            return Some(duplicate);
         }
     }
     None
 }
 
-/// Two of one name could not be told apart.
-fn unique(names: &[String], of: &str) -> Result<(), FieldError> {
-    first_duplicate(names).map_or(Ok(()), |name| Err(format!("{of}: {name} stands there twice")))
+/// Rejects duplicate names, which would be ambiguous; `field` is the settings field named in the error.
+fn check_unique(names: &[String], field: &str) -> Result<(), FieldError> {
+    first_duplicate(names).map_or(Ok(()), |name| Err(format!("{field}: duplicate name {name}")))
 }
 
 impl NodeSettings {
-    /// Reads the settings object that an instance is given.
+    /// Parses a settings object.
     ///
     /// # Errors
     /// Names the first field that is missing or malformed.
@@ -121,26 +121,26 @@
         Self::from_object(SettingsObject::deserialize(value).map_err(|e| e.to_string())?)
     }
 
-    /// The same, of an object whose tenants have been read.
+    /// Parses a settings object whose tenants have been read.
     ///
     /// # Errors
     /// Names the first field that is missing or malformed.
     pub fn from_object(object: SettingsObject) -> Result<Self, FieldError> {
-        read(&object.rest, object.field.unwrap_or_default())
+        read_settings(&object.rest, object.field.unwrap_or_default())
     }
 }
 
-fn read(value: &Value, tenants: Tenants) -> Result<NodeSettings, FieldError> {
+fn read_settings(value: &Value, tenants: Tenants) -> Result<NodeSettings, FieldError> {
     let f = Fields::of(value, "Options")?;
-    let classes = f.list("Classes")?.iter().map(class).collect::<Result<Vec<_>, _>>()?;
+    let classes = f.list("Classes")?.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
     let longest_deadline = classes.iter().map(|c| c.1.patience).fold(0.0, f64::max);
     let (class_names, classes): (Vec<String>, _) = classes.into_iter().unzip();
-    unique(&class_names, "Classes")?;
+    check_unique(&class_names, "Classes")?;
     if let Some(error) = tenants.error {
         return Err(error);
     }
     let (tenant_names, tenants) = (tenants.names, tenants.tenants);
-    unique(&tenant_names, "Customers")?;
+    check_unique(&tenant_names, "Customers")?;
     let l = Fields::of(f.need("Limits")?, "Limits")?;
     let r = Fields::of(f.need("Contract")?, "Contract")?;
     let empty = Value::Object(Map::new());
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,15 +1,16 @@
-//! Which fields a configuration has, without their values: enough to see that a file which is to follow lacks none of them.
+//! The field names of a configuration without their values, to check that a new file lacks none of the fields of the
+//! current one.
 
 use serde_json::Value;
 
-/// The fields of a JSON value.
+/// The structure of a JSON value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// A value without fields.
     Scalar,
-    /// An object with these fields, in order; none of them is null.
+    /// An object with these fields, in order, without those that are null.
     Object(Vec<(String, Shape)>),
-    /// A list, whose entries all have these fields.
+    /// An array whose entries all have this shape.
     List(Box<Shape>),
 }
 
@@ -18,15 +19,15 @@
     pub fn of(value: &Value) -> Self {
         match value {
             Value::Object(fields) => {
-                let there = fields.iter().filter(|(_, field)| !field.is_null());
-                Self::Object(there.map(|(key, field)| (key.clone(), Self::of(field))).collect())
+                let present = fields.iter().filter(|(_, field)| !field.is_null());
+                Self::Object(present.map(|(key, field)| (key.clone(), Self::of(field))).collect())
             }
-            Value::Array(entries) => Self::List(Box::new(Self::of_entries(entries))),
+            Value::Array(entries) => Self::List(Box::new(Self::common_to(entries))),
             _ => Self::Scalar,
         }
     }
 
-    /// The same object without a field.
+    /// Returns the shape without a field.
     #[must_use]
     pub fn without(mut self, key: &str) -> Self {
         if let Self::Object(fields) = &mut self {
@@ -35,15 +36,15 @@
         self
     }
 
-    /// What all entries have: the fields of the first that every other one has too.
-    fn of_entries(entries: &[Value]) -> Self {
+    /// The shape common to all entries: the fields of the first entry that all others have too.
+    fn common_to(entries: &[Value]) -> Self {
         let Some(Value::Object(first)) = entries.first() else { return Self::Scalar };
         let in_all = |key: &String| entries.iter().all(|entry| entry.get(key).is_some());
         let common = first.iter().filter(|(key, field)| !field.is_null() && in_all(key));
         Self::Object(common.map(|(key, field)| (key.clone(), Self::of(field))).collect())
     }
 
-    /// The first field that this has and the next value lacks, by its path.
+    /// The path of the first field that this shape has and `next` lacks.
     pub fn missing_in(&self, next: &Value) -> Option<String> {
         match (self, next) {
             (Self::Object(fields), Value::Object(next)) => {
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants, read one by one: a deployment may have tens of thousands, and a JSON tree of them all would take many times what is
-//! kept of them.
+//! Deserializes tenants one by one: a deployment may have tens of thousands, and a JSON tree of all of them would take
+//! many times the memory of what is kept.
 
 use std::fmt;
 
@@ -9,8 +9,8 @@
 
 use crate::fields::{number, text, FieldError};
 
-/// How many fields an entry must have.
-const REQUIRED: usize = 2;
+/// The number of required fields of an entry.
+const REQUIRED_FIELDS: usize = 2;
 
 /// The tenants of a settings object.
 #[derive(Clone, Debug, Default)]
@@ -19,20 +19,20 @@
     pub names: Vec<String>,
     /// Their shares, by index.
     pub tenants: Vec<Tenant>,
-    /// The fields that every entry has.
+    /// The names of the fields that all entries have.
     pub common_fields: Vec<String>,
-    /// What is wrong with the first entry that is malformed; what comes behind it is not read.
+    /// The error in the first malformed entry; entries after it are not read.
     pub error: Option<FieldError>,
 }
 
-/// One entry as it stands; `None` where it is no object.
+/// An entry before validation; `None` if it is not an object.
 struct Entry(Option<EntryFields>);
 
 #[derive(Default)]
 struct EntryFields {
     name: Option<Value>,
     quota: Option<Value>,
-    /// The other fields that are not null.
+    /// The names of the other fields that are not null.
     others: Vec<String>,
 }
 
@@ -47,7 +47,7 @@
         if self.names.is_empty() {
             self.common_fields = vec!["Name".to_string(), "QuotaPerS".to_string()];
             self.common_fields.extend(fields.others);
-        } else if self.common_fields.len() > REQUIRED {
+        } else if self.common_fields.len() > REQUIRED_FIELDS {
             let keep =
                 |field: &String| field == "Name" || field == "QuotaPerS" || fields.others.contains(field);
             self.common_fields.retain(keep);
@@ -72,7 +72,7 @@
 
 struct TenantsVisitor;
 
-fn no_array() -> Tenants {
+fn not_an_array() -> Tenants {
     Tenants { error: Some("Customers: array expected".to_string()), ..Tenants::default() }
 }
 
@@ -83,7 +83,7 @@
         f.write_str("an array of tenants")
     }
 
-    scalars!(no_array());
+    scalars!(not_an_array());
 
     fn visit_unit<E>(self) -> Result<Tenants, E> {
         Ok(Tenants::default())
@@ -91,7 +91,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Tenants, A::Error> {
         while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
-        Ok(no_array())
+        Ok(not_an_array())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Tenants, A::Error> {
@@ -127,7 +127,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Entry, A::Error> {
         let mut fields = EntryFields::default();
-        // A field that stands twice counts as it stands last, as in a JSON tree.
+        // The last of duplicate keys applies, as in a JSON tree.
         while let Some(key) = map.next_key::<String>()? {
             let value = Some(map.next_value::<Value>()?).filter(|value| !value.is_null());
             match key.as_str() {
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names that stand twice are found, at a cost that grows with their count alone.
+//! Duplicate names are found with a number of comparisons linear in the number of names.
 
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn names_are_compared_about_once_each_however_many_there_are() {
+fn the_number_of_comparisons_is_linear_in_the_number_of_names() {
     for names in [100, 1_000, 10_000, 47_000] {
-        let made = comparisons(names);
-        assert!(made <= names / 4 + 10, "{made} comparisons of {names} names");
+        let count = comparisons(names);
+        assert!(count <= names / 4 + 10, "{count} comparisons of {names} names");
     }
 }
 
 #[test]
-fn the_first_name_that_stands_twice_is_told() {
+fn the_first_duplicate_name_is_returned() {
     assert_eq!(first_duplicate(["a", "b", "c", "b", "a"]), Some("b"));
     assert_eq!(first_duplicate(Vec::<&str>::new()), None);
 }
--- a/crates/settings/tests/tenants.rs
+++ b/crates/settings/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants are read one by one, from text and from a tree alike, and malformed ones are told by their field.
+//! Tenants are read alike from text and from a JSON value, and errors name the malformed field.
 
 use glenwood_settings::{NodeSettings, SettingsObject};
 use serde_json::{json, Value};
@@ -10,22 +10,22 @@
         "Contract": {"ColdShare": 0.2, "WarmWithin": 5000, "FallMultiple": 3, "Fall": 2000}})
 }
 
-/// What comes of it, read from text; a tree must come to the same.
+/// Reads the settings from text, and checks that reading them from a JSON value gives the same result.
 fn read(customers: &Value) -> Result<Vec<(String, f64)>, String> {
-    let whole = |read: NodeSettings| {
+    let names_and_quotas = |read: NodeSettings| {
         let quotas = read.policy.tenants.iter().map(|tenant| tenant.quota_per_s);
         read.tenants.iter().cloned().zip(quotas).collect::<Vec<_>>()
     };
     let value = settings(customers);
     let object: SettingsObject = serde_json::from_str(&value.to_string()).expect("JSON");
-    let from_text = NodeSettings::from_object(object).map(whole);
-    assert_eq!(from_text, NodeSettings::from_value(&value).map(whole), "{customers}");
+    let from_text = NodeSettings::from_object(object).map(names_and_quotas);
+    assert_eq!(from_text, NodeSettings::from_value(&value).map(names_and_quotas), "{customers}");
     from_text
 }
 
 #[test]
-fn tenants_are_read_with_whatever_else_stands_beside_them() {
-    let read = |customers| read(&customers).expect("good");
+fn unknown_fields_of_tenants_are_ignored() {
+    let read = |customers| read(&customers).expect("valid settings");
     assert_eq!(read(json!(null)), []);
     assert_eq!(read(json!([])), []);
     let two = json!([{"Name": "a", "QuotaPerS": 5}, {"Note": {"x": [1]}, "QuotaPerS": 2.5, "Name": "b"}]);
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn malformed_tenants_are_told_by_their_field() {
+fn errors_in_tenants_name_the_malformed_field() {
     let good = json!({"Name": "a", "QuotaPerS": 5});
-    for (customers, words) in [
+    for (customers, message) in [
         (json!(7), "Customers: array expected"),
         (json!("many"), "Customers: array expected"),
         (json!(true), "Customers: array expected"),
@@ -47,17 +47,17 @@
         (json!([{"Name": null, "QuotaPerS": 5}, good]), "Customers: Name is missing"),
         (json!([{"Name": 5, "QuotaPerS": 5}]), "Name: text expected"),
         (json!([{"Name": "b", "QuotaPerS": "5"}, good]), "QuotaPerS: number expected"),
-        (json!([good, {"Name": "b", "QuotaPerS": 1}, good]), "Customers: a stands there twice"),
+        (json!([good, {"Name": "b", "QuotaPerS": 1}, good]), "Customers: duplicate name a"),
     ] {
-        assert_eq!(read(&customers), Err(words.to_string()), "{customers}");
+        assert_eq!(read(&customers), Err(message.to_string()), "{customers}");
     }
 }
 
 #[test]
-fn the_fields_that_all_tenants_have_are_known() {
+fn the_fields_common_to_all_tenants_are_collected() {
     let fields = |customers: Value| {
         let object: SettingsObject = serde_json::from_value(settings(&customers)).expect("an object");
-        object.field.expect("there").common_fields
+        object.field.expect("tenants").common_fields
     };
     let both = json!([{"Name": "a", "QuotaPerS": 5, "Note": 1, "Since": 2}, {"Name": "b", "QuotaPerS": 5, "Since": 3}]);
     assert_eq!(fields(both), ["Name", "QuotaPerS", "Since"]);
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decision module on the simulator's wire; see [`wire`].
+//! Hosts the decision module for the simulator; see [`wire`] for the protocol.
 #![warn(missing_docs)]
 
 pub mod wire;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module behind standard input and output; see `glenwood_simhost::wire`.
+//! Hosts instances of the decision module and exchanges JSON lines with the simulator over standard input and output;
+//! see `glenwood_simhost::wire`.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -6,11 +7,11 @@
 use glenwood_simhost::wire::Host;
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|fault| eprintln!("{fault}")));
+    std::panic::set_hook(Box::new(|panic| eprintln!("{panic}")));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("glenwood-simhost: {words}");
+        Err(message) => {
+            eprintln!("glenwood-simhost: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter: hosts many instances of [`Balancer`] and translates between their events and actions and lines
-//! of JSON. It decides nothing.
+//! Hosts many instances of [`Balancer`] and translates between JSON lines and their events and actions. It makes no
+//! decisions of its own.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -10,7 +10,7 @@
 use glenwood_settings::NodeSettings;
 use serde_json::{json, Value};
 
-/// A line that cannot be understood.
+/// An error message about a malformed line.
 pub type WireError = String;
 
 type Names = Vec<String>;
@@ -21,7 +21,7 @@
     tenants: Names,
 }
 
-/// All instances that one process hosts.
+/// All instances hosted by the process.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -29,8 +29,8 @@
     names: Names,
 }
 
-fn outcome(word: &str) -> Result<Outcome, WireError> {
-    Ok(match word {
+fn read_outcome(token: &str) -> Result<Outcome, WireError> {
+    Ok(match token {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
         "busy" => Outcome::Full,
@@ -43,7 +43,8 @@
     })
 }
 
-/// What a request and a client's repeat of it have in common: class, tenant, key and hint are the same in each try.
+/// The key that links a client's repeat to the original request: a hash of class, tenant, key and hint, which are the
+/// same in each.
 fn repeat_key(submit: &[Value], hint: f64) -> u64 {
     let mut hash = DefaultHasher::new();
     for part in submit.get(2..5).into_iter().flatten() {
@@ -53,13 +54,13 @@
     hash.finish()
 }
 
-/// The place of a name in a list; settings and zones are short.
+/// The index of a name. A linear search suffices, as the lists are short.
 fn index(names: &[String], value: &Value) -> Option<usize> {
     value.as_str().and_then(|name| names.iter().position(|n| n == name))
 }
 
-/// An action as the simulator reads it; `None` for one that it has no word for.
-fn action(action: &Action) -> Option<Value> {
+/// Converts an action to the message for the simulator; `None` if there is none for it.
+fn action_message(action: &Action) -> Option<Value> {
     Some(match action {
         Action::Send { id, server, timeout } => json!(["SUBMIT_TO", id.0, server.0, timeout.unwrap_or(0.0)]),
         Action::Cancel { id, attempt } => json!(["ABORT_ATTEMPT", id.0, attempt]),
@@ -73,10 +74,10 @@
 }
 
 impl Host {
-    /// Reads one batch and gives the reply, without its line end.
+    /// Processes one batch and returns the reply line, without a line break.
     ///
     /// # Errors
-    /// Says what is malformed; the line then has no reply, and the host should not be used any further.
+    /// Names what is malformed. The batch may have been applied in part, so the host should not be used any further.
     pub fn line(&mut self, line: &str) -> Result<String, WireError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields::of(&batch, "batch")?;
@@ -115,17 +116,17 @@
                 self.instances.remove(&me);
             }
             _ => {
-                // What comes for an instance that was killed is void.
+                // Messages for an instance that was removed are ignored.
                 let Some(instance) = self.instances.get_mut(&me) else { return Ok(()) };
                 let Some(event) = instance.event(&self.tables, input)? else { return Ok(()) };
                 let mut actions = Vec::new();
                 let balancer = &mut instance.balancer;
                 match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions))) {
-                    Ok(()) => steps.extend(actions.iter().filter_map(action)),
-                    Err(fault) => {
-                        let fixed = fault.downcast_ref::<&str>().map(|s| (*s).to_string());
-                        let words = fixed.or_else(|| fault.downcast_ref::<String>().cloned());
-                        steps.push(json!(["EXCEPTION", words.unwrap_or_else(|| "panic".to_string())]));
+                    Ok(()) => steps.extend(actions.iter().filter_map(action_message)),
+                    Err(panic) => {
+                        let literal = panic.downcast_ref::<&str>().map(|s| (*s).to_string());
+                        let message = literal.or_else(|| panic.downcast_ref::<String>().cloned());
+                        steps.push(json!(["EXCEPTION", message.unwrap_or_else(|| "panic".to_string())]));
                     }
                 }
             }
@@ -136,14 +137,14 @@
     fn entry(&mut self, value: &Value) -> Result<Entry, WireError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
-        // Zones and kinds are only ever compared: any number that is the same for the same name will do.
-        let mut name = |value: &Value| {
+        // Zones and kinds are only compared for equality, so any number unique to the name will do.
+        let mut name_id = |value: &Value| {
             index(&self.names, value).unwrap_or_else(|| {
                 self.names.push(value.as_str().unwrap_or_default().to_string());
                 self.names.len() - 1
             }) as u64
         };
-        let (zone, kind) = (name(at(1)), name(at(2)));
+        let (zone, kind) = (name_id(at(1)), name_id(at(2)));
         Ok(Entry {
             server: ServerId(whole(at(0), "Server")?),
             zone,
@@ -162,12 +163,12 @@
 }
 
 impl Instance {
-    /// Translates an event; `None` for one that is not known or says nothing.
+    /// Translates a message to an event; `None` for an unknown message.
     fn event(&self, tables: &BTreeMap<u64, Vec<Entry>>, input: &[Value]) -> Result<Option<Event>, WireError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
         let id = || whole(at(1), "Corr").map(RequestId);
         let attempt = || whole(at(2), "Try").map(|n| n as usize);
-        // The mark 1 says that the hint means something.
+        // The lowest bit of the flags tells whether the hint is valid.
         let hint = at(6).as_f64().filter(|_| at(7).as_u64().unwrap_or(0) & 1 == 1);
         Ok(Some(match text(at(0), "message")? {
             "TOPOLOGY" => {
@@ -199,13 +200,13 @@
                 id: id()?,
                 attempt: attempt()?,
                 server: ServerId(whole(at(3), "Server")?),
-                outcome: outcome(text(at(4), "Outcome")?)?,
+                outcome: read_outcome(text(at(4), "Outcome")?)?,
                 took: number(at(5), "Rtt")?,
                 finished: at(6).as_bool().ok_or("Terminal: true or false expected")?,
             },
             "STATUS_BACK" => Event::Probed {
                 server: ServerId(whole(at(1), "Server")?),
-                outcome: outcome(text(at(2), "Outcome")?)?,
+                outcome: read_outcome(text(at(2), "Outcome")?)?,
                 took: number(at(3), "Rtt")?,
             },
             "GONE" => Event::ClientGone(id()?),
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on lines written by hand, and the limits on the module's text.
+//! Tests of the simulator adapter with handwritten batches, and of size limits for the source of the decision module.
 
 use glenwood_simhost::wire::Host;
 use serde_json::{json, Value};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_goes_out_and_comes_back() {
+fn a_request_is_sent_resent_and_answered() {
     let mut host = Host::default();
     let parts = reply(&mut host, 1, 100.0, json!([{"I": 3, "input": start(two_servers())}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
@@ -56,17 +56,17 @@
     assert_eq!((&send[0], &send[1], &send[2]), (&json!("SUBMIT_TO"), &json!(42), &json!(11)));
     let refused = json!(["RESPONSE", 42, 0, 11, "econnrefused", 0.4, false, null]);
     let parts = reply(&mut host, 3, 102.0, json!([{"I": 3, "input": [refused]}]));
-    assert_eq!(parts[0]["steps"][0][2], 12, "resent to the next: {parts}");
+    assert_eq!(parts[0]["steps"][0][2], 12, "resent to the next server: {parts}");
     let late = json!(["RESPONSE", 42, 1, 12, "etimedout", 97.0, false, null]);
     let parts = reply(&mut host, 4, 199.0, json!([{"I": 3, "input": [late]}]));
-    assert_eq!(parts[0]["steps"][0], json!(["GIVE_UP", 42]), "unsafe, may have run: {parts}");
+    assert_eq!(parts[0]["steps"][0], json!(["GIVE_UP", 42]), "an unsafe request that may have run: {parts}");
     let again =
         json!([["GONE", 42], ["WAKE", 99], ["RESPONSE", 1, 0, 12, "done", 1.0, true, null], ["NEWS", 1]]);
     reply(&mut host, 5, 200.0, json!([{"I": 3, "input": again}]));
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_all() {
+fn a_restart_within_a_batch_discards_all_state() {
     let mut host = Host::default();
     reply(&mut host, 1, 100.0, json!([{"I": 0, "input": start(two_servers())}]));
     let mut input = vec![json!(["HALT"])];
@@ -76,11 +76,11 @@
     let parts = reply(&mut host, 2, 200.0, json!([{"I": 0, "input": input}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
     let send = steps.iter().find(|s| s[0] == "SUBMIT_TO").expect("sent");
-    assert_eq!(send[2], 13, "table 0 was given anew and the old servers are gone");
+    assert_eq!(send[2], 13, "table 0 was replaced and the old servers are gone");
 }
 
 #[test]
-fn a_table_used_again_within_a_batch_is_read_in_order() {
+fn a_table_replaced_within_a_batch_is_applied_in_order() {
     let mut host = Host::default();
     let mut input = start(two_servers()).as_array().expect("events").clone();
     input.push(json!(["ROSTER", 0, [[11, "a", "x", 0, "fading", 1, null]]]));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named() {
+fn errors_name_the_malformed_field() {
     let no_me = {
         let mut o = options();
         o.as_object_mut().expect("object").remove("Me");
@@ -113,7 +113,7 @@
         input.push(event);
         batch(1, 1.0, json!([{"I": 0, "input": input}]))
     };
-    for (line, words) in [
+    for (line, message) in [
         (with("Weights", json!("heavy")), "Weights: heavy is unknown"),
         (with("Discovery", json!("gossip")), "Discovery: gossip is unknown"),
         (with("Tick", json!("2")), "Tick: number expected"),
@@ -132,13 +132,13 @@
         (no_me, "Me is missing"),
         (no_classes, "no classes"),
     ] {
-        let error = Host::default().line(&line).expect_err(words);
-        assert!(error.contains(words), "{error}");
+        let error = Host::default().line(&line).expect_err(message);
+        assert!(error.contains(message), "{error}");
     }
 }
 
 #[test]
-fn the_module_keeps_to_its_size() {
+fn the_source_of_the_decision_module_stays_within_its_size_limits() {
     let text = include_str!("../../policy/src/balance.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!((300..=1200).contains(&lines), "{lines} lines");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_program_names_what_is_malformed_and_exits_with_an_error() {
+fn the_program_reports_a_malformed_line_and_exits_with_an_error() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut host = Command::new(env!("CARGO_BIN_EXE_glenwood-simhost"))
@@ -174,7 +174,7 @@
     host.stdin.take().expect("piped").write_all(lines.as_bytes()).expect("written");
     let out = host.wait_with_output().expect("it ends");
     assert!(!out.status.success());
-    let (said, fault) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
-    assert_eq!(said.lines().count(), 1, "the empty batch is answered: {said}");
-    assert!(fault.contains("Time: number expected") && !fault.contains("panicked"), "{fault}");
+    let (output, errors) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+    assert_eq!(output.lines().count(), 1, "the empty batch is answered: {output}");
+    assert!(errors.contains("Time: number expected") && !errors.contains("panicked"), "{errors}");
 }
