--- a/crates/fields/src/lib.rs
+++ b/crates/fields/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reads an operator's TOML file field by field. Every error is one line that names the field, the expected type and the
-//! actual value. A field that was not read is an error too, so that a misspelt name does not go unnoticed.
+//! Reads an operator's TOML file field by field. Every error is one line that names the field, the expected
+//! type and the actual value. A field that was not read is an error too, so that a misspelt name does not go
+//! unnoticed.
 #![warn(missing_docs)]
 
 use std::net::SocketAddr;
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Removes a field and converts it with `read`; `None` if the field is absent. `want` describes the expected value.
+    /// Removes a field and converts it with `read`; `None` if the field is absent. `want` describes the
+    /// expected value.
     ///
     /// # Errors
     /// If `read` returns `None`.
--- a/crates/list/src/entry.rs
+++ b/crates/list/src/entry.rs
@@ -146,7 +146,8 @@
     Left,
 }
 
-/// Parses an update directly from text. If that fails, parses it by way of a JSON value, which accepts duplicate keys.
+/// Parses an update directly from text. If that fails, parses it by way of a JSON value, which accepts
+/// duplicate keys.
 ///
 /// # Errors
 /// Names the field that is missing or malformed.
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -1,5 +1,5 @@
-//! The list of servers: its entries, as discovery and registrations write them, and the merge of both sources. This
-//! crate does no I/O.
+//! The list of servers: its entries, as discovery and registrations write them, and the merge of both
+//! sources. This crate does no I/O.
 //!
 //! - [`entry`]: entries, and updates made of entries.
 //! - [`lines`]: splits the stream of a watch into messages.
--- a/crates/list/src/lines.rs
+++ b/crates/list/src/lines.rs
@@ -1,5 +1,5 @@
-//! Splits the stream of a watch into messages: one JSON object per line, and blank lines as keep-alives. An object may
-//! also be indented over several lines.
+//! Splits the stream of a watch into messages: one JSON object per line, and blank lines as keep-alives. An
+//! object may also be indented over several lines.
 
 use std::fmt;
 
@@ -91,8 +91,8 @@
         Ok(None)
     }
 
-    /// Checks a line that ended inside an object. Keep-alives and new objects come only between objects, so either of
-    /// them here means that the rest of the current object was never received.
+    /// Checks a line that ended inside an object. Keep-alives and new objects come only between objects, so
+    /// either of them here means that the rest of the current object was never received.
     fn check_inner_line(&mut self) -> Result<(), Spoilt> {
         let (is_first, line) = (self.line_start == 0, &self.buffer[self.line_start..self.scanned]);
         let blank = line.trim_ascii().is_empty();
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Guards against a reader that takes a keep-alive or the next object for the rest of a truncated object, or waits
-    /// forever for its end.
+    /// Guards against a reader that takes a keep-alive or the next object for the rest of a truncated object,
+    /// or waits forever for its end.
     #[test]
     fn a_truncated_object_is_detected_by_what_follows() {
         for form in [PLAIN.to_string(), indented()] {
--- a/crates/list/src/merge.rs
+++ b/crates/list/src/merge.rs
@@ -4,13 +4,14 @@
 //!
 //! 1. *A removal by either source applies.* A server that one source removes is gone even if the other still
 //!    lists it: the slower source reports departures late, and requests to a departed server fail. The server
-//!    returns when the source that removed it lists it again, or when the other source reports a start time later
-//!    than any known before.
+//!    returns when the source that removed it lists it again, or when the other source reports a start time
+//!    later than any known before.
 //! 2. *A drain reported by either source applies*, for as long as that source reports it.
-//! 3. *All other fields* (address, zone, kind, cell, weight, start time) come from the entry with the later start
-//!    time. On a tie the registration wins, since the server itself wrote it.
+//! 3. *All other fields* (address, zone, kind, cell, weight, start time) come from the entry with the later
+//!    start time. On a tie the registration wins, since the server itself wrote it.
 //!
-//! A server that a source has never listed is not removed by its absence there: servers may be in one source only.
+//! A server that a source has never listed is not removed by its absence there: servers may be in one source
+//! only.
 
 use std::collections::BTreeMap;
 
@@ -30,8 +31,8 @@
 struct ServerRecord {
     /// The latest entry of each source that lists the server, indexed by [`Source`].
     by_source: [Option<Host>; 2],
-    /// Set while one source has removed the server and the other still lists it: the latest start time known at
-    /// the removal.
+    /// Set while one source has removed the server and the other still lists it: the latest start time known
+    /// at the removal.
     removed_at_start: Option<f64>,
     /// The merged entry as last returned to the caller.
     published: Option<Host>,
@@ -55,7 +56,8 @@
             (Some(d), None) => d.clone(),
             (None, None) => return None,
         };
-        // Includes the entry with the older start time: with clock skew, a drain on it could be a current one.
+        // Includes the entry with the older start time: with clock skew, a drain on it could be a current
+        // one.
         entry.health = self.by_source.iter().flatten().map(|h| h.health).max().unwrap_or(Health::Left);
         Some(entry)
     }
@@ -78,8 +80,8 @@
         self.len() == 0
     }
 
-    /// Applies an update of one source and returns the resulting update of the merged list: the full list after a
-    /// full update from discovery, otherwise only the entries that changed.
+    /// Applies an update of one source and returns the resulting update of the merged list: the full list
+    /// after a full update from discovery, otherwise only the entries that changed.
     pub fn take(&mut self, source: Source, update: Update) -> Update {
         let slot = source as usize;
         let mut affected: Vec<String> = update.hosts.iter().map(|h| h.host.clone()).collect();
--- a/crates/list/src/start.rs
+++ b/crates/list/src/start.rs
@@ -1,7 +1,7 @@
-//! Estimates when servers started, on the node's monotonic clock. The list gives start times in wall-clock time, and
-//! the wall clock of the node, the server or the writer of the list may be wrong by seconds or by an hour. A cold
-//! server that is treated as warm gets overloaded, so the estimate is the latest start that the node's own
-//! observations allow. All times are milliseconds since the start of the node.
+//! Estimates when servers started, on the node's monotonic clock. The list gives start times in wall-clock
+//! time, and the wall clock of the node, the server or the writer of the list may be wrong by seconds or by
+//! an hour. A cold server that is treated as warm gets overloaded, so the estimate is the latest start that
+//! the node's own observations allow. All times are milliseconds since the start of the node.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,8 @@
 /// The clock errors allowed for: some seconds, or an hour (as from a wrong time zone) plus some seconds.
 const CLOCK_ERROR_SECONDS_MS: f64 = 10_000.0;
 const CLOCK_ERROR_HOUR_MS: f64 = 3_600_000.0;
-/// Records kept before servers that are no longer listed are dropped: a base, plus a number per listed server.
+/// Records kept before servers that are no longer listed are dropped: a base, plus a number per listed
+/// server.
 const MIN_RECORDS: usize = 64;
 const MAX_RECORDS_PER_LISTED: usize = 4;
 
@@ -40,7 +41,8 @@
     /// The latest time at which the server may have started.
     fn latest(&self) -> f64 {
         let claimed = match self.heard {
-            // The previous list did not have the server, so it started shortly before that list at the earliest.
+            // The previous list did not have the server, so it started shortly before that list at the
+            // earliest.
             Some(heard) => self.claimed.max(heard - MAX_LIST_DELAY_MS),
             None => self.latest_by_clock(),
         };
@@ -78,8 +80,8 @@
         Some(start.estimate)
     }
 
-    /// Drops servers that are no longer listed once there are many records. Until then they are kept, so that a server
-    /// that is listed again does not count as cold.
+    /// Drops servers that are no longer listed once there are many records. Until then they are kept, so that
+    /// a server that is listed again does not count as cold.
     pub fn forget(&mut self, listed: usize, is_listed: impl Fn(u64) -> bool) {
         if self.known.len() > MIN_RECORDS + MAX_RECORDS_PER_LISTED * listed {
             self.known.retain(|server, _| is_listed(*server));
--- a/crates/list/src/succession.rs
+++ b/crates/list/src/succession.rs
@@ -1,5 +1,5 @@
-//! Decides whether a received list may replace the known one. An empty list, or one older than the known list, is more
-//! likely a fault of discovery than the end of the fleet.
+//! Decides whether a received list may replace the known one. An empty list, or one older than the known
+//! list, is more likely a fault of discovery than the end of the fleet.
 
 use crate::Update;
 
@@ -11,9 +11,9 @@
 }
 
 impl Succession {
-    /// Checks an update; `known` is the number of known servers. An older full list is rejected once: if the next full
-    /// list is older than the accepted one too, but not older than the rejected one, discovery has restarted its
-    /// version numbers, and further rejection would leave the node with its old list forever.
+    /// Checks an update; `known` is the number of known servers. An older full list is rejected once: if the
+    /// next full list is older than the accepted one too, but not older than the rejected one, discovery has
+    /// restarted its version numbers, and further rejection would leave the node with its old list forever.
     ///
     /// # Errors
     /// The reason why the update is rejected.
--- a/crates/list/tests/merge.rs
+++ b/crates/list/tests/merge.rs
@@ -112,8 +112,8 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// A follower of the updates has the merged list. Every server in it is listed by a source, and none is active
-    /// that a source drains.
+    /// A follower of the updates has the merged list. Every server in it is listed by a source, and none is
+    /// active that a source drains.
     #[test]
     fn updates_add_up_to_the_merged_list(steps in vec((0..2usize, any::<bool>(), vec((0..5u8, 0..3u8, 0..3u8), 0..4)), 1..40)) {
         let mut merge = Merge::default();
--- a/crates/list/tests/succession.rs
+++ b/crates/list/tests/succession.rs
@@ -47,8 +47,8 @@
     assert!(succession.take(&line(8, true, 3), 3).is_err());
 }
 
-/// A load-balanced discovery service with a lagging replica: its occasional old lists are rejected while the other
-/// replicas send newer ones.
+/// A load-balanced discovery service with a lagging replica: its occasional old lists are rejected while the
+/// other replicas send newer ones.
 #[test]
 fn lists_of_a_lagging_replica_are_rejected_while_newer_ones_come_between() {
     let mut succession = Succession::default();
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,4 +1,5 @@
-//! A node in small: one request served, one after a failed connection, one past a server that drains.
+//! A minimal node: a request that is served, one that is resent after a failed connection, and one sent while
+//! a server drains.
 
 use glenwood_policy::*;
 
@@ -42,8 +43,8 @@
     Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
 }
 
-/// Hands over one event and prints what is to be done; gives the server of a send.
-fn tell(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
+/// Passes an event to the balancer and prints its actions; returns the server of a send.
+fn handle_event(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
     let mut actions = Vec::new();
     balancer.handle(now, event, &mut actions);
     for action in actions.iter().filter(|a| !matches!(a, Action::SetTimer(_))) {
@@ -59,9 +60,9 @@
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(), 42)?;
     let entries = (1..=3).map(|id| entry(id, Listed::Up)).collect();
-    tell(&mut balancer, 0.0, Event::List { entries, saved: false });
+    handle_event(&mut balancer, 0.0, Event::List { entries, saved: false });
 
-    let ask = |id, now| Event::Request {
+    let request = |id, now| Event::Request {
         id,
         class: 0,
         tenant: None,
@@ -72,20 +73,21 @@
         earlier: None,
     };
     let first = RequestId(1);
-    let server = tell(&mut balancer, 10.0, ask(first, 10.0)).expect("three servers are ready");
-    tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
+    let server = handle_event(&mut balancer, 10.0, request(first, 10.0)).expect("three servers are ready");
+    handle_event(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
 
-    // The second request meets a dead server: it never ran, so it goes to the next turn.
+    // The second request is sent to a dead server. It never ran, so it is resent to the next server in turn.
     let second = RequestId(2);
-    let server = tell(&mut balancer, 30.0, ask(second, 30.0)).expect("three servers are ready");
-    let server = tell(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
-    tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
+    let server = handle_event(&mut balancer, 30.0, request(second, 30.0)).expect("three servers are ready");
+    let server =
+        handle_event(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
+    handle_event(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
 
-    // Server 1 drains: the third goes past it.
-    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, Listed::Draining)]));
+    // Server 1 drains, so the third request skips it.
+    handle_event(&mut balancer, 60.0, Event::ListChange(vec![entry(1, Listed::Draining)]));
     let third = RequestId(3);
-    let server = tell(&mut balancer, 70.0, ask(third, 70.0)).expect("one server is left");
+    let server = handle_event(&mut balancer, 70.0, request(third, 70.0)).expect("one server is left");
     assert_eq!(server, ServerId(3));
-    tell(&mut balancer, 82.0, ended(third, 0, server, Outcome::Done));
+    handle_event(&mut balancer, 82.0, ended(third, 0, server, Outcome::Done));
     Ok(())
 }
--- a/crates/policy/tests/adopted.rs
+++ b/crates/policy/tests/adopted.rs
@@ -1,11 +1,11 @@
-//! Requests that were taken over from another node: what is known of its attempts decides with.
+//! Requests adopted from another node: the other node's known attempts count in all decisions.
 
 mod common;
 
 use common::*;
 use glenwood_policy::*;
 
-/// Takes over a request of this class with these earlier attempts, each to a server of this number, so long ago.
+/// Adopts a request of a class with earlier attempts, each given by server, age in ms and outcome.
 fn adopt(node: &mut Node, n: u64, class: usize, earlier: &[(u64, f64, Outcome)]) -> Vec<Action> {
     let before = |(server, ago, outcome): &(u64, f64, Outcome)| Earlier {
         server: ServerId(*server),
@@ -15,7 +15,7 @@
         outcome: *outcome,
     };
     let earlier = Some(earlier.iter().map(before).collect());
-    let deadline = node.now + PATIENCE;
+    let deadline = node.now + CLIENT_TIMEOUT_MS;
     let (tenant, repeat_key, work, within) = (None, None, None, None);
     let id = RequestId(1000 + n);
     node.event(Event::Request { id, class, tenant, deadline, repeat_key, work, within, earlier })
@@ -34,38 +34,41 @@
 }
 
 #[test]
-fn what_was_never_sent_is_sent() {
+fn a_request_that_was_never_sent_is_sent() {
     for class in [KEYED, UNSAFE] {
         let mut node = Node::fleet(settings(), 4);
         assert!(sent(&adopt(&mut node, 0, class, &[])).is_some());
         let proven = adopt(&mut node, 1, class, &[(0, 50.0, Outcome::NotSent)]);
-        assert!(sent(&proven).is_some(), "its intent is proven to have come to nothing");
+        assert!(sent(&proven).is_some(), "the earlier attempt is proven never to have been sent");
     }
 }
 
 #[test]
-fn unsafe_work_that_may_have_run_fails_at_once_and_is_never_sent() {
+fn an_unsafe_request_that_may_have_run_fails_at_once_and_is_not_sent() {
     let mut node = Node::fleet(settings(), 4);
     let actions = adopt(&mut node, 0, UNSAFE, &[(0, 50.0, Outcome::Unheard)]);
     assert!(failed(&actions) && sent(&actions).is_none(), "{actions:?}");
-    // Neither is it where a later attempt is proven never to have run.
+    // The same if a later attempt is proven never to have run.
     let actions = adopt(&mut node, 1, UNSAFE, &[(0, 50.0, Outcome::Unheard), (1, 20.0, Outcome::NotSent)]);
     assert!(failed(&actions) && sent(&actions).is_none(), "{actions:?}");
 }
 
 #[test]
-fn keyed_work_goes_again_to_the_cell_that_may_know_it_while_it_does() {
+fn a_keyed_request_is_resent_to_the_cell_that_may_remember_its_key() {
     let mut node = Node::fleet(settings(), 6);
     for n in 0..4 {
         let actions = adopt(&mut node, n, KEYED, &[(1, 50.0, Outcome::Unheard)]);
         assert_eq!(sent(&actions).expect("sent").0 % 2, 1, "the cell of the first attempt");
     }
-    let actions = adopt(&mut node, 9, KEYED, &[(1, MEMORY + 1.0, Outcome::Unheard)]);
-    assert!(failed(&actions) && sent(&actions).is_none(), "its memory is over: {actions:?}");
+    let actions = adopt(&mut node, 9, KEYED, &[(1, KEY_MEMORY_MS + 1.0, Outcome::Unheard)]);
+    assert!(
+        failed(&actions) && sent(&actions).is_none(),
+        "the server no longer remembers the key: {actions:?}"
+    );
 }
 
 #[test]
-fn attempts_of_all_holders_count_for_the_limit() {
+fn attempts_of_all_nodes_count_towards_the_limit() {
     let mut node = Node::fleet(settings(), 6);
     let before = |n: usize| vec![(1, 50.0, Outcome::Unheard); n];
     assert!(sent(&adopt(&mut node, 0, KEYED, &before(3))).is_some());
@@ -74,17 +77,17 @@
 }
 
 #[test]
-fn what_is_taken_over_keeps_within_the_retry_budget() {
+fn adopted_requests_stay_within_the_retry_budget() {
     let mut node = Node::fleet(settings(), 40);
-    let (mut went, mut away) = (0, 0);
+    let (mut sent_count, mut refused_count) = (0, 0);
     for n in 0..100 {
         let actions = adopt(&mut node, n, UNSAFE, &[]);
-        went += usize::from(sent(&actions).is_some());
-        away += usize::from(refused(&actions));
+        sent_count += usize::from(sent(&actions).is_some());
+        refused_count += usize::from(refused(&actions));
     }
-    // Ten that were saved up, and one for each ten that came.
-    assert!((10..=21).contains(&went), "{went}");
-    assert_eq!(went + away, 100, "the others are told at once when to come back");
-    let (_, new) = node.ask(UNSAFE);
-    assert!(sent(&new).is_some(), "one that is new goes");
+    // The initial budget of ten, plus one per ten requests.
+    assert!((10..=21).contains(&sent_count), "{sent_count}");
+    assert_eq!(sent_count + refused_count, 100, "the others are refused at once");
+    let (_, new) = node.submit(UNSAFE);
+    assert!(sent(&new).is_some(), "a new request is sent");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, and a referee that knows the four rules.
+//! Test support: a node under test, and a checker of the four rules that the decision module must keep.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -8,10 +8,13 @@
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
-pub const MEMORY: f64 = 600.0;
-pub const PATIENCE: f64 = 500.0;
-/// The module stops at once, which keeps any grace; the referee allows none.
-pub const DRAIN_GRACE: f64 = 0.0;
+/// How long servers remember the key of a keyed request, in ms.
+pub const KEY_MEMORY_MS: f64 = 600.0;
+/// How long clients wait for an answer, in ms.
+pub const CLIENT_TIMEOUT_MS: f64 = 500.0;
+/// The decision module stops sending to a draining server at once, so the checker allows no grace period, in
+/// ms.
+pub const DRAIN_GRACE_MS: f64 = 0.0;
 
 pub fn settings() -> Settings {
     let class = |aim, worth, effect| Class { aim, worth, late_worth: 0.0, patience: f64::INFINITY, effect };
@@ -20,7 +23,7 @@
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: MEMORY }),
+            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: KEY_MEMORY_MS }),
             class(100.0, 10.0, Effect::Unsafe),
         ],
         tenants: Vec::new(),
@@ -48,6 +51,7 @@
     }
 }
 
+/// A listed server; servers of even and of odd number share a zone and a cell.
 pub fn entry(server: u64, weight: f64) -> Entry {
     let state = Listed::Up;
     Entry {
@@ -61,7 +65,7 @@
     }
 }
 
-/// A balancer with a clock, that remembers what it did.
+/// A balancer with a virtual clock that records the attempts it sends.
 pub struct Node {
     pub balancer: Balancer,
     pub now: f64,
@@ -75,7 +79,7 @@
     }
 
     pub fn new_seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("good settings");
+        let balancer = Balancer::new(settings, seed).expect("valid settings");
         let mut node = Self { balancer, now: 1000.0, next: 0, attempts: BTreeMap::new() };
         node.event(Event::List { entries, saved: true });
         node
@@ -85,6 +89,7 @@
         Self::new(settings, (0..servers).map(|id| entry(id, 1.0)).collect())
     }
 
+    /// Passes an event to the balancer and returns its actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -96,16 +101,22 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, None)
+    /// Submits a request.
+    pub fn submit(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+        self.submit_for(class, None)
     }
 
-    pub fn ask_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
-        self.ask_with(class, tenant, PATIENCE)
+    pub fn submit_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
+        self.submit_with_timeout(class, tenant, CLIENT_TIMEOUT_MS)
     }
 
-    /// A request whose client gives up after `left`.
-    pub fn ask_with(&mut self, class: usize, tenant: Option<usize>, left: f64) -> (RequestId, Vec<Action>) {
+    /// Submits a request whose client gives up after `left` ms.
+    pub fn submit_with_timeout(
+        &mut self,
+        class: usize,
+        tenant: Option<usize>,
+        left: f64,
+    ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + left;
@@ -124,7 +135,7 @@
         )
     }
 
-    /// Ends the request's newest attempt.
+    /// Ends the latest attempt of a request.
     pub fn end(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
         let sent = &self.attempts[&id];
         let attempt = sent.len() - 1;
@@ -134,22 +145,22 @@
         self.event(Event::Ended { id, attempt, server, outcome, took, finished })
     }
 
-    /// One request that is served after `took`; gives its server.
+    /// Submits a request and has it served after `took` ms if it is sent; returns its server.
     pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
-        let asked = self.ask(class);
-        self.serve_asked(asked, took)
+        let submitted = self.submit(class);
+        self.finish_submitted(submitted, took)
     }
 
-    /// The same, waiting where it is held.
-    pub fn serve_held(&mut self, class: usize, took: f64) -> Option<ServerId> {
-        let (id, mut actions) = self.ask(class);
+    /// Like [`Node::serve`], but waits while the request is queued.
+    pub fn serve_queued(&mut self, class: usize, took: f64) -> Option<ServerId> {
+        let (id, mut actions) = self.submit(class);
         while sent_to(&actions).is_none() && !refused(&actions, id) && !failed(&actions, id) {
             actions = self.wait(5.0);
         }
-        self.serve_asked((id, actions), took)
+        self.finish_submitted((id, actions), took)
     }
 
-    fn serve_asked(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
+    fn finish_submitted(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
         let server = sent_to(&actions);
         self.now += took;
         if server.is_some() {
@@ -158,7 +169,7 @@
         server
     }
 
-    /// Lets time pass, with the timers due in it.
+    /// Advances the clock by `span` ms in steps of 5 ms, with a timer event at each.
     pub fn wait(&mut self, span: f64) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -170,11 +181,12 @@
     }
 }
 
+/// The server of the first send among some actions.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
-/// The requests that were sent.
+/// The requests that are sent by some actions.
 pub fn sends(actions: &[Action]) -> Vec<RequestId> {
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None }).collect()
 }
@@ -187,54 +199,56 @@
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
 
-struct Held {
+/// What the checker knows of a request.
+struct TrackedRequest {
     class: usize,
     deadline: f64,
     over: bool,
     attempts: Vec<(ServerId, u64, f64, Option<Outcome>)>,
 }
 
-/// Watches what a node is told and does, and notes each breach of a rule.
+/// Observes the events and actions of a node and records each violation of the four rules.
 #[derive(Default)]
-pub struct Referee {
-    requests: BTreeMap<RequestId, Held>,
+pub struct RuleChecker {
+    requests: BTreeMap<RequestId, TrackedRequest>,
     servers: BTreeMap<ServerId, (Entry, Option<f64>)>,
-    warm_sends: Vec<(ServerId, f64)>,
-    cold_sends: Vec<(ServerId, f64)>,
-    pub breaches: Vec<String>,
+    sends_to_warm: Vec<(ServerId, f64)>,
+    sends_to_cold: Vec<(ServerId, f64)>,
+    pub violations: Vec<String>,
 }
 
-impl Referee {
-    pub fn told(&mut self, now: f64, event: &Event) {
+impl RuleChecker {
+    pub fn observe_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
                 for (entry, gone) in self.servers.values_mut() {
                     entry.state = Listed::Gone;
                     gone.get_or_insert(now);
                 }
-                self.listed(now, entries);
+                self.update_entries(now, entries);
             }
-            Event::ListChange(entries) => self.listed(now, entries),
+            Event::ListChange(entries) => self.update_entries(now, entries),
             Event::Request { id, class, deadline, .. } => {
-                let held = Held { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
-                self.requests.insert(*id, held);
+                let request_state =
+                    TrackedRequest { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
+                self.requests.insert(*id, request_state);
             }
             Event::Ended { id, attempt, outcome, finished, .. } => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.attempts[*attempt].3 = Some(*outcome);
-                    held.over |= *finished;
+                if let Some(request_state) = self.requests.get_mut(id) {
+                    request_state.attempts[*attempt].3 = Some(*outcome);
+                    request_state.over |= *finished;
                 }
             }
             Event::ClientGone(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.over = true;
+                if let Some(request_state) = self.requests.get_mut(id) {
+                    request_state.over = true;
                 }
             }
             _ => {}
         }
     }
 
-    fn listed(&mut self, now: f64, entries: &[Entry]) {
+    fn update_entries(&mut self, now: f64, entries: &[Entry]) {
         for entry in entries {
             let gone = (entry.state != Listed::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
@@ -243,82 +257,94 @@
         }
     }
 
-    pub fn did(&mut self, settings: &Settings, now: f64, action: &Action) {
-        let mut note = |words: String| self.breaches.push(words);
+    pub fn observe_action(&mut self, settings: &Settings, now: f64, action: &Action) {
+        let mut report = |message: String| self.violations.push(message);
         match action {
             Action::Send { id, server, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
-                let Some((entry, gone)) = self.servers.get(server) else { return note("no server".into()) };
-                if held.over {
-                    note(format!("rule 1: {id:?} sent after its end"));
+                let Some(request_state) = self.requests.get_mut(id) else {
+                    return report(format!("{id:?} is unknown"));
+                };
+                let Some((entry, gone)) = self.servers.get(server) else {
+                    return report("unknown server".into());
+                };
+                if request_state.over {
+                    report(format!("rule 1: {id:?} sent after its end"));
                 }
-                if gone.is_some_and(|at| now > at + DRAIN_GRACE) {
-                    note(format!("rule 3: {server:?} got work after its drain"));
+                if gone.is_some_and(|at| now > at + DRAIN_GRACE_MS) {
+                    report(format!("rule 3: {server:?} got work after its drain"));
                 }
-                let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-                let harmless = match settings.classes[held.class].effect {
+                let mut ran = request_state.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+                let may_run_again = match settings.classes[request_state.class].effect {
                     Effect::Safe => true,
                     Effect::Unsafe => ran.next().is_none(),
                     Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
                 };
-                if !harmless {
-                    note(format!("rule 2: {id:?} sent again"));
+                if !may_run_again {
+                    report(format!("rule 2: {id:?} sent again"));
                 }
-                held.attempts.push((*server, entry.cell, now, None));
+                request_state.attempts.push((*server, entry.cell, now, None));
                 let age = entry.started.map_or(f64::INFINITY, |t| now - t);
                 let cold = age < settings.rules.warm_within;
-                let sends = if cold { &mut self.cold_sends } else { &mut self.warm_sends };
+                let sends = if cold { &mut self.sends_to_cold } else { &mut self.sends_to_warm };
                 sends.push((*server, now));
                 if cold {
                     self.check_cold(settings, now, *server, age);
                 }
             }
             Action::Refuse { id, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
-                let ran = held.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[held.class].effect != Effect::Safe {
-                    note(format!("rule 2: {id:?} refused though it may have run"));
+                let Some(request_state) = self.requests.get_mut(id) else {
+                    return report(format!("{id:?} is unknown"));
+                };
+                let ran = request_state.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
+                if ran && settings.classes[request_state.class].effect != Effect::Safe {
+                    report(format!("rule 2: {id:?} refused though it may have run"));
                 }
-                Self::answered(held, settings, now, *id, &mut self.breaches);
+                Self::answered(request_state, settings, now, *id, &mut self.violations);
             }
             Action::Fail(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    Self::answered(held, settings, now, *id, &mut self.breaches);
+                if let Some(request_state) = self.requests.get_mut(id) {
+                    Self::answered(request_state, settings, now, *id, &mut self.violations);
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(held: &mut Held, settings: &Settings, now: f64, id: RequestId, breaches: &mut Vec<String>) {
-        if held.over {
-            breaches.push(format!("rule 1: {id:?} answered twice"));
+    fn answered(
+        request_state: &mut TrackedRequest,
+        settings: &Settings,
+        now: f64,
+        id: RequestId,
+        violations: &mut Vec<String>,
+    ) {
+        if request_state.over {
+            violations.push(format!("rule 1: {id:?} answered twice"));
         }
-        if now > held.deadline + 2.0 * settings.tick {
-            breaches.push(format!("rule 1: {id:?} answered late"));
+        if now > request_state.deadline + 2.0 * settings.tick {
+            violations.push(format!("rule 1: {id:?} answered late"));
         }
-        held.over = true;
+        request_state.over = true;
     }
 
-    /// Rule 4 by what the busiest warm server got: this node's part of a cold server's budget.
+    /// Checks rule 4: the sends to a cold server are limited relative to those to the busiest warm server.
     fn check_cold(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
             sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
         };
-        let warm = self.warm_sends.iter().map(|x| recent(&self.warm_sends, x.0)).max().unwrap_or(0);
+        let warm = self.sends_to_warm.iter().map(|x| recent(&self.sends_to_warm, x.0)).max().unwrap_or(0);
         let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
         let budget = rules.fall_multiple * share * warm as f64;
-        if recent(&self.cold_sends, server) as f64 > budget.max(1.0) + 1.0 {
-            self.breaches.push(format!("rule 4: {server:?} pushed"));
+        if recent(&self.sends_to_cold, server) as f64 > budget.max(1.0) + 1.0 {
+            self.violations.push(format!("rule 4: {server:?} overloaded while cold"));
         }
     }
 
-    /// To be called when all deadlines have passed.
+    /// Checks that all requests were answered; call it when all deadlines have passed.
     pub fn finish(&mut self) {
-        for (id, held) in &self.requests {
-            if !held.over {
-                self.breaches.push(format!("rule 1: {id:?} has no answer"));
+        for (id, request_state) in &self.requests {
+            if !request_state.over {
+                self.violations.push(format!("rule 1: {id:?} has no answer"));
             }
         }
     }
--- a/crates/policy/tests/copies.rs
+++ b/crates/policy/tests/copies.rs
@@ -1,21 +1,21 @@
-//! Second copies where answers get lost, and nowhere else.
+//! Second copies of requests: sent only while answers get lost.
 
 mod common;
 use common::*;
 use glenwood_policy::*;
 
-/// A node that knows what is usual, after so many answers that got lost.
+/// A node that has learned the usual answer times and then has seen `lost` answers get lost.
 fn node(set: Settings, lost: usize) -> Node {
-    node_of(set, lost, 4)
+    node_with_servers(set, lost, 4)
 }
 
-fn node_of(set: Settings, lost: usize, servers: u64) -> Node {
+fn node_with_servers(set: Settings, lost: usize, servers: u64) -> Node {
     let mut node = Node::fleet(set, servers);
     for n in 0..60 {
         node.serve([SAFE, KEYED, UNSAFE][n % 3], 10.0);
     }
     for _ in 0..lost {
-        let (id, _) = node.ask(UNSAFE);
+        let (id, _) = node.submit(UNSAFE);
         node.now += 20.0;
         node.end(id, Outcome::Unheard);
     }
@@ -32,72 +32,77 @@
 #[test]
 fn a_second_copy_is_sent_in_time_and_the_first_answer_counts() {
     let mut node = node(settings(), 1);
-    let (id, actions) = node.ask(SAFE);
+    let (id, actions) = node.submit(SAFE);
     let first = sent_to(&actions).expect("it is sent");
-    assert_eq!(sent_to(&node.wait(15.0)), None, "an answer may still come as usual");
+    assert_eq!(sent_to(&node.wait(15.0)), None, "the answer is not late yet");
     let second = sent_to(&node.wait(20.0)).expect("a second copy");
     assert_ne!(first, second);
-    assert!(sent_to(&node.wait(30.0)).is_none(), "not a third");
+    assert!(sent_to(&node.wait(30.0)).is_none(), "no third copy");
     assert_eq!(cancelled(&node.end(id, Outcome::Done), id), Some(0));
 }
 
 #[test]
-fn where_nothing_gets_lost_there_are_none() {
-    let mut calm = node(settings(), 0);
-    let (id, _) = calm.ask(SAFE);
-    assert_eq!(sent_to(&calm.wait(80.0)), None);
-    // Nor for long after it has ended.
-    calm.end(id, Outcome::Done);
-    let mut over = node(settings(), 3);
+fn no_copies_are_sent_while_no_answers_get_lost() {
+    let mut no_loss = node(settings(), 0);
+    let (id, _) = no_loss.submit(SAFE);
+    assert_eq!(sent_to(&no_loss.wait(80.0)), None);
+    // Nor long after the losses have ended.
+    no_loss.end(id, Outcome::Done);
+    let mut recovered = node(settings(), 3);
     for _ in 0..350 {
-        over.serve(SAFE, 10.0);
+        recovered.serve(SAFE, 10.0);
     }
-    over.ask(SAFE);
-    assert_eq!(sent_to(&over.wait(80.0)), None);
+    recovered.submit(SAFE);
+    assert_eq!(sent_to(&recovered.wait(80.0)), None);
 }
 
 #[test]
-fn there_are_no_more_of_them_than_what_got_lost_allows() {
-    let mut node = node_of(settings(), 2, 12);
-    let asked: Vec<_> = (0..8).map(|_| node.ask(SAFE)).collect();
-    let out: Vec<_> = asked.iter().filter(|(_, actions)| sent_to(actions).is_some()).map(|a| a.0).collect();
-    assert!(out.len() > 4, "{out:?}");
-    let copies = sends(&node.wait(60.0)).iter().filter(|id| out.contains(id)).count();
-    assert_eq!(copies, 4, "two for each");
+fn the_number_of_copies_is_limited_by_the_number_of_lost_answers() {
+    let mut node = node_with_servers(settings(), 2, 12);
+    let submitted: Vec<_> = (0..8).map(|_| node.submit(SAFE)).collect();
+    let open: Vec<_> =
+        submitted.iter().filter(|(_, actions)| sent_to(actions).is_some()).map(|a| a.0).collect();
+    assert!(open.len() > 4, "{open:?}");
+    let copies = sends(&node.wait(60.0)).iter().filter(|id| open.contains(id)).count();
+    assert_eq!(copies, 4, "two copies per lost answer");
 }
 
 #[test]
-fn copies_that_come_first_allow_no_more_than_themselves() {
-    // Slow servers, no lost answers: each copy is the faster one.
-    let mut node = node_of(settings(), 1, 12);
+fn copies_that_are_answered_first_do_not_allow_more_copies() {
+    // Slow servers and no further lost answers: each copy is answered first.
+    let mut node = node_with_servers(settings(), 1, 12);
     let mut copies = 0;
     for _ in 0..40 {
-        let asked: Vec<_> = (0..4).map(|_| node.ask(SAFE).0).collect();
+        let submitted: Vec<_> = (0..4).map(|_| node.submit(SAFE).0).collect();
         let sent = sends(&node.wait(35.0));
-        copies = copies.max(sent.iter().filter(|id| asked.contains(id)).count());
-        for id in asked {
+        copies = copies.max(sent.iter().filter(|id| submitted.contains(id)).count());
+        for id in submitted {
             node.end(id, Outcome::Done);
         }
     }
-    assert_eq!(copies, 2, "two for the one that got lost");
+    assert_eq!(copies, 2, "two copies for the one lost answer");
 }
 
 #[test]
-fn no_copy_goes_before_a_request_that_waits() {
+fn queued_requests_are_sent_before_copies() {
     let mut node = node(settings(), 3);
-    let asked: Vec<_> = (0..20).map(|_| node.ask(SAFE)).collect();
-    let out: Vec<_> = asked.iter().filter(|(_, actions)| sent_to(actions).is_some()).map(|a| a.0).collect();
-    assert!(out.len() < asked.len(), "some wait");
+    let submitted: Vec<_> = (0..20).map(|_| node.submit(SAFE)).collect();
+    let open: Vec<_> =
+        submitted.iter().filter(|(_, actions)| sent_to(actions).is_some()).map(|a| a.0).collect();
+    assert!(open.len() < submitted.len(), "some requests are queued");
     node.now += 22.0;
-    let actions = node.end(out[0], Outcome::Done);
-    assert!(!sends(&actions).is_empty() && sends(&actions).iter().all(|id| !out.contains(id)), "{actions:?}");
+    let actions = node.end(open[0], Outcome::Done);
+    assert!(
+        !sends(&actions).is_empty() && sends(&actions).iter().all(|id| !open.contains(id)),
+        "{actions:?}"
+    );
 }
 
 #[test]
-fn heavy_work_has_more_time_before_its_copy() {
+fn a_request_with_more_work_waits_longer_for_its_copy() {
     let mut node = node(Settings { by_work: true, ..settings() }, 0);
-    let ask = |node: &mut Node, id: u64, work: f64| {
-        let (id, deadline, work) = (RequestId(10_000 + id), node.now + PATIENCE, Some(work));
+    let submit = |node: &mut Node, id: u64, work: f64| {
+        let (id, deadline, work) = (RequestId(10_000 + id), node.now + CLIENT_TIMEOUT_MS, Some(work));
         let (class, tenant, repeat_key, within) = (SAFE, None, None, None);
         (
             id,
@@ -114,28 +119,28 @@
         )
     };
     for n in 0..40 {
-        let (id, actions) = ask(&mut node, n, 10.0);
+        let (id, actions) = submit(&mut node, n, 10.0);
         let server = sent_to(&actions).expect("it is sent");
         node.now += 10.0;
         let (attempt, outcome, finished) = (0, Outcome::Done, true);
         node.event(Event::Ended { id, attempt, server, outcome, took: 10.0, finished });
     }
-    let (lost, _) = node.ask(UNSAFE);
+    let (lost, _) = node.submit(UNSAFE);
     node.end(lost, Outcome::Unheard);
-    let ((light, _), (heavy, _)) = (ask(&mut node, 100, 10.0), ask(&mut node, 101, 40.0));
+    let ((light, _), (heavy, _)) = (submit(&mut node, 100, 10.0), submit(&mut node, 101, 40.0));
     let sent = sends(&node.wait(50.0));
     assert!(sent.contains(&light) && !sent.contains(&heavy), "{sent:?}");
 }
 
 #[test]
-fn copies_keep_to_what_the_class_and_the_settings_allow() {
+fn copies_respect_the_class_and_the_settings() {
     let mut unsafe_one = node(settings(), 2);
-    let (id, _) = unsafe_one.ask(UNSAFE);
+    let (id, _) = unsafe_one.submit(UNSAFE);
     let actions = unsafe_one.wait(200.0);
     assert_eq!(sent_to(&actions), None);
     assert!(!refused(&actions, id));
     let mut keyed = node(settings(), 2);
-    let first = sent_to(&keyed.ask(KEYED).1).expect("it is sent");
+    let first = sent_to(&keyed.submit(KEYED).1).expect("it is sent");
     let second = sent_to(&keyed.wait(100.0)).expect("a second copy");
     assert!(
         first != second && first.0 % 2 == second.0 % 2,
@@ -144,24 +149,24 @@
     let mut set = settings();
     set.limits.second_copies = false;
     let mut forbidden = node(set, 3);
-    forbidden.ask(SAFE);
+    forbidden.submit(SAFE);
     assert_eq!(sent_to(&forbidden.wait(80.0)), None);
-    // A body that can't be sent again.
-    let mut spent = node(settings(), 2);
-    let (id, _) = spent.ask(SAFE);
-    spent.event(Event::Spent(id));
-    assert_eq!(sent_to(&spent.wait(80.0)), None);
+    // A request body that can only be sent once.
+    let mut send_once = node(settings(), 2);
+    let (id, _) = send_once.submit(SAFE);
+    send_once.event(Event::Spent(id));
+    assert_eq!(sent_to(&send_once.wait(80.0)), None);
 }
 
 #[test]
-fn a_server_that_hangs_is_found_out_though_copies_overtake_it() {
+fn a_hanging_server_is_ejected_although_copies_are_answered_first() {
     let mut node = node(settings(), 1);
     let mut hung = 0;
     while node.balancer.avoided() == 0 {
-        let (id, actions) = node.ask(SAFE);
+        let (id, actions) = node.submit(SAFE);
         if sent_to(&actions) == Some(ServerId(0)) {
             hung += 1;
-            assert!(hung <= 3, "it goes on getting its turns");
+            assert!(hung <= 3, "it is still sent requests");
             assert!(sent_to(&node.wait(40.0)).is_some(), "a second copy");
             node.end(id, Outcome::Done);
         } else {
@@ -172,34 +177,35 @@
     assert_eq!(hung, 3);
 }
 
-/// How many can be out at once after some attempts at a full node timed out.
-fn places_after_time_outs(lost: usize, second_copies: bool) -> usize {
+/// How many attempts can be open at once after some attempts at a fully loaded node timed out.
+fn open_attempts_after_timeouts(lost: usize, second_copies: bool) -> usize {
     let mut set = settings();
     set.limits.second_copies = second_copies;
     let mut node = node(set, lost);
     for _ in 0..6 {
         let mut ids = Vec::new();
-        // As many as it takes, so that all are at their limits.
+        // Submit requests until all servers are at their limits.
         while let (id, Some(_)) = {
-            let (id, actions) = node.ask(UNSAFE);
+            let (id, actions) = node.submit(UNSAFE);
             (id, sent_to(&actions))
         } {
             ids.push(id);
         }
-        let (late, well): (Vec<_>, Vec<_>) = ids.into_iter().enumerate().partition(|(n, _)| n % 5 == 0);
-        for (after, ids, outcome) in [(20.0, well, Outcome::Done), (78.0, late, Outcome::TimedOut)] {
+        let (timed_out, answered): (Vec<_>, Vec<_>) =
+            ids.into_iter().enumerate().partition(|(n, _)| n % 5 == 0);
+        for (after, ids, outcome) in [(20.0, answered, Outcome::Done), (78.0, timed_out, Outcome::TimedOut)] {
             node.now += after;
             ids.iter().for_each(|(_, id)| drop(node.end(*id, outcome)));
         }
         node.wait(60.0);
     }
-    (0..200).take_while(|_| sent_to(&node.ask(UNSAFE).1).is_some()).count()
+    (0..200).take_while(|_| sent_to(&node.submit(UNSAFE).1).is_some()).count()
 }
 
 #[test]
-fn where_answers_get_lost_one_that_does_not_come_leaves_its_server_its_places() {
-    let (lost, calm) = (places_after_time_outs(20, true), places_after_time_outs(0, true));
-    assert!(lost as f64 > 1.3 * calm as f64, "{lost} with lost answers, {calm} without");
-    // Where there are no second copies to use it up, what was once lost would stand for good.
-    assert_eq!(places_after_time_outs(20, false), calm);
+fn a_timeout_does_not_lower_the_limit_of_a_server_while_answers_get_lost() {
+    let (lost, no_loss) = (open_attempts_after_timeouts(20, true), open_attempts_after_timeouts(0, true));
+    assert!(lost as f64 > 1.3 * no_loss as f64, "{lost} with lost answers, {no_loss} without");
+    // Without second copies, the count of lost answers would never be used up, so it must not apply.
+    assert_eq!(open_attempts_after_timeouts(20, false), no_loss);
 }
--- a/crates/policy/tests/growth.rs
+++ b/crates/policy/tests/growth.rs
@@ -1,16 +1,17 @@
-//! What one event costs does not grow with the servers: looks at single servers are counted, never time.
+//! The cost of an event does not grow with the number of servers. It is measured in lookups of single servers
+//! rather than in time.
 
 mod common;
 
 use common::*;
 use glenwood_policy::*;
 
-/// The sizes of the rotation.
+/// The numbers of servers in the rotation.
 const SERVERS: [u64; 3] = [100, 1_000, 5_000];
-/// How many looks one event may take, at any size.
-const LOOKS: u64 = 24;
+/// The maximum number of lookups per event, at any size.
+const MAX_LOOKUPS: u64 = 24;
 
-/// A node that rotates over all servers, and is warmed up.
+/// A warmed-up node that rotates over all servers; with `lost`, its list is no longer followed.
 fn node(servers: u64, lost: bool) -> Node {
     let set = Settings { discovery: Discovery::Asked, nodes: 1, ..settings() };
     let mut node = Node::new_seeded(set, (0..servers).map(|id| entry(id, 1.0)).collect(), 1);
@@ -25,30 +26,35 @@
     node
 }
 
-/// The most looks that one of some events took.
-fn looks(node: &mut Node, mut event: impl FnMut(&mut Node, u64)) -> u64 {
-    let of_one = |number| {
+/// The largest number of lookups that one of 40 events took.
+fn lookups(node: &mut Node, mut event: impl FnMut(&mut Node, u64)) -> u64 {
+    let lookups_of_event = |number| {
         let before = node.balancer.steps();
         event(node, number);
         node.balancer.steps() - before
     };
-    (0..40).map(of_one).max().expect("some events")
+    (0..40).map(lookups_of_event).max().expect("some events")
 }
 
-fn holds_at_any_size(what: &str, lost: bool, event: impl Fn(&mut Node, u64)) {
-    let looks: Vec<u64> = SERVERS.iter().map(|servers| looks(&mut node(*servers, lost), &event)).collect();
-    assert!(looks.iter().all(|looks| *looks <= LOOKS), "{what}: {looks:?} looks at {SERVERS:?} servers");
+/// Checks the lookups per event at all sizes; `what` names the event in the message.
+fn assert_constant_cost(what: &str, lost: bool, event: impl Fn(&mut Node, u64)) {
+    let lookups: Vec<u64> =
+        SERVERS.iter().map(|servers| lookups(&mut node(*servers, lost), &event)).collect();
+    assert!(
+        lookups.iter().all(|lookups| *lookups <= MAX_LOOKUPS),
+        "{what}: {lookups:?} lookups with {SERVERS:?} servers"
+    );
 }
 
 #[test]
-fn a_request_and_its_answer_cost_the_same_before_any_number_of_servers() {
+fn the_cost_of_a_request_and_its_answer_is_independent_of_the_number_of_servers() {
     for lost in [false, true] {
-        holds_at_any_size("a request and its answer", lost, |node, _| {
+        assert_constant_cost("a request and its answer", lost, |node, _| {
             node.serve(SAFE, 1.0);
         });
         for outcome in [Outcome::Full, Outcome::Error] {
-            holds_at_any_size("an unsafe one that fails", lost, |node, _| {
-                let (id, _) = node.ask(UNSAFE);
+            assert_constant_cost("an unsafe one that fails", lost, |node, _| {
+                let (id, _) = node.submit(UNSAFE);
                 node.end(id, outcome);
                 node.event(Event::ClientGone(id));
             });
@@ -57,9 +63,9 @@
 }
 
 #[test]
-fn a_check_costs_the_same_before_any_number_of_servers() {
+fn the_cost_of_a_health_check_is_independent_of_the_number_of_servers() {
     for outcome in [Outcome::Done, Outcome::TimedOut, Outcome::NotSent] {
-        holds_at_any_size("a check and its answer", true, |node, number| {
+        assert_constant_cost("a check and its answer", true, |node, number| {
             node.event(Event::Timer);
             node.event(Event::Probed { server: ServerId(number), outcome, took: 1.0 });
         });
@@ -67,12 +73,12 @@
 }
 
 #[test]
-fn an_ejection_costs_the_same_before_any_number_of_servers() {
-    holds_at_any_size("a server that refuses", true, |node, number| {
+fn the_cost_of_an_ejection_is_independent_of_the_number_of_servers() {
+    assert_constant_cost("a server that refuses", true, |node, number| {
         node.event(Event::Probed { server: ServerId(number), outcome: Outcome::Error, took: 1.0 });
     });
-    holds_at_any_size("a server that is down", false, |node, _| {
-        let (id, _) = node.ask(SAFE);
+    assert_constant_cost("a server that is down", false, |node, _| {
+        let (id, _) = node.submit(SAFE);
         node.end(id, Outcome::ConnectFailed);
         node.event(Event::ClientGone(id));
     });
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -1,4 +1,5 @@
-//! The rotation: evenness, offset, interleaving, what restarts it and what does not.
+//! The rotation over servers: evenness, offsets of nodes, interleaving of weights, and the effect of list
+//! changes.
 
 mod common;
 use common::*;
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn the_order_is_that_of_the_ids_not_of_the_list() {
+fn the_order_follows_server_ids_not_the_list() {
     let mut node = Node::new(settings(), vec![entry(9, 1.0), entry(2, 1.0), entry(5, 1.0)]);
     assert_eq!(turns(&mut node, 3), [2, 5, 9]);
 }
@@ -49,10 +50,10 @@
     assert_eq!(turns(&mut node, 2), [2, 3]);
 }
 
-/// Guards the change that outruns the round: with all nodes back at their offsets at each change of the list,
-/// the servers after the offsets got everything.
+/// Guards against list changes that come faster than the rotation completes a round: when each change reset
+/// all nodes to their offsets, the servers right after the offsets got all requests.
 #[test]
-fn a_change_of_members_keeps_the_place() {
+fn a_change_of_members_keeps_the_position() {
     let mut node = Node::fleet(Settings { number: 1, ..settings() }, 3);
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
@@ -62,10 +63,10 @@
 }
 
 #[test]
-fn an_unready_server_is_passed_over_in_place() {
+fn an_unready_server_is_skipped() {
     let mut node = Node::fleet(settings(), 4);
     turns(&mut node, 1);
-    let (id, actions) = node.ask(SAFE);
+    let (id, actions) = node.submit(SAFE);
     assert_eq!(sent_to(&actions), Some(ServerId(1)));
     let actions = node.end(id, Outcome::ConnectFailed);
     assert_eq!(sent_to(&actions), Some(ServerId(2)), "a further attempt takes the next turn");
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn live_weights_do_not_steer_by_load() {
+fn live_weights_do_not_change_the_rotation() {
     let live = Settings { weights: Weights::Live, ..settings() };
     let mut node = Node::new(live, vec![entry(0, 1.0), entry(1, 1.0)]);
     node.event(Event::ListChange(vec![entry(0, 0.1)]));
@@ -86,9 +87,9 @@
     let mut node = Node::fleet(settings(), 4);
     let mut sent = [0; 4];
     for round in 0..400 {
-        let (id, actions) = node.ask(SAFE);
+        let (id, actions) = node.submit(SAFE);
         let server = sent_to(&actions).expect("sent");
-        // The listed sizes are alike, yet server 0 takes most of the aim.
+        // All weights are equal, but the answers of server 0 take most of the aim.
         node.now += if server.0 == 0 { 90.0 } else { 10.0 };
         node.end(id, Outcome::Done);
         if round >= 300 {
@@ -98,39 +99,45 @@
     assert!(sent[0] > 0 && sent[0] < sent[1] * 2 / 3, "{sent:?}");
 }
 
-/// The servers that each of `nodes` nodes sends to in two rounds.
+/// The servers that each node sends to in 12 turns.
 fn subsets(nodes: usize, servers: &[Entry]) -> Vec<Vec<u64>> {
-    let of = |number| {
+    let subset_of = |number| {
         let mut node = Node::new(Settings { number, nodes, ..settings() }, servers.to_vec());
-        let mut met = turns(&mut node, 12);
-        met.sort_unstable();
-        met.dedup();
-        met
+        let mut used = turns(&mut node, 12);
+        used.sort_unstable();
+        used.dedup();
+        used
     };
-    (0..nodes).map(of).collect()
+    (0..nodes).map(subset_of).collect()
 }
 
-/// Guards full size: with each node on every server, connections were nodes times servers and full tables
-/// looked like dead processes, while no node saw any server often enough to learn from it.
+/// Guards against large deployments in which every node uses every server: the number of connections was
+/// nodes times servers, full connection tables looked like dead processes, and no node used a server often
+/// enough to learn its answer times.
 #[test]
-fn many_nodes_share_the_fleet_out_evenly() {
-    // The fewer the servers, the oftener one stands twice in what a node reads and a neighbour's is taken.
-    for (nodes, servers, even) in [(305, 60, 0.75), (751, 123, 0.75), (49, 13, 0.55), (1800, 276, 0.75)] {
+fn subsets_of_many_nodes_cover_the_fleet_evenly() {
+    // With fewer servers, a server appears more often twice among the candidates of a node, and another
+    // replaces it.
+    for (nodes, servers, min_ratio) in [(305, 60, 0.75), (751, 123, 0.75), (49, 13, 0.55), (1800, 276, 0.75)]
+    {
         let fleet: Vec<_> = (0..servers).map(|id| entry(id * id + 7, 1.0)).collect();
-        let met = subsets(nodes, &fleet);
+        let used = subsets(nodes, &fleet);
         let mut count = std::collections::BTreeMap::new();
-        for id in met.iter().flatten() {
+        for id in used.iter().flatten() {
             *count.entry(*id).or_insert(0usize) += 1;
         }
-        assert_eq!(count.len(), servers as usize, "every server has nodes");
+        assert_eq!(count.len(), servers as usize, "every server is used by a node");
         let (least, most) = (count.values().min().expect("some"), count.values().max().expect("some"));
-        assert!(met.iter().all(|m| m.len() <= 6), "small parts");
-        assert!(*least as f64 > even * *most as f64, "{nodes} nodes, {servers} servers: {least} to {most}");
+        assert!(used.iter().all(|m| m.len() <= 6), "subsets are small");
+        assert!(
+            *least as f64 > min_ratio * *most as f64,
+            "{nodes} nodes, {servers} servers: {least} to {most}"
+        );
     }
 }
 
 #[test]
-fn a_change_of_the_list_moves_few_subsets() {
+fn a_change_of_the_list_changes_subsets_little() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id * id + 7, 1.0)).collect();
     let (before, after) = (subsets(300, &fleet), subsets(300, &fleet[1..]));
     let kept: usize =
@@ -145,16 +152,17 @@
     assert!(subsets(4, &fleet).iter().all(|m| m.len() == 12));
 }
 
-/// Guards a subset that is wholly down: its node would refuse everything with the rest of the fleet idle.
+/// Guards against a node that refuses all requests because its whole subset is down while other servers are
+/// idle.
 #[test]
-fn a_subset_that_is_down_widens() {
+fn a_subset_that_is_down_is_extended() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id, 1.0)).collect();
     let mut node = Node::new(Settings { nodes: 300, ..settings() }, fleet);
     let first = turns(&mut node, 8);
     let mut served = 0;
     for _ in 0..40 {
         node.wait(20.0);
-        let (id, mut actions) = node.ask(UNSAFE);
+        let (id, mut actions) = node.submit(UNSAFE);
         while let Some(server) = sent_to(&actions) {
             node.now += 0.3;
             let down = first.contains(&server.0);
--- a/crates/settings/src/apart.rs
+++ b/crates/settings/src/apart.rs
@@ -1,4 +1,5 @@
-//! Deserializes a JSON object with one field read into its own type, so that no JSON tree is built for that field.
+//! Deserializes a JSON object with one field read into its own type, so that no JSON tree is built for that
+//! field.
 
 use std::fmt;
 use std::marker::PhantomData;
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -50,8 +50,8 @@
     value.as_array().ok_or_else(|| format!("{what}: array expected"))
 }
 
-/// The fields of a JSON object. An absent optional field takes its default, an absent required one is an error. Null
-/// counts as absent.
+/// The fields of a JSON object. An absent optional field takes its default, an absent required one is an
+/// error. Null counts as absent.
 pub struct Fields<'a> {
     map: &'a Map<String, Value>,
     path: &'a str,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Parses the settings object, which is the same for instances hosted for the simulator and for nodes on sockets.
+//! Parses the settings object, which is the same for instances hosted for the simulator and for nodes on
+//! sockets.
 #![warn(missing_docs)]
 
 /// Visitor methods that return `$otherwise` for scalar values.
@@ -79,7 +80,8 @@
 /// A settings object from a file, with its tenants read one by one.
 pub type SettingsObject = Apart<Customers, Tenants>;
 
-/// The parsed settings object: the settings of the decision module, and those that only a node on sockets needs.
+/// The parsed settings object: the settings of the decision module, and those that only a node on sockets
+/// needs.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// The settings of the decision module.
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,5 +1,5 @@
-//! The field names of a configuration without their values, to check that a new file lacks none of the fields of the
-//! current one.
+//! The field names of a configuration without their values, to check that a new file lacks none of the fields
+//! of the current one.
 
 use serde_json::Value;
 
--- a/crates/settings/src/tenants.rs
+++ b/crates/settings/src/tenants.rs
@@ -1,5 +1,5 @@
-//! Deserializes tenants one by one: a deployment may have tens of thousands, and a JSON tree of all of them would take
-//! many times the memory of what is kept.
+//! Deserializes tenants one by one: a deployment may have tens of thousands, and a JSON tree of all of them
+//! would take many times the memory of what is kept.
 
 use std::fmt;
 
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -32,8 +32,8 @@
 #[test]
 fn the_number_of_comparisons_is_linear_in_the_number_of_names() {
     for names in [100, 1_000, 10_000, 47_000] {
-        let count = comparisons(names);
-        assert!(count <= names / 4 + 10, "{count} comparisons of {names} names");
+        let compared = comparisons(names);
+        assert!(compared <= names / 4 + 10, "{compared} comparisons of {names} names");
     }
 }
 
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,6 +1,7 @@
-//! Receives signals reliably even when system calls fail. Tokio's signal driver aborts the process if a read from its
-//! pipe fails, and loses a signal if a write to it fails. Here the handler sets a flag, which cannot fail, and then
-//! writes to a pipe to wake the waiting task; the flag is also polled, in case that write fails.
+//! Receives signals reliably even when system calls fail. Tokio's signal driver aborts the process if a read
+//! from its pipe fails, and loses a signal if a write to it fails. Here the handler sets a flag, which cannot
+//! fail, and then writes to a pipe to wake the waiting task; the flag is also polled, in case that write
+//! fails.
 #![warn(missing_docs)]
 
 use std::io;
@@ -34,7 +35,8 @@
     }
 }
 
-/// A receiver of signals of one kind. Signals that arrive before [`Signals::recv`] is called are merged into one.
+/// A receiver of signals of one kind. Signals that arrive before [`Signals::recv`] is called are merged into
+/// one.
 pub struct Signals {
     /// Set by the handlers.
     received: Arc<AtomicBool>,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Waits until a handler has written to the pipe and drains it. A failed read is ignored, since the flag tells whether
-    /// a signal has arrived.
+    /// Waits until a handler has written to the pipe and drains it. A failed read is ignored, since the flag
+    /// tells whether a signal has arrived.
     async fn wait_for_wake(&self) {
         if self.wake_reader.readable().await.is_ok() {
             let _ = self.wake_reader.try_read(&mut [0; 64]);
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts instances of the decision module and exchanges JSON lines with the simulator over standard input and output;
-//! see `glenwood_simhost::wire`.
+//! Hosts instances of the decision module and exchanges JSON lines with the simulator over standard input and
+//! output; see `glenwood_simhost::wire`.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of [`Balancer`] and translates between JSON lines and their events and actions. It makes no
-//! decisions of its own.
+//! Hosts many instances of [`Balancer`] and translates between JSON lines and their events and actions. It
+//! makes no decisions of its own.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -43,8 +43,8 @@
     })
 }
 
-/// The key that links a client's repeat to the original request: a hash of class, tenant, key and hint, which are the
-/// same in each.
+/// The key that links a client's repeat to the original request: a hash of class, tenant, key and hint, which
+/// are the same in each.
 fn repeat_key(submit: &[Value], hint: f64) -> u64 {
     let mut hash = DefaultHasher::new();
     for part in submit.get(2..5).into_iter().flatten() {
@@ -77,7 +77,8 @@
     /// Processes one batch and returns the reply line, without a line break.
     ///
     /// # Errors
-    /// Names what is malformed. The batch may have been applied in part, so the host should not be used any further.
+    /// Names what is malformed. The batch may have been applied in part, so the host should not be used any
+    /// further.
     pub fn line(&mut self, line: &str) -> Result<String, WireError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields::of(&batch, "batch")?;
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! Tests of the simulator adapter with handwritten batches, and of size limits for the source of the decision module.
+//! Tests of the simulator adapter with handwritten batches, and of size limits for the source of the decision
+//! module.
 
 use glenwood_simhost::wire::Host;
 use serde_json::{json, Value};
