--- a/crates/list/src/start.rs
+++ b/crates/list/src/start.rs
@@ -128,10 +128,10 @@
         for actual in [0.0, 5_000.0, 15_000.0, 23_000.0] {
             for clock_error in [-3_605_000.0, -3_600_000.0, -5_000.0, 0.0, 5_000.0, 3_600_000.0, 3_605_000.0]
             {
-                let estimate = estimated_age(actual + clock_error, None);
+                let estimated = estimated_age(actual + clock_error, None);
                 assert!(
-                    (0.0..=actual).contains(&estimate),
-                    "actual age {actual} ms, clock error {clock_error} ms: estimated {estimate}"
+                    (0.0..=actual).contains(&estimated),
+                    "actual age {actual} ms, clock error {clock_error} ms: estimated {estimated}"
                 );
             }
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -16,6 +16,7 @@
 /// ms.
 pub const DRAIN_GRACE_MS: f64 = 0.0;
 
+/// Settings with a safe, a keyed and an unsafe class.
 pub fn settings() -> Settings {
     let class = |aim, worth, effect| Class { aim, worth, late_worth: 0.0, patience: f64::INFINITY, effect };
     Settings {
@@ -74,6 +75,7 @@
 }
 
 impl Node {
+    /// A node whose saved list has these entries.
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
         Self::new_seeded(settings, entries, 1)
     }
@@ -85,6 +87,7 @@
         node
     }
 
+    /// A node with servers of equal weight.
     pub fn fleet(settings: Settings, servers: u64) -> Self {
         Self::new(settings, (0..servers).map(|id| entry(id, 1.0)).collect())
     }
@@ -106,6 +109,7 @@
         self.submit_for(class, None)
     }
 
+    /// Submits a request of a tenant.
     pub fn submit_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         self.submit_with_timeout(class, tenant, CLIENT_TIMEOUT_MS)
     }
@@ -115,11 +119,11 @@
         &mut self,
         class: usize,
         tenant: Option<usize>,
-        left: f64,
+        timeout: f64,
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let deadline = self.now + left;
+        let deadline = self.now + timeout;
         (
             id,
             self.event(Event::Request {
@@ -191,10 +195,12 @@
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None }).collect()
 }
 
+/// Whether a request is refused by some actions.
 pub fn refused(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == request))
 }
 
+/// Whether a request is failed by some actions.
 pub fn failed(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
@@ -218,6 +224,7 @@
 }
 
 impl RuleChecker {
+    /// Updates the state by an event that is passed to the node.
     pub fn observe_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
@@ -257,6 +264,7 @@
         }
     }
 
+    /// Checks an action of the node against the rules.
     pub fn observe_action(&mut self, settings: &Settings, now: f64, action: &Action) {
         let mut report = |message: String| self.violations.push(message);
         match action {
@@ -288,7 +296,7 @@
                 let sends = if cold { &mut self.sends_to_cold } else { &mut self.sends_to_warm };
                 sends.push((*server, now));
                 if cold {
-                    self.check_cold(settings, now, *server, age);
+                    self.check_cold_budget(settings, now, *server, age);
                 }
             }
             Action::Refuse { id, .. } => {
@@ -299,18 +307,19 @@
                 if ran && settings.classes[request_state.class].effect != Effect::Safe {
                     report(format!("rule 2: {id:?} refused though it may have run"));
                 }
-                Self::answered(request_state, settings, now, *id, &mut self.violations);
+                Self::check_answer(request_state, settings, now, *id, &mut self.violations);
             }
             Action::Fail(id) => {
                 if let Some(request_state) = self.requests.get_mut(id) {
-                    Self::answered(request_state, settings, now, *id, &mut self.violations);
+                    Self::check_answer(request_state, settings, now, *id, &mut self.violations);
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(
+    /// Checks rule 1 for the answer to a request: a single one, in time.
+    fn check_answer(
         request_state: &mut TrackedRequest,
         settings: &Settings,
         now: f64,
@@ -327,7 +336,7 @@
     }
 
     /// Checks rule 4: the sends to a cold server are limited relative to those to the busiest warm server.
-    fn check_cold(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
+    fn check_cold_budget(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
             sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -32,14 +32,16 @@
 #[derive(Clone, Copy, PartialEq)]
 enum State {
     Serving,
-    Drains,
+    Draining,
     /// Refuses connections.
     Gone,
 }
 
+/// A simulated server.
 struct Server {
     entry: Entry,
     state: State,
+    /// Queued requests: node, request and attempt.
     waiting: VecDeque<(usize, RequestId, usize)>,
     working: usize,
     sends: usize,
@@ -55,6 +57,7 @@
 }
 
 #[derive(Clone, Copy)]
+/// An event of the simulation.
 enum SimEvent {
     NewRequest,
     Timer(usize),
@@ -92,6 +95,7 @@
     up: bool,
 }
 
+/// The simulated nodes, servers and discovery service.
 struct Simulation {
     now: f64,
     random: u64,
@@ -110,10 +114,12 @@
     outcome_counts: [usize; 3],
     /// The pairs of a node and a server that it has sent to.
     sent: BTreeSet<(usize, ServerId)>,
+    /// The due time in µs and the number of each scheduled event.
     due: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: BTreeMap<u64, SimEvent>,
 }
 
+/// Indexes of `outcome_counts`.
 const SERVED: usize = 0;
 const REFUSED: usize = 1;
 const FAILED: usize = 2;
@@ -177,7 +183,7 @@
     fn entries(&self) -> Vec<Entry> {
         let listed = |state| match state {
             State::Serving => Listed::Up,
-            State::Drains => Listed::Draining,
+            State::Draining => Listed::Draining,
             State::Gone => Listed::Gone,
         };
         self.servers.values().map(|s| Entry { state: listed(s.state), ..s.entry.clone() }).collect()
@@ -313,7 +319,7 @@
                         server.waiting.push_back((node, id, attempt));
                         return self.start_queued(to);
                     }
-                    State::Serving | State::Drains => Outcome::Full,
+                    State::Serving | State::Draining => Outcome::Full,
                     State::Gone => Outcome::ConnectFailed,
                 };
                 server.rejected += 1;
@@ -489,7 +495,7 @@
     let mut simulation = Simulation::new(0.3, 1);
     simulation.run(2000.0);
     for id in 0..20 {
-        simulation.servers.get_mut(&ServerId(id)).expect("listed").state = State::Drains;
+        simulation.servers.get_mut(&ServerId(id)).expect("listed").state = State::Draining;
     }
     let outcome_shares = simulation.outcome_shares(6000.0);
     let rejected_count: usize = simulation.servers.values().map(|s| s.rejected).sum();
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -45,39 +45,42 @@
     ]
 }
 
+/// An attempt that has not ended.
 struct OpenAttempt {
     id: RequestId,
     attempt: usize,
     server: ServerId,
     sent: f64,
-    until: f64,
+    ends_at: f64,
     cancelled: bool,
 }
 
 /// Alters or drops actions of the balancer, to test that the rule checker notices.
 type Variant = fn(&Action) -> Option<Action>;
 
+/// A balancer under test in a generated scenario, with the rule checker that observes it.
 struct Scenario {
     settings: Settings,
     balancer: Balancer,
-    referee: RuleChecker,
+    checker: RuleChecker,
     now: f64,
     open_attempts: Vec<OpenAttempt>,
-    open: std::collections::BTreeMap<RequestId, (f64, usize)>,
+    /// The deadline and the number of attempts of each open request.
+    open_requests: std::collections::BTreeMap<RequestId, (f64, usize)>,
     variant: Variant,
 }
 
 impl Scenario {
     fn event(&mut self, event: Event) {
-        self.referee.observe_event(self.now, &event);
+        self.checker.observe_event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions.iter().filter_map(|a| (self.variant)(a)) {
-            self.referee.observe_action(&self.settings, self.now, &action);
+            self.checker.observe_action(&self.settings, self.now, &action);
             match action {
                 Action::Send { id, server, timeout } => {
-                    let Some((deadline, attempts)) = self.open.get_mut(&id) else { continue };
-                    let until = timeout.map_or(*deadline, |t| (self.now + t).min(*deadline));
+                    let Some((deadline, attempts)) = self.open_requests.get_mut(&id) else { continue };
+                    let ends_at = timeout.map_or(*deadline, |t| (self.now + t).min(*deadline));
                     let attempt = *attempts;
                     *attempts += 1;
                     self.open_attempts.push(OpenAttempt {
@@ -85,19 +88,19 @@
                         attempt,
                         server,
                         sent: self.now,
-                        until,
+                        ends_at,
                         cancelled: false,
                     });
                 }
                 Action::Cancel { id, attempt } => {
-                    for open_attempts in
+                    for open_attempt in
                         self.open_attempts.iter_mut().filter(|o| o.id == id && o.attempt == attempt)
                     {
-                        open_attempts.cancelled = true;
+                        open_attempt.cancelled = true;
                     }
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) => {
-                    self.open.remove(&id);
+                    self.open_requests.remove(&id);
                 }
                 _ => {}
             }
@@ -105,31 +108,31 @@
     }
 
     fn end(&mut self, index: usize, outcome: Outcome) {
-        let open_attempts = self.open_attempts.remove(index);
-        let is_open = self.open.contains_key(&open_attempts.id);
+        let open_attempt = self.open_attempts.remove(index);
+        let is_open = self.open_requests.contains_key(&open_attempt.id);
         let finished = !is_open || outcome == Outcome::Done;
         if finished {
-            self.open.remove(&open_attempts.id);
+            self.open_requests.remove(&open_attempt.id);
         }
-        let (id, attempt, server) = (open_attempts.id, open_attempts.attempt, open_attempts.server);
+        let (id, attempt, server) = (open_attempt.id, open_attempt.attempt, open_attempt.server);
         self.event(Event::Ended {
             id,
             attempt,
             server,
             outcome,
-            took: self.now - open_attempts.sent,
+            took: self.now - open_attempt.sent,
             finished,
         });
     }
 
     fn wait(&mut self, span: f64) {
-        let until = self.now + span;
-        while self.now < until {
-            self.now = (self.now + 2.0).min(until);
+        let ends_at = self.now + span;
+        while self.now < ends_at {
+            self.now = (self.now + 2.0).min(ends_at);
             while let Some(i) = self.open_attempts.iter().position(|o| o.cancelled) {
                 self.end(i, Outcome::Cancelled);
             }
-            while let Some(i) = self.open_attempts.iter().position(|o| self.now >= o.until) {
+            while let Some(i) = self.open_attempts.iter().position(|o| self.now >= o.ends_at) {
                 self.end(i, Outcome::TimedOut);
             }
             self.event(Event::Timer);
@@ -140,8 +143,9 @@
 fn run(steps: &[Step], variant: Variant) -> Vec<String> {
     let settings = settings();
     let balancer = Balancer::new(settings.clone(), 7).expect("valid settings");
-    let (referee, open_attempts, open) = (RuleChecker::default(), Vec::new(), Default::default());
-    let mut scenario = Scenario { settings, balancer, referee, now: 50_000.0, open_attempts, open, variant };
+    let (checker, open_attempts, open_requests) = (RuleChecker::default(), Vec::new(), Default::default());
+    let mut scenario =
+        Scenario { settings, balancer, checker, now: 50_000.0, open_attempts, open_requests, variant };
     scenario.event(Event::List { entries: (0..4).map(|id| entry(id, 1.0)).collect(), saved: true });
     let mut next = 0;
     for step in steps {
@@ -149,7 +153,7 @@
             Step::Submit(class, time) => {
                 let (id, deadline) = (RequestId(next), scenario.now + time);
                 next += 1;
-                scenario.open.insert(id, (deadline, 0));
+                scenario.open_requests.insert(id, (deadline, 0));
                 scenario.event(Event::Request {
                     id,
                     class: *class,
@@ -177,8 +181,10 @@
                 ListFailure::Unanswered
             })),
             Step::Leave(i) => {
-                if let Some(id) = scenario.open.keys().nth(i % scenario.open.len().max(1)).copied() {
-                    scenario.open.remove(&id);
+                if let Some(id) =
+                    scenario.open_requests.keys().nth(i % scenario.open_requests.len().max(1)).copied()
+                {
+                    scenario.open_requests.remove(&id);
                     scenario.event(Event::ClientGone(id));
                 }
             }
@@ -198,8 +204,8 @@
         }
     }
     scenario.wait(1000.0);
-    scenario.referee.finish();
-    scenario.referee.violations
+    scenario.checker.finish();
+    scenario.checker.violations
 }
 
 fn runner(cases: u32) -> TestRunner {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -244,11 +244,11 @@
 #[test]
 fn a_server_at_the_limit_of_own_attempts_is_skipped() {
     let mut node = Node::fleet(settings(), 2);
-    let mut ask = || {
+    let mut submit = || {
         node.now += 0.5;
         node.submit(SAFE)
     };
-    let sent: Vec<_> = (0..12).map(|_| ask()).collect();
+    let sent: Vec<_> = (0..12).map(|_| submit()).collect();
     let to = |s: u64| sent.iter().filter(|(_, a)| sent_to(a) == Some(ServerId(s))).count();
     assert_eq!((to(0), to(1)), (4, 4), "a limit of 8 per server, divided among 2 nodes");
     let queued = sent[8].0;
@@ -262,7 +262,7 @@
 #[test]
 fn a_slowing_server_shared_by_many_nodes_is_used_less() {
     let mut node = Node::fleet(Settings { nodes: 1000, ..settings() }, 60);
-    let mut ask = |slow: Option<u64>| {
+    let mut serve_one = |slow: Option<u64>| {
         node.wait(60.0);
         let (id, mut actions) = node.submit(SAFE);
         while sent_to(&actions).is_none() && !refused(&actions, id) {
@@ -273,10 +273,10 @@
         node.end(id, Outcome::Done);
         server.0
     };
-    let before_slowdown: Vec<_> = (0..400).map(|_| ask(None)).collect();
+    let before_slowdown: Vec<_> = (0..400).map(|_| serve_one(None)).collect();
     let slow = before_slowdown[399];
     let of = |turns: &[u64]| turns.iter().filter(|s| **s == slow).count();
-    let after: Vec<_> = (0..80).map(|_| ask(Some(slow))).collect();
+    let after: Vec<_> = (0..80).map(|_| serve_one(Some(slow))).collect();
     assert!(
         of(&before_slowdown[320..]) >= 15 && of(&after) <= 14,
         "{} and then {}",
@@ -376,7 +376,7 @@
         let actions = node.end(at_server.expect("a request was sent to it"), Outcome::Done);
         let next =
             actions.iter().find_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None });
-        assert_eq!(next == Some(queued[1]), server == 1, "room at {server}: {actions:?}");
+        assert_eq!(next == Some(queued[1]), server == 1, "free slot at {server}: {actions:?}");
     }
 }
 
@@ -398,7 +398,7 @@
     // By this node's own quotas, tenant 0 is within its share and tenant 1 beyond it.
     let tenants = vec![Tenant { quota_per_s: 1000.0 }, Tenant { quota_per_s: 4.0 }];
     let mut node = Node::fleet(Settings { tenants, ..settings() }, 1);
-    let ask = |node: &mut Node, id: u64, tenant: usize, within: bool| {
+    let submit_reported = |node: &mut Node, id: u64, tenant: usize, within: bool| {
         let (id, deadline) = (RequestId(1000 + id), node.now + CLIENT_TIMEOUT_MS);
         let (class, tenant, within) = (SAFE, Some(tenant), Some(within));
         (
@@ -419,8 +419,8 @@
     for _ in 0..4 {
         node.submit_for(SAFE, Some(1));
     }
-    let (beyond, _) = ask(&mut node, 0, 0, false);
-    let (within, _) = ask(&mut node, 1, 1, true);
+    let (beyond, _) = submit_reported(&mut node, 0, 0, false);
+    let (within, _) = submit_reported(&mut node, 1, 1, true);
     node.now += 10.0;
     let actions = node.end(sent[0], Outcome::Done);
     let goes = |id| actions.iter().any(|a| matches!(a, Action::Send { id: sent, .. } if *sent == id));
@@ -431,7 +431,7 @@
 /// all attempts could time out (incident i5f50fa).
 #[test]
 fn a_timed_out_attempt_lowers_the_limit_more_than_a_late_answer() {
-    let room_after = |outcome, took| {
+    let open_slots_after = |outcome, took| {
         let mut node = Node::fleet(settings(), 8);
         for _ in 0..16 {
             node.serve(UNSAFE, 5.0);
@@ -447,7 +447,7 @@
         }
         (0..40).filter(|_| sent_to(&node.submit(UNSAFE).1).is_some()).count()
     };
-    assert!(room_after(Outcome::TimedOut, 98.0) < room_after(Outcome::Done, 101.0));
+    assert!(open_slots_after(Outcome::TimedOut, 98.0) < open_slots_after(Outcome::Done, 101.0));
 }
 
 /// Guards against limits that adapt too slowly when the whole fleet slows down at once: each took ten seconds
@@ -456,39 +456,39 @@
 #[test]
 fn limits_fall_quickly_when_the_whole_fleet_slows_down() {
     let mut node = Node::fleet(settings(), 10);
-    let taken = |node: &mut Node| {
-        let asked: Vec<_> = (0..60).map(|_| node.submit(SAFE)).collect();
-        asked
+    let send_many = |node: &mut Node| {
+        let submitted: Vec<_> = (0..60).map(|_| node.submit(SAFE)).collect();
+        submitted
             .into_iter()
             .filter(|(_, actions)| sent_to(actions).is_some())
             .map(|(id, _)| id)
             .collect::<Vec<_>>()
     };
-    let before = taken(&mut node);
+    let before = send_many(&mut node);
     assert_eq!(before.len(), 40);
     node.wait(30.0);
     node.now += 65.0;
     for id in before {
         node.end(id, Outcome::TimedOut);
     }
-    let after = taken(&mut node);
+    let after = send_many(&mut node);
     assert!(after.len() <= 5, "{} attempts after one late answer for each", after.len());
-    let mut out = after;
+    let mut open = after;
     for _ in 0..400 {
         node.now += 10.0;
-        for id in std::mem::take(&mut out) {
+        for id in std::mem::take(&mut open) {
             let actions = node.end(id, Outcome::Done);
-            out.extend(sends(&actions));
+            open.extend(sends(&actions));
         }
         let (_, actions) = node.submit(SAFE);
-        out.extend(sends(&actions));
+        open.extend(sends(&actions));
     }
     node.now += 10.0;
-    for id in out {
+    for id in open {
         node.end(id, Outcome::Done);
     }
-    let resubmitted = taken(&mut node).len();
-    assert!(resubmitted > 5, "{resubmitted} attempts after quick answers");
+    let recovered = send_many(&mut node).len();
+    assert!(recovered > 5, "{recovered} attempts after quick answers");
 }
 
 /// Guards against refusals that continue long after a server was slow (incident i19f915).
@@ -530,7 +530,7 @@
         node.event(Event::ListFailed(ListFailure::Unanswered));
         let start = node.now;
         while !node.wait(5.0).contains(&Action::Subscribe) {
-            assert!(node.now - start < 10_000.0, "never asked again");
+            assert!(node.now - start < 10_000.0, "no further call");
         }
         pauses.push(node.now - start);
         assert_eq!(node.serve(SAFE, 1.0).map(|_| ()), Some(()), "the old list is still used");
@@ -555,7 +555,7 @@
         let start = node.now;
         let mut actions = node.event(Event::ListFailed(failure));
         while !actions.contains(&Action::Subscribe) {
-            assert!(node.now - start < 20_000.0, "never asked again");
+            assert!(node.now - start < 20_000.0, "no further call");
             actions = node.wait(5.0);
         }
         node.now - start
@@ -693,7 +693,7 @@
     );
     let (server, outcome) = (ServerId(1), Outcome::TimedOut);
     let late = Event::Ended { id, attempt: 0, server, outcome, took: 1.0, finished: false };
-    assert!(only_timers(&node.event(late)), "an attempt ends once");
+    assert!(only_timers(&node.event(late)), "an attempt ends only once");
     assert!(only_timers(&node.event(Event::List { entries: Vec::new(), saved: false })));
     let (id, _) = node.submit(SAFE);
     assert!(refused(&node.wait(60.0), id), "an empty list refuses in time");
@@ -874,7 +874,7 @@
     assert!(probes(&node.wait(5000.0)).is_empty(), "the list is followed");
     let mut actions = node.event(Event::ListFailed(ListFailure::Ended));
     assert!(probes(&actions).is_empty(), "discovery is given time to answer");
-    // Wait 400 ms for the checks.
+    // A drain takes 0.5 s, so the checks are made within 400 ms.
     for _ in 0..80 {
         actions.extend(node.wait(5.0));
     }
@@ -906,21 +906,21 @@
         let set = Settings { discovery: Discovery::Asked, nodes: 44, ..settings() };
         let mut node = Node::new_seeded(set, (0..6).map(|id| entry(id, 1.0)).collect(), 1);
         node.event(Event::ListFailed(ListFailure::Ended));
-        let mut asked = Vec::new();
-        while asked.len() < 2 {
-            asked.extend(probes(&node.wait(5.0)));
+        let mut checked = Vec::new();
+        while checked.len() < 2 {
+            checked.extend(probes(&node.wait(5.0)));
         }
-        let resubmitted = |node: &mut Node, server: ServerId| -> bool {
+        let checked_again = |node: &mut Node, server: ServerId| -> bool {
             node.event(Event::Probed { server, outcome, took: 1.0 });
             let mut soon: Vec<ServerId> = Vec::new();
             (0..30).for_each(|_| soon.extend(probes(&node.wait(5.0))));
             soon.contains(&server)
         };
-        assert!(resubmitted(&mut node, asked[0]), "{outcome:?}");
-        let actions = node.event(Event::Probed { server: asked[0], outcome: Outcome::Error, took: 1.0 });
+        assert!(checked_again(&mut node, checked[0]), "{outcome:?}");
+        let actions = node.event(Event::Probed { server: checked[0], outcome: Outcome::Error, took: 1.0 });
         let newcomer = probes(&actions).into_iter().chain(probes(&node.wait(5.0))).next();
         let newcomer = newcomer.expect("another server replaces it and is checked");
-        assert!(resubmitted(&mut node, newcomer), "{outcome:?}");
+        assert!(checked_again(&mut node, newcomer), "{outcome:?}");
         let reached: Vec<ServerId> = (0..40).filter_map(|_| node.serve(SAFE, 10.0)).collect();
         assert!(!reached.contains(&newcomer), "{outcome:?}: {reached:?}");
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -7,7 +7,7 @@
 use glenwood_simhost::wire::Host;
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|panic| eprintln!("{panic}")));
+    std::panic::set_hook(Box::new(|panic_info| eprintln!("{panic_info}")));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
