--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// If it is not a non-negative integer; the message names `what`.
-pub fn whole(value: &Value, what: &str) -> Result<u64, FieldError> {
+pub fn integer(value: &Value, what: &str) -> Result<u64, FieldError> {
     let from_float = || value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64);
     value.as_u64().or_else(from_float).ok_or_else(|| format!("{what}: whole number expected"))
 }
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// If it is neither a number nor null; the message names `what`.
-pub fn optional(value: &Value, what: &str) -> Result<Option<f64>, FieldError> {
+pub fn optional_number(value: &Value, what: &str) -> Result<Option<f64>, FieldError> {
     if value.is_null() {
         Ok(None)
     } else {
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// If it is not an array; the message names `what`.
-pub fn list<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, FieldError> {
+pub fn array<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, FieldError> {
     value.as_array().ok_or_else(|| format!("{what}: array expected"))
 }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// If it is absent.
-    pub fn need(&self, key: &str) -> Result<&'a Value, FieldError> {
+    pub fn required(&self, key: &str) -> Result<&'a Value, FieldError> {
         self.get(key).ok_or_else(|| format!("{}: {key} is missing", self.path))
     }
 
@@ -85,7 +85,7 @@
     /// # Errors
     /// If it is absent or not a number.
     pub fn number(&self, key: &str) -> Result<f64, FieldError> {
-        number(self.need(key)?, key)
+        number(self.required(key)?, key)
     }
 
     /// Reads a number, or returns the default if it is absent.
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// If it is not an array.
-    pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
-        self.get(key).map_or(Ok(&[]), |v| list(v, key).map(Vec::as_slice))
+    pub fn array(&self, key: &str) -> Result<&'a [Value], FieldError> {
+        self.get(key).map_or(Ok(&[]), |v| array(v, key).map(Vec::as_slice))
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -36,7 +36,7 @@
 use serde_json::{Map, Value};
 
 use apart::{Apart, Field};
-use fields::{text, whole, FieldError, Fields};
+use fields::{integer, text, FieldError, Fields};
 use tenants::Tenants;
 
 fn read_class(value: &Value) -> Result<(String, Class), FieldError> {
@@ -48,7 +48,7 @@
         Some("cell") | None => Group::Cell,
         Some(other) => return Err(format!("DedupScope: {other} is unknown")),
     };
-    let effect = match text(f.need("Idempotency")?, "Idempotency")? {
+    let effect = match text(f.required("Idempotency")?, "Idempotency")? {
         "pure" => Effect::Safe,
         "token" => Effect::Keyed { group, memory: f.number_or("MemorySpan", 0.0)? },
         "side_effect" => Effect::Unsafe,
@@ -66,7 +66,7 @@
         patience,
         effect,
     };
-    Ok((text(f.need("Name")?, "Name")?.to_string(), class))
+    Ok((text(f.required("Name")?, "Name")?.to_string(), class))
 }
 
 /// The field of a settings object that holds the tenants.
@@ -134,7 +134,7 @@
 
 fn read_settings(value: &Value, tenants: Tenants) -> Result<NodeSettings, FieldError> {
     let f = Fields::of(value, "Options")?;
-    let classes = f.list("Classes")?.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
+    let classes = f.array("Classes")?.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
     let longest_deadline = classes.iter().map(|c| c.1.patience).fold(0.0, f64::max);
     let (class_names, classes): (Vec<String>, _) = classes.into_iter().unzip();
     check_unique(&class_names, "Classes")?;
@@ -143,13 +143,13 @@
     }
     let (tenant_names, tenants) = (tenants.names, tenants.tenants);
     check_unique(&tenant_names, "Customers")?;
-    let l = Fields::of(f.need("Limits")?, "Limits")?;
-    let r = Fields::of(f.need("Contract")?, "Contract")?;
+    let l = Fields::of(f.required("Limits")?, "Limits")?;
+    let r = Fields::of(f.required("Contract")?, "Contract")?;
     let empty = Value::Object(Map::new());
     let g = Fields::of(f.get("Goal").unwrap_or(&empty), "Goal")?;
     let policy = Settings {
-        number: whole(f.need("Me")?, "Me")? as usize,
-        nodes: whole(f.need("PeersTotal")?, "PeersTotal")? as usize,
+        number: integer(f.required("Me")?, "Me")? as usize,
+        nodes: integer(f.required("PeersTotal")?, "PeersTotal")? as usize,
         classes,
         tenants,
         by_work: match f.get("CountedBy").and_then(Value::as_str) {
@@ -164,7 +164,7 @@
             worst_tenant: g.number_or("WorstTenant", 0.0)?,
         },
         limits: Limits {
-            attempts: whole(l.need("AttemptsCap")?, "AttemptsCap")? as usize,
+            attempts: integer(l.required("AttemptsCap")?, "AttemptsCap")? as usize,
             second_copies: l.flag_or("MayDuplicate", false)?,
             cancel: l.flag_or("Cancel", false)?,
             probes: l.flag_or("Probes", false)?,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -25,7 +25,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.line(&line)?;
+        let reply = host.process_batch(&line)?;
         writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| e.to_string())?;
     }
     Ok(())
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -6,7 +6,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use glenwood_policy::*;
-use glenwood_settings::fields::{list, number, optional, text, whole, Fields};
+use glenwood_settings::fields::{array, integer, number, optional_number, text, Fields};
 use glenwood_settings::NodeSettings;
 use serde_json::{json, Value};
 
@@ -55,7 +55,7 @@
 }
 
 /// The index of a name. A linear search suffices, as the lists are short.
-fn index(names: &[String], value: &Value) -> Option<usize> {
+fn index_of(names: &[String], value: &Value) -> Option<usize> {
     value.as_str().and_then(|name| names.iter().position(|n| n == name))
 }
 
@@ -79,18 +79,18 @@
     /// # Errors
     /// Names what is malformed. The batch may have been applied in part, so the host should not be used any
     /// further.
-    pub fn line(&mut self, line: &str) -> Result<String, WireError> {
+    pub fn process_batch(&mut self, line: &str) -> Result<String, WireError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields::of(&batch, "batch")?;
         let now = f.number("Time")?;
-        let round = whole(f.need("round")?, "round")?;
+        let round = integer(f.required("round")?, "round")?;
         let mut parts = Vec::new();
-        for part in f.list("parts")? {
+        for part in f.array("parts")? {
             let p = Fields::of(part, "parts")?;
-            let number = whole(p.need("I")?, "I")?;
+            let number = integer(p.required("I")?, "I")?;
             let mut steps = Vec::new();
-            for input in p.list("input")? {
-                self.input(now, number, list(input, "input")?, &mut steps)?;
+            for input in p.array("input")? {
+                self.input(now, number, array(input, "input")?, &mut steps)?;
             }
             if !steps.is_empty() {
                 parts.push(json!({"I": number, "steps": steps}));
@@ -103,14 +103,14 @@
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
         match text(at(0), "message")? {
             "ROSTER" => {
-                let entries = list(at(2), "Members")?.iter().map(|v| self.entry(v));
+                let entries = array(at(2), "Members")?.iter().map(|v| self.entry(v));
                 let entries = entries.collect::<Result<Vec<_>, _>>()?;
-                self.tables.insert(whole(at(1), "Table")?, entries);
+                self.tables.insert(integer(at(1), "Table")?, entries);
             }
             "CREATE" => {
                 let NodeSettings { policy: settings, classes, tenants, .. } =
                     NodeSettings::from_value(at(2))?;
-                let balancer = Balancer::new(settings, whole(at(1), "Prng")?).map_err(|e| e.to_string())?;
+                let balancer = Balancer::new(settings, integer(at(1), "Prng")?).map_err(|e| e.to_string())?;
                 self.instances.insert(me, Instance { balancer, classes, tenants });
             }
             "HALT" => {
@@ -136,20 +136,20 @@
     }
 
     fn entry(&mut self, value: &Value) -> Result<Entry, WireError> {
-        let row = list(value, "entry")?;
+        let row = array(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
         // Zones and kinds are only compared for equality, so any number unique to the name will do.
         let mut name_id = |value: &Value| {
-            index(&self.names, value).unwrap_or_else(|| {
+            index_of(&self.names, value).unwrap_or_else(|| {
                 self.names.push(value.as_str().unwrap_or_default().to_string());
                 self.names.len() - 1
             }) as u64
         };
         let (zone, kind) = (name_id(at(1)), name_id(at(2)));
         Ok(Entry {
-            server: ServerId(whole(at(0), "Server")?),
+            server: ServerId(integer(at(0), "Server")?),
             zone,
-            cell: if at(3).is_null() { 0 } else { whole(at(3), "Cluster")? },
+            cell: if at(3).is_null() { 0 } else { integer(at(3), "Cluster")? },
             kind,
             state: match text(at(4), "Condition")? {
                 "on" => Listed::Up,
@@ -157,8 +157,8 @@
                 "off" => Listed::Gone,
                 other => return Err(format!("Condition: {other} is unknown")),
             },
-            weight: optional(at(5), "Weight")?.unwrap_or(1.0),
-            started: optional(at(6), "LastStart")?.filter(|t| *t != 0.0),
+            weight: optional_number(at(5), "Weight")?.unwrap_or(1.0),
+            started: optional_number(at(6), "LastStart")?.filter(|t| *t != 0.0),
         })
     }
 }
@@ -167,8 +167,8 @@
     /// Translates a message to an event; `None` for an unknown message.
     fn event(&self, tables: &BTreeMap<u64, Vec<Entry>>, input: &[Value]) -> Result<Option<Event>, WireError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
-        let id = || whole(at(1), "Corr").map(RequestId);
-        let attempt = || whole(at(2), "Try").map(|n| n as usize);
+        let id = || integer(at(1), "Corr").map(RequestId);
+        let attempt = || integer(at(2), "Try").map(|n| n as usize);
         // The lowest bit of the flags tells whether the hint is valid.
         let hint = at(6).as_f64().filter(|_| at(7).as_u64().unwrap_or(0) & 1 == 1);
         Ok(Some(match text(at(0), "message")? {
@@ -177,7 +177,7 @@
                 if form == "Error" {
                     return Ok(Some(Event::ListFailed(ListFailure::Unanswered)));
                 }
-                let table = whole(at(3), "Table")?;
+                let table = integer(at(3), "Table")?;
                 let entries =
                     tables.get(&table).ok_or_else(|| format!("Table: {table} was not given"))?.clone();
                 match form {
@@ -188,8 +188,8 @@
             }
             "SUBMIT" => Event::Request {
                 id: id()?,
-                class: index(&self.classes, at(2)).ok_or_else(|| "Band: unknown".to_string())?,
-                tenant: index(&self.tenants, at(3)),
+                class: index_of(&self.classes, at(2)).ok_or_else(|| "Band: unknown".to_string())?,
+                tenant: index_of(&self.tenants, at(3)),
                 deadline: number(at(5), "DropDead")?,
                 repeat_key: hint.map(|hint| repeat_key(input, hint)),
                 work: hint,
@@ -200,13 +200,13 @@
             "RESPONSE" => Event::Ended {
                 id: id()?,
                 attempt: attempt()?,
-                server: ServerId(whole(at(3), "Server")?),
+                server: ServerId(integer(at(3), "Server")?),
                 outcome: read_outcome(text(at(4), "Outcome")?)?,
                 took: number(at(5), "Rtt")?,
                 finished: at(6).as_bool().ok_or("Terminal: true or false expected")?,
             },
             "STATUS_BACK" => Event::Probed {
-                server: ServerId(whole(at(1), "Server")?),
+                server: ServerId(integer(at(1), "Server")?),
                 outcome: read_outcome(text(at(2), "Outcome")?)?,
                 took: number(at(3), "Rtt")?,
             },
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -24,7 +24,7 @@
 }
 
 fn reply(host: &mut Host, round: u64, time: f64, parts: Value) -> Value {
-    let line = host.line(&batch(round, time, parts)).expect("a reply");
+    let line = host.process_batch(&batch(round, time, parts)).expect("a reply");
     let value: Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(value["round"], round);
     value["parts"].clone()
@@ -133,7 +133,7 @@
         (no_me, "Me is missing"),
         (no_classes, "no classes"),
     ] {
-        let error = Host::default().line(&line).expect_err(message);
+        let error = Host::default().process_batch(&line).expect_err(message);
         assert!(error.contains(message), "{error}");
     }
 }
