--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -134,8 +134,8 @@
 }
 
 /// Guards against an overloaded cold server in large deployments: with a minimum of one send per window and
-/// node, a hundred nodes that are notified of a cold server at once overload it, although each keeps to its
-/// own budget.
+/// node, about a hundred nodes that are notified of a cold server at once overload it, although each keeps to
+/// its own budget.
 #[test]
 fn many_nodes_together_do_not_overload_a_cold_server() {
     const NODES: usize = 200;
