--- a/crates/node/src/configuration/table.rs
+++ b/crates/node/src/configuration/table.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// The field and the reason.
-    pub fn take(mut f: Fields) -> Result<Self, String> {
+    pub fn from_fields(mut f: Fields) -> Result<Self, String> {
         let addresses = |value: Value| {
             let address = |value: &Value| value.as_str()?.parse().ok();
             value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>()
--- a/crates/node/src/custody/attempts.rs
+++ b/crates/node/src/custody/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of guarded works: each waits here until its intent is written.
+//! Attempts of guarded works: each is delayed until its intent is written.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -7,13 +7,13 @@
 use glenwood_custody::Ticket;
 use glenwood_policy::{Outcome, ServerId};
 
-use super::{place, Custody, Held, Meant};
+use super::{call_address, Custody, LocalWork, PendingAttempt};
 use crate::call::Call;
 
 impl Custody {
-    /// An attempt is to be started: its intent is written first, where its request is guarded.
+    /// Starts an attempt. Where its request is guarded, the intent is written first.
     pub(super) fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
-        let ticket = self.calls.borrow().get(&place(&call)).copied();
+        let ticket = self.calls.borrow().get(&call_address(&call)).copied();
         let ticket = ticket.filter(|ticket| self.coordinator.borrow().work(*ticket).is_some());
         let Some(ticket) = ticket else {
             if let Some(inner) = self.inner.get() {
@@ -21,57 +21,61 @@
             }
             return;
         };
-        if let Some(held) = self.held.borrow_mut().get_mut(&ticket) {
-            held.meant.push_back(Meant { attempt, server, end, call, asked: false });
+        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+            local.pending.push_back(PendingAttempt { attempt, server, end, call, intent_requested: false });
         }
-        self.mean(ticket);
-        self.move_on();
+        self.request_next_intent(ticket);
+        self.pump_and_notify();
     }
 
-    /// Has the coordinator write the next intent, where it writes none.
-    pub(super) fn mean(&self, ticket: Ticket) {
+    /// Has the coordinator write the next intent, unless it is writing one.
+    pub(super) fn request_next_intent(&self, ticket: Ticket) {
         let next = {
-            let mut all = self.held.borrow_mut();
-            let Some(held) = all.get_mut(&ticket) else { return };
-            match held.meant.front_mut() {
-                Some(meant) if !meant.asked => {
-                    meant.asked = true;
-                    (meant.attempt, meant.server)
+            let mut all = self.local.borrow_mut();
+            let Some(local) = all.get_mut(&ticket) else { return };
+            match local.pending.front_mut() {
+                Some(pending) if !pending.intent_requested => {
+                    pending.intent_requested = true;
+                    (pending.attempt, pending.server)
                 }
                 _ => return,
             }
         };
         let (zone, cell) = self.hub.home(next.1).unwrap_or_default();
         let number = self.coordinator.borrow_mut().intend(self.now(), ticket, next.1 .0, zone, cell);
-        if let (Some(number), Some(held)) = (number, self.held.borrow_mut().get_mut(&ticket)) {
-            held.numbers.insert(next.0, number);
+        if let (Some(number), Some(local)) = (number, self.local.borrow_mut().get_mut(&ticket)) {
+            local.numbers.insert(next.0, number);
         }
     }
 
-    /// The attempt whose intent the coordinator was writing.
-    pub(super) fn next_meant(&self, ticket: Ticket) -> Option<Meant> {
-        let mut all = self.held.borrow_mut();
-        let meant = &mut all.get_mut(&ticket)?.meant;
-        if meant.front().is_some_and(|meant| meant.asked) {
-            meant.pop_front()
+    /// Removes and returns the attempt whose intent the coordinator was writing.
+    pub(super) fn take_pending(&self, ticket: Ticket) -> Option<PendingAttempt> {
+        let mut all = self.local.borrow_mut();
+        let pending = &mut all.get_mut(&ticket)?.pending;
+        if pending.front().is_some_and(|pending| pending.intent_requested) {
+            pending.pop_front()
         } else {
             None
         }
     }
 
-    /// Does an attempt wait here for its intent to be written?
-    pub(super) fn means(&self, attempt: AttemptId) -> bool {
-        self.held.borrow().values().any(|held| held.meant.iter().any(|meant| meant.attempt == attempt))
+    /// Does the attempt wait for its intent to be written?
+    pub(super) fn is_pending(&self, attempt: AttemptId) -> bool {
+        self.local
+            .borrow()
+            .values()
+            .any(|local| local.pending.iter().any(|pending| pending.attempt == attempt))
     }
 
-    /// An attempt is given up; `false` where it is not waiting here.
+    /// Abandons an attempt; `false` where it does not wait here.
     pub(super) fn abandon(&self, attempt: AttemptId) -> bool {
         let found = {
-            let mut all = self.held.borrow_mut();
-            let at = |held: &Held| held.meant.iter().position(|meant| meant.attempt == attempt);
-            let found = all.iter().find_map(|(ticket, held)| Some((*ticket, at(held)?)));
+            let mut all = self.local.borrow_mut();
+            let position =
+                |local: &LocalWork| local.pending.iter().position(|pending| pending.attempt == attempt);
+            let found = all.iter().find_map(|(ticket, local)| Some((*ticket, position(local)?)));
             if let Some((ticket, n)) = found {
-                all.get_mut(&ticket).into_iter().for_each(|held| drop(held.meant.remove(n)));
+                all.get_mut(&ticket).into_iter().for_each(|local| drop(local.pending.remove(n)));
             }
             found
         };
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -1,4 +1,5 @@
-//! A request and an answer as bytes that keepers have, and what a request is to others that are equal to it.
+//! Serialized form of requests and answers as the keepers store them, and the digest by which equal
+//! requests are recognized.
 
 use bytes::Bytes;
 use glenwood_core::Token;
@@ -11,17 +12,17 @@
 
 use crate::call::{Call, Content, Reply, Via, ESTIMATE};
 
-/// The mark of a client's repeat.
+/// The header that marks a client's repeat.
 pub const RESENT: HeaderName = HeaderName::from_static("x-resent");
 const LABELS: HeaderName = HeaderName::from_static("x-labels");
 
-/// Is it marked as a client's repeat?
+/// Is the request marked as a client's repeat?
 pub fn is_marked(call: &Call) -> bool {
     matches!(&call.via, Via::Http(headers) if headers.get(RESENT).is_some_and(|v| v.as_bytes() == b"1"))
 }
 
-/// A digest of what is asked for and by whom: tenant and key; without a key, all that the node can see but the id and what the
-/// protocol gives to each try.
+/// A digest of what is requested and by whom. With a key: tenant, class and key. Without one: everything
+/// that the node can see, except the id and the fields that the protocol changes digest each try.
 pub fn slot(call: &Call) -> (u64, u64) {
     let tenant = call.of.1.as_ref().map_or("", |tenant| &*tenant.name);
     let class = &*call.of.0.name;
@@ -31,10 +32,10 @@
         Via::Http(headers) => headers.get(name).map_or(empty, |value| value.as_bytes()),
         Via::Rpc { .. } => empty,
     };
-    let mut words: Vec<&[u8]> = vec![tenant.as_bytes(), class.as_bytes()];
+    let mut parts: Vec<&[u8]> = vec![tenant.as_bytes(), class.as_bytes()];
     if let Some(key) = &call.key {
-        words.push(b"key");
-        words.push(key.as_str().as_bytes());
+        parts.push(b"key");
+        parts.push(key.as_str().as_bytes());
     } else {
         let target = call.target.path_and_query().map_or("", |p| p.as_str());
         let user = match &call.via {
@@ -42,27 +43,27 @@
             Via::Rpc { user, .. } => user.as_deref().unwrap_or_default().as_bytes(),
         };
         body = call.body.whole().to_vec();
-        words.extend([&b"all"[..], target.as_bytes(), user, header(&ESTIMATE), header(&LABELS), &body]);
+        parts.extend([&b"all"[..], target.as_bytes(), user, header(&ESTIMATE), header(&LABELS), &body]);
     }
-    let with = |salt: &'static [u8]| {
+    let digest = |salt: &'static [u8]| {
         let mut all = vec![salt];
-        all.extend(&words);
+        all.extend(&parts);
         number_of(&all)
     };
-    (with(b"slot 0"), with(b"slot 1"))
+    (digest(b"slot 0"), digest(b"slot 1"))
 }
 
-/// A number made of the client's id.
+/// A number derived from the client's request id.
 pub fn nonce(call: &Call) -> u64 {
     number_of(&[b"nonce", call.id.as_str().as_bytes()])
 }
 
-fn write_long(out: &mut Vec<u8>, bytes: &[u8]) {
+fn write_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u32).to_be_bytes());
     out.extend(bytes);
 }
 
-fn read_long<'a>(r: &mut Reader<'a>) -> Option<&'a [u8]> {
+fn read_bytes<'a>(r: &mut Reader<'a>) -> Option<&'a [u8]> {
     let length = r.u32()? as usize;
     r.take(length)
 }
@@ -70,8 +71,8 @@
 fn write_headers(out: &mut Vec<u8>, headers: &HeaderMap) {
     out.extend((headers.len() as u16).to_be_bytes());
     for (name, value) in headers {
-        write_long(out, name.as_str().as_bytes());
-        write_long(out, value.as_bytes());
+        write_bytes(out, name.as_str().as_bytes());
+        write_bytes(out, value.as_bytes());
     }
 }
 
@@ -79,22 +80,22 @@
     let count = r.u16()?;
     let mut headers = HeaderMap::new();
     for _ in 0..count {
-        let name = HeaderName::from_bytes(read_long(r)?).ok()?;
-        headers.append(name, HeaderValue::from_bytes(read_long(r)?).ok()?);
+        let name = HeaderName::from_bytes(read_bytes(r)?).ok()?;
+        headers.append(name, HeaderValue::from_bytes(read_bytes(r)?).ok()?);
     }
     Some(headers)
 }
 
-/// A request as bytes; `None` where its body is still coming.
+/// Serializes a request; `None` where its body is still being received.
 pub fn write_call(call: &Call) -> Option<Bytes> {
     if call.rest.is_some() {
         return None;
     }
     let mut out = Vec::with_capacity(512 + call.body.len());
-    write_long(&mut out, call.id.as_str().as_bytes());
-    write_long(&mut out, call.key.as_ref().map_or("", |key| key.as_str()).as_bytes());
-    write_long(&mut out, call.of.1.as_ref().map_or("", |tenant| &*tenant.name).as_bytes());
-    write_long(&mut out, call.target.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
+    write_bytes(&mut out, call.id.as_str().as_bytes());
+    write_bytes(&mut out, call.key.as_ref().map_or("", |key| key.as_str()).as_bytes());
+    write_bytes(&mut out, call.of.1.as_ref().map_or("", |tenant| &*tenant.name).as_bytes());
+    write_bytes(&mut out, call.target.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
     match &call.via {
         Via::Http(headers) => {
             out.push(0);
@@ -102,15 +103,16 @@
         }
         Via::Rpc { org, user } => {
             out.push(1);
-            write_long(&mut out, org.as_deref().unwrap_or_default().as_bytes());
-            write_long(&mut out, user.as_deref().unwrap_or_default().as_bytes());
+            write_bytes(&mut out, org.as_deref().unwrap_or_default().as_bytes());
+            write_bytes(&mut out, user.as_deref().unwrap_or_default().as_bytes());
         }
     }
-    write_long(&mut out, &call.body.whole());
+    write_bytes(&mut out, &call.body.whole());
     Some(Bytes::from(out))
 }
 
-/// Reads a request that another node wrote. `class` and `tenant` find what the settings here have by those names.
+/// Parses a request that another node serialized. `tenant` looks up a tenant by name in this node's
+/// settings; `class` is the class in these settings.
 pub fn read_call(
     bytes: &[u8],
     class: Place,
@@ -120,22 +122,22 @@
 ) -> Option<Call> {
     let mut r = Reader::new(bytes);
     let text = |bytes| std::str::from_utf8(bytes).ok();
-    let id = Token::new(text(read_long(&mut r)?)?).ok()?;
-    let key = Some(text(read_long(&mut r)?)?).filter(|key| !key.is_empty());
+    let id = Token::new(text(read_bytes(&mut r)?)?).ok()?;
+    let key = Some(text(read_bytes(&mut r)?)?).filter(|key| !key.is_empty());
     let key = key.map(Token::new).transpose().ok()?;
-    let tenant = Some(text(read_long(&mut r)?)?).filter(|name| !name.is_empty()).and_then(tenant);
-    let target: Uri = std::str::from_utf8(read_long(&mut r)?).ok()?.parse().ok()?;
+    let tenant = Some(text(read_bytes(&mut r)?)?).filter(|name| !name.is_empty()).and_then(tenant);
+    let target: Uri = std::str::from_utf8(read_bytes(&mut r)?).ok()?.parse().ok()?;
     let via = match r.u8()? {
         0 => Via::Http(read_headers(&mut r)?),
         _ => {
-            let mut word = || {
-                let text = std::str::from_utf8(read_long(&mut r)?).ok()?;
+            let mut optional_text = || {
+                let text = std::str::from_utf8(read_bytes(&mut r)?).ok()?;
                 Some(Some(text).filter(|text| !text.is_empty()).map(Box::from))
             };
-            Via::Rpc { org: word()?, user: word()? }
+            Via::Rpc { org: optional_text()?, user: optional_text()? }
         }
     };
-    let body = Bytes::copy_from_slice(read_long(&mut r)?);
+    let body = Bytes::copy_from_slice(read_bytes(&mut r)?);
     let method = if effect == Effect::Safe { Method::GET } else { Method::POST };
     r.is_empty().then_some(Call {
         of: (class, tenant),
@@ -150,19 +152,19 @@
     })
 }
 
-/// An answer as bytes; `None` where more of it is to come.
+/// Serializes an answer; `None` where more of its body is to come.
 pub fn write_reply(reply: &Reply) -> Option<Bytes> {
     let Content::Whole(body) = &reply.body else { return None };
     let mut out = Vec::with_capacity(256 + body.len());
     write_headers(&mut out, &reply.headers);
-    write_long(&mut out, body);
+    write_bytes(&mut out, body);
     Some(Bytes::from(out))
 }
 
-/// Reads an answer.
+/// Parses an answer.
 pub fn read_reply(bytes: &[u8]) -> Option<Reply> {
     let mut r = Reader::new(bytes);
     let headers = read_headers(&mut r)?;
-    let body = Bytes::copy_from_slice(read_long(&mut r)?);
+    let body = Bytes::copy_from_slice(read_bytes(&mut r)?);
     r.is_empty().then_some(Reply { headers, body: Content::Whole(body) })
 }
--- a/crates/node/src/custody/guard.rs
+++ b/crates/node/src/custody/guard.rs
@@ -1,4 +1,4 @@
-//! What the core wants done, by way of custody: an attempt begins once its intent is written.
+//! The core's actions by way of custody: an attempt starts once its intent is written.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,14 +10,14 @@
 use crate::call::Call;
 use crate::hub::Outside;
 
-/// Stands between the hub and whoever does what it wants done.
+/// Passes the hub's actions on to `inner`, except the attempts that custody delays.
 pub struct Guarded {
     custody: Rc<Custody>,
     inner: Rc<dyn Outside>,
 }
 
 impl Guarded {
-    /// Before this one.
+    /// Wraps `inner`.
     pub fn new(custody: Rc<Custody>, inner: Rc<dyn Outside>) -> Rc<Self> {
         let _ = custody.inner.set(inner.clone());
         Rc::new(Self { custody, inner })
@@ -36,7 +36,7 @@
     }
 
     fn unsent(&self, attempt: AttemptId) -> bool {
-        self.custody.means(attempt) || self.inner.unsent(attempt)
+        self.custody.is_pending(attempt) || self.inner.unsent(attempt)
     }
 
     fn probe(&self, server: ServerId) {
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -1,5 +1,6 @@
-//! Work in hand that survives the loss of its node: the sockets round `glenwood-custody`, who asks it before the core and before a
-//! send, and who takes up what a lost node had.
+//! Custody: work in progress that survives the loss of its node. This module connects `glenwood-custody` to
+//! the sockets and the hub: requests pass it before the core, attempts pass it before they are sent, and it
+//! takes over the work of lost nodes.
 
 mod attempts;
 mod form;
@@ -28,83 +29,83 @@
 use tokio::sync::Notify;
 
 pub use guard::Guarded;
-pub use table::{Alone, Table};
+pub use table::{NoMajorityRule, Table};
 
 use crate::call::{Call, Reply};
 use crate::config::Config;
 use crate::hub::{Gate, Hub, Outside, Waiter};
 use crate::identity;
-use crate::members::{Follows, Membership};
+use crate::members::{Membership, MembershipObserver};
 
-/// The most works that a coordinator has to do with at a time.
-const WORKS_MOST: usize = 65_536;
-/// Time that a work needs at the least to be taken up for nobody.
-const LEAST_LEFT_MS: u64 = 30;
+/// The most works that a coordinator handles at a time.
+const MAX_WORKS: usize = 65_536;
+/// The least remaining client time for which an orphaned work is still taken over.
+const MIN_ADOPTABLE_REMAINING_MS: u64 = 30;
 
-/// What was counted beside the coordinator and the keeper.
+/// Counters beyond those of the coordinator and the keeper.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 struct Counts {
-    /// Requests of classes that are guarded.
+    /// Requests of guarded classes.
     guarded: u64,
-    /// Those that went on without a majority.
+    /// Guarded requests that were served although no majority of keepers replied.
     unguarded: u64,
-    /// Those that were refused without one.
+    /// Guarded requests that were refused because no majority of keepers replied.
     refused: u64,
-    /// Those that were answered with another's verdict.
+    /// Requests answered with the verdict of an equal request.
     shared: u64,
-    /// Those that were not sent, as an equal one is under way or several may be meant.
+    /// Requests that were not sent because an equal one is in progress or several candidates match.
     doubtful: u64,
-    /// Answers that were too long to be kept.
+    /// Answers that were too long for the keepers to store.
     long: u64,
-    /// Datagrams turned down: not made with the secret, of another roster, or too old.
+    /// Datagrams rejected because their signature or format is invalid.
     forged: u64,
     /// See `forged`.
     other_epoch: u64,
     /// See `forged`.
     stale: u64,
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     sent: u64,
     /// See `sent`.
     sent_bytes: u64,
 }
 
-/// A client that waits.
+/// A client that waits for the answer to a work.
 struct Waiting {
     number: u64,
     waiter: Waiter,
-    /// When it is told that no answer came in time.
+    /// When it is answered that no answer came in time.
     until: u64,
 }
 
 /// An attempt that waits for its intent to be written.
-struct Meant {
+struct PendingAttempt {
     attempt: AttemptId,
     server: ServerId,
     end: std::time::Instant,
     call: Rc<Call>,
-    /// It is the one that the coordinator writes now.
-    asked: bool,
+    /// The coordinator is writing its intent now.
+    intent_requested: bool,
 }
 
-/// A work that this node has to do with.
-struct Held {
+/// A work that this node takes part in, as its holder or on behalf of waiting clients.
+struct LocalWork {
     incoming: Option<Incoming<Rc<Call>>>,
     class: usize,
-    /// The class by name.
+    /// The name of the class.
     name: String,
     waiting: Vec<Waiting>,
-    /// The core's request, while it has one.
+    /// The core's request, while the core works on it.
     request: Option<RequestId>,
-    /// The core has had it here.
-    mine: bool,
-    /// A lost node's, taken over with no client of it here.
+    /// This node's core has had the request.
+    submitted: bool,
+    /// Taken over from a lost node; no client of it is connected here.
     adopted: bool,
-    meant: VecDeque<Meant>,
-    /// The numbers of attempts among those of all holders.
+    pending: VecDeque<PendingAttempt>,
+    /// Number of each attempt in the work's record, which counts the attempts of all holders.
     numbers: HashMap<AttemptId, usize>,
 }
 
-/// Custody at this node.
+/// Guards the requests of this node and keeps records for other nodes.
 pub struct Custody {
     table: Table,
     hub: Rc<Hub>,
@@ -114,33 +115,34 @@
     secret: Secret,
     coordinator: RefCell<Coordinator>,
     keeper: RefCell<Keeper>,
-    held: RefCell<HashMap<Ticket, Held>>,
-    /// Which work a call is of, by where the call is: its request has no number before the core has it.
+    local: RefCell<HashMap<Ticket, LocalWork>>,
+    /// The ticket of each call, by the call's address in memory: a call has no request number until the
+    /// core has taken it.
     calls: RefCell<HashMap<usize, Ticket>>,
-    /// Which ticket a client waits by.
+    /// The ticket of each waiting client, by the number given to the front.
     numbers: RefCell<BTreeMap<u64, Ticket>>,
-    last: Cell<u64>,
-    /// Since when a work's holder has been lost, as this keeper knows.
+    last_number: Cell<u64>,
+    /// When this keeper first saw that the holder of a work was lost.
     orphans: RefCell<HashMap<Work, u64>>,
     next_orphans: Cell<u64>,
     socket: OnceCell<UdpSocket>,
     inner: OnceCell<Rc<dyn Outside>>,
-    /// Itself, for what is told to it later.
-    own: Weak<Self>,
+    /// Reference to itself, for callbacks.
+    weak_self: Weak<Self>,
     counts: RefCell<Counts>,
-    moving: Cell<bool>,
+    pumping: Cell<bool>,
     changed: Notify,
 }
 
-fn place(call: &Rc<Call>) -> usize {
+fn call_address(call: &Rc<Call>) -> usize {
     Rc::as_ptr(call) as usize
 }
 
 impl Custody {
-    /// What the configuration says of it; `None` where it is off.
+    /// Creates custody from the configuration; `None` where it is off.
     ///
     /// # Errors
-    /// One line: field and reason.
+    /// One line with the field and the reason.
     pub fn new(hub: &Rc<Hub>, membership: Option<&Rc<Membership>>) -> Result<Option<Rc<Self>>, String> {
         let config: &Config = &hub.config;
         let Some(table) = config.operator.custody.clone() else { return Ok(None) };
@@ -154,41 +156,47 @@
             ));
         }
         let known = hub.settings().classes.clone();
-        let named = table.alone.keys().chain(&table.without);
+        let named = table.no_majority_rules.keys().chain(&table.unguarded_classes);
         if let Some(class) = named.into_iter().find(|class| !known.contains(class)) {
-            return Err(format!("custody: there is no class {class:?}"));
+            return Err(format!("custody: class {class:?} does not exist in the settings"));
         }
         let secret = identity::secret("members", &members_table.secret)?;
         let me = Life { node: table::node_id(&config.name), life: membership.life() };
         let now = hub.clock.now() as u64;
-        let set = coordinator::Settings {
+        let coordinator_settings = coordinator::Settings {
             patience_ms: table.patience_ms,
             resend_ms: table.resend_ms,
             poll_ms: table.poll_ms,
             life_ms: table.life_ms,
-            most: WORKS_MOST,
+            most: MAX_WORKS,
         };
-        let kept = keeper::Settings {
+        let keeper_settings = keeper::Settings {
             life_ms: table.life_ms,
             works_most: table.works_most,
             bytes_most: table.memory_mb << 20,
         };
-        Ok(Some(Rc::new_cyclic(|own| Self {
-            own: own.clone(),
+        Ok(Some(Rc::new_cyclic(|weak| Self {
+            weak_self: weak.clone(),
             cluster: wire::cluster_number(&members_table.cluster),
             secret,
-            coordinator: RefCell::new(Coordinator::new(set, me, table.rosters.clone(), me.life, now)),
-            keeper: RefCell::new(Keeper::new(kept, now)),
-            held: RefCell::default(),
+            coordinator: RefCell::new(Coordinator::new(
+                coordinator_settings,
+                me,
+                table.rosters.clone(),
+                me.life,
+                now,
+            )),
+            keeper: RefCell::new(Keeper::new(keeper_settings, now)),
+            local: RefCell::default(),
             calls: RefCell::default(),
             numbers: RefCell::default(),
-            last: Cell::new(0),
+            last_number: Cell::new(0),
             orphans: RefCell::default(),
             next_orphans: Cell::new(now),
             socket: OnceCell::new(),
             inner: OnceCell::new(),
             counts: RefCell::default(),
-            moving: Cell::new(false),
+            pumping: Cell::new(false),
             changed: Notify::new(),
             table,
             hub: hub.clone(),
@@ -205,89 +213,93 @@
         change(&mut self.counts.borrow_mut());
     }
 
-    // ---- What the coordinator says ----
+    // ---- Events of the coordinator ----
 
-    /// The same for who is not [`Custody::run`], which looks anew at what is due then.
-    fn move_on(&self) {
+    /// As [`Custody::pump`], for callers other than [`Custody::run`]: also wakes that loop, so that it
+    /// computes its next timeout anew.
+    fn pump_and_notify(&self) {
         self.pump();
         self.changed.notify_one();
     }
 
-    /// Sends what is to be sent and does what has happened, until there is nothing more.
+    /// Sends pending messages and handles events until there are none left.
     fn pump(&self) {
-        if self.moving.replace(true) {
+        if self.pumping.replace(true) {
             return;
         }
         loop {
             self.transmit();
             let event = self.coordinator.borrow_mut().poll_event();
             let Some(event) = event else { break };
-            self.happened(event);
+            self.handle_event(event);
         }
-        self.moving.set(false);
+        self.pumping.set(false);
     }
 
-    fn happened(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         match event {
             Event::Yours { ticket, earlier, adopted } => {
-                // Whoever asked may have left while it was found out whose it is: then it is not begun.
-                let asked = |held: &mut Held| held.incoming.take().filter(|_| !held.waiting.is_empty());
-                let incoming = self.held.borrow_mut().get_mut(&ticket).and_then(asked);
+                // The client may have left while the holder was looked up: the request is not started
+                // then.
+                let take_incoming =
+                    |local: &mut LocalWork| local.incoming.take().filter(|_| !local.waiting.is_empty());
+                let incoming = self.local.borrow_mut().get_mut(&ticket).and_then(take_incoming);
                 match incoming {
                     Some(incoming) => {
-                        let earlier = adopted.then(|| self.earlier(&earlier));
-                        self.hand_over(ticket, Incoming { earlier, ..incoming });
+                        let earlier = adopted.then(|| self.earlier_attempts(&earlier));
+                        self.submit_to_core(ticket, Incoming { earlier, ..incoming });
                     }
-                    // It had it before, and whoever waits has been answered, or is answered by what comes now.
-                    None => self.let_go(ticket),
+                    // The request was submitted before: the clients have been answered, or get the answer
+                    // that comes now.
+                    None => self.release_work(ticket),
                 }
             }
             Event::Adopt { ticket, earlier, about, body, remaining_ms } => {
-                let earlier = self.earlier(&earlier);
-                match self.read(&about, &body, remaining_ms) {
+                let earlier = self.earlier_attempts(&earlier);
+                match self.decode_request(&about, &body, remaining_ms) {
                     Some(incoming) => {
                         let name = about.class.clone();
-                        let held = Held { adopted: true, ..Held::new(incoming.class, name, None) };
-                        self.held.borrow_mut().insert(ticket, held);
-                        self.hand_over(ticket, Incoming { earlier: Some(earlier), ..incoming });
+                        let local = LocalWork { adopted: true, ..LocalWork::new(incoming.class, name, None) };
+                        self.local.borrow_mut().insert(ticket, local);
+                        self.submit_to_core(ticket, Incoming { earlier: Some(earlier), ..incoming });
                     }
-                    None => self.let_go(ticket),
+                    None => self.release_work(ticket),
                 }
             }
             Event::Go(ticket) => {
-                let meant = self.next_meant(ticket);
-                // Where there is none it was given up meanwhile, and is not sent.
-                if let (Some(meant), Some(inner)) = (meant, self.inner.get()) {
-                    inner.start(meant.attempt, meant.server, meant.end, meant.call);
+                let pending = self.take_pending(ticket);
+                // Where there is none, the attempt was abandoned meanwhile and is not sent.
+                if let (Some(pending), Some(inner)) = (pending, self.inner.get()) {
+                    inner.start(pending.attempt, pending.server, pending.end, pending.call);
                 }
-                self.mean(ticket);
+                self.request_next_intent(ticket);
             }
             Event::Denied(ticket) => {
-                if let Some(meant) = self.next_meant(ticket) {
-                    self.hub.attempt_ended(meant.attempt, glenwood_core::Ended::Without(Outcome::NotSent));
+                if let Some(pending) = self.take_pending(ticket) {
+                    self.hub.attempt_ended(pending.attempt, glenwood_core::Ended::Without(Outcome::NotSent));
                 }
-                self.mean(ticket);
+                self.request_next_intent(ticket);
             }
-            Event::Verdict(ticket, verdict, bytes) => self.verdict(ticket, verdict, bytes.as_ref()),
+            Event::Verdict(ticket, verdict, bytes) => self.on_verdict(ticket, verdict, bytes.as_ref()),
             Event::Unkept(ticket) => self.answer(ticket, &|| Final::Overdue),
-            Event::Unknown(ticket) => self.unknown(ticket),
+            Event::Unknown(ticket) => self.on_no_majority(ticket),
             Event::Twin(ticket) | Event::Ambiguous(ticket) => {
                 self.count(|counts| counts.doubtful += 1);
                 self.answer(ticket, &|| Final::Failed);
-                self.drop_held(ticket);
+                self.drop_local(ticket);
             }
-            Event::Same(ticket, other) => self.join(ticket, other),
+            Event::Same(ticket, other) => self.merge_waiters(ticket, other),
             Event::Over(ticket) => {
-                let open = self.held.borrow().get(&ticket).is_some_and(|held| held.request.is_some());
+                let open = self.local.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
                 if !open {
                     self.answer(ticket, &|| Final::Overdue);
-                    self.drop_held(ticket);
+                    self.drop_local(ticket);
                 }
             }
         }
     }
 
-    fn earlier(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
+    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
         let now = self.hub.clock.now();
         let one = |(sent, ago): &(Sent, u64)| Earlier {
             server: ServerId(sent.server),
@@ -299,14 +311,14 @@
         earlier.iter().map(one).collect()
     }
 
-    /// A request that a lost node had, for as much of its client's time as is left.
-    fn read(
+    /// Decodes the request of a lost node; its deadline is what remains of its client's time.
+    fn decode_request(
         &self,
         about: &glenwood_custody::About,
         body: &Bytes,
         remaining_ms: u64,
     ) -> Option<Incoming<Rc<Call>>> {
-        if remaining_ms < LEAST_LEFT_MS || self.hub.stopping.get().is_some() {
+        if remaining_ms < MIN_ADOPTABLE_REMAINING_MS || self.hub.stopping.get().is_some() {
             return None;
         }
         let class = self.hub.class(&about.class)?;
@@ -334,62 +346,64 @@
         })
     }
 
-    /// Hands a work to the module.
-    fn hand_over(&self, ticket: Ticket, incoming: Incoming<Rc<Call>>) {
-        let (at, class) = (place(&incoming.payload), incoming.class);
-        self.held.borrow_mut().get_mut(&ticket).into_iter().for_each(|held| held.mine = true);
+    /// Submits a work to the core.
+    fn submit_to_core(&self, ticket: Ticket, incoming: Incoming<Rc<Call>>) {
+        let (at, class) = (call_address(&incoming.payload), incoming.class);
+        self.local.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
         self.calls.borrow_mut().insert(at, ticket);
-        let Some(own) = self.own.upgrade() else { return };
-        let taken = self.hub.request(incoming, Box::new(move |last| own.ended(ticket, at, last)));
+        let Some(this) = self.weak_self.upgrade() else { return };
+        let taken =
+            self.hub.request(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
         match taken {
             Ok(request) => {
-                if let Some(held) = self.held.borrow_mut().get_mut(&ticket) {
-                    // It may have been answered meanwhile: then it is nobody's number.
+                if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+                    // The request may have been answered already; its number is of no use then.
                     if self.calls.borrow().contains_key(&at) {
-                        held.request = Some(request);
+                        local.request = Some(request);
                     }
                 }
             }
-            Err(not) => {
+            Err(rejection) => {
                 self.calls.borrow_mut().remove(&at);
                 let stay_away = self.hub.stay_away(class);
-                let refused = matches!(not, glenwood_core::NotTaken::NoRoom { .. });
-                self.let_go(ticket);
+                let refused = matches!(rejection, glenwood_core::NotTaken::NoRoom { .. });
+                self.release_work(ticket);
                 self.answer(ticket, &|| if refused { Final::Refused { stay_away } } else { Final::Rejected });
             }
         }
     }
 
-    fn let_go(&self, ticket: Ticket) {
+    fn release_work(&self, ticket: Ticket) {
         self.coordinator.borrow_mut().conclude(self.now(), ticket, Conclusion::LetGo);
     }
 
-    /// The core's final answer for a work. What is served is kept before anybody is told; what is given up on is said at once.
-    fn ended(&self, ticket: Ticket, at: usize, last: Final<Reply>) {
+    /// Handles the core's final answer for a work. A served answer is stored by the keepers before any
+    /// client gets it; other outcomes are answered at once.
+    fn on_final_answer(&self, ticket: Ticket, at: usize, final_answer: Final<Reply>) {
         self.calls.borrow_mut().remove(&at);
         let guarded = self.coordinator.borrow().work(ticket).is_some();
-        if let Some(held) = self.held.borrow_mut().get_mut(&ticket) {
-            held.request = None;
-            held.numbers.clear();
+        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+            local.request = None;
+            local.numbers.clear();
         }
         if guarded && !self.coordinator.borrow().holds(ticket) {
-            // Another has it by now: whoever waits here hears what it comes to there.
-            return self.move_on();
+            // Another node holds it by now; clients that wait here get the verdict of that node.
+            return self.pump_and_notify();
         }
         let now = self.now();
-        match last {
+        match final_answer {
             Final::Served(reply) => match form::write_reply(&reply) {
                 Some(bytes) if guarded => {
                     self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Served(Some(bytes)));
                 }
                 Some(bytes) => {
                     self.answer(ticket, &|| form::read_reply(&bytes).map_or(Final::Failed, Final::Served));
-                    self.drop_held(ticket);
+                    self.drop_local(ticket);
                 }
                 None => {
-                    // Its first client has it as it comes; nobody else can.
+                    // The body is streamed to the first client, so no other client can get it.
                     self.count(|counts| counts.long += 1);
-                    let first = self.first_waiter(ticket);
+                    let first = self.take_first_waiter(ticket);
                     self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Served(None));
                     if let Some(waiter) = first {
                         waiter(Final::Served(reply));
@@ -402,33 +416,33 @@
             }
             Final::Rejected => self.answer(ticket, &|| Final::Rejected),
             Final::Refused { stay_away } => {
-                self.let_go(ticket);
+                self.release_work(ticket);
                 self.answer(ticket, &|| Final::Refused { stay_away });
             }
             Final::Failed => {
-                self.let_go(ticket);
+                self.release_work(ticket);
                 self.answer(ticket, &|| Final::Failed);
             }
             Final::Overdue => {
-                self.let_go(ticket);
+                self.release_work(ticket);
                 self.answer(ticket, &|| Final::Overdue);
             }
         }
         if !guarded {
-            self.drop_held(ticket);
+            self.drop_local(ticket);
         }
-        self.move_on();
+        self.pump_and_notify();
     }
 
-    fn verdict(&self, ticket: Ticket, verdict: Verdict, bytes: Option<&Bytes>) {
-        let request = self.held.borrow_mut().get_mut(&ticket).and_then(|held| held.request.take());
-        // Whatever this node still does for it is of no more use.
+    fn on_verdict(&self, ticket: Ticket, verdict: Verdict, bytes: Option<&Bytes>) {
+        let request = self.local.borrow_mut().get_mut(&ticket).and_then(|local| local.request.take());
+        // What this node still does for the request is of no more use.
         request.into_iter().for_each(|request| self.hub.client_gone(request));
-        let others = self.held.borrow().get(&ticket).map_or(0, |held| {
-            // The first who waits for what was done here has its own answer.
-            held.waiting.len().saturating_sub(usize::from(held.mine))
+        let shared = self.local.borrow().get(&ticket).map_or(0, |local| {
+            // The first client of a request that was executed here gets its own answer and is not counted.
+            local.waiting.len().saturating_sub(usize::from(local.submitted))
         });
-        self.count(|counts| counts.shared += others as u64);
+        self.count(|counts| counts.shared += shared as u64);
         self.answer(ticket, &|| match verdict {
             Verdict::Served(_) => {
                 bytes.and_then(|bytes| form::read_reply(bytes)).map_or(Final::Failed, Final::Served)
@@ -436,39 +450,43 @@
             Verdict::Rejected => Final::Rejected,
             Verdict::ServedLong | Verdict::MayHaveRun => Final::Failed,
         });
-        self.drop_held(ticket);
+        self.drop_local(ticket);
     }
 
-    /// No majority told in time who has the work.
-    fn unknown(&self, ticket: Ticket) {
+    /// No majority of keepers reported in time which node holds the work.
+    fn on_no_majority(&self, ticket: Ticket) {
         let Some((class, name, incoming)) =
-            self.held.borrow_mut().get_mut(&ticket).map(|h| (h.class, h.name.clone(), h.incoming.take()))
+            self.local.borrow_mut().get_mut(&ticket).map(|h| (h.class, h.name.clone(), h.incoming.take()))
         else {
             return;
         };
-        match (self.alone(class, &name), incoming) {
-            (Alone::Serve, Some(incoming)) => {
+        match (self.no_majority_rule(class, &name), incoming) {
+            (NoMajorityRule::Serve, Some(incoming)) => {
                 self.count(|counts| counts.unguarded += 1);
-                self.hand_over(ticket, incoming);
+                self.submit_to_core(ticket, incoming);
             }
             _ => {
                 self.count(|counts| counts.refused += 1);
                 let stay_away = self.hub.stay_away(class);
                 self.answer(ticket, &|| Final::Refused { stay_away });
-                self.drop_held(ticket);
+                self.drop_local(ticket);
             }
         }
     }
 
-    /// What becomes of a class without a majority.
-    fn alone(&self, class: usize, name: &str) -> Alone {
+    /// The rule for a class whose keepers give no majority.
+    fn no_majority_rule(&self, class: usize, name: &str) -> NoMajorityRule {
         let effect = self.hub.settings().policy.classes.get(class).map(|class| class.effect);
-        let by_kind = if effect == Some(policy::Effect::Unsafe) { Alone::Refuse } else { Alone::Serve };
-        self.table.alone.get(name).copied().unwrap_or(by_kind)
+        let by_kind = if effect == Some(policy::Effect::Unsafe) {
+            NoMajorityRule::Refuse
+        } else {
+            NoMajorityRule::Serve
+        };
+        self.table.no_majority_rules.get(name).copied().unwrap_or(by_kind)
     }
 }
 
-impl Held {
+impl LocalWork {
     fn new(class: usize, name: String, incoming: Option<Incoming<Rc<Call>>>) -> Self {
         Self {
             incoming,
@@ -476,9 +494,9 @@
             name,
             waiting: Vec::new(),
             request: None,
-            mine: false,
+            submitted: false,
             adopted: false,
-            meant: VecDeque::new(),
+            pending: VecDeque::new(),
             numbers: HashMap::new(),
         }
     }
@@ -501,7 +519,7 @@
             Some(policy::Effect::Keyed { .. }) if call.key.is_some() => Kind::Keyed,
             _ => return Err((incoming, waiter)),
         };
-        if self.table.without.contains(&name) {
+        if self.table.unguarded_classes.contains(&name) {
             return Err((incoming, waiter));
         }
         let now = self.now();
@@ -517,8 +535,8 @@
         let class = incoming.class;
         let asked = self.coordinator.borrow_mut().ask(now, ask);
         let Some((ticket, _)) = asked else {
-            // As without a majority: nothing can be known.
-            if self.alone(class, &name) == Alone::Serve {
+            // The coordinator is full: treated like a missing majority, as nothing is known of the work.
+            if self.no_majority_rule(class, &name) == NoMajorityRule::Serve {
                 self.count(|counts| counts.unguarded += 1);
                 return Err((incoming, waiter));
             }
@@ -526,65 +544,65 @@
             waiter(Final::Refused { stay_away: self.hub.stay_away(class) });
             return Ok(0);
         };
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         self.numbers.borrow_mut().insert(number, ticket);
         {
-            let mut all = self.held.borrow_mut();
-            let held = all.entry(ticket).or_insert_with(|| Held::new(class, name, None));
-            held.incoming = held.incoming.take().or(Some(incoming)).filter(|_| held.request.is_none());
+            let mut all = self.local.borrow_mut();
+            let local = all.entry(ticket).or_insert_with(|| LocalWork::new(class, name, None));
+            local.incoming = local.incoming.take().or(Some(incoming)).filter(|_| local.request.is_none());
             let until = now + (left - GUARD_MARGIN).max(left / 2.0) as u64;
-            held.waiting.push(Waiting { number, waiter, until });
+            local.waiting.push(Waiting { number, waiter, until });
         }
-        self.move_on();
+        self.pump_and_notify();
         Ok(number)
     }
 
-    fn gone(&self, number: u64) {
+    fn on_client_gone(&self, number: u64) {
         let Some(ticket) = self.numbers.borrow_mut().remove(&number) else { return };
-        if let Some(held) = self.held.borrow_mut().get_mut(&ticket) {
-            held.waiting.retain(|waiting| waiting.number != number);
+        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+            local.waiting.retain(|waiting| waiting.number != number);
         }
-        self.nobody_waits(ticket);
+        self.on_waiters_changed(ticket);
     }
 
-    fn ended(&self, attempt: AttemptId, outcome: Outcome) {
+    fn on_attempt_ended(&self, attempt: AttemptId, outcome: Outcome) {
         if !outcome.never_ran() {
             return;
         }
-        let number = |held: &mut Held| held.numbers.remove(&attempt);
+        let number = |local: &mut LocalWork| local.numbers.remove(&attempt);
         let found =
-            self.held.borrow_mut().iter_mut().find_map(|(ticket, held)| Some((*ticket, number(held)?)));
+            self.local.borrow_mut().iter_mut().find_map(|(ticket, local)| Some((*ticket, number(local)?)));
         if let Some((ticket, number)) = found {
             self.coordinator.borrow_mut().never_ran(ticket, number);
         }
     }
 
     fn awaiting(&self) -> usize {
-        self.held.borrow().values().map(|held| held.waiting.len()).sum()
+        self.local.borrow().values().map(|local| local.waiting.len()).sum()
     }
 
     fn fail_all(&self) {
-        let tickets: Vec<Ticket> = self.held.borrow().keys().copied().collect();
+        let tickets: Vec<Ticket> = self.local.borrow().keys().copied().collect();
         tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::Overdue));
     }
 }
 
-impl Follows for Custody {
-    fn happened(&self, event: &members::Event) {
-        let of = |member: &members::Member| Life { node: NodeId(member.id().0), life: member.life };
+impl MembershipObserver for Custody {
+    fn on_member_event(&self, event: &members::Event) {
+        let incarnation = |member: &members::Member| Life { node: NodeId(member.id().0), life: member.life };
         match event {
-            members::Event::Joined(member) => self.coordinator.borrow_mut().life(of(member), true),
+            members::Event::Joined(member) => self.coordinator.borrow_mut().life(incarnation(member), true),
             members::Event::Lost(member) | members::Event::Left(member) => {
-                self.coordinator.borrow_mut().life(of(member), false);
+                self.coordinator.borrow_mut().life(incarnation(member), false);
             }
             _ => return,
         }
         self.changed.notify_one();
     }
 
-    fn datagram(&self, bytes: &[u8], source: SocketAddr) {
-        self.hear(bytes, source);
-        self.move_on();
+    fn on_datagram(&self, bytes: &[u8], source: SocketAddr) {
+        self.receive_datagram(bytes, source);
+        self.pump_and_notify();
     }
 }
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -1,4 +1,4 @@
-//! What custody shows.
+//! Inspection report and metrics of custody.
 
 use glenwood_operation::figures::Figure;
 use serde_json::{json, Value};
@@ -6,8 +6,8 @@
 use super::Custody;
 use crate::inspect::Part;
 
-/// How many works are shown.
-const SHOWN: usize = 1000;
+/// The most works in the report.
+const MAX_REPORTED_WORKS: usize = 1000;
 
 impl Part for Custody {
     fn name(&self) -> &'static str {
@@ -17,10 +17,10 @@
     fn report(&self) -> Value {
         let now = self.now();
         let (coordinator, keeper) = (self.coordinator.borrow(), self.keeper.borrow());
-        let (here, mine) = coordinator.counts();
+        let (known_here, held_here) = coordinator.counts();
         let works: Vec<Value> = keeper
             .all(now)
-            .take(SHOWN)
+            .take(MAX_REPORTED_WORKS)
             .map(|(work, record, age)| {
                 let holder = record.and_then(|record| record.holder);
                 let name = holder.and_then(|life| self.membership.get(glenwood_members::Id(life.node.0)));
@@ -41,8 +41,8 @@
             "epoch": self.table.rosters.epoch,
             "joint": self.table.rosters.before.is_some(),
             "votes": keeper.votes(now),
-            "here": here,
-            "mine": mine,
+            "here": known_here,
+            "mine": held_here,
             "counts": *self.counts.borrow(),
             "desk": coordinator.figures(),
             "keeper": keeper.figures(),
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for a work, and what becomes of it once nobody does.
+//! Clients that wait for a work, and what happens to the work once none is left.
 
 use glenwood_core::{AttemptId, Final};
 use glenwood_custody::Ticket;
@@ -8,42 +8,42 @@
 use crate::hub::Waiter;
 
 impl Custody {
-    /// Answers all who wait by a ticket.
-    pub(super) fn answer(&self, ticket: Ticket, word: &dyn Fn() -> Final<Reply>) {
-        while let Some(waiter) = self.first_waiter(ticket) {
-            waiter(word());
+    /// Answers all clients that wait for a ticket.
+    pub(super) fn answer(&self, ticket: Ticket, make_answer: &dyn Fn() -> Final<Reply>) {
+        while let Some(waiter) = self.take_first_waiter(ticket) {
+            waiter(make_answer());
         }
     }
 
-    pub(super) fn first_waiter(&self, ticket: Ticket) -> Option<Waiter> {
-        let mut held = self.held.borrow_mut();
-        let waiting = &mut held.get_mut(&ticket)?.waiting;
+    pub(super) fn take_first_waiter(&self, ticket: Ticket) -> Option<Waiter> {
+        let mut local = self.local.borrow_mut();
+        let waiting = &mut local.get_mut(&ticket)?.waiting;
         let first = (!waiting.is_empty()).then(|| waiting.remove(0))?;
         self.numbers.borrow_mut().remove(&first.number);
         Some(first.waiter)
     }
 
-    pub(super) fn drop_held(&self, ticket: Ticket) {
-        let held = self.held.borrow_mut().remove(&ticket);
-        for waiting in held.into_iter().flat_map(|held| held.waiting) {
+    pub(super) fn drop_local(&self, ticket: Ticket) {
+        let local = self.local.borrow_mut().remove(&ticket);
+        for waiting in local.into_iter().flat_map(|local| local.waiting) {
             self.numbers.borrow_mut().remove(&waiting.number);
         }
     }
 
-    /// Whoever waits by one ticket waits by another from now on.
-    pub(super) fn join(&self, ticket: Ticket, other: Ticket) {
-        let Some(held) = self.held.borrow_mut().remove(&ticket) else { return };
-        let mut all = self.held.borrow_mut();
+    /// Moves the clients of one ticket to another.
+    pub(super) fn merge_waiters(&self, ticket: Ticket, other: Ticket) {
+        let Some(local) = self.local.borrow_mut().remove(&ticket) else { return };
+        let mut all = self.local.borrow_mut();
         match all.get_mut(&other) {
             Some(to) => {
-                for waiting in &held.waiting {
+                for waiting in &local.waiting {
                     self.numbers.borrow_mut().insert(waiting.number, other);
                 }
-                to.waiting.extend(held.waiting);
+                to.waiting.extend(local.waiting);
             }
             None => {
                 drop(all);
-                for waiting in held.waiting {
+                for waiting in local.waiting {
                     self.numbers.borrow_mut().remove(&waiting.number);
                     (waiting.waiter)(Final::Overdue);
                 }
@@ -51,40 +51,41 @@
         }
     }
 
-    /// Nobody waits by this ticket, perhaps: what another node has is not looked at any more; what this one has sent goes on.
-    /// What it has not sent would be sent for nobody: it is let go, for whoever asks for it next.
-    pub(super) fn nobody_waits(&self, ticket: Ticket) {
-        let (request, adopted) = match self.held.borrow().get(&ticket).filter(|h| h.waiting.is_empty()) {
-            Some(held) => (held.request, held.adopted),
-            None => return self.move_on(),
+    /// Gives up a work if no client waits for it any more. A work local by another node is no longer polled;
+    /// what this node has sent goes on. What it has not sent would be sent for nobody: it is released, so
+    /// that the next request for it can hold it.
+    pub(super) fn on_waiters_changed(&self, ticket: Ticket) {
+        let (request, adopted) = match self.local.borrow().get(&ticket).filter(|h| h.waiting.is_empty()) {
+            Some(local) => (local.request, local.adopted),
+            None => return self.pump_and_notify(),
         };
         match request {
-            Some(request) if !adopted && self.unsent(ticket) => {
+            Some(request) if !adopted && self.is_unsent(ticket) => {
                 self.calls.borrow_mut().retain(|_, other| *other != ticket);
-                // Each attempt ends with it as never sent, which is written down.
+                // Each of its attempts ends as never sent, which is recorded.
                 self.hub.client_gone(request);
-                self.let_go(ticket);
-                self.drop_held(ticket);
+                self.release_work(ticket);
+                self.drop_local(ticket);
             }
             None if !self.coordinator.borrow().holds(ticket) => {
                 self.coordinator.borrow_mut().give_up(self.now(), ticket);
             }
             _ => {}
         }
-        self.move_on();
+        self.pump_and_notify();
     }
 
-    /// Has no server begun with this work, for all that this node has sent?
-    pub(super) fn unsent(&self, ticket: Ticket) -> bool {
+    /// Has no server begun with this work, as far as this node's attempts go?
+    pub(super) fn is_unsent(&self, ticket: Ticket) -> bool {
         let attempts: Vec<AttemptId> = self
-            .held
+            .local
             .borrow()
             .get(&ticket)
             .into_iter()
-            .flat_map(|held| held.numbers.keys().copied())
+            .flat_map(|local| local.numbers.keys().copied())
             .collect();
         let inner = self.inner.get();
-        let unsent = |a: &AttemptId| self.means(*a) || inner.is_some_and(|inner| inner.unsent(*a));
+        let unsent = |a: &AttemptId| self.is_pending(*a) || inner.is_some_and(|inner| inner.unsent(*a));
         attempts.iter().all(unsent)
     }
 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -73,9 +73,9 @@
     fn take(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter)
         -> Result<u64, (Incoming<Rc<Call>>, Waiter)>;
     /// The client of what it has taken left.
-    fn gone(&self, number: u64);
+    fn on_client_gone(&self, number: u64);
     /// An attempt has ended so.
-    fn ended(&self, attempt: AttemptId, outcome: Outcome);
+    fn on_attempt_ended(&self, attempt: AttemptId, outcome: Outcome);
     /// How many await an answer that the core does not know of.
     fn awaiting(&self) -> usize;
     /// Fails all of these.
@@ -471,7 +471,7 @@
     pub fn gone(&self, asked: Asked) {
         match asked {
             Asked::Core(id) => self.client_gone(id),
-            Asked::Gate(number) => self.gate.get().into_iter().for_each(|gate| gate.gone(number)),
+            Asked::Gate(number) => self.gate.get().into_iter().for_each(|gate| gate.on_client_gone(number)),
         }
     }
 
@@ -525,7 +525,7 @@
             Ended::Without(outcome) | Ended::RunsOn(outcome) => *outcome,
         };
         self.trace_end(attempt, outcome);
-        self.gate.get().into_iter().for_each(|gate| gate.ended(attempt, outcome));
+        self.gate.get().into_iter().for_each(|gate| gate.on_attempt_ended(attempt, outcome));
         if self.merge.is_some() {
             let server = self.core.borrow().attempt(attempt).map(|(server, _)| server);
             let now = self.clock.now();
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// The field and the reason.
-    pub fn take(mut f: Fields) -> Result<Self, String> {
+    pub fn from_fields(mut f: Fields) -> Result<Self, String> {
         let text = |v: Value| v.as_str().map(str::to_string);
         let address = |v: &Value| v.as_str().and_then(|text| text.parse().ok());
         let seeds = |value: Value| value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>();
@@ -86,11 +86,11 @@
 }
 
 /// Whoever wants to know what happens to members.
-pub trait Follows {
+pub trait MembershipObserver {
     /// This happened.
-    fn happened(&self, event: &Event);
+    fn on_member_event(&self, event: &Event);
     /// A datagram came that is not membership's own.
-    fn datagram(&self, bytes: &[u8], from: SocketAddr);
+    fn on_datagram(&self, bytes: &[u8], from: SocketAddr);
 }
 
 /// What the node knows of the others.
@@ -104,7 +104,7 @@
     /// Made once the address is this process's.
     machine: RefCell<Option<Members>>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    followers: RefCell<Vec<Rc<dyn Follows>>>,
+    observers: RefCell<Vec<Rc<dyn MembershipObserver>>>,
     open: Cell<bool>,
 }
 
@@ -148,7 +148,7 @@
             clock: Clock::default(),
             machine: RefCell::default(),
             socket: RefCell::default(),
-            followers: RefCell::default(),
+            observers: RefCell::default(),
             open: Cell::new(false),
         })))
     }
@@ -159,8 +159,8 @@
     }
 
     /// Tells this one of all that happens from now on.
-    pub fn tell(&self, follower: Rc<dyn Follows>) {
-        self.followers.borrow_mut().push(follower);
+    pub fn tell(&self, observer: Rc<dyn MembershipObserver>) {
+        self.observers.borrow_mut().push(observer);
     }
 
     /// A member, and how it is.
@@ -227,8 +227,8 @@
                     log::line(format!("members: another process goes by the name {}, at {at}", self.name));
                 }
             }
-            let followers = self.followers.borrow().clone();
-            followers.iter().for_each(|follower| follower.happened(&event));
+            let observers = self.observers.borrow().clone();
+            observers.iter().for_each(|observer| observer.on_member_event(&event));
         }
     }
 
@@ -276,8 +276,8 @@
             for _ in 0..BURST {
                 let Ok((length, from)) = socket.try_recv_from(&mut bytes) else { break };
                 if !Members::is_own(&bytes[..length]) {
-                    let followers = self.followers.borrow().clone();
-                    followers.iter().for_each(|follower| follower.datagram(&bytes[..length], from));
+                    let observers = self.observers.borrow().clone();
+                    observers.iter().for_each(|observer| observer.on_datagram(&bytes[..length], from));
                     continue;
                 }
                 let now = self.now();
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -77,7 +77,7 @@
 }
 
 impl Trace {
-    fn take(mut f: Fields) -> Result<Self, String> {
+    fn from_fields(mut f: Fields) -> Result<Self, String> {
         let (on, json) = (f.switch("on")?, f.switch("json")?);
         f.end()?;
         Ok(match (on, json) {
@@ -94,7 +94,7 @@
 }
 
 impl Sharing {
-    fn take(mut f: Fields) -> Result<Self, String> {
+    fn from_fields(mut f: Fields) -> Result<Self, String> {
         let mut instances: Vec<(String, SocketAddr)> = Vec::new();
         for mut one in f.tables("instance")? {
             let address = |v: Value| v.as_str().and_then(|text| text.parse().ok());
@@ -167,7 +167,7 @@
 }
 
 impl Registrations {
-    fn take(mut f: Fields) -> Result<Self, String> {
+    fn from_fields(mut f: Fields) -> Result<Self, String> {
         let address = |v: &Value| v.as_str().and_then(|text| text.parse().ok());
         let members = |value: Value| value.as_array()?.iter().map(address).collect::<Option<Vec<_>>>();
         let members = |value| members(value).filter(|all| (1..=9).contains(&all.len()));
@@ -247,7 +247,7 @@
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut top = Fields::parse(text)?;
         let msgpack = top.table("msgpack")?;
-        let registrations = top.table("registrations")?.map(Registrations::take).transpose()?;
+        let registrations = top.table("registrations")?.map(Registrations::from_fields).transpose()?;
         let inspect = match top.table("inspect")? {
             Some(mut f) => {
                 let socket = f.text("socket", "the path of a socket")?;
@@ -256,11 +256,11 @@
             }
             None => None,
         };
-        let trace = top.table("trace")?.map(Trace::take).transpose()?.unwrap_or_default();
-        let usage = top.table("usage")?.map(Sharing::take).transpose()?;
-        let members = top.table("members")?.map(members::Table::take).transpose()?;
-        let custody = top.table("custody")?.map(custody::Table::take).transpose()?;
-        let configuration = top.table("configuration")?.map(configuration::Table::take).transpose()?;
+        let trace = top.table("trace")?.map(Trace::from_fields).transpose()?.unwrap_or_default();
+        let usage = top.table("usage")?.map(Sharing::from_fields).transpose()?;
+        let members = top.table("members")?.map(members::Table::from_fields).transpose()?;
+        let custody = top.table("custody")?.map(custody::Table::from_fields).transpose()?;
+        let configuration = top.table("configuration")?.map(configuration::Table::from_fields).transpose()?;
         top.end()?;
         if registrations.is_some() && configuration.is_some() {
             return Err("configuration: not beside registrations, as both bring servers".to_string());
