--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -170,10 +170,10 @@
 }
 
 impl Overlay for Configuration {
-    fn lay_over(&self, settings: &mut NodeSettings) {
+    fn apply(&self, settings: &mut NodeSettings) {
         let replica = self.replica.borrow();
         *self.base.borrow_mut() = Base::of(settings, replica.resources());
-        offer::lay_over(settings, replica.resources());
+        offer::apply_resources(settings, replica.resources());
     }
 }
 
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -126,7 +126,7 @@
 }
 
 /// Lays the tenants and classes of the replica over those of a file.
-pub fn lay_over(settings: &mut NodeSettings, resources: &Resources) {
+pub fn apply_resources(settings: &mut NodeSettings, resources: &Resources) {
     let places = |names: &[String]| -> HashMap<String, usize> {
         names.iter().enumerate().map(|(place, name)| (name.clone(), place)).collect()
     };
--- a/crates/node/src/custody/attempts.rs
+++ b/crates/node/src/custody/attempts.rs
@@ -21,8 +21,14 @@
             }
             return;
         };
-        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
-            local.pending.push_back(PendingAttempt { attempt, server, end, call, intent_requested: false });
+        if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
+            local.pending_attempts.push_back(PendingAttempt {
+                attempt,
+                server,
+                end,
+                call,
+                intent_requested: false,
+            });
         }
         self.request_next_intent(ticket);
         self.pump_and_notify();
@@ -31,9 +37,9 @@
     /// Has the coordinator write the next intent, unless it is writing one.
     pub(super) fn request_next_intent(&self, ticket: Ticket) {
         let next = {
-            let mut all = self.local.borrow_mut();
+            let mut all = self.local_works.borrow_mut();
             let Some(local) = all.get_mut(&ticket) else { return };
-            match local.pending.front_mut() {
+            match local.pending_attempts.front_mut() {
                 Some(pending) if !pending.intent_requested => {
                     pending.intent_requested = true;
                     (pending.attempt, pending.server)
@@ -43,15 +49,15 @@
         };
         let (zone, cell) = self.hub.home(next.1).unwrap_or_default();
         let number = self.coordinator.borrow_mut().intend(self.now(), ticket, next.1 .0, zone, cell);
-        if let (Some(number), Some(local)) = (number, self.local.borrow_mut().get_mut(&ticket)) {
+        if let (Some(number), Some(local)) = (number, self.local_works.borrow_mut().get_mut(&ticket)) {
             local.numbers.insert(next.0, number);
         }
     }
 
     /// Removes and returns the attempt whose intent the coordinator was writing.
     pub(super) fn take_pending(&self, ticket: Ticket) -> Option<PendingAttempt> {
-        let mut all = self.local.borrow_mut();
-        let pending = &mut all.get_mut(&ticket)?.pending;
+        let mut all = self.local_works.borrow_mut();
+        let pending = &mut all.get_mut(&ticket)?.pending_attempts;
         if pending.front().is_some_and(|pending| pending.intent_requested) {
             pending.pop_front()
         } else {
@@ -61,21 +67,22 @@
 
     /// Does the attempt wait for its intent to be written?
     pub(super) fn is_pending(&self, attempt: AttemptId) -> bool {
-        self.local
+        self.local_works
             .borrow()
             .values()
-            .any(|local| local.pending.iter().any(|pending| pending.attempt == attempt))
+            .any(|local| local.pending_attempts.iter().any(|pending| pending.attempt == attempt))
     }
 
     /// Abandons an attempt; `false` where it does not wait here.
     pub(super) fn abandon(&self, attempt: AttemptId) -> bool {
         let found = {
-            let mut all = self.local.borrow_mut();
-            let position =
-                |local: &LocalWork| local.pending.iter().position(|pending| pending.attempt == attempt);
-            let found = all.iter().find_map(|(ticket, local)| Some((*ticket, position(local)?)));
+            let mut all = self.local_works.borrow_mut();
+            let index_of = |local: &LocalWork| {
+                local.pending_attempts.iter().position(|pending| pending.attempt == attempt)
+            };
+            let found = all.iter().find_map(|(ticket, local)| Some((*ticket, index_of(local)?)));
             if let Some((ticket, n)) = found {
-                all.get_mut(&ticket).into_iter().for_each(|local| drop(local.pending.remove(n)));
+                all.get_mut(&ticket).into_iter().for_each(|local| drop(local.pending_attempts.remove(n)));
             }
             found
         };
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -59,13 +59,13 @@
     long: u64,
     /// Datagrams rejected because their signature or format is invalid.
     forged: u64,
-    /// See `forged`.
+    /// Datagrams rejected because they belong to another roster epoch.
     other_epoch: u64,
-    /// See `forged`.
+    /// Datagrams rejected because their time is too far from this node's.
     stale: u64,
     /// Datagrams sent.
     sent: u64,
-    /// See `sent`.
+    /// Bytes of the datagrams sent.
     sent_bytes: u64,
 }
 
@@ -100,7 +100,7 @@
     submitted: bool,
     /// Taken over from a lost node; no client of it is connected here.
     adopted: bool,
-    pending: VecDeque<PendingAttempt>,
+    pending_attempts: VecDeque<PendingAttempt>,
     /// Number of each attempt in the work's record, which counts the attempts of all holders.
     numbers: HashMap<AttemptId, usize>,
 }
@@ -115,7 +115,7 @@
     secret: Secret,
     coordinator: RefCell<Coordinator>,
     keeper: RefCell<Keeper>,
-    local: RefCell<HashMap<Ticket, LocalWork>>,
+    local_works: RefCell<HashMap<Ticket, LocalWork>>,
     /// The ticket of each call, by the call's address in memory: a call has no request number until the
     /// core has taken it.
     calls: RefCell<HashMap<usize, Ticket>>,
@@ -187,7 +187,7 @@
                 now,
             )),
             keeper: RefCell::new(Keeper::new(keeper_settings, now)),
-            local: RefCell::default(),
+            local_works: RefCell::default(),
             calls: RefCell::default(),
             numbers: RefCell::default(),
             last_number: Cell::new(0),
@@ -243,7 +243,7 @@
                 // then.
                 let take_incoming =
                     |local: &mut LocalWork| local.incoming.take().filter(|_| !local.waiting.is_empty());
-                let incoming = self.local.borrow_mut().get_mut(&ticket).and_then(take_incoming);
+                let incoming = self.local_works.borrow_mut().get_mut(&ticket).and_then(take_incoming);
                 match incoming {
                     Some(incoming) => {
                         let earlier = adopted.then(|| self.earlier_attempts(&earlier));
@@ -260,7 +260,7 @@
                     Some(incoming) => {
                         let name = about.class.clone();
                         let local = LocalWork { adopted: true, ..LocalWork::new(incoming.class, name, None) };
-                        self.local.borrow_mut().insert(ticket, local);
+                        self.local_works.borrow_mut().insert(ticket, local);
                         self.submit_to_core(ticket, Incoming { earlier: Some(earlier), ..incoming });
                     }
                     None => self.release_work(ticket),
@@ -290,7 +290,8 @@
             }
             Event::Same(ticket, other) => self.merge_waiters(ticket, other),
             Event::Over(ticket) => {
-                let open = self.local.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
+                let open =
+                    self.local_works.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
                 if !open {
                     self.answer(ticket, &|| Final::Overdue);
                     self.drop_local(ticket);
@@ -349,14 +350,14 @@
     /// Submits a work to the core.
     fn submit_to_core(&self, ticket: Ticket, incoming: Incoming<Rc<Call>>) {
         let (at, class) = (call_address(&incoming.payload), incoming.class);
-        self.local.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
+        self.local_works.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
         self.calls.borrow_mut().insert(at, ticket);
         let Some(this) = self.weak_self.upgrade() else { return };
         let taken =
             self.hub.request(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
         match taken {
             Ok(request) => {
-                if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+                if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
                     // The request may have been answered already; its number is of no use then.
                     if self.calls.borrow().contains_key(&at) {
                         local.request = Some(request);
@@ -382,7 +383,7 @@
     fn on_final_answer(&self, ticket: Ticket, at: usize, final_answer: Final<Reply>) {
         self.calls.borrow_mut().remove(&at);
         let guarded = self.coordinator.borrow().work(ticket).is_some();
-        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+        if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
             local.request = None;
             local.numbers.clear();
         }
@@ -435,14 +436,14 @@
     }
 
     fn on_verdict(&self, ticket: Ticket, verdict: Verdict, bytes: Option<&Bytes>) {
-        let request = self.local.borrow_mut().get_mut(&ticket).and_then(|local| local.request.take());
+        let request = self.local_works.borrow_mut().get_mut(&ticket).and_then(|local| local.request.take());
         // What this node still does for the request is of no more use.
         request.into_iter().for_each(|request| self.hub.client_gone(request));
-        let shared = self.local.borrow().get(&ticket).map_or(0, |local| {
+        let sharing_clients = self.local_works.borrow().get(&ticket).map_or(0, |local| {
             // The first client of a request that was executed here gets its own answer and is not counted.
             local.waiting.len().saturating_sub(usize::from(local.submitted))
         });
-        self.count(|counts| counts.shared += shared as u64);
+        self.count(|counts| counts.shared += sharing_clients as u64);
         self.answer(ticket, &|| match verdict {
             Verdict::Served(_) => {
                 bytes.and_then(|bytes| form::read_reply(bytes)).map_or(Final::Failed, Final::Served)
@@ -455,8 +456,11 @@
 
     /// No majority of keepers reported in time which node holds the work.
     fn on_no_majority(&self, ticket: Ticket) {
-        let Some((class, name, incoming)) =
-            self.local.borrow_mut().get_mut(&ticket).map(|h| (h.class, h.name.clone(), h.incoming.take()))
+        let Some((class, name, incoming)) = self
+            .local_works
+            .borrow_mut()
+            .get_mut(&ticket)
+            .map(|h| (h.class, h.name.clone(), h.incoming.take()))
         else {
             return;
         };
@@ -496,7 +500,7 @@
             request: None,
             submitted: false,
             adopted: false,
-            pending: VecDeque::new(),
+            pending_attempts: VecDeque::new(),
             numbers: HashMap::new(),
         }
     }
@@ -548,7 +552,7 @@
         self.last_number.set(number);
         self.numbers.borrow_mut().insert(number, ticket);
         {
-            let mut all = self.local.borrow_mut();
+            let mut all = self.local_works.borrow_mut();
             let local = all.entry(ticket).or_insert_with(|| LocalWork::new(class, name, None));
             local.incoming = local.incoming.take().or(Some(incoming)).filter(|_| local.request.is_none());
             let until = now + (left - GUARD_MARGIN).max(left / 2.0) as u64;
@@ -560,7 +564,7 @@
 
     fn on_client_gone(&self, number: u64) {
         let Some(ticket) = self.numbers.borrow_mut().remove(&number) else { return };
-        if let Some(local) = self.local.borrow_mut().get_mut(&ticket) {
+        if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
             local.waiting.retain(|waiting| waiting.number != number);
         }
         self.on_waiters_changed(ticket);
@@ -571,19 +575,22 @@
             return;
         }
         let number = |local: &mut LocalWork| local.numbers.remove(&attempt);
-        let found =
-            self.local.borrow_mut().iter_mut().find_map(|(ticket, local)| Some((*ticket, number(local)?)));
+        let found = self
+            .local_works
+            .borrow_mut()
+            .iter_mut()
+            .find_map(|(ticket, local)| Some((*ticket, number(local)?)));
         if let Some((ticket, number)) = found {
             self.coordinator.borrow_mut().never_ran(ticket, number);
         }
     }
 
     fn awaiting(&self) -> usize {
-        self.local.borrow().values().map(|local| local.waiting.len()).sum()
+        self.local_works.borrow().values().map(|local| local.waiting.len()).sum()
     }
 
     fn fail_all(&self) {
-        let tickets: Vec<Ticket> = self.local.borrow().keys().copied().collect();
+        let tickets: Vec<Ticket> = self.local_works.borrow().keys().copied().collect();
         tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::Overdue));
     }
 }
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -66,7 +66,7 @@
     }
 
     fn due(&self) -> u64 {
-        let waiting = self.local.borrow();
+        let waiting = self.local_works.borrow();
         let until = waiting.values().flat_map(|local| local.waiting.iter().map(|w| w.until)).min();
         let orphans = (self.keeper.borrow().figures().works > 0).then(|| self.next_orphans.get());
         let all = [self.coordinator.borrow().due(), self.keeper.borrow().due(), until, orphans];
@@ -85,7 +85,7 @@
     /// Answers the clients whose time has run out that no answer is known. This does not decide the work.
     fn answer_overdue(&self, now: u64) {
         let mut late = Vec::new();
-        for (ticket, local) in self.local.borrow_mut().iter_mut() {
+        for (ticket, local) in self.local_works.borrow_mut().iter_mut() {
             let (over, left): (Vec<_>, Vec<_>) = local.waiting.drain(..).partition(|w| w.until <= now);
             local.waiting = left;
             late.extend(over.into_iter().map(|waiting| (*ticket, waiting)));
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -16,7 +16,7 @@
     }
 
     pub(super) fn take_first_waiter(&self, ticket: Ticket) -> Option<Waiter> {
-        let mut local = self.local.borrow_mut();
+        let mut local = self.local_works.borrow_mut();
         let waiting = &mut local.get_mut(&ticket)?.waiting;
         let first = (!waiting.is_empty()).then(|| waiting.remove(0))?;
         self.numbers.borrow_mut().remove(&first.number);
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn drop_local(&self, ticket: Ticket) {
-        let local = self.local.borrow_mut().remove(&ticket);
+        let local = self.local_works.borrow_mut().remove(&ticket);
         for waiting in local.into_iter().flat_map(|local| local.waiting) {
             self.numbers.borrow_mut().remove(&waiting.number);
         }
@@ -32,8 +32,8 @@
 
     /// Moves the clients of one ticket to another.
     pub(super) fn merge_waiters(&self, ticket: Ticket, other: Ticket) {
-        let Some(local) = self.local.borrow_mut().remove(&ticket) else { return };
-        let mut all = self.local.borrow_mut();
+        let Some(local) = self.local_works.borrow_mut().remove(&ticket) else { return };
+        let mut all = self.local_works.borrow_mut();
         match all.get_mut(&other) {
             Some(to) => {
                 for waiting in &local.waiting {
@@ -55,7 +55,8 @@
     /// what this node has sent goes on. What it has not sent would be sent for nobody: it is released, so
     /// that the next request for it can hold it.
     pub(super) fn on_waiters_changed(&self, ticket: Ticket) {
-        let (request, adopted) = match self.local.borrow().get(&ticket).filter(|h| h.waiting.is_empty()) {
+        let (request, adopted) = match self.local_works.borrow().get(&ticket).filter(|h| h.waiting.is_empty())
+        {
             Some(local) => (local.request, local.adopted),
             None => return self.pump_and_notify(),
         };
@@ -78,7 +79,7 @@
     /// Has no server begun with this work, as far as this node's attempts go?
     pub(super) fn is_unsent(&self, ticket: Ticket) -> bool {
         let attempts: Vec<AttemptId> = self
-            .local
+            .local_works
             .borrow()
             .get(&ticket)
             .into_iter()
--- a/crates/node/src/hub/answers.rs
+++ b/crates/node/src/hub/answers.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of answers that are not those of their requests.
+//! Logging and counting of answers that do not belong to their requests.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -11,11 +11,11 @@
 use super::Hub;
 use crate::log;
 
-/// How many lines of the log may tell of answers out of turn within a span; the figures count all.
-const LINES_MOST: u32 = 20;
-const LINES_SPAN: Duration = Duration::from_secs(10);
+/// The most log lines about answers out of turn within [`LINE_WINDOW`]; the metrics count all.
+const MAX_LINES: u32 = 20;
+const LINE_WINDOW: Duration = Duration::from_secs(10);
 
-/// How much has been logged lately.
+/// Limits the log lines per time span.
 #[derive(Default)]
 pub(super) struct LineBudget {
     since: Cell<Option<Instant>>,
@@ -23,19 +23,20 @@
 }
 
 impl LineBudget {
-    /// May one more line be logged?
+    /// Counts a line; `false` where the limit is exceeded.
     fn take(&self, now: Instant) -> bool {
-        if self.since.get().is_none_or(|since| now.saturating_duration_since(since) >= LINES_SPAN) {
+        if self.since.get().is_none_or(|since| now.saturating_duration_since(since) >= LINE_WINDOW) {
             self.since.set(Some(now));
             self.lines.set(0);
         }
         self.lines.set(self.lines.get() + 1);
-        self.lines.get() <= LINES_MOST
+        self.lines.get() <= MAX_LINES
     }
 }
 
 impl Hub {
-    /// Bytes came from a server that nobody asked for; a doubt of that scope begins by it, and `need` is what follows.
+    /// A server sent bytes that no request was waiting for. `scope` is set where this makes a server, or
+    /// all, doubted; `need` is how long connections must be idle before they are used then.
     pub fn answer_out_of_turn(&self, server: ServerId, seen: OutOfTurn, scope: Option<Scope>, need: Need) {
         self.figures.with(|figures| figures.out_of_turn += 1);
         let OutOfTurn { position, after, age, answers } = seen;
@@ -47,7 +48,7 @@
             age: ms(age),
             answers,
         });
-        if scope.is_none() && !self.answer_lines.take(Instant::now()) {
+        if scope.is_none() && !self.answer_log_budget.take(Instant::now()) {
             return;
         }
         let (node, name) = (&self.config.name, self.server_name(server));
@@ -69,7 +70,7 @@
         }
     }
 
-    /// An answer is not taken for what it says; `attempt` is `None` for a probe's.
+    /// An answer was not accepted as the answer of its request; `attempt` is `None` for a probe.
     pub fn answer_doubted(&self, server: ServerId, attempt: Option<AttemptId>, verdict: Verdict) {
         self.figures.with(|figures| figures.doubted_answers += 1);
         let Some(attempt) = attempt else { return };
@@ -81,7 +82,7 @@
             proof: format!("{proof:?}"),
             why: why.to_string(),
         });
-        if self.answer_lines.take(Instant::now()) {
+        if self.answer_log_budget.take(Instant::now()) {
             let (node, name) = (&self.config.name, self.server_name(server));
             let request = attempt.request.0;
             log::line(format!("{node} answer doubted: server {name}, request {request}, {why}, {proof:?}"));
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -1,5 +1,5 @@
-//! The owner of the core: it moves the core's outputs to fronts, backends and discovery, and their reports back. It
-//! knows none of them by name; see [`Outside`].
+//! The hub owns the core. It passes the core's outputs to fronts, backends and discovery, and their reports
+//! back to the core. It calls none of them directly; see [`Outside`].
 
 mod answers;
 mod servers;
@@ -14,7 +14,7 @@
 use glenwood_list::{Merge, Source, Succession};
 use glenwood_operation::budget::Budget;
 use glenwood_operation::figures::{End, Shared, Ticket};
-use glenwood_operation::places::{Place as Seat, Places};
+use glenwood_operation::places::{Place as Slot, Places};
 use glenwood_policy::{Discovery, Millis, Outcome, RequestId, ServerId, SettingsError};
 use glenwood_settings::NodeSettings;
 use glenwood_trace::{Answer, Doing, Record};
@@ -22,7 +22,7 @@
 
 use crate::call::{Call, Reply};
 use answers::LineBudget;
-use servers::LastHeard;
+use servers::LastSeen;
 pub use settings::{Overlay, SettingsChange};
 
 use crate::clock::Clock;
@@ -33,56 +33,56 @@
 use crate::operator::Trace;
 use crate::usage::Shares;
 
-/// What the hub makes others do. None of these may wait.
+/// The actions that the hub has others carry out. None of these calls may block.
 pub trait Outside {
-    /// Starts an attempt; [`Hub::attempt_ended`] is owed for it.
+    /// Starts an attempt; [`Hub::attempt_ended`] must be called when it ends.
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>);
-    /// Gives an attempt up, and reports its end before it returns.
+    /// Abandons an attempt, and reports its end before returning.
     fn abandon(&self, attempt: AttemptId);
-    /// Is it out, with its last byte still here? Then no server has begun with it.
+    /// Was the attempt started, with its last byte not sent yet? Then no server has begun with it.
     fn unsent(&self, attempt: AttemptId) -> bool;
-    /// Probes a server; [`Hub::probed`] is owed for it.
+    /// Probes a server; [`Hub::probed`] must be called with the result.
     fn probe(&self, server: ServerId);
-    /// Connections to a server are of no more use: it moved, restarted or is gone.
+    /// Discards the connections to a server that moved, restarted or is gone.
     fn forget(&self, server: ServerId);
-    /// Asks discovery for changes from now on, in place of what was asked before.
+    /// Subscribes to changes at discovery, in place of the subscription before.
     fn subscribe(&self);
-    /// Ends what was asked of discovery.
+    /// Ends the subscription at discovery.
     fn unsubscribe(&self);
 }
 
-/// Where a final answer goes.
+/// Callback that takes a request's final answer.
 pub type Waiter = Box<dyn FnOnce(Final<Reply>)>;
 
-/// What a front has asked, to say that its client left.
+/// Identifies a request that a front has submitted, so that it can report that the client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Asked {
-    /// The core has it.
+    /// The request is in the core.
     Core(RequestId),
-    /// The gate has it, under this number.
+    /// The request is with the gate, under this number.
     Gate(u64),
 }
 
-/// Whoever is asked before the core: it may keep a request for a while, or answer it in the core's place.
+/// Intercepts requests before the core: it may delay a request, or answer it in the core's place.
 pub trait Gate {
-    /// Takes the request, under a number of its own, or gives it back for the core.
+    /// Takes the request, under a number of its own, or returns it for the core.
     ///
     /// # Errors
-    /// Where it is none of its business.
+    /// Returns the request where the gate does not handle it.
     #[allow(clippy::result_large_err)] // It is the request itself that comes back.
     fn take(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter)
         -> Result<u64, (Incoming<Rc<Call>>, Waiter)>;
-    /// The client of what it has taken left.
+    /// The client of a request that it has taken has left.
     fn on_client_gone(&self, number: u64);
-    /// An attempt has ended so.
+    /// An attempt has ended with this outcome.
     fn on_attempt_ended(&self, attempt: AttemptId, outcome: Outcome);
-    /// How many await an answer that the core does not know of.
+    /// The number of requests that await an answer and that the core does not know of.
     fn awaiting(&self) -> usize;
-    /// Fails all of these.
+    /// Fails all of these requests.
     fn fail_all(&self);
 }
 
-/// Final answers so far.
+/// Numbers of final answers so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Served or failed.
@@ -93,16 +93,16 @@
     pub refused: u64,
 }
 
-/// How a final answer counts for operators.
+/// How a final answer is counted in the metrics.
 pub fn end_of(answer: &Final<Reply>) -> End {
-    match word(answer) {
+    match trace_answer(answer) {
         Answer::Served => End::Answered,
         Answer::Refused => End::Deferred,
         Answer::Failed => End::Errored,
     }
 }
 
-fn word(answer: &Final<Reply>) -> Answer {
+fn trace_answer(answer: &Final<Reply>) -> Answer {
     match answer {
         Final::Served(_) => Answer::Served,
         Final::Refused { .. } => Answer::Refused,
@@ -110,81 +110,84 @@
     }
 }
 
-/// One node, but for its sockets.
+/// One node without its sockets.
 pub struct Hub {
     /// Its configuration.
     pub config: Config,
     /// Its clock.
     pub clock: Clock,
-    /// What operators see of it.
+    /// The metrics for operators.
     pub figures: Shared,
-    /// What bodies may take that are longer than any may be.
+    /// Memory budget for bodies that exceed the share of a connection.
     pub bodies: Budget,
-    /// Tenants' usage over all nodes, where that is counted.
+    /// Tenants' usage over all nodes, where it is counted.
     pub shares: Option<Rc<Shares>>,
-    /// Since when the node is to end: it is not ready any more.
+    /// When the node was told to stop; it is not ready any more from then on.
     pub stopping: Cell<Option<Instant>>,
-    /// Its clients' addresses are open.
+    /// The addresses for clients are open.
     pub listening: Cell<bool>,
-    /// It is to end, and another process takes what comes: clients are told to go there with their answers.
+    /// The node is to end and another process takes its new connections: clients are told with their
+    /// answers to reconnect.
     pub leaving: Cell<bool>,
-    /// Set shortly before the node ends: connections then close when they can.
+    /// Set shortly before the node ends: connections are closed as soon as they can be.
     pub closing: Cell<bool>,
-    /// Set when what is still open is failed: nothing more is taken.
+    /// Set when all open requests are failed: no new ones are taken.
     pub failing: Cell<bool>,
-    /// The settings that count, by places; without the tenants' names, which their places have.
+    /// The settings in force, with classes and tenants by their slots. The tenants' names are left out, as
+    /// `tenants` has them.
     settings: RefCell<Rc<NodeSettings>>,
     classes: RefCell<Places>,
     tenants: RefCell<Places>,
     core: RefCell<Core<Rc<Call>, Reply>>,
     waiters: RefCell<HashMap<RequestId, Waiter>>,
     servers: RefCell<Servers>,
-    /// One list out of discovery and registrations, where both count.
+    /// Merges the lists of discovery and registrations, where there are both.
     merge: Option<RefCell<Merge>>,
-    /// Which lists of discovery may follow on which.
+    /// Checks which list of discovery may follow on which.
     succession: RefCell<Succession>,
-    /// The version of the list; `None` asks for the whole.
+    /// The version of the list; `None` requests the complete list.
     version: Cell<Option<u64>>,
-    /// Discovery has answered.
-    informed: Cell<bool>,
-    /// What was last logged of discovery, if it has not been heard since.
-    discovery_words: RefCell<String>,
-    /// When each source of the list was last heard.
-    list_heard: LastHeard,
-    /// Since when the list has not been followed, as far as the log says.
-    list_lost: Cell<Option<Millis>>,
+    /// A source of the list has answered.
+    discovery_answered: Cell<bool>,
+    /// The last discovery error that was logged; empty once discovery has answered again.
+    last_discovery_error: RefCell<String>,
+    /// When each source of the list was last seen.
+    list_last_seen: LastSeen,
+    /// Since when the list has not been followed, as logged.
+    list_lost_since: Cell<Option<Millis>>,
     counts: Cell<Counts>,
-    /// How much has been logged of answers out of turn.
-    answer_lines: LineBudget,
+    /// Limits the log lines about answers out of turn.
+    answer_log_budget: LineBudget,
     outside: OnceCell<Rc<dyn Outside>>,
     gate: OnceCell<Rc<dyn Gate>>,
-    /// What lays changes of the settings over a file's.
+    /// Applies changes on top of the settings of a file.
     overlay: OnceCell<Rc<dyn Overlay>>,
-    /// Attempts that are over at their servers, to be told when the core can hear it.
-    left: RefCell<Vec<AttemptId>>,
-    /// Outputs are being moved: what they bring about waits its turn.
-    moving: Cell<bool>,
-    /// For when the timer is set.
-    armed: Cell<Option<Millis>>,
-    rearmed: Notify,
+    /// Attempts that are over at their servers and not yet reported to the core.
+    finished_attempts: RefCell<Vec<AttemptId>>,
+    /// The core's outputs are being processed: nested calls return at once, and the loop handles what they
+    /// caused.
+    processing_outputs: Cell<bool>,
+    /// When the timer is due.
+    timer_due: Cell<Option<Millis>>,
+    timer_changed: Notify,
 }
 
 impl Hub {
-    /// A node that knows no server yet.
+    /// Creates a node that knows no server yet.
     ///
     /// # Errors
-    /// Where the module refuses the settings.
+    /// An error where the core refuses the settings.
     pub fn new(mut config: Config, shares: Option<Shares>) -> Result<Rc<Self>, SettingsError> {
         let tenant_names = std::mem::take(&mut config.settings.tenants);
         let mut settings = config.settings.clone();
         if !config.operator.asks_discovery() {
-            // There is no call that could go unanswered: a list that is not asked for is not lost.
+            // No call to discovery is made, so none can go unanswered and the list does not count as lost.
             settings.policy.discovery = Discovery::Pushed;
         }
         let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
         core.bound_rotation(config.rotation_most());
         let (mut classes, mut tenants) = (Places::default(), Places::default());
-        // All are new, and take the places in their order.
+        // All are new and take the slots in their order.
         classes.follow(&settings.classes);
         tenants.follow(&tenant_names);
         shares.iter().for_each(|shares| shares.follow(&tenant_names, &settings));
@@ -207,19 +210,19 @@
             merge: config.operator.has_second_list().then(RefCell::default),
             succession: RefCell::default(),
             version: Cell::new(None),
-            informed: Cell::new(false),
-            discovery_words: RefCell::default(),
-            list_heard: LastHeard::default(),
-            list_lost: Cell::default(),
+            discovery_answered: Cell::new(false),
+            last_discovery_error: RefCell::default(),
+            list_last_seen: LastSeen::default(),
+            list_lost_since: Cell::default(),
             counts: Cell::default(),
-            answer_lines: LineBudget::default(),
+            answer_log_budget: LineBudget::default(),
             outside: OnceCell::new(),
             gate: OnceCell::new(),
             overlay: OnceCell::new(),
-            left: RefCell::default(),
-            moving: Cell::new(false),
-            armed: Cell::new(None),
-            rearmed: Notify::new(),
+            finished_attempts: RefCell::default(),
+            processing_outputs: Cell::new(false),
+            timer_due: Cell::new(None),
+            timer_changed: Notify::new(),
             config,
         });
         let names = hub.settings().classes.clone();
@@ -227,73 +230,75 @@
         Ok(hub)
     }
 
-    /// Says who does what the core wants done, and takes the saved list. To be called once, before anything else.
+    /// Sets who carries out the core's actions, and takes the saved list. To be called once, before
+    /// anything else.
     pub fn start(&self, outside: Rc<dyn Outside>, known: Option<Update>) {
         let _ = self.outside.set(outside);
         let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
-        // No server is known yet, and nothing is older: it is taken.
+        // No server is known yet and no list was taken before, so this one is accepted.
         let _ = self.succession.borrow_mut().take(&saved, 0);
         self.take_list(Source::Discovery, saved, true);
     }
 
-    /// From now on this one is asked before the core. To be called once.
+    /// Sets the gate that gets requests before the core. To be called once.
     pub fn open_gate(&self, gate: Rc<dyn Gate>) {
         let _ = self.gate.set(gate);
     }
 
-    /// Runs the core's timer; never ends.
+    /// Runs the core's timer; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let due = self.core.borrow().poll_timeout();
-            self.armed.set(due);
+            self.timer_due.set(due);
             let Some(due) = due else {
-                self.rearmed.notified().await;
+                self.timer_changed.notified().await;
                 continue;
             };
             tokio::select! {
                 () = tokio::time::sleep_until(self.clock.instant(due).into()) => {
-                    self.tell(|core, now| core.handle_timeout(now.max(due)));
+                    self.update_core(|core, now| core.handle_timeout(now.max(due)));
                 }
-                () = self.rearmed.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    /// Can the node serve? Once discovery has answered, or at once with a saved list: where most of a fleet starts at the
-    /// same time, discovery is the last to answer, and the few others can't carry everyone's clients meanwhile.
+    /// Can the node serve? It can once discovery has answered, or at once with a saved list: where most of
+    /// a fleet starts at the same time, discovery answers late, and the few other nodes can't carry all
+    /// clients meanwhile.
     pub fn ready(&self) -> bool {
-        self.stopping.get().is_none() && (self.informed.get() || !self.servers.borrow().is_empty())
+        self.stopping.get().is_none() && (self.discovery_answered.get() || !self.servers.borrow().is_empty())
     }
 
-    /// Tells the core something, and moves what comes of it.
-    fn tell<T>(&self, words: impl FnOnce(&mut Core<Rc<Call>, Reply>, Millis) -> T) -> T {
-        let told = words(&mut self.core.borrow_mut(), self.clock.now());
-        self.tell_left();
-        self.run();
-        told
+    /// Updates the core, and processes its outputs.
+    fn update_core<T>(&self, update: impl FnOnce(&mut Core<Rc<Call>, Reply>, Millis) -> T) -> T {
+        let result = update(&mut self.core.borrow_mut(), self.clock.now());
+        self.report_finished_attempts();
+        self.process_outputs();
+        result
     }
 
-    fn tell_left(&self) {
+    fn report_finished_attempts(&self) {
         loop {
-            let Some(attempt) = self.left.borrow_mut().pop() else { return };
+            let Some(attempt) = self.finished_attempts.borrow_mut().pop() else { return };
             self.core.borrow_mut().attempt_left(self.clock.now(), attempt);
         }
     }
 
-    /// The rest of an answer has come, or nobody wants it any more. This may be said while the core drops an answer that
-    /// came too late.
+    /// The rest of an answer has come, or nobody wants it any more. This may be called while the core is
+    /// borrowed, as it drops an answer that came too late.
     pub fn flowed(&self, attempt: AttemptId) {
-        self.left.borrow_mut().push(attempt);
+        self.finished_attempts.borrow_mut().push(attempt);
         if self.core.try_borrow_mut().is_ok() {
-            self.tell_left();
-            self.run();
+            self.report_finished_attempts();
+            self.process_outputs();
         }
     }
 
-    /// Moves outputs until there are none.
-    fn run(&self) {
+    /// Processes the core's outputs until there are none.
+    fn process_outputs(&self) {
         let Some(outside) = self.outside.get() else { return };
-        if self.moving.replace(true) {
+        if self.processing_outputs.replace(true) {
             return;
         }
         loop {
@@ -301,7 +306,7 @@
             let Some(output) = output else { break };
             match output {
                 Output::Answer { request, answer } => {
-                    self.trace(|_| Doing::Answer { request: request.0, answer: word(&answer) });
+                    self.trace(|_| Doing::Answer { request: request.0, answer: trace_answer(&answer) });
                     self.count(&answer);
                     let waiter = self.waiters.borrow_mut().remove(&request);
                     if let Some(waiter) = waiter {
@@ -332,11 +337,11 @@
                 }
             }
         }
-        self.moving.set(false);
+        self.processing_outputs.set(false);
         let due = self.core.borrow().poll_timeout();
-        if due.is_some_and(|due| self.armed.get().is_none_or(|armed| due < armed)) {
-            self.armed.set(due);
-            self.rearmed.notify_one();
+        if due.is_some_and(|due| self.timer_due.get().is_none_or(|timer_due| due < timer_due)) {
+            self.timer_due.set(due);
+            self.timer_changed.notify_one();
         }
     }
 
@@ -353,23 +358,24 @@
         self.counts.set(counts);
     }
 
-    // ---- Who counts ----
+    // ---- Tracing ----
 
-    /// Logs what the node does, where the operator wants that: it is worked out only then. `doing` is handed what names
-    /// a server.
+    /// Logs what the node does, where the operator enabled tracing; `doing` is only evaluated then. It gets
+    /// a function that returns a server's name.
     pub(crate) fn trace(&self, doing: impl FnOnce(&dyn Fn(ServerId) -> String) -> Doing) {
         let trace = self.config.operator.trace;
         if !trace.is_on() {
             return;
         }
         let name = |server: ServerId| self.server_name(server);
-        // A step of the wall clock must not tear a timeline apart.
+        // The time is derived from the monotonic clock, so that a step of the wall clock does not break a
+        // timeline.
         let at = self.clock.unix_ms();
         let record = Record { at, doing: doing(&name) };
         log::line(if trace == Trace::Json { record.json() } else { record.to_string() });
     }
 
-    /// What the list calls a server.
+    /// A server's name in the list, or its number in hex.
     fn server_name(&self, server: ServerId) -> String {
         let servers = self.servers.borrow();
         servers.name(server).map_or_else(|| format!("{:016x}", server.0), str::to_string)
@@ -394,40 +400,40 @@
         self.trace(|name| Doing::Connect(name(server)));
     }
 
-    // ---- Who operates ----
+    // ---- Metrics ----
 
-    /// A request of this class was read, and may be answered at once; it ends with its ticket.
-    pub fn ticket(&self, class: &Seat) -> Ticket {
+    /// Counts a request of this class that was read; it counts as open until its ticket is returned.
+    pub fn ticket(&self, class: &Slot) -> Ticket {
         self.figures.take(&class.name)
     }
 
-    /// Writes down what is not counted as it happens.
-    pub fn show(&self) {
+    /// Updates the metrics that are not counted as events happen.
+    pub fn update_figures(&self) {
         let (ready, listed) = (self.ready() && self.listening.get(), self.listed_servers() as u64);
-        let (avoided, doubtful) = {
+        let (avoided, send_counts) = {
             let core = self.core.borrow();
             (core.avoided() as u64, core.doubtful_sends())
         };
         self.figures.with(|f| {
             (f.ready, f.listed, f.avoided) = (ready, listed, avoided);
-            (f.stale_sends, f.refused_sends) = (doubtful.stale, doubtful.refused);
+            (f.stale_sends, f.refused_sends) = (send_counts.stale, send_counts.refused);
         });
     }
 
-    /// The node is to end.
+    /// Begins to stop the node.
     pub fn stop(&self) {
         self.stopping.set(Some(Instant::now()));
-        self.show();
+        self.update_figures();
     }
 
-    // ---- Who inspects ----
+    // ---- Inspection ----
 
-    /// Final answers so far.
+    /// Numbers of final answers so far.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// How far the node is.
+    /// The node's stage.
     pub fn stage(&self) -> Stage {
         match (self.stopping.get(), self.ready()) {
             (Some(_), _) => Stage::Stopping,
@@ -436,23 +442,23 @@
         }
     }
 
-    /// How many servers are listed.
+    /// The number of listed servers.
     pub fn listed_servers(&self) -> usize {
         self.servers.borrow().len()
     }
 
-    /// How long ago any source of the list was heard; `None` before any was.
+    /// How long ago any source of the list was last seen; `None` before that.
     pub fn list_age(&self) -> Option<Duration> {
-        let latest = self.list_heard.latest()?;
+        let latest = self.list_last_seen.latest()?;
         Some(Duration::from_secs_f64((self.clock.now() - latest).max(0.0) / 1000.0))
     }
 
     // ---- Fronts ----
 
-    /// Takes in a request; `waiter` is given its one final answer, unless [`Hub::gone`] comes first.
+    /// Takes a request; `waiter` gets its one final answer, unless [`Hub::gone`] is called first.
     ///
     /// # Errors
-    /// Says why it was not taken; nothing is owed then.
+    /// The reason why it was not taken; `waiter` is not called then.
     pub fn ask(
         &self,
         incoming: Incoming<Rc<Call>>,
@@ -467,7 +473,7 @@
         }
     }
 
-    /// Nothing is owed any more: the client left.
+    /// The client left: its request needs no answer any more.
     pub fn gone(&self, asked: Asked) {
         match asked {
             Asked::Core(id) => self.client_gone(id),
@@ -475,43 +481,45 @@
         }
     }
 
-    /// Hands a request to the core; `waiter` is given its one final answer, unless [`Hub::client_gone`] comes first.
+    /// Submits a request to the core; `waiter` gets its one final answer, unless [`Hub::client_gone`] is
+    /// called first.
     ///
     /// # Errors
-    /// Says why it was not taken; nothing is owed then.
+    /// The reason why it was not taken; `waiter` is not called then.
     pub fn request(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter) -> Result<RequestId, NotTaken> {
         let (class, tenant) = (incoming.class, incoming.tenant);
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
-        let within = || self.shares.as_ref()?.within(tenant?);
-        let id = self.core.borrow_mut().take_within(self.clock.now(), incoming, within)?;
+        let allowed_by_share = || self.shares.as_ref()?.count_request(tenant?);
+        let id = self.core.borrow_mut().take_within(self.clock.now(), incoming, allowed_by_share)?;
         self.trace(|_| Doing::Ask { request: id.0, class });
         if let Some(call) = payload {
             self.trace(|_| Doing::Id { request: id.0, id: call.id.as_str().to_string() });
         }
         self.waiters.borrow_mut().insert(id, waiter);
-        self.run();
+        self.process_outputs();
         Ok(id)
     }
 
-    /// Nothing is owed any more: the client left.
+    /// The client left: its request needs no answer any more.
     pub fn client_gone(&self, id: RequestId) {
         self.waiters.borrow_mut().remove(&id);
-        self.tell(|core, now| core.client_gone(now, id));
+        self.update_core(|core, now| core.client_gone(now, id));
     }
 
-    /// How many requests await their final answer.
+    /// The number of requests that await their final answer.
     pub fn awaiting(&self) -> usize {
         self.core.borrow().awaiting() + self.gate.get().map_or(0, |gate| gate.awaiting())
     }
 
-    /// Fails all that is still open: the node ends, and an answer is better than a reset.
+    /// Fails all open requests: the node ends, and an answer is better than a connection reset.
     pub fn fail_all(&self) {
         self.failing.set(true);
-        self.tell(|core, now| core.fail_all(now));
+        self.update_core(|core, now| core.fail_all(now));
         self.gate.get().into_iter().for_each(|gate| gate.fail_all());
     }
 
-    /// The module's word on when to come back, for a request of this class that it is not shown.
+    /// The time that the client of a refused request of this class should stay away, for a request that the
+    /// core does not get to see.
     pub fn stay_away(&self, class: usize) -> Millis {
         self.core.borrow().stay_away(class)
     }
@@ -531,57 +539,59 @@
             let now = self.clock.now();
             server.into_iter().for_each(|server| self.servers.borrow_mut().heard(server, now, outcome));
         }
-        self.tell(|core, now| core.attempt_ended(now, attempt, ended));
+        self.update_core(|core, now| core.attempt_ended(now, attempt, ended));
     }
 
-    /// The body of a request is being taken from its client, and can't be sent again.
+    /// The body of a request is being read from its client, and can't be sent again.
     pub fn body_taken(&self, request: RequestId) {
-        self.tell(|core, now| core.body_taken(now, request));
+        self.update_core(|core, now| core.body_taken(now, request));
     }
 
-    /// The last byte of a request whose body was still coming has gone on.
+    /// The last byte of a request with a streamed body was sent.
     pub fn body_sent(&self, request: RequestId) {
-        self.tell(|core, now| core.body_sent(now, request));
+        self.update_core(|core, now| core.body_sent(now, request));
     }
 
-    /// A server is done with an attempt that ran on.
+    /// A server has finished an attempt that had run on after its end here.
     pub fn attempt_left(&self, attempt: AttemptId) {
-        self.tell(|core, now| core.attempt_left(now, attempt));
+        self.update_core(|core, now| core.attempt_left(now, attempt));
     }
 
-    /// A probe came back.
+    /// A probe has ended.
     pub fn probed(&self, server: ServerId, outcome: Outcome, took: Duration) {
         self.trace(|name| Doing::Probed { server: name(server), outcome: format!("{outcome:?}") });
-        self.tell(|core, now| core.probed(now, server, outcome, took.as_secs_f64() * 1000.0));
+        self.update_core(|core, now| core.probed(now, server, outcome, took.as_secs_f64() * 1000.0));
     }
 
-    /// A server has answered on a connection that was opened then.
+    /// A server has answered on a connection that was opened at `opened`.
     pub fn connection_answered(&self, server: ServerId, opened: Instant) {
         let opened = self.clock.at(opened);
-        self.tell(|core, now| core.connection_answered(now, server, opened));
+        self.update_core(|core, now| core.connection_answered(now, server, opened));
     }
 
-    /// The zone and the cell of a server, alike on all nodes.
+    /// The zone and the cell of a server, as numbers that are the same on all nodes.
     pub fn home(&self, server: ServerId) -> Option<(u64, u64)> {
         self.servers.borrow().home(server)
     }
 
-    /// Where a server listens and which of its lives this is, if it is listed as up.
+    /// A server's address and incarnation, if it is listed as up.
     pub fn place(&self, server: ServerId) -> Option<Place> {
         self.servers.borrow().place(server)
     }
 
-    /// Is a server in use, as far as its own answers tell?
+    /// Is a server in use, that is not ejected for its own answers?
     pub fn uses(&self, server: ServerId) -> bool {
         !self.core.borrow().is_ejected(server)
     }
 
-    /// May a request be sent to this life of a server now? It may have begun to drain while the request waited for a connection.
+    /// May a request be sent to this incarnation of a server now? It may have begun to drain while the
+    /// request waited for a connection.
     pub fn accepts(&self, server: ServerId, place: Place) -> bool {
         self.place(server) == Some(place) && self.core.borrow().accepts(server)
     }
 
-    /// May an attempt that was started still be written? Its request may be repeated for so long alone as servers remember it.
+    /// May an attempt that was started still be written? A keyed request may be repeated only for as long
+    /// as servers remember its key.
     pub fn may_write(&self, attempt: AttemptId) -> bool {
         self.core.borrow().may_write(self.clock.now(), attempt)
     }
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -1,4 +1,4 @@
-//! The list of servers at the hub: what discovery, registrations and configuration bring.
+//! The list of servers at the hub: updates from discovery, registrations and configuration.
 
 use std::cell::Cell;
 
@@ -10,14 +10,14 @@
 use crate::list::{Health, Heard, Host, Update};
 use crate::log;
 
-/// When each source of the list was last heard, in the core's time.
+/// When each source of the list was last seen, in the core's time.
 #[derive(Default)]
-pub(super) struct LastHeard {
+pub(super) struct LastSeen {
     discovery: Cell<Option<Millis>>,
     registrations: Cell<Option<Millis>>,
 }
 
-impl LastHeard {
+impl LastSeen {
     fn of(&self, source: Source) -> &Cell<Option<Millis>> {
         match source {
             Source::Discovery => &self.discovery,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// When any was; `None` before that.
+    /// When any source was last seen; `None` before that.
     pub(super) fn latest(&self) -> Option<Millis> {
         self.discovery.get().into_iter().chain(self.registrations.get()).reduce(f64::max)
     }
@@ -34,74 +34,75 @@
 impl Hub {
     // ---- Discovery ----
 
-    /// Discovery is at another address from now on. The list is kept; its version may mean nothing there, so the
-    /// whole is asked for, at once. Ending the old call first keeps its late lines out.
+    /// Discovery has moved to another address. The list is kept, but its version may mean nothing there, so
+    /// the complete list is requested at once. The old call is ended first, so that none of its late lines
+    /// is read.
     pub fn discovery_moved(&self) {
         self.succession.borrow_mut().restart();
         self.version.set(None);
         if let Some(outside) = self.outside.get() {
             outside.unsubscribe();
         }
-        self.tell(|core, now| core.discovery_moved(now));
+        self.update_core(|core, now| core.discovery_moved(now));
     }
 
-    /// The version to watch from; `None` where the whole list is needed first.
+    /// The version to watch from; `None` where the complete list is needed first.
     pub fn version(&self) -> Option<u64> {
         self.version.get()
     }
 
-    /// What was read last can't be trusted to follow on what the node has.
+    /// Forgets the version: what was read last may not follow on the list of the node.
     pub fn forget_version(&self) {
         self.version.set(None);
     }
 
-    /// The call to discovery failed, or its watch ended. The same words again are not logged until it has been heard: an
-    /// agent that is down for hours is asked three times a second.
-    pub fn discovery_failed(&self, words: &str, failure: ListFailure) {
-        if self.discovery_words.borrow().as_str() != words {
-            log::line(format!("discovery: {words}"));
-            *self.discovery_words.borrow_mut() = words.to_string();
+    /// The call to discovery failed, or its watch ended. A repeated message is not logged until discovery
+    /// has answered again: an agent that is down for hours is called three times a second.
+    pub fn discovery_failed(&self, message: &str, failure: ListFailure) {
+        if self.last_discovery_error.borrow().as_str() != message {
+            log::line(format!("discovery: {message}"));
+            *self.last_discovery_error.borrow_mut() = message.to_string();
         }
         self.trace(|_| Doing::CallFailed);
-        self.tell(|core, now| core.list_failed(now, failure));
+        self.update_core(|core, now| core.list_failed(now, failure));
         let now = self.clock.now();
         let due = self.core.borrow().next_call().map(|due| due - now);
         due.into_iter().for_each(|due| self.trace(|_| Doing::CallDue(due)));
-        if self.core.borrow().has_lost_list() && self.list_lost.get().is_none() {
-            self.list_lost.set(Some(now));
+        if self.core.borrow().has_lost_list() && self.list_lost_since.get().is_none() {
+            self.list_lost_since.set(Some(now));
             let version = self.version.get().map_or("none".to_string(), |version| version.to_string());
             let due = due.unwrap_or_default();
             log::line(format!("list lost: version {version}, {failure:?}, next call in {due:.0} ms"));
         }
     }
 
-    /// The answer to a call has begun.
+    /// The answer to a call to discovery has begun.
     pub fn discovery_answering(&self) {
         self.trace(|_| Doing::Answering);
-        self.tell(|core, now| core.list_answering(now));
+        self.update_core(|core, now| core.list_answering(now));
     }
 
-    /// A watch says that it stands, with no news. With the first sign of life the call for it is answered: nothing has changed
-    /// since the version that was asked for.
+    /// A watch reported that it is alive, without a change. The first such message also answers the call:
+    /// nothing has changed since the requested version.
     pub fn discovery_alive(&self, first: bool) {
-        self.discovery_words.borrow_mut().clear();
-        self.list_heard.of(Source::Discovery).set(Some(self.clock.now()));
-        let informed = self.informed.replace(true);
-        if first || !informed {
-            let trust = self.list_lost.get().map(|_| self.core.borrow().trust());
-            self.tell(|core, now| core.list_changed(now, Vec::new()));
+        self.last_discovery_error.borrow_mut().clear();
+        self.list_last_seen.of(Source::Discovery).set(Some(self.clock.now()));
+        let discovery_answered = self.discovery_answered.replace(true);
+        if first || !discovery_answered {
+            let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
+            self.update_core(|core, now| core.list_changed(now, Vec::new()));
             self.note_followed(trust);
-            self.show();
+            self.update_figures();
         }
     }
 
-    /// Says for how long the list was not followed, where it has just come back; `trust` is of before.
+    /// Logs for how long the list was not followed, if it has just come back; `trust` is the state before.
     fn note_followed(&self, trust: Option<Trust>) {
         let Some(Trust { rotated, proved, seen, refuse }) = trust else { return };
         if self.core.borrow().has_lost_list() {
             return;
         }
-        let Some(lost) = self.list_lost.take() else { return };
+        let Some(lost) = self.list_lost_since.take() else { return };
         let version = self.version.get().unwrap_or_default();
         log::line(format!(
             "list followed again: version {version}, after {:.0} ms; of {rotated} servers {proved} proved, \
@@ -110,22 +111,22 @@
         ));
     }
 
-    /// Discovery has brought a list, or changes.
+    /// Discovery has sent a list, or changes.
     ///
     /// # Errors
-    /// Says what can't be so; nothing changes then.
+    /// What is inconsistent about the update; nothing changes then.
     pub fn listed(&self, update: Update) -> Result<(), String> {
-        // Where servers register as well, discovery may have none left.
+        // Where servers register as well, discovery may have no servers left.
         let known = if self.merge.is_some() { 0 } else { self.servers.borrow().len() };
         self.succession.borrow_mut().take(&update, known)?;
-        self.discovery_words.borrow_mut().clear();
-        self.informed.set(true);
+        self.last_discovery_error.borrow_mut().clear();
+        self.discovery_answered.set(true);
         self.trace(|_| Doing::List { whole: update.whole, entries: update.hosts.len() });
         self.trace(|_| Doing::Version(update.version));
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
             self.trace(|_| Doing::Entry { server: host.host.clone(), health: format!("{:?}", host.health) });
         }
-        let trust = self.list_lost.get().map(|_| self.core.borrow().trust());
+        let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
         self.take_list(Source::Discovery, update, false);
         self.note_followed(trust);
         Ok(())
@@ -133,24 +134,25 @@
 
     // ---- Registrations ----
 
-    /// Registrations have changed, or are all there are; `saved` for those of before the node's start.
+    /// Registrations have changed; with `whole`, `hosts` are all there are. `saved` is set for those saved
+    /// before the node's start.
     pub fn registered(&self, whole: bool, hosts: Vec<Host>, saved: bool) {
         if !saved {
-            self.informed.set(true);
+            self.discovery_answered.set(true);
         }
         self.take_list(Source::Registrations, Update { version: 0, whole, hosts }, saved);
     }
 
-    /// Configuration has brought servers, or taken them out.
+    /// Configuration has added, changed or removed servers.
     pub fn configured_servers(&self, hosts: Vec<Host>) {
-        self.informed.set(true);
+        self.discovery_answered.set(true);
         self.take_list(Source::Registrations, Update { version: 0, whole: false, hosts }, false);
     }
 
-    /// Was the server of that name seen to answer within the last so many milliseconds, and not to fail since?
-    pub fn answers(&self, name: &str, within: Millis) -> bool {
+    /// Has the server of that name answered within the last `max_age` milliseconds, and not failed since?
+    pub fn answers(&self, name: &str, max_age: Millis) -> bool {
         let answered = self.servers.borrow().answered(name);
-        answered.is_some_and(|at| self.clock.now() - at <= within)
+        answered.is_some_and(|at| self.clock.now() - at <= max_age)
     }
 
     pub(super) fn take_list(&self, source: Source, update: Update, saved: bool) {
@@ -162,20 +164,20 @@
             None => update,
         };
         let whole = update.whole;
-        let last_heard = self.list_heard.of(source);
+        let last_seen = self.list_last_seen.of(source);
         let heard = Heard {
             clock: &self.clock,
-            before: last_heard.get(),
+            before: last_seen.get(),
             warm_within: self.settings().policy.rules.warm_within,
         };
         let (entries, stale) = self.servers.borrow_mut().take(update, heard);
         if !saved {
-            last_heard.set(Some(self.clock.now()));
+            last_seen.set(Some(self.clock.now()));
         }
         if let Some(outside) = self.outside.get() {
             stale.into_iter().for_each(|server| outside.forget(server));
         }
-        self.tell(|core, now| {
+        self.update_core(|core, now| {
             if whole {
                 core.list(now, entries, saved);
             } else if source == Source::Discovery {
@@ -184,6 +186,6 @@
                 core.list_news(now, entries);
             }
         });
-        self.show();
+        self.update_figures();
     }
 }
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -1,20 +1,20 @@
-//! The settings that count at a node, and how they change under requests that are open.
+//! The settings in force at a node, and how they change while requests are open.
 
 use std::rc::Rc;
 
-use glenwood_operation::places::{Place as Seat, Turn};
+use glenwood_operation::places::{Place as Slot, Turn};
 use glenwood_policy::{Class, SettingsError, Tenant, TenantChange};
 use glenwood_settings::NodeSettings;
 
 use super::Hub;
 
-/// What changes the settings that a file says: it goes before the file.
+/// Applies changes on top of the settings of a file; they take precedence over the file.
 pub trait Overlay {
-    /// Lays what it has over settings that a file has brought.
-    fn lay_over(&self, settings: &mut NodeSettings);
+    /// Applies its changes to the settings read from a file.
+    fn apply(&self, settings: &mut NodeSettings);
 }
 
-/// Some classes and tenants that are otherwise; `None` for those that are no more.
+/// Changes of classes and tenants; `None` for those that are removed.
 #[derive(Debug, Default)]
 pub struct SettingsChange {
     /// Classes by name.
@@ -23,73 +23,73 @@
     pub tenants: Vec<(String, Option<Tenant>)>,
 }
 
-/// What stands in each place: of those that vanished, what stood there before.
-fn seated<T: Clone>(turns: &[Turn], old: &[T], new: &[T]) -> Vec<T> {
-    let of = |(place, turn): (usize, &Turn)| match turn {
+/// The value in each slot; a slot whose entry vanished keeps its old value.
+fn values_by_slot<T: Clone>(turns: &[Turn], old: &[T], new: &[T]) -> Vec<T> {
+    let of = |(slot, turn): (usize, &Turn)| match turn {
         Turn::Stays(n) | Turn::Begins(n) => new[*n].clone(),
-        Turn::Vanished => old[place].clone(),
+        Turn::Vanished => old[slot].clone(),
     };
     turns.iter().enumerate().map(of).collect()
 }
 
 impl Hub {
-    /// The settings that count now; classes and tenants stand in them by their places.
+    /// The settings in force; classes and tenants are in them by their slots.
     pub fn settings(&self) -> Rc<NodeSettings> {
         self.settings.borrow().clone()
     }
 
     /// The class of that name, if the settings have it.
-    pub fn class(&self, name: &str) -> Option<Seat> {
+    pub fn class(&self, name: &str) -> Option<Slot> {
         self.classes.borrow().find(name)
     }
 
     /// The tenant of that name, if the settings have it.
-    pub fn tenant(&self, name: &str) -> Option<Seat> {
+    pub fn tenant(&self, name: &str) -> Option<Slot> {
         self.tenants.borrow().find(name)
     }
 
-    /// Takes new settings over, whole or not at all. What was read of a request before keeps the place of its class.
+    /// Applies new settings, all or none. Requests that were read before keep the slot of their class.
     ///
     /// # Errors
-    /// Where the module would refuse them.
+    /// An error where the core would refuse them.
     pub fn new_settings(&self, mut new: NodeSettings) -> Result<(), SettingsError> {
         if let Some(overlay) = self.overlay.get() {
-            overlay.lay_over(&mut new);
+            overlay.apply(&mut new);
         }
         new.policy.check()?;
         let old = self.settings();
         let tenant_names = std::mem::take(&mut new.tenants);
-        // How the list comes is what the node is made of: that waits for the next start.
+        // How the list is obtained can't change while the node runs; that waits for the next start.
         new.policy.discovery = old.policy.discovery;
         self.figures.with(|figures| figures.have_classes(new.classes.iter().map(String::as_str)));
         let classes = self.classes.borrow_mut().follow(&new.classes);
         let tenants = self.tenants.borrow_mut().follow(&tenant_names);
-        new.policy.classes = seated(&classes, &old.policy.classes, &new.policy.classes);
-        new.policy.tenants = seated(&tenants, &old.policy.tenants, &new.policy.tenants);
-        let anew = |turns: &[Turn]| turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
+        new.policy.classes = values_by_slot(&classes, &old.policy.classes, &new.policy.classes);
+        new.policy.tenants = values_by_slot(&tenants, &old.policy.tenants, &new.policy.tenants);
+        let are_new = |turns: &[Turn]| turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
         if let Some(shares) = &self.shares {
             let places = self.tenants.borrow();
             let name = |place: usize| places.name(place).map_or_else(String::new, |name| name.to_string());
             shares.follow(&(0..new.policy.tenants.len()).map(name).collect::<Vec<_>>(), &new);
         }
-        let (classes, tenants, policy) = (anew(&classes), anew(&tenants), new.policy.clone());
+        let (classes, tenants, policy) = (are_new(&classes), are_new(&tenants), new.policy.clone());
         self.settings.replace(Rc::new(new));
-        self.tell(|core, now| core.new_settings(now, policy, classes, tenants))
+        self.update_core(|core, now| core.new_settings(now, policy, classes, tenants))
     }
 
-    /// From now on this is laid over whatever a file says. To be called once.
+    /// Sets the overlay that is applied to the settings of each file. To be called once.
     pub fn set_overlay(&self, overlay: Rc<dyn Overlay>) {
         let _ = self.overlay.set(overlay);
     }
 
-    /// Takes a change over, whole or not at all, at a cost that does not grow with the tenants that stay. What was read of a
-    /// request before keeps the place of its class and tenant.
+    /// Applies a change, all or nothing, at a cost that does not grow with the number of unchanged tenants.
+    /// Requests that were read before keep the slots of their class and tenant.
     ///
     /// # Errors
-    /// Where the module would refuse the classes.
+    /// An error where the core would refuse the classes.
     pub fn change_settings(&self, change: SettingsChange) -> Result<(), SettingsError> {
         if !change.classes.is_empty() {
-            // Nothing that comes after it can fail.
+            // The only step that can fail comes first.
             self.change_classes(change.classes)?;
         }
         if !change.tenants.is_empty() {
@@ -118,11 +118,11 @@
         new.policy.check()?;
         self.figures.with(|figures| figures.have_classes(new.classes.iter().map(String::as_str)));
         let turns = self.classes.borrow_mut().follow(&new.classes);
-        new.policy.classes = seated(&turns, &old.policy.classes, &new.policy.classes);
-        let anew = turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
+        new.policy.classes = values_by_slot(&turns, &old.policy.classes, &new.policy.classes);
+        let is_new = turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
         let (policy, tenants) = (new.policy.clone(), vec![false; new.policy.tenants.len()]);
         self.settings.replace(Rc::new(new));
-        self.tell(|core, now| core.new_settings(now, policy, anew, tenants))
+        self.update_core(|core, now| core.new_settings(now, policy, is_new, tenants))
     }
 
     fn change_tenants(&self, changes: Vec<(String, Option<Tenant>)>) {
@@ -143,6 +143,6 @@
             }
             taken
         };
-        self.tell(|core, now| core.change_tenants(now, changes));
+        self.update_core(|core, now| core.change_tenants(now, changes));
     }
 }
--- a/crates/node/src/inspect.rs
+++ b/crates/node/src/inspect.rs
@@ -1,5 +1,5 @@
-//! What the node says of itself, to who asks on a Unix socket in its runtime folder: one JSON object for each connection.
-//! Who may ask is the business of the folder's permissions; the socket itself is its owner's alone.
+//! Inspection: a Unix socket in the node's runtime folder that returns one JSON object per connection. The
+//! folder's permissions decide who may connect; the socket itself is accessible to its owner only.
 
 use std::io::Read;
 use std::os::unix::fs::PermissionsExt;
@@ -18,22 +18,22 @@
 use crate::hub::Hub;
 use crate::log;
 
-/// The variable that tells the node the token of its start, to give it back to who started it.
+/// The environment variable with the token of this start, which is returned to whoever started the node.
 pub const TOKEN: &str = "GLENWOOD_TOKEN";
-/// Who asks and does not read has the answer for no longer than this.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// How long a connection is kept for a caller that does not read the answer.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A part of the node that says something of itself, under its own name.
+/// A part of the node with its own section in the report.
 pub trait Part {
-    /// The field that it has in the report.
+    /// The field of this part in the report.
     fn name(&self) -> &'static str;
-    /// What it says.
+    /// The content of that field.
     fn report(&self) -> serde_json::Value;
-    /// What it shows at the admin endpoint.
+    /// The metrics of this part for the admin endpoint.
     fn figures(&self) -> Vec<Figure>;
 }
 
-/// How far the node is.
+/// The stage of the node's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
@@ -41,34 +41,34 @@
     Starting,
     /// It serves.
     Ready,
-    /// It was told to end, and finishes what it has.
+    /// It was told to stop, and finishes its open requests.
     Stopping,
 }
 
-/// What the node says of itself.
+/// The report of the node.
 #[derive(Debug, Serialize)]
 struct Report {
     name: String,
-    /// The token that it was started with.
+    /// The token that the node was started with.
     token: Option<String>,
     pid: u32,
     /// The program's version, and the SHA-256 of its file.
     version: &'static str,
     release: Option<String>,
-    /// The SHA-256 of its configuration and its operator's file, as they were read at the start.
+    /// The SHA-256 of the configuration file and the operator's file, as read at the start.
     config: String,
     started_unix_ms: f64,
     stage: Stage,
     /// Requests that await their answer.
     open: usize,
-    /// Final answers so far, and those of them that failed; refusals are counted apart.
+    /// Final answers so far, without refusals; `failed` are those of them that failed.
     answered: u64,
     failed: u64,
     refused: u64,
-    /// Servers that are listed, and how long ago any source of the list was heard.
+    /// The number of listed servers, and how long ago any source of the list was last seen.
     servers: usize,
     list_age_ms: Option<f64>,
-    /// Tenants' usage over all nodes, where that is counted.
+    /// Tenants' usage over all nodes, where it is counted.
     usage: Option<crate::usage::Report>,
     /// What else there is.
     #[serde(flatten)]
@@ -79,7 +79,7 @@
     hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The digest of this program's file, read in pieces: it is larger than what a node may hold.
+/// The digest of this program's file. It is read in pieces, as it is larger than the memory a node may use.
 fn own_digest() -> Option<String> {
     let mut file = std::fs::File::open("/proc/self/exe").ok()?;
     let (mut hasher, mut chunk) = (Sha256::new(), vec![0; 64 * 1024]);
@@ -91,7 +91,7 @@
     }
 }
 
-/// The digest of the configuration's files.
+/// The digest of the configuration file and the operator's file.
 fn config_digest(operator: Option<&Path>) -> String {
     let config = std::env::var_os("BALANCER_CONFIG").map(PathBuf::from);
     let mut hasher = Sha256::new();
@@ -103,23 +103,23 @@
     hex(hasher)
 }
 
-/// Answers at a socket that is made at this path, in place of one that a node before has left there.
+/// Creates the socket at this path, in place of one left there by an earlier node.
 ///
 /// # Errors
-/// One line, where it can't be made.
+/// One line with the reason, where it can't be created.
 pub fn listen(path: &Path) -> Result<UnixListener, String> {
-    let said = |e: std::io::Error| format!("inspect.socket: {}: {e}", path.display());
+    let describe = |e: std::io::Error| format!("inspect.socket: {}: {e}", path.display());
     match std::fs::remove_file(path) {
-        Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(said(e)),
+        Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(describe(e)),
         _ => {}
     }
-    let listener = at_start(|| UnixListener::bind(path)).map_err(said)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(said)?;
+    let listener = at_start(|| UnixListener::bind(path)).map_err(describe)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(describe)?;
     Ok(listener)
 }
 
-/// Answers who asks; never ends.
-pub async fn answer(
+/// Serves the inspection socket; never returns.
+pub async fn serve(
     hub: Rc<Hub>,
     parts: Vec<Rc<dyn Part>>,
     listener: UnixListener,
@@ -132,7 +132,7 @@
     let release: Rc<OnceCell<Option<String>>> = Rc::default();
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            // No descriptor is left: others have them, and give them back.
+            // No descriptor is left; other parts of the node will return some.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
@@ -166,13 +166,13 @@
                 stream.write_all(&line).await?;
                 stream.shutdown().await
             };
-            // Who went away meanwhile asked for nothing.
-            let _ = tokio::time::timeout(PATIENCE, write).await;
+            // The caller may have gone meanwhile.
+            let _ = tokio::time::timeout(WRITE_TIMEOUT, write).await;
         });
     }
 }
 
-/// Removes the socket of a node that ends.
+/// Removes the socket when the node ends.
 pub fn remove(path: &Path) {
     if let Err(e) = std::fs::remove_file(path) {
         log::line(format!("inspect: {}: {e}", path.display()));
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,5 +1,5 @@
-//! Which other nodes there are: the table `members` of the operator's file, and the socket round the machine of
-//! `glenwood-members`.
+//! Membership of the other nodes: the table `members` of the operator's file, and the socket of the state
+//! machine in `glenwood-members`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,38 +25,39 @@
 use crate::inspect::Part;
 use crate::log;
 
-/// How often an address is tried that another process of this node still has.
-const BIND_AGAIN: Duration = Duration::from_millis(100);
-/// How many datagrams are read before what is due is done: what came in time must not seem late.
-const BURST: usize = 512;
-/// How many members are shown.
-const SHOWN: usize = 1000;
+/// How long to wait before binding an address again that another process of this node still holds.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The most datagrams that are read before due timers are handled. Reading many first keeps an answer that
+/// came in time from counting as late.
+const MAX_DATAGRAM_BATCH: usize = 512;
+/// The most members in the report.
+const MAX_REPORTED_MEMBERS: usize = 1000;
 
-/// What the operator's file says of membership.
+/// Membership settings of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table {
-    /// Whose members these are.
+    /// The name of the cluster.
     pub cluster: String,
-    /// The file of the secret that all have in common, 16 bytes at the least.
+    /// The file with the secret that all members share, of at least 16 bytes.
     pub secret: PathBuf,
-    /// Where this node takes datagrams.
+    /// The address where this node receives datagrams.
     pub listen: SocketAddr,
-    /// Where others send to it, if that is another address.
+    /// The address to which others send, if that is another one.
     pub address: Option<SocketAddr>,
     /// Its zone; empty where there are none.
     pub zone: String,
-    /// A few members that are likely to be there, 1 to 64.
+    /// A few members that are likely to be up, 1 to 64.
     pub seeds: Vec<SocketAddr>,
-    /// How often it probes another one, 20 to 10,000 ms.
+    /// The interval of its probes of other members, 20 to 10,000 ms.
     pub probe_ms: u64,
     /// The most members, 2 to 4,096.
     pub most: usize,
-    /// How long one that is gone is remembered, 10,000 to 86,400,000 ms.
+    /// How long a member that is gone is remembered, 10,000 to 86,400,000 ms.
     pub forget_ms: u64,
 }
 
 impl Table {
-    /// Reads the table.
+    /// Reads and checks the table.
     ///
     /// # Errors
     /// The field and the reason.
@@ -66,7 +67,7 @@
         let seeds = |value: Value| value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>();
         let seeds = |value| seeds(value).filter(|all| (1..=64).contains(&all.len()));
         let zone = |value: Value| text(value).filter(|zone| zone.len() <= ZONE_MOST);
-        let taken = Self {
+        let table = Self {
             cluster: f.text("cluster", "a name")?.unwrap_or_else(|| "glenwood".into()),
             secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
             listen: f.need("listen", "an IP address and port", |v| address(&v))?,
@@ -77,23 +78,23 @@
             most: f.within("most", 2..=4096, 1000)?,
             forget_ms: f.within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
         };
-        if taken.address.is_none() && taken.listen.ip().is_unspecified() {
-            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), taken.listen));
+        if table.address.is_none() && table.listen.ip().is_unspecified() {
+            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), table.listen));
         }
         f.end()?;
-        Ok(taken)
+        Ok(table)
     }
 }
 
-/// Whoever wants to know what happens to members.
+/// Observes changes of the membership.
 pub trait MembershipObserver {
-    /// This happened.
+    /// A member joined, left or was lost, or another event occurred.
     fn on_member_event(&self, event: &Event);
-    /// A datagram came that is not membership's own.
+    /// A datagram was received that does not belong to the membership protocol.
     fn on_datagram(&self, bytes: &[u8], from: SocketAddr);
 }
 
-/// What the node knows of the others.
+/// The node's view of the other members.
 pub struct Membership {
     table: Table,
     name: String,
@@ -101,14 +102,14 @@
     seed: u64,
     secret: Secret,
     clock: Clock,
-    /// Made once the address is this process's.
+    /// Created once this process has bound the address.
     machine: RefCell<Option<Members>>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     observers: RefCell<Vec<Rc<dyn MembershipObserver>>>,
     open: Cell<bool>,
 }
 
-/// All that is shown.
+/// The report for inspection.
 #[derive(Debug, Serialize)]
 struct Report {
     cluster: String,
@@ -117,7 +118,7 @@
     address: Option<SocketAddr>,
     open: bool,
     living: usize,
-    /// By the states of those that are known.
+    /// The number of known members in each state.
     states: BTreeMap<State, usize>,
     health: u32,
     figures: Figures,
@@ -125,10 +126,10 @@
 }
 
 impl Membership {
-    /// What the configuration says of it; `None` where it is off.
+    /// Creates the membership from the configuration; `None` where it is off.
     ///
     /// # Errors
-    /// One line: field and reason.
+    /// One line with the field and the reason.
     pub fn new(config: &Config) -> Result<Option<Rc<Self>>, String> {
         let Some(table) = config.operator.members.clone() else { return Ok(None) };
         if config.name.len() > NAME_MOST {
@@ -153,36 +154,36 @@
         })))
     }
 
-    /// The number of this process's life.
+    /// The number that identifies this run of the node.
     pub fn life(&self) -> u64 {
         self.life
     }
 
-    /// Tells this one of all that happens from now on.
-    pub fn tell(&self, observer: Rc<dyn MembershipObserver>) {
+    /// Adds an observer of all events from now on.
+    pub fn add_observer(&self, observer: Rc<dyn MembershipObserver>) {
         self.observers.borrow_mut().push(observer);
     }
 
-    /// A member, and how it is.
+    /// A member and its state.
     pub fn get(&self, id: Id) -> Option<(Member, State)> {
         let machine = self.machine.borrow();
         machine.as_ref()?.get(id).map(|(member, state)| (member.clone(), state))
     }
 
-    /// Sends something from this node's address.
+    /// Sends a datagram from this node's membership address.
     pub fn send(&self, bytes: &[u8], to: SocketAddr) {
         if let Some(socket) = &*self.socket.borrow() {
-            // A full socket loses it, as the network may.
+            // A datagram is dropped when the socket's buffer is full, as the network may drop it.
             let _ = socket.try_send_to(bytes, to);
         }
     }
 
-    /// The time that the machine goes by.
+    /// The time for the state machine.
     fn now(&self) -> u64 {
         self.clock.now() as u64
     }
 
-    /// The machine of this node at this address.
+    /// Creates the state machine of this node for this address.
     fn machine(&self, bound: SocketAddr) -> Result<Members, String> {
         let me = Member {
             name: self.name.clone(),
@@ -198,12 +199,13 @@
             most: self.table.most,
             forget_ms: self.table.forget_ms,
         };
-        // A later start has the larger number, unless the clock went back: then the others' word sets it right.
+        // A later start has the larger incarnation, unless the clock went back: then the incarnation that
+        // others report corrects it.
         let incarnation = self.clock.unix_now();
         Members::new(settings, self.secret.clone(), incarnation, self.seed ^ self.life, self.now())
     }
 
-    /// Sends what the machine has to send, and tells what happened.
+    /// Sends the state machine's datagrams, and logs and forwards its events.
     fn flush(&self) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
         if let Some(machine) = &mut *self.machine.borrow_mut() {
@@ -212,19 +214,19 @@
         }
         if let Some(socket) = &*self.socket.borrow() {
             for transmit in out {
-                // A full socket loses it, as the network may.
+                // A datagram is dropped when the socket's buffer is full, as the network may drop it.
                 let _ = socket.try_send_to(&transmit.bytes, transmit.to);
             }
         }
         for event in events {
             match &event {
-                Event::Joined(m) => log::line(format!("members: {} is there, at {}", m.name, m.address)),
+                Event::Joined(m) => log::line(format!("members: {} joined, at {}", m.name, m.address)),
                 Event::Lost(m) => log::line(format!("members: {} is lost, life {:016x}", m.name, m.life)),
                 Event::Left(m) => log::line(format!("members: {} has left", m.name)),
                 Event::Refuted => {}
                 Event::Stalled(ms) => log::line(format!("members: this node stood still for {ms} ms")),
                 Event::NameTaken(at) => {
-                    log::line(format!("members: another process goes by the name {}, at {at}", self.name));
+                    log::line(format!("members: another process uses the name {}, at {at}", self.name));
                 }
             }
             let observers = self.observers.borrow().clone();
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Says that this node goes.
+    /// Announces that this node leaves.
     pub fn leave(&self) {
         if self.open.get() {
             let now = self.now();
@@ -241,23 +243,23 @@
         }
     }
 
-    /// Takes part until this process ends, or leaves its address to another one.
+    /// Runs the protocol until this process ends, or hands its address over to another one.
     pub async fn run(self: Rc<Self>, hub: Rc<Hub>) {
-        let mut said = false;
+        let mut logged = false;
         let socket = loop {
             match UdpSocket::bind(self.table.listen).await {
                 Ok(socket) => break Rc::new(socket),
-                Err(error) if !std::mem::replace(&mut said, true) => {
-                    log::line(format!("members: {}: {error}; tried again", self.table.listen));
+                Err(error) if !std::mem::replace(&mut logged, true) => {
+                    log::line(format!("members: {}: {error}; trying again", self.table.listen));
                 }
                 Err(_) => {}
             }
-            sleep(BIND_AGAIN).await;
+            sleep(BIND_RETRY_DELAY).await;
         };
         let made = socket.local_addr().map_err(|e| e.to_string()).and_then(|bound| self.machine(bound));
         let machine = match made {
             Ok(machine) => machine,
-            Err(words) => return log::line(format!("members: {words}")),
+            Err(reason) => return log::line(format!("members: {reason}")),
         };
         if let Ok(at) = socket.local_addr() {
             log::line(format!("members: listens at {at}, life {:016x}", self.life));
@@ -273,7 +275,7 @@
                 _ = socket.readable() => {}
                 () = sleep(wait) => {}
             }
-            for _ in 0..BURST {
+            for _ in 0..MAX_DATAGRAM_BATCH {
                 let Ok((length, from)) = socket.try_recv_from(&mut bytes) else { break };
                 if !Members::is_own(&bytes[..length]) {
                     let observers = self.observers.borrow().clone();
@@ -282,7 +284,7 @@
                 }
                 let now = self.now();
                 if let Some(machine) = &mut *self.machine.borrow_mut() {
-                    // What can't be believed is counted there, and changes nothing.
+                    // Invalid datagrams are counted there, and change nothing.
                     let _ = machine.hear(now, &bytes[..length]);
                 }
             }
@@ -294,7 +296,7 @@
         }
         self.open.set(false);
         self.socket.replace(None);
-        log::line("members: left to the other process".to_string());
+        log::line("members: handed over to the other process".to_string());
     }
 }
 
@@ -306,7 +308,7 @@
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
-            gauge("members_living", living, "Other nodes that are taken for living."),
+            gauge("members_living", living, "Other nodes that are table for living."),
             counter("members_declared", figures.declared, "Nodes that this one took for lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
             counter("members_stalls", figures.stalls, "Times that this node stood still."),
@@ -335,7 +337,7 @@
             states,
             health: machine.as_ref().map_or(0, Members::health),
             figures: machine.as_ref().map(Members::figures).unwrap_or_default(),
-            members: all.into_iter().take(SHOWN).collect(),
+            members: all.into_iter().take(MAX_REPORTED_MEMBERS).collect(),
         };
         serde_json::to_value(report).unwrap_or_default()
     }
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What holds a node together: listeners, timers, signals, and the end.
+//! Runs a node: creates its parts and connects them, handles signals, and stops it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -31,63 +31,67 @@
 use crate::log;
 use crate::members::Membership;
 use crate::registrations;
-use crate::upgrade::{self, Holder};
+use crate::upgrade::{self, Handoff};
 use crate::usage::{self, Shares};
 
-/// How long connections still come after SIGTERM, at the least.
-const ACCEPT: Duration = Duration::from_millis(500);
-/// How soon after SIGTERM SIGKILL may come, which resets what it finds: the longest deadline, within this, and so
-/// much more.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(3000), Duration::from_millis(700));
-/// How long before that the node begins to close connections, fails what is still open, and ends at the latest.
-const CLOSE_BEFORE: Duration = Duration::from_millis(1400);
-const FAIL_BEFORE: Duration = Duration::from_millis(500);
-const END_BEFORE: Duration = Duration::from_millis(200);
-/// How long the answers to what was failed have to be written, however late that was.
-const WRITTEN_WITHIN: Duration = Duration::from_millis(100);
-/// How often the node looks whether it can end.
-const LOOK: Duration = Duration::from_millis(5);
-/// Connections that the kernel may hold until they are accepted.
+/// How long connections are still accepted after SIGTERM, at the least.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// When SIGKILL may follow SIGTERM, which resets the connections that are open: after the longest deadline,
+/// limited to the first value, plus the second.
+const KILL_DELAY: (Duration, Duration) = (Duration::from_millis(3000), Duration::from_millis(700));
+/// How long before SIGKILL the node begins to close connections.
+const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1400);
+/// How long before SIGKILL the node fails the requests that are still open.
+const FAIL_BEFORE_KILL: Duration = Duration::from_millis(500);
+/// How long before SIGKILL the node ends at the latest.
+const END_BEFORE_KILL: Duration = Duration::from_millis(200);
+/// How long the answers of failed requests have to be written, however late they were failed.
+const FAILED_ANSWERS_WRITE_TIME: Duration = Duration::from_millis(100);
+/// How often a stopping node checks whether it can end.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1024;
-/// How long after its watch at the agent ended a node that is pushed its list opens the next: first, and at most. What the
-/// agent has counts as told, and to ask it costs nobody anything.
-const AGENT_AGAIN: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
-/// How often operators are shown what is not counted as it happens.
-const SHOW: Duration = Duration::from_millis(100);
-/// How often it is looked whether a node that can't serve yet can.
-const READY_LOOK: Duration = Duration::from_millis(10);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_millis(200);
+/// How long a node with pushed lists waits to reopen its watch at the agent: the first delay, and the
+/// maximum. The agent's list counts as notified, so the delay must be short, and calls to the agent are
+/// cheap.
+const AGENT_RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
+/// How often metrics that are not counted as events happen are updated.
+const FIGURES_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a node that starts other_listens another process checks whether it is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Backends and discovery, as the hub knows them.
-struct Links {
+/// Carries out the hub's actions with the backends and discovery.
+struct Actions {
     hub: Rc<Hub>,
     http1: Rc<http1::Servers>,
     msgpack: Rc<msgpack::Servers>,
-    /// Where discovery is now; a reload moves it.
+    /// The address of discovery; a reload may change it.
     discovery: Cell<SocketAddr>,
-    /// Which fields the configuration file that counts has.
+    /// The fields of the configuration file in force.
     fields: RefCell<FileFields>,
-    /// The call to discovery that is out.
+    /// The current call to discovery.
     call: RefCell<Option<AbortHandle>>,
 }
 
-impl Outside for Links {
+impl Outside for Actions {
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
         match self.hub.place(server).map(|place| place.dial.protocol) {
             Some(Protocol::Http1) => self.http1.start(attempt, server, end, call),
-            // A message is one piece, and nobody takes one so long: it was never sent.
+            // A MessagePack message is sent as one piece, and no server takes one this long: the attempt
+            // was never sent.
             Some(Protocol::Msgpack) if call.rest.is_some() || call.body.len() > BODY_MOST => {
                 self.hub.attempt_ended(attempt, Ended::Without(Outcome::NotSent));
             }
             Some(Protocol::Msgpack) => self.msgpack.start(attempt, server, end, call),
-            // It drained between the decision and now.
+            // The server has begun to drain since the decision.
             None => self.hub.attempt_ended(attempt, Ended::Without(Outcome::NotSent)),
         }
     }
 
     fn abandon(&self, attempt: AttemptId) {
-        // One that is with neither has ended already.
+        // An attempt that neither backend has ended already.
         let _ = self.http1.abandon(attempt) || self.msgpack.abandon(attempt);
     }
 
@@ -112,7 +116,7 @@
             return;
         }
         let call = spawn_local(discovery::follow(self.hub.clone(), self.discovery.get())).abort_handle();
-        // One call at a time: what the module no longer waits for is only load on the service.
+        // One call at a time: a call that the core no longer waits for is only load on the service.
         if let Some(old) = self.call.borrow_mut().replace(call) {
             old.abort();
         }
@@ -125,25 +129,26 @@
     }
 }
 
-/// Keeps a watch open at the node's agent. Where lists are pushed the module asks for nothing, as they come by themselves;
-/// on sockets they come by this watch, and without it a node would serve by its saved list for ever.
-async fn watch_agent(links: Rc<Links>) {
-    let mut wait = AGENT_AGAIN.0;
+/// Keeps a watch open at the node's agent. With pushed lists the core subscribes to nothing, as it expects
+/// them to arrive. Over sockets they arrive by this watch; without it a node would use its saved list
+/// forever.
+async fn watch_agent(actions: Rc<Actions>) {
+    let mut wait = AGENT_RETRY_DELAY.0;
     loop {
         let opened = Instant::now();
-        let call = spawn_local(discovery::follow(links.hub.clone(), links.discovery.get()));
-        links.call.replace(Some(call.abort_handle()));
-        // A call that was ended from here makes room for one to where discovery is now.
+        let call = spawn_local(discovery::follow(actions.hub.clone(), actions.discovery.get()));
+        actions.call.replace(Some(call.abort_handle()));
+        // A call that was aborted here is followed at once by one to discovery's new address.
         let moved = call.await.is_err();
-        if moved || opened.elapsed() > AGENT_AGAIN.1 {
-            wait = AGENT_AGAIN.0;
+        if moved || opened.elapsed() > AGENT_RETRY_DELAY.1 {
+            wait = AGENT_RETRY_DELAY.0;
         }
         tokio::time::sleep(wait).await;
-        wait = (2 * wait).min(AGENT_AGAIN.1);
+        wait = (2 * wait).min(AGENT_RETRY_DELAY.1);
     }
 }
 
-/// Binds the clients' address, which another process of this node may share.
+/// Binds an address for clients; with `shared`, another process of this node may bind it too.
 fn bind(at: SocketAddr, shared: bool) -> std::io::Result<TcpSocket> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -152,7 +157,7 @@
     Ok(socket)
 }
 
-/// Does another process listen there? Nobody is let share with who asks, so a bind tells.
+/// Does another process listen at this address? A bind without sharing the port fails then.
 fn is_taken(at: SocketAddr) -> bool {
     matches!(at_start(|| bind(at, false)), Err(e) if e.kind() == std::io::ErrorKind::AddrInUse)
 }
@@ -161,27 +166,28 @@
     at_start(|| bind(at, true)?.listen(BACKLOG)).map_err(|e| format!("listen: {at}: {e}"))
 }
 
-/// Runs a node until it is told to stop, and finishes what it has taken.
+/// Runs a node until it is told to stop, and finishes the requests that it has taken.
 ///
 /// # Errors
-/// One line, where it can't start.
+/// One line with the reason, where it can't start.
 pub async fn serve(mut config: Config, operator: Option<PathBuf>) -> Result<(), String> {
     let signals = |asks| at_start(|| Signals::new(asks)).map_err(|e| format!("signals: {e}"));
     let mut stops = signals(Asks::Stop)?;
-    // Without a handler SIGHUP ends the process, and with it all that it has taken.
+    // Without a handler, SIGHUP would end the process with all its open requests.
     let reloads = signals(Asks::Reload)?;
     let speaks = if config.operator.msgpack_shared { Speaks::Either } else { Speaks::Http1 };
     let mut addresses = vec![(config.listen, speaks)];
     addresses.extend(config.operator.msgpack_listen.map(|at| (at, Speaks::Msgpack)));
-    // A connection that the kernel deals to this process must be served. Where none is beside it, clients see by its refusals
-    // that it is not ready; where one is, they see nothing of a process that does not listen yet.
-    let met = upgrade::place(config.listen).as_deref().and_then(upgrade::meet);
-    let beside = met.is_some() || addresses.iter().any(|(at, _)| is_taken(*at));
+    // Connections that the kernel assigns to this process must be served. Where no other process listens,
+    // clients see by refusals that this one is not ready. Where one does, this process does not listen
+    // until it is ready, so that clients don't notice it.
+    let predecessor = upgrade::socket_path(config.listen).as_deref().and_then(upgrade::connect);
+    let other_listens = predecessor.is_some() || addresses.iter().any(|(at, _)| is_taken(*at));
     type Listeners = Vec<(TcpListener, Speaks)>;
     let listen_all = || -> Result<Listeners, String> {
         addresses.iter().map(|(at, speaks)| Ok((listen(*at)?, *speaks))).collect()
     };
-    let mut listeners = if beside { Vec::new() } else { listen_all()? };
+    let mut listeners = if other_listens { Vec::new() } else { listen_all()? };
     let inspect = config.operator.inspect.clone();
     let inspecting = inspect.as_deref().map(inspect::listen).transpose()?;
     let known = config.known.take();
@@ -193,7 +199,7 @@
         let at = admin::open(at, hub.config.callers_most(), hub.figures.clone())?;
         log::line(format!("{} answers operators at {at}", hub.config.name));
     }
-    let links = Rc::new(Links {
+    let actions = Rc::new(Actions {
         http1: http1::Servers::new(hub.clone(), descriptors.clone()),
         msgpack: msgpack::Servers::new(hub.clone(), descriptors.clone()),
         discovery: Cell::new(hub.config.discovery),
@@ -204,32 +210,32 @@
     spawn_local(hub.clone().run_timer());
     let custody = Custody::new(&hub, membership.as_ref())?;
     let outside: Rc<dyn Outside> = match &custody {
-        Some(custody) => Guarded::new(custody.clone(), links.clone()),
-        None => links.clone(),
+        Some(custody) => Guarded::new(custody.clone(), actions.clone()),
+        None => actions.clone(),
     };
     log::line(settings_line(&hub));
     hub.start(outside, known);
     if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.asks_discovery() {
-        spawn_local(watch_agent(links.clone()));
+        spawn_local(watch_agent(actions.clone()));
     }
-    if let Some(told) = hub.config.operator.registrations.clone() {
-        registrations::take_saved(&hub, &told);
-        spawn_local(registrations::follow(hub.clone(), told));
+    if let Some(settings) = hub.config.operator.registrations.clone() {
+        registrations::take_saved(&hub, &settings);
+        spawn_local(registrations::follow(hub.clone(), settings));
     }
-    if beside {
+    if other_listens {
         log::line(format!("{}: another process listens at {}", hub.config.name, hub.config.listen));
         let until_ready = async {
             while !hub.ready() {
-                tokio::time::sleep(READY_LOOK).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         };
         tokio::select! {
             () = until_ready => {}
             () = stops.recv() => return Ok(()),
         }
-        let handed = met.as_ref().map_or(&[][..], |met| &met.listeners);
-        listeners = match handed_on(handed, &addresses) {
-            Some(handed) => handed,
+        let inherited = predecessor.as_ref().map_or(&[][..], |process| &process.listeners);
+        listeners = match inherited_listeners(inherited, &addresses) {
+            Some(inherited) => inherited,
             None => listen_all()?,
         };
     }
@@ -243,7 +249,7 @@
     }
     if let (Some(custody), Some(membership)) = (&custody, &membership) {
         hub.open_gate(custody.clone());
-        membership.tell(custody.clone());
+        membership.add_observer(custody.clone());
         spawn_local(custody.clone().run());
         parts.push(custody.clone());
     }
@@ -253,10 +259,10 @@
         parts.push(configuration);
     }
     if hub.config.mgmt.is_some() {
-        spawn_local(show(hub.clone(), parts.clone()));
+        spawn_local(update_figures(hub.clone(), parts.clone()));
     }
     hub.listening.set(true);
-    hub.show();
+    hub.update_figures();
     for (listener, speaks) in &listeners {
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
         let name = &hub.config.name;
@@ -266,10 +272,10 @@
         });
     }
     if let Some(listener) = inspecting {
-        spawn_local(inspect::answer(hub.clone(), parts, listener, operator));
+        spawn_local(inspect::serve(hub.clone(), parts, listener, operator));
     }
     let fronts = Fronts::new(&hub, descriptors.clone());
-    let bound = {
+    let set_limits = {
         let (hub, fronts, descriptors) = (hub.clone(), fronts.clone(), descriptors.clone());
         move |most: usize| {
             let (clients, servers) = hub.config.parts(most);
@@ -279,30 +285,30 @@
         }
     };
     let all = hub.config.sockets;
-    if let Some(met) = met {
-        // Until it is heard what the other one holds it may be half.
-        bound(all / 2);
-        spawn_local(met.follow(all, bound.clone()));
+    if let Some(predecessor) = predecessor {
+        // Until the other process reports its descriptors, it is assumed to hold half.
+        set_limits(all / 2);
+        spawn_local(predecessor.follow(all, set_limits.clone()));
     }
-    let holder = hold(&hub, &listeners).map(|(holder, listener)| {
+    let handoff = open_handoff(&hub, &listeners).map(|(handoff, listener)| {
         let (hub, fronts) = (hub.clone(), fronts.clone());
-        let held = move || hub.config.reserve() + fronts.clients.count() + descriptors.held();
-        spawn_local(holder.clone().answer(listener, all, held, bound));
-        holder
+        let count_descriptors = move || hub.config.reserve() + fronts.clients.count() + descriptors.held();
+        spawn_local(handoff.clone().serve(listener, all, count_descriptors, set_limits));
+        handoff
     });
-    spawn_local(sweep(links.clone(), fronts.clone()));
-    spawn_local(reload(links.clone(), reloads));
+    spawn_local(sweep_idle(actions.clone(), fronts.clone()));
+    spawn_local(reload(actions.clone(), reloads));
     let accepting: Vec<AbortHandle> = listeners
         .into_iter()
         .map(|(listener, speaks)| {
             let fronts = fronts.clone();
-            // The task owns the listener: it is closed with it, once the backlog is empty.
+            // The task owns the listener, which is closed with the task once the backlog is empty.
             spawn_local(async move {
                 tokio::select! {
                     () = fronts.accept(&listener, speaks) => {}
                     () = fronts.no_more.notified() => {}
                 }
-                // What is left there is its successor's, where it has one.
+                // The connections left in the backlog are the successor's, where there is one.
                 if !fronts.left_to_another() {
                     fronts.empty_backlog(&listener, speaks).await;
                 }
@@ -312,15 +318,15 @@
         .collect();
     stops.recv().await;
     log::line(format!("{} stops: it was told to", hub.config.name));
-    holder.iter().for_each(|holder| holder.stop());
-    hub.leaving.set(holder.is_some_and(|holder| holder.stage() == Incumbent::Succeeded));
+    handoff.iter().for_each(|handoff| handoff.stop());
+    hub.leaving.set(handoff.is_some_and(|handoff| handoff.stage() == Incumbent::Succeeded));
     stop(&hub, &fronts, &accepting).await;
     membership.iter().for_each(|membership| membership.leave());
     inspect.as_deref().into_iter().for_each(inspect::remove);
     Ok(())
 }
 
-/// The settings that a node's timeline can't be read without.
+/// The log line with the settings that are needed to read a node's timeline.
 fn settings_line(hub: &Hub) -> String {
     let settings = hub.settings();
     let policy = &settings.policy;
@@ -335,140 +341,144 @@
     )
 }
 
-/// The sockets that another process handed on, each with what is spoken there; `None` where they are not those that this one
-/// is to listen at.
-fn handed_on(
-    handed: &[std::net::TcpListener],
+/// The listeners inherited from another process, each with its protocol; `None` where their addresses are
+/// not those that this node listens at.
+fn inherited_listeners(
+    inherited: &[std::net::TcpListener],
     addresses: &[(SocketAddr, Speaks)],
 ) -> Option<Vec<(TcpListener, Speaks)>> {
     let find = |(at, speaks): &(SocketAddr, Speaks)| {
         let listener =
-            handed.iter().find(|l| l.local_addr().is_ok_and(|own| own == *at))?.try_clone().ok()?;
+            inherited.iter().find(|l| l.local_addr().is_ok_and(|own| own == *at))?.try_clone().ok()?;
         listener.set_nonblocking(true).ok()?;
         Some((TcpListener::from_std(listener).ok()?, *speaks))
     };
     addresses.iter().map(find).collect()
 }
 
-/// Makes the place where a successor finds this process, with the sockets for it.
-fn hold(hub: &Hub, listeners: &[(TcpListener, Speaks)]) -> Option<(Rc<Holder>, UnixListener)> {
+/// Opens the socket at which a successor can ask this process for its listeners.
+fn open_handoff(hub: &Hub, listeners: &[(TcpListener, Speaks)]) -> Option<(Rc<Handoff>, UnixListener)> {
     let first = listeners.first()?.0.local_addr().ok()?;
     let copy = |(listener, _): &(TcpListener, Speaks)| listener.as_fd().try_clone_to_owned().ok();
     let sockets = listeners.iter().map(copy).collect::<Option<Vec<_>>>()?;
-    let opened = Holder::open(upgrade::place(first)?, sockets);
+    let opened = Handoff::open(upgrade::socket_path(first)?, sockets);
     if opened.is_some() {
         log::line(format!("{} can hand its listening sockets on", hub.config.name));
     }
     opened
 }
 
-/// Takes over what a new configuration says of discovery and the settings, also while the node stops. A file that can't be read
-/// changes nothing. Signals that come in quick succession are one: the file is read after the last.
-async fn reload(links: Rc<Links>, mut reloads: Signals) {
+/// Applies a new configuration file's discovery address and settings, also while the node stops. A file
+/// that can't be read changes nothing. Signals in quick succession cause one reload: the file is read after
+/// the last.
+async fn reload(actions: Rc<Actions>, mut reloads: Signals) {
     loop {
         reloads.recv().await;
-        let running = links.fields.borrow().clone();
-        let read = read_again(running).await;
-        // Nothing else happens between here and the last of these lines.
-        let taken = read.and_then(|config| {
-            links.hub.new_settings(config.settings).map_err(|e| format!("settings: {e}"))?;
+        let running = actions.fields.borrow().clone();
+        let read = read_config(running).await;
+        // Nothing is awaited between here and the end of the loop body, so the reload is applied as a
+        // whole.
+        let applied = read.and_then(|config| {
+            actions.hub.new_settings(config.settings).map_err(|e| format!("settings: {e}"))?;
             Ok((config.discovery, config.fields))
         });
-        links
+        actions
             .hub
             .figures
-            .with(|f| *if taken.is_ok() { &mut f.conf_loaded } else { &mut f.conf_invalid } += 1);
-        match taken {
+            .with(|f| *if applied.is_ok() { &mut f.conf_loaded } else { &mut f.conf_invalid } += 1);
+        match applied {
             Ok((discovery, fields)) => {
-                links.fields.replace(fields);
+                actions.fields.replace(fields);
                 log::line(format!("reload: discovery is {discovery}"));
-                // A call that stands is left alone: to ask anew costs the service, and tells nothing.
-                let moved = links.discovery.replace(discovery) != discovery;
-                links.hub.trace(|_| Doing::Reload { taken: true, moved });
+                // An open call to an unchanged address is kept: asking again costs the service and brings
+                // nothing new.
+                let moved = actions.discovery.replace(discovery) != discovery;
+                actions.hub.trace(|_| Doing::Reload { taken: true, moved });
                 if moved {
-                    links.hub.discovery_moved();
+                    actions.hub.discovery_moved();
                 }
             }
-            Err(words) => {
-                links.hub.trace(|_| Doing::Reload { taken: false, moved: false });
-                log::line(format!("reload: {words}; the old configuration stays"));
+            Err(reason) => {
+                actions.hub.trace(|_| Doing::Reload { taken: false, moved: false });
+                log::line(format!("reload: {reason}; the old configuration stays"));
             }
         }
     }
 }
 
-/// Reads and checks the configuration file on a thread of its own: a large one must not keep requests waiting.
-async fn read_again(running: FileFields) -> Result<Config, String> {
+/// Reads and checks the configuration file on its own thread: a large file must not delay requests.
+async fn read_config(running: FileFields) -> Result<Config, String> {
     let (sender, read) = tokio::sync::oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".to_string());
     let spawned = thread.spawn(move || {
-        // Nobody waits any more where the node has ended.
+        // The receiver is gone if the node has ended.
         let _ = sender.send(config::reload(&running));
     });
     spawned.map_err(|e| format!("BALANCER_CONFIG: no thread to read it: {e}"))?;
     read.await.map_err(|_| "BALANCER_CONFIG: reading it failed".to_string())?
 }
 
-/// Keeps up what operators are shown of the list.
-async fn show(hub: Rc<Hub>, parts: Vec<Rc<dyn Part>>) {
+/// Updates the metrics periodically.
+async fn update_figures(hub: Rc<Hub>, parts: Vec<Rc<dyn Part>>) {
     loop {
-        hub.show();
+        hub.update_figures();
         let figures = parts.iter().flat_map(|part| part.figures()).collect();
         hub.figures.with(|all| all.parts = figures);
-        tokio::time::sleep(SHOW).await;
+        tokio::time::sleep(FIGURES_INTERVAL).await;
     }
 }
 
-async fn sweep(links: Rc<Links>, fronts: Rc<Fronts>) {
+async fn sweep_idle(actions: Rc<Actions>, fronts: Rc<Fronts>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        links.http1.sweep();
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        actions.http1.sweep();
         fronts.clients.sweep();
     }
 }
 
-/// When SIGKILL may come, counted from SIGTERM.
-fn patience(longest_deadline: f64) -> Duration {
-    let most = PATIENCE.0.as_secs_f64();
-    PATIENCE.1 + Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, most))
+/// The time from SIGTERM until SIGKILL may come.
+fn kill_delay(longest_deadline: f64) -> Duration {
+    let most = KILL_DELAY.0.as_secs_f64();
+    KILL_DELAY.1 + Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, most))
 }
 
-/// Finishes all that was taken. The node says at `/ready` that it wants no more, and goes on for most of the time there
-/// is as if nothing were: connections come, and clients use what they have. Where each were sent away at once, and had
-/// nowhere to go as the node that was restarted before is not back yet or the others are down or full, all its requests
-/// would fail; and one connection that is refused makes a front take the node for gone, with all that are open. It
-/// also spares the others a rush of new connections when they are fewer. It does harm where whoever waits for the end
-/// of this process is in a hurry, or where a node is stopped because it serves badly.
+/// Stops the node and finishes all requests that it has taken. `/ready` reports that the node is not ready,
+/// but for most of the remaining time it serves as usual: it accepts connections, and clients use those
+/// they have. If each client were turned away at once, all its requests would fail whenever it had nowhere
+/// to go, as when the node restarted before is not back yet, or the others are down or full; and one
+/// refused connection makes a front consider the node gone, with all its open requests. Serving on also
+/// spares the other nodes a burst of new connections while they are fewer. It is a disadvantage where the
+/// end of this process is urgent, or where a node is stopped because it serves badly.
 async fn stop(hub: &Rc<Hub>, fronts: &Rc<Fronts>, accepting: &[AbortHandle]) {
-    let told = Instant::now();
+    let stop_requested = Instant::now();
     let clients = &fronts.clients;
     hub.stop();
-    let killed = patience(hub.settings().longest_deadline);
-    let after = |before: Duration| told.elapsed() >= killed.saturating_sub(before);
+    let killed = kill_delay(hub.settings().longest_deadline);
+    let after = |before: Duration| stop_requested.elapsed() >= killed.saturating_sub(before);
     if hub.leaving.get() {
         fronts.no_more.notify_waiters();
     }
-    let accept = if hub.leaving.get() { Duration::ZERO } else { ACCEPT };
-    while told.elapsed() < accept || (clients.count() > 0 && !after(CLOSE_BEFORE)) {
-        tokio::time::sleep(LOOK).await;
+    let accept = if hub.leaving.get() { Duration::ZERO } else { MIN_ACCEPT_TIME };
+    while stop_requested.elapsed() < accept || (clients.count() > 0 && !after(CLOSE_BEFORE_KILL)) {
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     hub.closing.set(true);
     fronts.no_more.notify_waiters();
     while !accepting.iter().all(AbortHandle::is_finished) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     let mut failed_at: Option<Instant> = None;
     while clients.count() > 0 || hub.awaiting() > 0 {
-        if after(FAIL_BEFORE) {
+        if after(FAIL_BEFORE_KILL) {
             failed_at.get_or_insert_with(Instant::now);
             hub.fail_all();
         }
-        // A node that was held up until now has failed nothing yet.
-        let are_written = failed_at.is_some_and(|at| at.elapsed() >= WRITTEN_WITHIN);
-        if after(END_BEFORE) && are_written {
+        // A node that was stalled until now has not failed any request yet.
+        let have_been_written = failed_at.is_some_and(|at| at.elapsed() >= FAILED_ANSWERS_WRITE_TIME);
+        if after(END_BEFORE_KILL) && have_been_written {
             break;
         }
         clients.close_idle();
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -1,4 +1,5 @@
-//! Tenants' usage over all nodes: the socket round the machine of `glenwood-usage`, and who asks it.
+//! Tenants' usage over all nodes: the socket of the state machine in `glenwood-usage`, and the calls of the
+//! hub to it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,30 +21,31 @@
 use crate::identity;
 use crate::log;
 
-/// How often an address is tried that another process of this node still has.
-const BIND_AGAIN: Duration = Duration::from_millis(100);
-/// How many tenants are shown.
-const SHOWN: usize = 100;
+/// How long to wait before binding an address again that another process of this node still holds.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The most tenants in the report.
+const MAX_REPORTED_TENANTS: usize = 100;
 
-/// What the node has of all tenants' allowances.
+/// The node's shares of all tenants' allowances.
 pub struct Shares {
     machine: RefCell<Usage>,
-    /// The names and handles of tenants, by their places.
+    /// The names and handles of tenants, by their slots.
     tenants: RefCell<Vec<(String, usize)>>,
     window_ms: u64,
-    /// The address is this process's: another one of the same node may be spending what is here.
+    /// This process has bound the address, and so counts; before that another process of the node may be
+    /// spending its shares.
     open: Cell<bool>,
     listen: SocketAddr,
     instances: Vec<(String, SocketAddr)>,
 }
 
-/// What a tenant is called by all nodes.
+/// The key of a tenant, the same on all nodes.
 fn key_of(tenant: &str) -> Key {
     let digest = Sha256::new().chain_update(b"requests\0").chain_update(tenant).finalize();
     Key(digest.iter().take(8).fold(0, |key, byte| key << 8 | u64::from(*byte)))
 }
 
-/// One tenant, for who inspects.
+/// One tenant in the report.
 #[derive(Debug, Serialize)]
 pub struct Shown {
     name: String,
@@ -52,13 +54,13 @@
     at: Vec<Explained>,
 }
 
-/// All that is shown.
+/// The report for inspection.
 #[derive(Debug, Serialize)]
 pub struct Report {
     instances: Vec<String>,
     window: u64,
     window_ms: u64,
-    /// Whether it has its own part of this window.
+    /// Whether the node has its own part of this window.
     own_part: bool,
     tenants: Vec<Shown>,
     peers: Vec<Peers>,
@@ -66,29 +68,29 @@
 }
 
 impl Shares {
-    /// What the configuration says of it; `None` where it is off.
+    /// Creates the shares from the configuration; `None` where they are off.
     ///
     /// # Errors
-    /// One line: field and reason.
+    /// One line with the field and the reason.
     pub fn new(config: &Config, now: u64) -> Result<Option<Self>, String> {
-        let Some(told) = &config.operator.usage else { return Ok(None) };
-        let number = told.instances.iter().position(|(name, _)| *name == config.name);
+        let Some(settings) = &config.operator.usage else { return Ok(None) };
+        let number = settings.instances.iter().position(|(name, _)| *name == config.name);
         let number = number.ok_or_else(|| format!("usage.instance: {} is not among them", config.name))?;
-        let secret = identity::secret("usage", &told.secret)?;
-        let machine = Usage::new(told.settings(number), secret, Boot(identity::life(config.seed)), now)
-            .map_err(|words| format!("usage.{words}"))?;
+        let secret = identity::secret("usage", &settings.secret)?;
+        let machine = Usage::new(settings.settings(number), secret, Boot(identity::life(config.seed)), now)
+            .map_err(|reason| format!("usage.{reason}"))?;
         let shares = Self {
             machine: RefCell::new(machine),
             tenants: RefCell::default(),
-            window_ms: told.window_ms,
+            window_ms: settings.window_ms,
             open: Cell::new(false),
-            listen: told.listen.unwrap_or(told.instances[number].1),
-            instances: told.instances.clone(),
+            listen: settings.listen.unwrap_or(settings.instances[number].1),
+            instances: settings.instances.clone(),
         };
         Ok(Some(shares))
     }
 
-    /// The tenants that there are, by their places, and what they are allowed.
+    /// Sets all tenants, by their slots, with their allowances.
     pub fn follow(&self, names: &[String], settings: &NodeSettings) {
         let mut machine = self.machine.borrow_mut();
         let one = |(name, tenant): (&String, &Tenant)| {
@@ -99,27 +101,28 @@
         self.tenants.replace(all);
     }
 
-    /// The tenant at this place, which is there already or is the next one, is allowed this much.
-    pub fn allow(&self, place: usize, name: &str, tenant: &Tenant) {
+    /// Sets the allowance of the tenant in this slot, which exists already or is the next one.
+    pub fn allow(&self, slot: usize, name: &str, tenant: &Tenant) {
         let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
         let allowed = allowed.clamp(0.0, f64::from(u32::MAX)) as u32;
         let handle = self.machine.borrow_mut().allow(key_of(name), allowed);
         let mut tenants = self.tenants.borrow_mut();
-        let end = tenants.len().min(place + 1);
-        tenants.splice(place..end, [(name.to_string(), handle)]);
+        let end = tenants.len().min(slot + 1);
+        tenants.splice(slot..end, [(name.to_string(), handle)]);
     }
 
-    /// Counts a request of the tenant at this place: is it within its share? `None` where this process does not count.
-    pub fn within(&self, tenant: usize) -> Option<bool> {
+    /// Counts a request of the tenant in this slot: is it within the node's share? `None` where this
+    /// process does not count.
+    pub fn count_request(&self, tenant: usize) -> Option<bool> {
         let handle = self.tenants.borrow().get(tenant)?.1;
         self.open.get().then(|| self.machine.borrow_mut().spend(&[(handle, 1)]))
     }
 
-    /// What there is to be seen of it.
+    /// The report for inspection.
     pub fn report(&self) -> Report {
         let (machine, tenants) = (self.machine.borrow(), self.tenants.borrow());
-        let top = machine.top(SHOWN);
-        // One walk over the tenants, of whom there may be very many.
+        let top = machine.top(MAX_REPORTED_TENANTS);
+        // Looks the names up in one pass over the tenants, of whom there may be very many.
         let mut names: BTreeMap<usize, &str> = top.iter().map(|(handle, _)| (*handle, "")).collect();
         for (name, handle) in tenants.iter() {
             names.entry(*handle).and_modify(|shown| *shown = name);
@@ -140,24 +143,24 @@
         }
     }
 
-    /// Gives the address up: another process of this node may count from now on.
+    /// Stops counting: another process of this node may count from now on.
     pub fn close(&self) {
         self.open.set(false);
     }
 }
 
-/// Speaks with the other nodes until this process is told to end and another takes what comes.
+/// Exchanges usage with the other nodes until this process is told to end and another takes over.
 pub async fn share(hub: Rc<Hub>, shares: Rc<Shares>) {
-    let mut said = false;
+    let mut logged = false;
     let socket = loop {
         match UdpSocket::bind(shares.listen).await {
             Ok(socket) => break socket,
-            Err(error) if !std::mem::replace(&mut said, true) => {
-                log::line(format!("usage: {}: {error}; tried again", shares.listen));
+            Err(error) if !std::mem::replace(&mut logged, true) => {
+                log::line(format!("usage: {}: {error}; trying again", shares.listen));
             }
             Err(_) => {}
         }
-        sleep(BIND_AGAIN).await;
+        sleep(BIND_RETRY_DELAY).await;
     };
     let at = socket.local_addr().unwrap_or(shares.listen);
     log::line(format!("usage: counted with {} nodes at {at}", shares.instances.len()));
@@ -167,9 +170,9 @@
         let due = Duration::from_millis(shares.machine.borrow().due_in());
         tokio::select! {
             came = socket.recv_from(&mut bytes) => {
-                // An error tells of a datagram that reached nobody; that node is not there yet.
+                // An error reports a datagram that reached nobody: that node is not up yet.
                 if let Ok((length, _)) = came {
-                    // What can't be believed is counted there, and changes nothing.
+                    // Invalid datagrams are counted there, and change nothing.
                     let _ = shares.machine.borrow_mut().hear(&bytes[..length], &mut out);
                 }
             }
@@ -177,10 +180,10 @@
         }
         shares.machine.borrow_mut().tick(hub.clock.unix_now(), &mut out);
         for Datagram { to, bytes } in out.drain(..) {
-            // A full socket loses it, as the network may.
+            // A datagram is dropped when the socket's buffer is full, as the network may drop it.
             let _ = socket.try_send_to(&bytes, shares.instances[to].1);
         }
     }
     shares.close();
-    log::line("usage: left to the other process".to_string());
+    log::line("usage: handed over to the other process".to_string());
 }
