--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at its start: environment and configuration file.
+//! The node's configuration at its start: environment and configuration file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,29 +15,29 @@
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators ask for the figures, where they do.
+    /// The address of the admin endpoint, where there is one.
     pub mgmt: Option<SocketAddr>,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed for random numbers.
     pub seed: u64,
     /// The most file descriptors that the process may hold.
     pub sockets: usize,
-    /// The most memory that it may use, in MB.
+    /// The most memory that the process may use, in MB.
     pub memory_mb: usize,
-    /// The list of servers as last had.
+    /// The list of servers that was last known.
     pub known: Option<Update>,
     /// The settings.
     pub settings: NodeSettings,
-    /// The operator's own file; all off without it.
+    /// The operator's file; everything is off without it.
     pub operator: Operator,
-    /// Which fields the file has, without the list.
+    /// The fields of the file, without the list.
     pub fields: FileFields,
 }
 
-/// Names the settings' field of a configuration file.
+/// The field of a configuration file that holds the settings.
 #[derive(Clone, Copy, Debug)]
 enum SettingsField {}
 
@@ -45,15 +45,15 @@
     const NAME: &'static str = "settings";
 }
 
-/// A configuration file as it stands.
+/// A parsed configuration file.
 type File = Apart<SettingsField, SettingsObject>;
 
-/// Which fields a configuration file has, without their values: one that follows on it must have them too.
+/// The fields of a configuration file, without their values: a reloaded file must have them too.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFields {
     file: Shape,
     settings: Shape,
-    /// The fields that all tenants have, where there are any.
+    /// The fields that all tenants have, where there are tenants.
     tenants: Option<Vec<String>>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The first field that this has and the next file lacks, by its path.
+    /// The path of the first field that this file has and the next file lacks.
     fn missing_in(&self, next: &File) -> Option<String> {
         if let Some(field) = self.file.missing_in(&next.rest) {
             return Some(field);
@@ -86,78 +86,80 @@
     }
 }
 
-/// Descriptors where the configuration names no limit.
-const SOCKETS: u64 = 1024;
-/// The fewest that a node can do anything with.
-const SOCKETS_LEAST: u64 = 32;
+/// Limit of descriptors where the configuration sets none.
+const DEFAULT_SOCKETS: u64 = 1024;
+/// The fewest descriptors with which a node can work.
+const MIN_SOCKETS: u64 = 32;
 
-/// Descriptors of the process itself: standard streams, the runtime's, the listener, discovery's old and new call,
-/// and those that one side gives up while the other takes them.
-const RESERVE: usize = 16;
-/// Connections of clients for each MB: the worst of them holds a head, a body and an answer, 0.2 MB in all.
+/// Descriptors of the process itself: standard streams, the runtime's, the listener, discovery's old and
+/// new call, and those that one side is about to release while the other side already opens them.
+const PROCESS_DESCRIPTORS: usize = 16;
+/// Client connections per MB: the worst of them hold a head, a body and an answer, 0.2 MB in all.
 const CLIENTS_PER_MB: usize = 4;
-/// Which part of the memory long bodies may take.
-const BODIES_PART: usize = 4;
-/// Memory where the configuration names no limit.
-const MEMORY_MB: u64 = 192;
-/// The least that a node can do anything with.
-const MEMORY_LEAST: u64 = 8;
-
-/// What the admin endpoint needs beside its callers: its listener, and its runtime's.
+/// Long bodies may use the memory divided by this.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Memory limit where the configuration sets none.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// The least memory with which a node can work.
+const MIN_MEMORY_MB: u64 = 8;
+
+/// Descriptors of the admin endpoint besides its callers': its listener and its runtime's.
 const ADMIN_DESCRIPTORS: usize = 4;
 
 impl Config {
-    /// How many callers the admin endpoint has at a time.
-    pub fn callers_most(&self) -> usize {
+    /// The most callers of the admin endpoint at a time.
+    pub fn max_admin_callers(&self) -> usize {
         (self.sockets / 16).clamp(4, 32)
     }
 
-    /// Descriptors that are nobody's connection.
-    pub fn reserve(&self) -> usize {
-        RESERVE + if self.mgmt.is_some() { ADMIN_DESCRIPTORS + self.callers_most() } else { 0 }
+    /// Descriptors that are not for connections of clients or to servers.
+    pub fn reserved_descriptors(&self) -> usize {
+        PROCESS_DESCRIPTORS
+            + if self.mgmt.is_some() { ADMIN_DESCRIPTORS + self.max_admin_callers() } else { 0 }
     }
 
-    /// How many connections of clients there may be: half of what the process itself does not need, within what
-    /// memory can bear.
+    /// The most client connections: half of the descriptors that are left for connections, limited by the
+    /// memory.
     pub fn clients_most(&self) -> usize {
-        self.parts(self.sockets).0
+        self.split_descriptors(self.sockets).0
     }
 
-    /// How connections of clients and to servers share so many descriptors. Who has a part of them has that part of the
-    /// memory too.
-    pub fn parts(&self, descriptors: usize) -> (usize, usize) {
-        let all = descriptors.saturating_sub(self.reserve());
+    /// Divides `descriptors` into connections of clients and connections to servers. A process that has
+    /// only a part of the descriptors gets the same part of the memory.
+    pub fn split_descriptors(&self, descriptors: usize) -> (usize, usize) {
+        let all = descriptors.saturating_sub(self.reserved_descriptors());
         let memory_mb = self.memory_mb * descriptors.min(self.sockets) / self.sockets.max(1);
         let clients = (all / 2).min(memory_mb * CLIENTS_PER_MB).max(1);
         (clients, all.saturating_sub(clients).max(1))
     }
 
-    /// How many bytes bodies may take beyond what each connection is reckoned with, in a process that may hold so many
-    /// descriptors: half for as long as another has any, as what one has let in it keeps while it ends.
-    pub fn bodies_most(&self, descriptors: usize) -> usize {
-        let whole = self.memory_mb * (1 << 20) / BODIES_PART;
+    /// How many bytes bodies may take beyond the share of each connection, in a process that may hold
+    /// `descriptors`. It is half for as long as another process of the node holds any, as a process keeps
+    /// the bodies that it has accepted while it ends.
+    pub fn max_body_bytes(&self, descriptors: usize) -> usize {
+        let full = self.memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR;
         if descriptors < self.sockets {
-            whole / 2
+            full / 2
         } else {
-            whole
+            full
         }
     }
 
-    /// How many servers may have a connection at the same time, with room for second ones.
-    pub fn rotation_most(&self) -> usize {
-        self.servers_most() * 3 / 4
+    /// The most servers in the rotation, with room for second connections to some.
+    pub fn max_rotation(&self) -> usize {
+        self.max_server_connections() * 3 / 4
     }
 
-    /// How many connections to servers there may be: the rest.
-    pub fn servers_most(&self) -> usize {
-        self.parts(self.sockets).1
+    /// The most connections to servers: the rest of the descriptors.
+    pub fn max_server_connections(&self) -> usize {
+        self.split_descriptors(self.sockets).1
     }
 }
 
-/// Reads the configuration of this process, and the operator's own file where there is one.
+/// Reads the configuration of this process, and the operator's file where there is one.
 ///
 /// # Errors
-/// One line that names the field, and the file where it is the operator's.
+/// One line with the field, and with the file where it is the operator's.
 pub fn load(operator: Option<&Path>) -> Result<Config, String> {
     let mut config = first(&text()?, |name| std::env::var(name).ok())?;
     if let Some(path) = operator {
@@ -213,7 +215,7 @@
     serde_json::from_str(text).map_err(|e| format!("BALANCER_CONFIG: not JSON: {e}"))
 }
 
-/// Reads a configuration; what the environment names goes before what the file says.
+/// Reads a configuration; the environment takes precedence over the file.
 fn parse(file: File, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let fields = FileFields::of(&file);
     let value = &file.rest;
@@ -223,13 +225,13 @@
         env(&upper).map(|v| (upper, v)).or_else(file).ok_or_else(|| format!("{name}: text expected"))
     };
     let address = |name: &str| {
-        let (from, words) = text(name)?;
-        words.parse().map_err(|_| format!("{from}: IP address and port expected, not {words:?}"))
+        let (source, value) = text(name)?;
+        value.parse().map_err(|_| format!("{source}: IP address and port expected, not {value:?}"))
     };
     let mgmt = match text("mgmt") {
         Ok(_) => Some(address("mgmt")?),
         Err(_) if value.get("mgmt").is_none_or(Value::is_null) => None,
-        Err(words) => return Err(words),
+        Err(message) => return Err(message),
     };
     let seed = value.get("seed").and_then(Value::as_str).ok_or("seed: text expected")?;
     let known = match value.get("known") {
@@ -245,8 +247,8 @@
         discovery: address("discovery")?,
         seed: u64::from_str_radix(seed, 16)
             .map_err(|_| format!("seed: hex digits expected, not {seed:?}"))?,
-        sockets: limit(value, "sockets", SOCKETS, SOCKETS_LEAST)?,
-        memory_mb: limit(value, "memory_mb", MEMORY_MB, MEMORY_LEAST)?,
+        sockets: limit(value, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?,
+        memory_mb: limit(value, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?,
         known,
         settings,
         operator: Operator::default(),
@@ -254,19 +256,19 @@
     })
 }
 
-fn limit(value: &Value, name: &str, default: u64, least: u64) -> Result<usize, String> {
-    let told = value.get("limits").and_then(|l| l.get(name));
-    let count = match told {
+fn limit(value: &Value, name: &str, default: u64, min: u64) -> Result<usize, String> {
+    let configured = value.get("limits").and_then(|l| l.get(name));
+    let count = match configured {
         None => default,
         Some(v) => v.as_u64().ok_or_else(|| format!("limits.{name}: whole number expected"))?,
     };
-    if count < least {
-        return Err(format!("limits.{name}: {least} are needed at least, not {count}"));
+    if count < min {
+        return Err(format!("limits.{name}: at least {min} expected, not {count}"));
     }
     Ok(count.min(1 << 20) as usize)
 }
 
-/// Reads a configuration that a test has made.
+/// Reads a configuration from a test's JSON value.
 #[cfg(test)]
 pub(crate) fn from_value(value: &Value) -> Result<Config, String> {
     parse(read(&value.to_string())?, |_| None)
@@ -289,21 +291,21 @@
         parse(read(FILE).expect("JSON"), |_| None).expect("good").fields
     }
 
-    fn follows(text: &str) -> Result<Config, String> {
+    fn read_as_reload(text: &str) -> Result<Config, String> {
         following(text, &running(), |_| None)
     }
 
     #[test]
-    fn a_file_that_is_cut_anywhere_is_turned_down() {
-        assert!(follows(FILE).is_ok());
+    fn a_truncated_file_is_rejected() {
+        assert!(read_as_reload(FILE).is_ok());
         for cut in 0..FILE.len() {
-            assert!(follows(&FILE[..cut]).is_err(), "cut at {cut}");
+            assert!(read_as_reload(&FILE[..cut]).is_err(), "cut at {cut}");
         }
     }
 
     #[test]
-    fn a_file_that_lacks_any_one_field_is_turned_down() {
-        /// Every path to a field, but for the list, which may be there or not.
+    fn a_file_that_lacks_any_one_field_is_rejected() {
+        /// Every path to a field, except the list, which is optional.
         fn paths(value: &Value, at: &str, all: &mut Vec<String>) {
             match value {
                 Value::Object(fields) => {
@@ -318,24 +320,25 @@
                 _ => {}
             }
         }
-        let whole: Value = serde_json::from_str(FILE).expect("JSON");
+        let complete: Value = serde_json::from_str(FILE).expect("JSON");
         let mut all = Vec::new();
-        paths(&whole, "", &mut all);
+        paths(&complete, "", &mut all);
         assert!(all.len() > 25, "{all:?}");
         for path in all {
             let (parent, key) = path.rsplit_once('/').expect("a path");
-            let mut file = whole.clone();
+            let mut file = complete.clone();
             file.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object").remove(key);
-            let said = follows(&file.to_string()).err();
-            // What only some classes have is asked of those by their own kind; where it is not, it has a default.
+            let result = read_as_reload(&file.to_string()).err();
+            // Fields of some kinds of classes are required for those kinds only, and have a default
+            // elsewhere.
             if !["DedupScope", "MemorySpan"].contains(&key) {
-                assert!(said.is_some_and(|words| words.contains(key)), "{path}");
+                assert!(result.is_some_and(|message| message.contains(key)), "{path}");
             }
         }
     }
 
     #[test]
-    fn values_that_make_no_sense_are_turned_down_by_name() {
+    fn invalid_values_are_rejected_with_the_field_name() {
         for (from, to, field) in [
             ("\"Deadline\":500", "\"Deadline\":0", "Deadline"),
             ("\"Deadline\":500", "\"Deadline\":-5", "Deadline"),
@@ -353,9 +356,9 @@
             ("127.0.0.1:8500", "nowhere", "discovery"),
         ] {
             assert!(FILE.contains(from), "{from}");
-            // The module's own bounds are asked too before anything is taken.
-            let said = follows(&FILE.replace(from, to)).map(drop);
-            assert!(said.as_ref().is_err_and(|words| words.contains(field)), "{to}: {said:?}");
+            // The limits of the policy are checked too before anything is applied.
+            let result = read_as_reload(&FILE.replace(from, to)).map(drop);
+            assert!(result.as_ref().is_err_and(|message| message.contains(field)), "{to}: {result:?}");
         }
     }
 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -185,7 +185,7 @@
             settings.policy.discovery = Discovery::Pushed;
         }
         let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
-        core.bound_rotation(config.rotation_most());
+        core.bound_rotation(config.max_rotation());
         let (mut classes, mut tenants) = (Places::default(), Places::default());
         // All are new and take the slots in their order.
         classes.follow(&settings.classes);
@@ -194,7 +194,7 @@
         let hub = Rc::new(Self {
             clock: Clock::default(),
             figures: Shared::default(),
-            bodies: Budget::new(config.bodies_most(config.sockets)),
+            bodies: Budget::new(config.max_body_bytes(config.sockets)),
             shares: shares.map(Rc::new),
             stopping: Cell::new(None),
             listening: Cell::new(false),
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of servers as the node holds it: where each listens, and what the module is told of it.
+//! The node's list of servers: where each listens, and the entries that the core gets.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,8 +9,8 @@
 use crate::clock::Clock;
 use crate::log;
 
-/// What the module calls a state of the list.
-fn listed(health: Health) -> Listed {
+/// The core's state for a state of the list.
+fn listed_state(health: Health) -> Listed {
     match health {
         Health::Active => Listed::Up,
         Health::Leaving => Listed::Draining,
@@ -18,8 +18,8 @@
     }
 }
 
-/// The same number for a name at every node and after every restart: FNV-1a, mixed so that names that differ
-/// in their last digit alone do not stay neighbours.
+/// The number of a name, the same at every node and after every restart: FNV-1a, with a final mix so that
+/// names that differ in the last digit only don't get neighbouring numbers.
 fn number_of(name: &str) -> u64 {
     let hash =
         name.bytes().fold(0xCBF2_9CE4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
@@ -27,85 +27,85 @@
     mixed ^ (mixed >> 32)
 }
 
-/// One life of a server: a connection to another one is of no use.
+/// The address of one incarnation of a server: connections to another incarnation are of no use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
-    /// Where it listens, and what it speaks.
+    /// Its address and protocol.
     pub dial: Dial,
     born_ms: f64,
 }
 
-/// Servers that the operator's file says speak MessagePack-RPC, whatever the list says.
+/// The servers that speak MessagePack-RPC by the operator's file, whatever the list says.
 #[derive(Clone, Debug, Default)]
 pub struct Marks {
     /// Kinds of machine.
     pub kinds: HashSet<String>,
-    /// Names.
+    /// Names of servers.
     pub hosts: HashSet<String>,
 }
 
-/// What is known of a server besides what the module knows.
-struct Known {
+/// What the node knows of a server, besides the core's data.
+struct KnownServer {
     name: String,
     place: Place,
-    /// Its zone and its cell, as the module is told them.
+    /// Its zone and its cell, as the numbers that the core gets.
     home: (u64, u64),
     state: Listed,
     /// When it last answered, if it has not failed since.
     answered: Option<Millis>,
 }
 
-/// All servers that the list has and that are not gone.
+/// All listed_state servers that are not gone.
 #[derive(Default)]
 pub struct Servers {
     marks: Marks,
-    known: HashMap<ServerId, Known>,
+    known: HashMap<ServerId, KnownServer>,
     starts: Starts,
 }
 
-/// When a line of the list came.
+/// The times that apply to an update of the list.
 #[derive(Clone, Copy)]
 pub struct Heard<'a> {
-    /// The node's clock, which says when.
+    /// The node's clock, with the time of the update.
     pub clock: &'a Clock,
-    /// When the list was last heard before.
+    /// When the source was last seen before this update.
     pub before: Option<Millis>,
     /// How long after its start a server is warm.
     pub warm_within: Millis,
 }
 
 impl Servers {
-    /// None yet.
+    /// Creates an empty list.
     pub fn new(marks: Marks) -> Self {
         Self { marks, known: HashMap::new(), starts: Starts::default() }
     }
 
-    /// How many there are.
+    /// The number of servers.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Are there none?
+    /// Are there no servers?
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Where a server listens and which of its lives this is, if something new may be sent to it.
+    /// A server's address and incarnation, if new requests may be sent to it.
     pub fn place(&self, server: ServerId) -> Option<Place> {
         self.known.get(&server).filter(|h| h.state == Listed::Up).map(|h| h.place)
     }
 
-    /// The zone and the cell of a server, where it is known.
+    /// The zone and the cell of a server, if it is known.
     pub fn home(&self, server: ServerId) -> Option<(u64, u64)> {
         self.known.get(&server).map(|known| known.home)
     }
 
-    /// A server's name, where it is known.
+    /// A server's name, if it is known.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.known.get(&server).map(|known| known.name.as_str())
     }
 
-    /// Notes how an attempt ended: whether its server answers.
+    /// Records from the outcome of an attempt whether its server answers.
     pub fn heard(&mut self, server: ServerId, now: Millis, outcome: Outcome) {
         let Some(known) = self.known.get_mut(&server) else { return };
         match outcome {
@@ -120,7 +120,8 @@
         self.known.get(&ServerId(number_of(name))).and_then(|known| known.answered)
     }
 
-    /// Takes over what a line says. Gives the module's entries, and the servers whose connections are of no more use.
+    /// Applies an update. Returns the entries for the core, and the servers whose connections are of no
+    /// more use.
     pub fn take(&mut self, update: Update, heard: Heard<'_>) -> (Vec<Entry>, Vec<ServerId>) {
         if update.whole {
             for host in self.known.values_mut() {
@@ -129,8 +130,8 @@
         }
         let mut stale = Vec::new();
         let entries: Vec<Entry> =
-            update.hosts.into_iter().filter_map(|h| self.enter(h, heard, &mut stale)).collect();
-        // What a change leaves out is as it was: nobody else is looked at.
+            update.hosts.into_iter().filter_map(|h| self.apply_entry(h, heard, &mut stale)).collect();
+        // Servers that a change leaves out are unchanged and need no check.
         let touched: Vec<ServerId> = if update.whole {
             self.known.keys().copied().collect()
         } else {
@@ -147,13 +148,17 @@
         (entries, stale)
     }
 
-    /// Notes what a line says of a server. It holds from now on, also for sends on their way.
-    fn enter(&mut self, host: Host, heard: Heard<'_>, stale: &mut Vec<ServerId>) -> Option<Entry> {
+    /// Applies an update's entry of a server. It counts from now on, also for attempts that were decided on
+    /// but not sent.
+    fn apply_entry(&mut self, host: Host, heard: Heard<'_>, stale: &mut Vec<ServerId>) -> Option<Entry> {
         let server = ServerId(number_of(&host.host));
-        let state = listed(host.health);
+        let state = listed_state(host.health);
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != host.host) {
-            log::line(format!("discovery: {} and {} have one number, left out", other.name, host.host));
+            log::line(format!(
+                "discovery: {} and {} have the same number; the second is left out",
+                other.name, host.host
+            ));
             return None;
         }
         let marked = self.marks.kinds.contains(&host.kind) || self.marks.hosts.contains(&host.host);
@@ -162,14 +167,14 @@
             dial.protocol = Protocol::Msgpack;
         }
         if before.is_some_and(|b| b.place.born_ms != host.born_ms || Some(b.place.dial) != dial) {
-            // Its connections ended with the old process.
+            // Its connections ended with the old incarnation.
             stale.push(server);
         }
         if let Some(dial) = dial {
             let place = Place { dial, born_ms: host.born_ms };
             let answered = before.filter(|b| b.place == place).and_then(|b| b.answered);
             let home = (number_of(&host.zone), host.cell);
-            self.known.insert(server, Known { name: host.host, place, home, state, answered });
+            self.known.insert(server, KnownServer { name: host.host, place, home, state, answered });
         }
         Some(Entry {
             server,
@@ -178,14 +183,14 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started: self.started(server, host.born_ms, heard),
+            started: self.start_time(server, host.born_ms, heard),
         })
     }
 
-    /// When a server started; `None`: long ago.
-    fn started(&mut self, server: ServerId, born_ms: Millis, heard: Heard<'_>) -> Option<Millis> {
+    /// When a server started; `None` if that is long ago.
+    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: Heard<'_>) -> Option<Millis> {
         let Heard { clock, before, warm_within } = heard;
-        let told = Told { claimed: clock.at_unix(born_ms), now: clock.now(), heard: before, warm_within };
-        self.starts.start(server.0, born_ms, told)
+        let claim = Told { claimed: clock.at_unix(born_ms), now: clock.now(), heard: before, warm_within };
+        self.starts.start(server.0, born_ms, claim)
     }
 }
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -1,5 +1,5 @@
-//! Registrations: the list follows the sessions of the servers themselves. The choices are the view's, in
-//! `glenwood-coordination`; here are its sockets, its file and its log.
+//! Registrations: the list follows the servers' own sessions at the coordination service. The decisions are
+//! in `glenwood-coordination`; this module has the sockets, the saved file and the log.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -19,20 +19,20 @@
 use crate::log;
 use crate::operator::Registrations;
 
-/// How soon after a change the view is saved: changes that come together are saved together.
-const SAVE_AFTER: Duration = Duration::from_secs(2);
-/// How long after the service went away that is said again; twice that after each further time.
-const AWAY_SAID: Duration = Duration::from_secs(60);
-/// How many registrations that can't be read are said once each, until they change.
-const UNFIT_SAID: usize = 1000;
+/// How long after a change the view is saved, so that changes in quick succession are saved together.
+const SAVE_DELAY: Duration = Duration::from_secs(2);
+/// How long after the service went away that is logged again; the interval doubles each time.
+const AWAY_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// The most invalid registrations that are logged, each once until it changes.
+const MAX_LOGGED_INVALID: usize = 1000;
 
 fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-/// Takes the view of before the node's start, where there is one.
-pub fn take_saved(hub: &Hub, told: &Registrations) {
-    let Some(path) = &told.save else { return };
+/// Loads the view saved before the node's start, where there is one.
+pub fn load_saved(hub: &Hub, settings: &Registrations) {
+    let Some(path) = &settings.save else { return };
     let shown = path.display();
     match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes a file so that there is the old one or the new one, whole, whatever happens meanwhile.
+/// Replaces a file atomically: after a crash there is the old file or the new one, complete.
 fn save(path: &Path, hosts: Vec<Host>) -> std::io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
@@ -59,7 +59,7 @@
         file.sync_all()
     })();
     if let Err(error) = written {
-        // What is there of it is worth nothing, and takes room on a disk that may be full.
+        // An incomplete file is useless, and takes space on a disk that may be full.
         let _ = std::fs::remove_file(&new);
         return Err(error);
     }
@@ -68,11 +68,11 @@
     File::open(folder)?.sync_all()
 }
 
-/// Saves the view some time after it has changed, and tries again where the disk does not take it.
+/// Saves the view some time after it has changed, and tries again where the write fails.
 struct Saver {
     path: PathBuf,
     due: Option<Instant>,
-    /// The writing that is under way; gives whether the disk took it.
+    /// The write in progress; returns whether it succeeded.
     writing: Option<JoinHandle<bool>>,
 }
 
@@ -81,19 +81,19 @@
         Self { path, due: None, writing: None }
     }
 
-    /// The view has changed.
+    /// Schedules a save, as the view has changed.
     fn changed(&mut self) {
-        self.due.get_or_insert(Instant::now() + SAVE_AFTER);
+        self.due.get_or_insert(Instant::now() + SAVE_DELAY);
     }
 
-    /// Waits until there is something to do.
+    /// Waits until a save is due.
     async fn due(&mut self) {
         match (&mut self.writing, self.due) {
-            // One at a time: a disk may take its time, and the list does not wait for it.
+            // One write at a time: a disk may be slow, and the list does not wait for it.
             (Some(writing), _) => {
-                let taken = writing.await.unwrap_or(false);
+                let succeeded = writing.await.unwrap_or(false);
                 self.writing = None;
-                if !taken {
+                if !succeeded {
                     self.changed();
                 }
             }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Saves the view, if it is time.
+    /// Starts to save the view, if a save is due.
     fn save(&mut self, hosts: impl FnOnce() -> Vec<Host>) {
         if self.writing.is_some() || self.due.is_none_or(|due| due > Instant::now()) {
             return;
@@ -119,41 +119,41 @@
     }
 }
 
-/// What was said of the service, and when it is said again.
+/// Since when the service has been away, and when that is logged next.
 struct Away {
     since: Instant,
     next: Duration,
 }
 
-/// Follows the registrations; never ends.
-pub async fn follow(hub: Rc<Hub>, told: Registrations) {
-    let members = told.members.len();
+/// Follows the registrations; never returns.
+pub async fn follow(hub: Rc<Hub>, settings: Registrations) {
+    let members = settings.members.len();
     let seed = hub.config.seed;
-    let settings = Settings {
-        session: session::Settings { members, timeout: told.timeout_ms as f64, seed },
-        path: told.path.clone(),
-        look_every: told.look_every_ms as f64,
-        guard: (told.guard_hold_ms > 0).then_some(guard::Settings {
-            share: told.guard_share,
-            window: told.guard_window_ms as f64,
-            hold: told.guard_hold_ms as f64,
+    let view_settings = Settings {
+        session: session::Settings { members, timeout: settings.timeout_ms as f64, seed },
+        path: settings.path.clone(),
+        look_every: settings.look_every_ms as f64,
+        guard: (settings.guard_hold_ms > 0).then_some(guard::Settings {
+            share: settings.guard_share,
+            window: settings.guard_window_ms as f64,
+            hold: settings.guard_hold_ms as f64,
         }),
-        suspect: told.suspect_ms as f64,
+        suspect: settings.suspect_ms as f64,
     };
-    let (knows, within) = (hub.clone(), told.answer_ms as f64);
-    let answers = Box::new(move |name: &str| knows.answers(name, within));
-    let view = match View::new(0.0, settings, answers) {
+    let (known, max_age) = (hub.clone(), settings.answer_ms as f64);
+    let answers = Box::new(move |name: &str| known.answers(name, max_age));
+    let view = match View::new(0.0, view_settings, answers) {
         Ok(view) => view,
-        // The operator's file was checked; this is for settings that only the view can judge.
+        // The operator's file was checked before; this is for settings that only the view can check.
         Err(e) => return log::line(format!("registrations: {e}; not followed")),
     };
-    let mut driver = Driver::new(view, told.members.clone(), Instant::now());
+    let mut driver = Driver::new(view, settings.members.clone(), Instant::now());
     let mut away: Option<Away> = None;
-    let mut saver = told.save.clone().map(Saver::new);
-    log::line(format!("registrations: follows {} at {members} members", told.path));
-    let mut unfit: HashMap<String, String> = HashMap::new();
+    let mut saver = settings.save.clone().map(Saver::new);
+    log::line(format!("registrations: follows {} at {members} members", settings.path));
+    let mut invalid: HashMap<String, String> = HashMap::new();
     loop {
-        let remind = async {
+        let log_away_again = async {
             match away.as_ref().map(|a| a.since + a.next) {
                 Some(due) => tokio::time::sleep_until(due.into()).await,
                 None => std::future::pending().await,
@@ -165,32 +165,32 @@
                 None => std::future::pending().await,
             }
         };
-        let said = tokio::select! {
-            said = driver.next() => Some(said),
-            () = remind => None,
+        let output = tokio::select! {
+            output = driver.next() => Some(output),
+            () = log_away_again => None,
             () = save => None,
         };
         let (listed, _, _) = driver.machine().counts();
-        match said {
+        match output {
             Some(Said::List { whole, hosts }) => {
                 if whole {
                     log::line(format!("registrations: {} servers", hosts.len()));
                 }
                 for host in &hosts {
-                    unfit.remove(&host.host);
+                    invalid.remove(&host.host);
                 }
                 hub.registered(whole, hosts, false);
                 saver.iter_mut().for_each(Saver::changed);
             }
             Some(Said::Unfit { name, reason }) => {
-                if unfit.len() < UNFIT_SAID && unfit.get(&name) != Some(&reason) {
+                if invalid.len() < MAX_LOGGED_INVALID && invalid.get(&name) != Some(&reason) {
                     log::line(format!("registrations: {name}: {reason}; not taken"));
-                    unfit.insert(name, reason);
+                    invalid.insert(name, reason);
                 }
             }
             Some(Said::Away) if away.is_none() => {
                 log::line(format!("registrations: the service is away; {listed} servers stay listed"));
-                away = Some(Away { since: Instant::now(), next: AWAY_SAID });
+                away = Some(Away { since: Instant::now(), next: AWAY_LOG_INTERVAL });
             }
             Some(Said::Away) => {}
             Some(Said::Back) => {
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -191,12 +191,12 @@
     let inspect = config.operator.inspect.clone();
     let inspecting = inspect.as_deref().map(inspect::listen).transpose()?;
     let known = config.known.take();
-    let descriptors = Descriptors::new(config.servers_most());
+    let descriptors = Descriptors::new(config.max_server_connections());
     let shares = Shares::new(&config, Clock::default().unix_now())?;
     let membership = Membership::new(&config)?;
     let hub = Hub::new(config, shares).map_err(|e| format!("settings: {e}"))?;
     if let Some(at) = hub.config.mgmt {
-        let at = admin::open(at, hub.config.callers_most(), hub.figures.clone())?;
+        let at = admin::open(at, hub.config.max_admin_callers(), hub.figures.clone())?;
         log::line(format!("{} answers operators at {at}", hub.config.name));
     }
     let actions = Rc::new(Actions {
@@ -219,7 +219,7 @@
         spawn_local(watch_agent(actions.clone()));
     }
     if let Some(settings) = hub.config.operator.registrations.clone() {
-        registrations::take_saved(&hub, &settings);
+        registrations::load_saved(&hub, &settings);
         spawn_local(registrations::follow(hub.clone(), settings));
     }
     if other_listens {
@@ -278,8 +278,8 @@
     let set_limits = {
         let (hub, fronts, descriptors) = (hub.clone(), fronts.clone(), descriptors.clone());
         move |most: usize| {
-            let (clients, servers) = hub.config.parts(most);
-            hub.bodies.bound(hub.config.bodies_most(most));
+            let (clients, servers) = hub.config.split_descriptors(most);
+            hub.bodies.bound(hub.config.max_body_bytes(most));
             fronts.clients.bound(clients);
             descriptors.bound(servers);
         }
@@ -292,7 +292,8 @@
     }
     let handoff = open_handoff(&hub, &listeners).map(|(handoff, listener)| {
         let (hub, fronts) = (hub.clone(), fronts.clone());
-        let count_descriptors = move || hub.config.reserve() + fronts.clients.count() + descriptors.held();
+        let count_descriptors =
+            move || hub.config.reserved_descriptors() + fronts.clients.count() + descriptors.held();
         spawn_local(handoff.clone().serve(listener, all, count_descriptors, set_limits));
         handoff
     });
