--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,17 +1,17 @@
-//! The one clock of a node: the core's time, the runtime's, and Unix time, turned into one another.
+//! The clock of a node: converts between the core's time, the runtime's and Unix time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use glenwood_policy::Millis;
 
-/// Monotonic time for the core, counted from the node's start, and its relation to Unix time then.
+/// Monotonic time for the core, in milliseconds since the node's start, and the Unix time of that start.
 pub struct Clock {
     start: Instant,
     unix_start: Millis,
 }
 
 impl Default for Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     fn default() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { start: Instant::now(), unix_start: unix.as_secs_f64() * 1000.0 }
@@ -19,32 +19,32 @@
 }
 
 impl Clock {
-    /// Now.
+    /// The current time in the core's time.
     pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
 
-    /// A point of the runtime's time in the core's.
+    /// Converts the runtime's time to the core's.
     pub fn at(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// A point of the core's time in the runtime's, within what clocks can hold.
+    /// Converts the core's time to the runtime's, clamped to what the runtime's can represent.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(at.clamp(0.0, 3.0e12) / 1000.0)
     }
 
-    /// Unix time by now, in whole milliseconds; it never runs backwards.
+    /// The current Unix time in full milliseconds; it never runs backwards.
     pub fn unix_now(&self) -> u64 {
         self.unix_ms() as u64
     }
 
-    /// The same with its fraction.
+    /// The current Unix time in milliseconds, with fractions.
     pub fn unix_ms(&self) -> Millis {
         self.unix_start + self.now()
     }
 
-    /// Unix time in the core's, by what the wall clock said at the node's start.
+    /// Converts Unix time to the core's time, by the wall clock at the node's start.
     pub fn at_unix(&self, unix_ms: Millis) -> Millis {
         unix_ms - self.unix_start
     }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,7 +1,9 @@
-//! Configuration in versions: the replica of this node, its connection to a publisher, and what the node takes over of it.
+//! Versioned configuration: the replica of this node, its connection to a publisher, and how the node
+//! applies what the replica receives.
 //!
-//! What the replica has in force goes before what the configuration file says of the same tenants and classes; a resource that is
-//! removed leaves the file's word. Servers are a second list beside discovery's.
+//! Tenants and classes of the replica take precedence over those of the configuration file; when a resource
+//! is removed, the file's value applies again. Servers of the replica form a second list beside
+//! discovery's.
 
 mod offer;
 mod table;
@@ -26,25 +28,25 @@
 use offer::Base;
 pub use table::Table;
 
-/// How many messages of a publisher may wait to be taken.
-const HEARD_MOST: usize = 16;
+/// The most messages of a publisher that are queued.
+const MAX_QUEUED_MESSAGES: usize = 16;
 
-/// What a publisher says in the call of that number; `None`: the call has ended.
-type Heard = (u64, Option<Publication>);
+/// The number of a call, and a message from the publisher; `None` when the call has ended.
+type ReceivedMessage = (u64, Option<Publication>);
 
-/// The replica of this node.
+/// The replica of this node and its connection to a publisher.
 pub struct Configuration {
     hub: Rc<Hub>,
     table: Table,
     replica: RefCell<Replica>,
-    /// What the file says of what the replica has too.
+    /// The file's values of resources that the replica has too.
     base: RefCell<Base>,
-    /// The call to the publisher that stands.
+    /// The number of the current call to the publisher, and its task.
     call: RefCell<(u64, Option<AbortHandle>)>,
 }
 
 impl Configuration {
-    /// What the operator's file says of it; `None` where it is off.
+    /// Creates the replica from the operator's file; `None` where it is off.
     pub fn new(hub: &Rc<Hub>) -> Option<Rc<Self>> {
         let table = hub.config.operator.configuration.clone()?;
         let name = &hub.config.name;
@@ -64,20 +66,20 @@
         self.hub.clock.now() as Time
     }
 
-    /// Follows publishers; never ends.
+    /// Follows publishers; never returns.
     pub async fn run(self: Rc<Self>) {
-        let (heard, mut incoming) = mpsc::channel::<Heard>(HEARD_MOST);
+        let (received_messages, mut incoming) = mpsc::channel::<ReceivedMessage>(MAX_QUEUED_MESSAGES);
         loop {
             let now = self.now();
             self.replica.borrow_mut().tick(now);
-            self.take_offers(now);
+            self.apply_offers(now);
             while let Some(request) = self.poll_request() {
-                self.say(request, &heard);
+                self.send(request, &received_messages);
             }
             let due = self.replica.borrow().due().saturating_sub(now).max(1);
             tokio::select! {
                 () = sleep(Duration::from_millis(due)) => {}
-                Some((call, said)) = incoming.recv() => self.hear(call, said),
+                Some((call, message)) = incoming.recv() => self.receive(call, message),
             }
         }
     }
@@ -86,46 +88,46 @@
         self.replica.borrow_mut().poll_request()
     }
 
-    /// A publisher has said something, or the call to it has ended.
-    fn hear(&self, call: u64, said: Option<Publication>) {
+    /// Handles a publisher's message, or the end of the call to it.
+    fn receive(&self, call: u64, message: Option<Publication>) {
         if call != self.call.borrow().0 {
             return;
         }
         let now = self.now();
-        match said {
+        match message {
             Some(publication) => self.replica.borrow_mut().receive(now, publication),
             None => self.replica.borrow_mut().disconnected(now),
         }
     }
 
-    /// Says something to the publisher that is followed. A subscription ends the call that stood.
-    fn say(&self, request: Request, heard: &mpsc::Sender<Heard>) {
+    /// Sends a request to the followed publisher. A subscription replaces the current call.
+    fn send(&self, request: Request, received_messages: &mpsc::Sender<ReceivedMessage>) {
         let to = self.table.publishers[self.replica.borrow().publisher()];
         let name = self.hub.config.name.clone();
         if let Request::Report(summary) = request {
             spawn_local(async move {
                 let body = serde_json::to_vec(&summary).unwrap_or_default();
-                // One that is lost is made good by the next.
+                // A lost report is made up for by the next one.
                 let _ = net::call(to, &name, net::REPORT, Some(body)).await;
             });
             return;
         }
         let mut call = self.call.borrow_mut();
         let number = call.0 + 1;
-        let watch = spawn_local(watch(number, to, name, request, heard.clone()));
+        let watch = spawn_local(watch(number, to, name, request, received_messages.clone()));
         if let (_, Some(old)) = std::mem::replace(&mut *call, (number, Some(watch.abort_handle()))) {
             old.abort();
         }
     }
 
-    /// Takes over what is new, whole or not at all; no request is read meanwhile.
-    fn take_offers(&self, now: Time) {
+    /// Applies new offers, each completely or not at all; no request is read meanwhile.
+    fn apply_offers(&self, now: Time) {
         while let Some(offer) = self.poll_offer() {
             let version = offer.version;
-            match self.take(&offer) {
+            match self.apply_offer(&offer) {
                 Ok(()) => self.replica.borrow_mut().accept(now, offer),
                 Err(reason) => {
-                    log::line(format!("configuration: {version} is turned down: {reason}"));
+                    log::line(format!("configuration: {version} is rejected: {reason}"));
                     self.replica.borrow_mut().reject(now, version, reason);
                 }
             }
@@ -136,7 +138,7 @@
         self.replica.borrow_mut().poll_offer()
     }
 
-    fn take(&self, offer: &Offer) -> Result<(), String> {
+    fn apply_offer(&self, offer: &Offer) -> Result<(), String> {
         let replica = self.replica.borrow();
         let prepared = self.base.borrow().prepare(&self.hub, replica.resources(), offer)?;
         self.hub.change_settings(prepared.settings).map_err(|e| e.to_string())?;
@@ -148,25 +150,25 @@
     }
 }
 
-/// Watches a publisher until the call is ended from here or breaks.
+/// Watches a publisher until the call is aborted or breaks.
 async fn watch(
     number: u64,
     to: std::net::SocketAddr,
     name: String,
     subscribe: Request,
-    heard: mpsc::Sender<Heard>,
+    received_messages: mpsc::Sender<ReceivedMessage>,
 ) {
     let (sender, mut publications) = mpsc::channel(1);
     let forward = async {
         while let Some(publication) = publications.recv().await {
-            if heard.send((number, Some(publication))).await.is_err() {
+            if received_messages.send((number, Some(publication))).await.is_err() {
                 break;
             }
         }
     };
-    // Why it ended is told by where the node goes next.
+    // The reason is of no use: the replica chooses the next publisher in any case.
     let (_, ()) = tokio::join!(net::watch(to, &name, &subscribe, sender), forward);
-    let _ = heard.send((number, None)).await;
+    let _ = received_messages.send((number, None)).await;
 }
 
 impl Overlay for Configuration {
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -1,9 +1,9 @@
-//! What a node makes of an offer: changes of its settings, and entries of its list.
+//! Turns an offer into changes of a node's settings and of its list.
 
 use std::collections::HashMap;
 
 use glenwood_configuration::replica::Offer;
-use glenwood_configuration::resource::{self, Effect as Repeats, Server};
+use glenwood_configuration::resource::{self, Effect as ResourceEffect, Server};
 use glenwood_configuration::resources::Resources;
 use glenwood_configuration::{Body, Entry, Key, Kind};
 use glenwood_list::{Dial, Health, Host, Protocol};
@@ -12,28 +12,29 @@
 
 use crate::hub::{Hub, SettingsChange};
 
-/// What the configuration file says of tenants and classes that the replica has too: it counts again once they are removed there.
+/// The configuration file's tenants and classes that the replica has too: they apply again once they are
+/// removed from the replica.
 #[derive(Clone, Debug, Default)]
 pub struct Base {
     tenants: HashMap<String, Tenant>,
     classes: HashMap<String, Class>,
 }
 
-/// An offer, ready to be taken over.
+/// The changes of an offer, ready to be applied.
 pub struct Prepared {
-    /// What becomes of the settings.
+    /// The changes of the settings.
     pub settings: SettingsChange,
-    /// What becomes of the list.
+    /// The changes of the list.
     pub hosts: Vec<Host>,
-    /// What the file says of what the replica has then.
+    /// The file's values of the resources that the replica has then.
     pub base: Base,
 }
 
 fn class_of(class: &resource::Class) -> Class {
     let effect = match class.effect {
-        Repeats::Safe => Effect::Safe,
-        Repeats::Keyed { memory_ms } => Effect::Keyed { group: Group::All, memory: memory_ms },
-        Repeats::Unsafe => Effect::Unsafe,
+        ResourceEffect::Safe => Effect::Safe,
+        ResourceEffect::Keyed { memory_ms } => Effect::Keyed { group: Group::All, memory: memory_ms },
+        ResourceEffect::Unsafe => Effect::Unsafe,
     };
     Class { aim: class.aim_ms, worth: class.worth, late_worth: 0.0, patience: class.deadline_ms, effect }
 }
@@ -44,7 +45,7 @@
 }
 
 impl Base {
-    /// What a file that is read now says of what the replica has.
+    /// Collects the file's values of the resources that the replica has.
     pub fn of(file: &NodeSettings, resources: &Resources) -> Self {
         let mut base = Self::default();
         let has = |kind: Kind, name: &String| resources.get(&Key { kind, name: name.clone() }).is_some();
@@ -61,10 +62,10 @@
         base
     }
 
-    /// What becomes of a node that takes the offer over, where it has these resources in force.
+    /// Prepares the changes for a node that has the resources `in_force`.
     ///
     /// # Errors
-    /// Why it can't be taken over.
+    /// The reason why the offer can't be applied.
     pub fn prepare(&self, hub: &Hub, in_force: &Resources, offer: &Offer) -> Result<Prepared, String> {
         let mut prepared =
             Prepared { settings: SettingsChange::default(), hosts: Vec::new(), base: self.clone() };
@@ -74,8 +75,8 @@
             let base = &mut prepared.base;
             match (entry.as_ref().map(|entry| &entry.body), key.kind) {
                 (Some(Body::Tenant(tenant)), _) => {
-                    if let Some(seat) = hub.tenant(name).filter(|_| before.is_none()) {
-                        base.tenants.insert(name.clone(), settings.policy.tenants[seat.number].clone());
+                    if let Some(slot) = hub.tenant(name).filter(|_| before.is_none()) {
+                        base.tenants.insert(name.clone(), settings.policy.tenants[slot.number].clone());
                     }
                     let tenant = Tenant { quota_per_s: tenant.quota_per_s };
                     prepared.settings.tenants.push((name.clone(), Some(tenant)));
@@ -84,8 +85,8 @@
                     prepared.settings.tenants.push((name.clone(), base.tenants.remove(name)));
                 }
                 (Some(Body::Class(class)), _) => {
-                    if let Some(seat) = hub.class(name).filter(|_| before.is_none()) {
-                        base.classes.insert(name.clone(), settings.policy.classes[seat.number].clone());
+                    if let Some(slot) = hub.class(name).filter(|_| before.is_none()) {
+                        base.classes.insert(name.clone(), settings.policy.classes[slot.number].clone());
                     }
                     prepared.settings.classes.push((name.clone(), Some(class_of(class))));
                 }
@@ -95,7 +96,7 @@
                 (Some(Body::Server(server)), _) => {
                     prepared.hosts.push(host_of(name, server, Health::Active));
                 }
-                (None, Kind::Server) => prepared.hosts.extend(before.and_then(left)),
+                (None, Kind::Server) => prepared.hosts.extend(before.and_then(removed_host)),
                 (Some(Body::Service(_)), _) | (None, Kind::Service) => {}
             }
         }
@@ -104,39 +105,39 @@
     }
 }
 
-/// A server that is no more.
-fn left(entry: &Entry) -> Option<Host> {
+/// The list entry of a removed server.
+fn removed_host(entry: &Entry) -> Option<Host> {
     match &entry.body {
         Body::Server(server) => Some(host_of(&entry.name, server, Health::Left)),
         _ => None,
     }
 }
 
-/// Guarded work must outlive the longest deadline, as it is checked at the start.
+/// Checks that guarded works are retained for longer than the longest deadline, as at the start.
 fn check_deadlines(hub: &Hub, change: &SettingsChange) -> Result<(), String> {
     let Some(custody) = &hub.config.operator.custody else { return Ok(()) };
-    let most = custody.life_ms as f64 / 2.0;
-    let too_long = change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.patience > most));
+    let max = custody.life_ms as f64 / 2.0;
+    let too_long = change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.patience > max));
     match too_long {
         Some((name, _)) => {
-            Err(format!("class {name}: a deadline of {most} ms at most expected, by custody.life_ms"))
+            Err(format!("class {name}: a deadline of {max} ms at most expected, by custody.life_ms"))
         }
         None => Ok(()),
     }
 }
 
-/// Lays the tenants and classes of the replica over those of a file.
+/// Applies the tenants and classes of the replica to the settings of a file.
 pub fn apply_resources(settings: &mut NodeSettings, resources: &Resources) {
-    let places = |names: &[String]| -> HashMap<String, usize> {
-        names.iter().enumerate().map(|(place, name)| (name.clone(), place)).collect()
+    let index_by_name = |names: &[String]| -> HashMap<String, usize> {
+        names.iter().enumerate().map(|(index, name)| (name.clone(), index)).collect()
     };
-    let (tenants, classes) = (places(&settings.tenants), places(&settings.classes));
+    let (tenants, classes) = (index_by_name(&settings.tenants), index_by_name(&settings.classes));
     for (key, entry) in resources.iter() {
         match &entry.body {
             Body::Tenant(tenant) => {
                 let tenant = Tenant { quota_per_s: tenant.quota_per_s };
                 match tenants.get(&key.name) {
-                    Some(place) => settings.policy.tenants[*place] = tenant,
+                    Some(index) => settings.policy.tenants[*index] = tenant,
                     None => {
                         settings.tenants.push(key.name.clone());
                         settings.policy.tenants.push(tenant);
@@ -144,7 +145,7 @@
                 }
             }
             Body::Class(class) => match classes.get(&key.name) {
-                Some(place) => settings.policy.classes[*place] = class_of(class),
+                Some(index) => settings.policy.classes[*index] = class_of(class),
                 None => {
                     settings.classes.push(key.name.clone());
                     settings.policy.classes.push(class_of(class));
--- a/crates/node/src/configuration/table.rs
+++ b/crates/node/src/configuration/table.rs
@@ -8,21 +8,21 @@
 use glenwood_fields::{Fields, Value};
 
 /// The most publishers that a node may follow.
-const PUBLISHERS_MOST: usize = 64;
+const MAX_PUBLISHERS: usize = 64;
 /// The most services that a node may serve.
-const SERVICES_MOST: usize = 4096;
+const MAX_SERVICES: usize = 4096;
 
-/// What the operator's file says of configuration in versions.
+/// Settings of the operator's file for versioned configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table {
-    /// Publishers to follow, the nearest first, 1 to 64.
+    /// The publishers to follow, nearest first, 1 to 64.
     pub publishers: Vec<SocketAddr>,
-    /// What this node wants of the configuration.
+    /// The part of the configuration that this node subscribes to.
     pub scope: Scope,
 }
 
 impl Table {
-    /// Reads the table.
+    /// Reads and checks the table.
     ///
     /// # Errors
     /// The field and the reason.
@@ -35,15 +35,15 @@
         let all = f.switch("all")?;
         let services = f.names("services")?;
         let name = f.name("services");
-        if publishers.is_empty() || publishers.len() > PUBLISHERS_MOST {
+        if publishers.is_empty() || publishers.len() > MAX_PUBLISHERS {
             let field = f.name("publishers");
-            return Err(format!("{field}: 1 to {PUBLISHERS_MOST} expected, not {}", publishers.len()));
+            return Err(format!("{field}: 1 to {MAX_PUBLISHERS} expected, not {}", publishers.len()));
         }
         if all != services.is_empty() {
             return Err(format!("{name}: services by name expected, or all = true, and not both"));
         }
-        if services.len() > SERVICES_MOST {
-            return Err(format!("{name}: {SERVICES_MOST} at most expected, not {}", services.len()));
+        if services.len() > MAX_SERVICES {
+            return Err(format!("{name}: {MAX_SERVICES} at most expected, not {}", services.len()));
         }
         services.iter().try_for_each(|service| check_name(&name, service))?;
         f.end()?;
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -180,7 +180,7 @@
     pub fn new(mut config: Config, shares: Option<Shares>) -> Result<Rc<Self>, SettingsError> {
         let tenant_names = std::mem::take(&mut config.settings.tenants);
         let mut settings = config.settings.clone();
-        if !config.operator.asks_discovery() {
+        if !config.operator.uses_discovery() {
             // No call to discovery is made, so none can go unanswered and the list does not count as lost.
             settings.policy.discovery = Discovery::Pushed;
         }
@@ -207,7 +207,7 @@
             core: RefCell::new(core),
             waiters: RefCell::default(),
             servers: RefCell::new(Servers::new(config.operator.marks())),
-            merge: config.operator.has_second_list().then(RefCell::default),
+            merge: config.operator.has_additional_source().then(RefCell::default),
             succession: RefCell::default(),
             version: Cell::new(None),
             discovery_answered: Cell::new(false),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! One node of the load balancer: sockets round the decision module, no decisions.
+//! One node of the load balancer: the sockets, without decisions, which the core makes.
 //!
-//! Arrows go one way: `front`, `backend`, `discovery` and `registrations` know [`hub`], which knows the core and none of them;
-//! [`runtime`] knows all of them and ties them together.
+//! Dependencies go one way: `front`, `backend`, `discovery` and `registrations` use [`hub`], which uses the
+//! core and none of them; [`runtime`] uses all of them and connects them.
 #![warn(missing_docs)]
 
 pub mod admin;
@@ -36,12 +36,13 @@
 use clap::Parser;
 use tokio::task::LocalSet;
 
-/// One node of the load balancer glenwood. What it serves, and where, is told by the environment: BALANCER_CONFIG names
-/// its configuration file; BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY go before what that says.
+/// One node of the load balancer glenwood. The environment says what it serves and where: BALANCER_CONFIG
+/// names its configuration file; BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY take precedence over
+/// the file.
 #[derive(Debug, Parser)]
 #[command(name = "glenwood", version)]
 pub struct Arguments {
-    /// The operator's own file; without it, all that it can switch on is off
+    /// The operator's file; without it, everything that it can enable is off
     #[arg(long, value_name = "FILE", env = "GLENWOOD_OPERATOR")]
     pub operator: Option<PathBuf>,
 }
@@ -50,13 +51,14 @@
 pub fn run(arguments: Arguments) -> ExitCode {
     let config = match config::load(arguments.operator.as_deref()) {
         Ok(config) => config,
-        Err(words) => return fail(&words),
+        Err(message) => return fail(&message),
     };
-    // A task that panics leaves what it held unanswered, and perhaps the module half changed. A node that
-    // ends is started again; one that is half dead is not.
+    // A panic ends the process: a task that panics leaves its requests unanswered, and may leave the core
+    // in an inconsistent state. A process that ends is restarted; one that keeps running half broken is
+    // not.
     std::panic::set_hook(Box::new(|fault| {
         log::line(format!("panic: {fault}"));
-        // Time for the line; a full pipe must not hold up the end.
+        // Leaves time to write the line; a full pipe must not delay the exit.
         std::thread::sleep(std::time::Duration::from_millis(50));
         std::process::exit(101);
     }));
@@ -68,12 +70,12 @@
     };
     match LocalSet::new().block_on(&runtime, runtime::serve(config, arguments.operator)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => fail(&words),
+        Err(message) => fail(&message),
     }
 }
 
-fn fail(words: &str) -> ExitCode {
-    // The exit code tells as much where standard error takes nothing.
-    let _ = writeln!(std::io::stderr(), "glenwood: {}", words.replace('\n', " "));
+fn fail(message: &str) -> ExitCode {
+    // The exit code reports the failure where standard error can't be written.
+    let _ = writeln!(std::io::stderr(), "glenwood: {}", message.replace('\n', " "));
     ExitCode::FAILURE
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,20 +1,20 @@
-//! Log lines that never block: a full pipe behind standard error must not hold up requests.
+//! A log that never blocks: a full pipe behind standard error must not delay requests.
 
 use std::io::Write;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::OnceLock;
 
-/// Lines that may wait to be written; further ones are dropped.
-const WAITING: usize = 256;
+/// The most lines that are queued to be written; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 256;
 
 static LINES: OnceLock<SyncSender<String>> = OnceLock::new();
 
-/// Starts the thread that writes. Without it, lines go nowhere.
+/// Starts the thread that writes the log. Without it, lines are dropped.
 pub fn start() {
-    let (lines, written) = sync_channel::<String>(WAITING);
+    let (lines, written) = sync_channel::<String>(MAX_QUEUED_LINES);
     let write = move || {
         for line in written {
-            // Nobody is left to be told of a broken standard error.
+            // An error of standard error can't be reported anywhere.
             let _ = writeln!(std::io::stderr(), "{line}");
         }
     };
@@ -23,9 +23,9 @@
     }
 }
 
-/// Logs one line, or drops it where the log can't keep up.
-pub fn line(words: String) {
+/// Logs one line, or drops it where the queue is full.
+pub fn line(text: String) {
     if let Some(lines) = LINES.get() {
-        let _ = lines.try_send(words);
+        let _ = lines.try_send(text);
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `glenwood`; see the library.
+//! The program `glenwood`; the code is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's own file: what a node does beyond what its platform tells it. All of it is off without the file.
+//! The operator's file: optional features of a node beyond its platform's configuration. All of them are
+//! off without the file.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,67 +13,69 @@
 use crate::list::Marks;
 use crate::members;
 
-/// What the file says.
+/// The contents of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// Where clients that speak MessagePack-RPC connect, on a listener of their own.
+    /// The address of a separate listener for MessagePack-RPC clients.
     pub msgpack_listen: Option<SocketAddr>,
-    /// The clients' listener takes both protocols, told apart by the first byte.
+    /// The clients' listener accepts both protocols, distinguished by the first byte.
     pub msgpack_shared: bool,
-    /// Calls that may be open on a client's connection, 1 to 1024; further ones are refused at once.
+    /// The most open calls on a client's connection, 1 to 1024; further ones are refused at once.
     pub open_calls: usize,
-    /// Calls that may be open on a connection to a server, 1 to 256.
+    /// The most open calls on a connection to a server, 1 to 256.
     pub calls_per_connection: usize,
     /// Kinds of machine whose servers speak MessagePack-RPC.
     pub server_kinds: Vec<String>,
     /// Servers that speak MessagePack-RPC, by name.
     pub server_hosts: Vec<String>,
-    /// Where servers register, if they do.
+    /// Registrations of servers, if they are followed.
     pub registrations: Option<Registrations>,
-    /// The Unix socket at which the node says what it is and does.
+    /// The Unix socket for inspection of the node.
     pub inspect: Option<PathBuf>,
-    /// Every call, connection, attempt and answer is a line of the log, for `glenctl trace`.
+    /// Whether every call, connection, attempt and answer is logged, for `glenctl trace`.
     pub trace: Trace,
-    /// Tenants' usage is counted over all instances, if it is.
-    pub usage: Option<Sharing>,
-    /// The node knows the others, if it does.
+    /// Settings for counting tenants' usage over all instances, if it is counted.
+    pub usage: Option<UsageSettings>,
+    /// Settings of the membership of nodes, if it is enabled.
     pub members: Option<members::Table>,
-    /// Configuration comes in versions from publishers, if it does.
+    /// Settings of versioned configuration from publishers, if it is enabled.
     pub configuration: Option<configuration::Table>,
-    /// Works are guarded against the loss of their node, if they are.
+    /// Settings of custody, which guards works against the loss of their node, if it is enabled.
     pub custody: Option<custody::Table>,
 }
 
 /// How tenants' usage is counted over all instances.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sharing {
-    /// The number of the list of instances: those who go by another are not heard.
+pub struct UsageSettings {
+    /// The number of the list of instances; datagrams of instances with another number are ignored.
     pub list: u32,
-    /// The instances by name, 1 to 1000, each with the address at which it takes datagrams; this one is among them.
+    /// The instances, 1 to 1000, each with its name and the address at which it receives datagrams; this
+    /// node is among them.
     pub instances: Vec<(String, SocketAddr)>,
-    /// Where this one takes datagrams, if that is not its address in the list.
+    /// The address at which this instance receives datagrams, if that is not its address in the list.
     pub listen: Option<SocketAddr>,
-    /// The file of the secret that all have in common, 16 bytes at the least.
+    /// The file with the secret that all instances share, of at least 16 bytes.
     pub secret: PathBuf,
-    /// How long a window is, 100 to 3,600,000 ms.
+    /// The length of a window, 100 to 3,600,000 ms.
     pub window_ms: u64,
-    /// How often instances speak, 10 ms to a quarter of the window.
+    /// The interval at which instances exchange usage, 10 ms to a quarter of the window.
     pub exchange_ms: u64,
-    /// After how long without a word an instance counts as gone, 20 to 3,600,000 ms.
+    /// After how long without a datagram an instance counts as gone, 20 to 3,600,000 ms.
     pub gone_ms: u64,
-    /// How many tenants may be shared at a time, 1 to 65,536; the others keep to each instance's part.
+    /// The most tenants that are shared at a time, 1 to 65,536; each instance limits the others to its own
+    /// part.
     pub shared_most: usize,
 }
 
-/// How what the node does is written to its log.
+/// The format in which the node's actions are logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Trace {
-    /// Not at all.
+    /// Nothing is logged.
     #[default]
     Off,
-    /// As words, for `glenctl trace`.
+    /// As text, for `glenctl trace`.
     Text,
-    /// As an object of JSON a line, for other programs too.
+    /// As one JSON object per line, for other programs too.
     Json,
 }
 
@@ -87,13 +90,13 @@
         })
     }
 
-    /// Is anything written?
+    /// Is tracing enabled?
     pub fn is_on(self) -> bool {
         self != Self::Off
     }
 }
 
-impl Sharing {
+impl UsageSettings {
     fn from_fields(mut f: Fields) -> Result<Self, String> {
         let mut instances: Vec<(String, SocketAddr)> = Vec::new();
         for mut one in f.tables("instance")? {
@@ -110,7 +113,7 @@
             one.end()?;
             instances.push((name, address));
         }
-        let taken = Self {
+        let table = Self {
             list: f.within("list", 0..=u32::MAX as usize, 0)? as u32,
             listen: f.address("listen")?,
             secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
@@ -121,11 +124,11 @@
             instances,
         };
         f.end()?;
-        taken.settings(0).check().map_err(|words| format!("usage.{words}"))?;
-        Ok(taken)
+        table.settings(0).check().map_err(|reason| format!("usage.{reason}"))?;
+        Ok(table)
     }
 
-    /// The same for the machine; `number` is which instance this one is.
+    /// The settings for the state machine; `number` is the index of this instance.
     pub fn settings(&self, number: usize) -> glenwood_usage::Settings {
         glenwood_usage::Settings {
             list: self.list,
@@ -139,30 +142,33 @@
     }
 }
 
-/// How the list follows registrations.
+/// How the list of servers follows registrations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registrations {
     /// The members of the coordination service, 1 to 9.
     pub members: Vec<SocketAddr>,
-    /// The node of the tree whose children are the servers.
+    /// The path of the tree node whose children are the servers.
     pub path: String,
-    /// The session's time-out that is asked for, 100 to 60,000 ms.
+    /// The session timeout that is requested, 100 to 60,000 ms.
     pub timeout_ms: usize,
-    /// How often the names are looked at though no watch has fired, 1,000 to 3,600,000 ms.
+    /// How often the names are read although no watch has fired, 1,000 to 3,600,000 ms.
     pub look_every_ms: usize,
-    /// The list is made of registrations alone: discovery is not asked.
-    pub alone: bool,
-    /// How long a departure is kept back that looks like a fault of the service, 0 to 400 ms; 0: not at all.
+    /// The list consists of registrations only: discovery is not used.
+    pub replaces_discovery: bool,
+    /// How long a departure that looks like a fault of the service is delayed, 0 to 400 ms; 0 disables
+    /// this.
     pub guard_hold_ms: usize,
-    /// Which part of the list may vanish without suspicion, above 0 and up to 1 ...
+    /// The share of the list that may vanish within `guard_window_ms` without suspicion, above 0 and up to
+    /// 1.
     pub guard_share: f64,
-    /// ... within which time, 1 to 60,000 ms.
+    /// The time span for `guard_share`, 1 to 60,000 ms.
     pub guard_window_ms: usize,
-    /// How long a server that answers though its registration has ended is listed as draining, 0 to 600,000 ms.
+    /// How long a server that answers although its registration has ended is listed as draining, 0 to
+    /// 600,000 ms.
     pub suspect_ms: usize,
-    /// How old an answer may be that speaks for a server, 1 to 60,000 ms.
+    /// The maximum age of the answer by which such a server counts as answering, 1 to 60,000 ms.
     pub answer_ms: usize,
-    /// Where the last view is saved, on a disk that lasts.
+    /// The file to which the last view is saved, on persistent storage.
     pub save: Option<PathBuf>,
 }
 
@@ -179,14 +185,14 @@
             let share = value.as_float().or(value.as_integer().map(|n| n as f64));
             share.filter(|share| *share > 0.0 && *share <= 1.0)
         };
-        let taken = Self {
+        let table = Self {
             members: f
                 .take("members", "a list of 1 to 9 IP addresses and ports", members)?
                 .ok_or("registrations.members: needed where there is a table registrations")?,
             path: f.take("path", "a path such as /servers", path)?.unwrap_or("/servers".into()),
             timeout_ms: f.within("timeout_ms", 100..=60_000, 2000)?,
             look_every_ms: f.within("look_every_ms", 1000..=3_600_000, 60_000)?,
-            alone: f.switch("alone")?,
+            replaces_discovery: f.switch("alone")?,
             guard_hold_ms: f.within("guard_hold_ms", 0..=HOLD_MOST as usize, 0)?,
             guard_share: f.take("guard_share", "a share above 0 and up to 1", share)?.unwrap_or(0.3),
             guard_window_ms: f.within("guard_window_ms", 1..=60_000, 2000)?,
@@ -195,7 +201,7 @@
             save: f.text("save", "the path of a file")?.map(PathBuf::from),
         };
         f.end()?;
-        Ok(taken)
+        Ok(table)
     }
 }
 
@@ -220,27 +226,27 @@
 }
 
 impl Operator {
-    /// Does the list come from discovery at all?
-    pub fn asks_discovery(&self) -> bool {
-        !self.registrations.as_ref().is_some_and(|r| r.alone)
+    /// Is discovery used for the list?
+    pub fn uses_discovery(&self) -> bool {
+        !self.registrations.as_ref().is_some_and(|r| r.replaces_discovery)
     }
 
-    /// Does the list come from another source beside discovery?
-    pub fn has_second_list(&self) -> bool {
+    /// Is there another source of the list besides discovery?
+    pub fn has_additional_source(&self) -> bool {
         self.registrations.is_some() || self.configuration.is_some()
     }
 
-    /// Reads the file.
+    /// Reads and checks the file.
     ///
     /// # Errors
-    /// One line: file, field, reason.
+    /// One line with the file, the field and the reason.
     pub fn load(path: &Path) -> Result<Self, String> {
-        let said = |words: String| format!("{}: {}", path.display(), words.replace('\n', " "));
-        let text = std::fs::read_to_string(path).map_err(|e| said(e.to_string()))?;
-        Self::parse(&text).map_err(said)
+        let describe = |reason: String| format!("{}: {}", path.display(), reason.replace('\n', " "));
+        let text = std::fs::read_to_string(path).map_err(|e| describe(e.to_string()))?;
+        Self::parse(&text).map_err(describe)
     }
 
-    /// Reads the text of such a file.
+    /// Parses the text of an operator's file.
     ///
     /// # Errors
     /// The field and the reason.
@@ -257,7 +263,7 @@
             None => None,
         };
         let trace = top.table("trace")?.map(Trace::from_fields).transpose()?.unwrap_or_default();
-        let usage = top.table("usage")?.map(Sharing::from_fields).transpose()?;
+        let usage = top.table("usage")?.map(UsageSettings::from_fields).transpose()?;
         let members = top.table("members")?.map(members::Table::from_fields).transpose()?;
         let custody = top.table("custody")?.map(custody::Table::from_fields).transpose()?;
         let configuration = top.table("configuration")?.map(configuration::Table::from_fields).transpose()?;
@@ -281,7 +287,7 @@
         Ok(operator)
     }
 
-    /// The servers that it marks.
+    /// The servers marked as speaking MessagePack-RPC.
     pub fn marks(&self) -> Marks {
         let set = |names: &[String]| names.iter().cloned().collect::<HashSet<String>>();
         Marks { kinds: set(&self.server_kinds), hosts: set(&self.server_hosts) }
@@ -293,13 +299,13 @@
     use super::*;
 
     #[test]
-    fn a_file_with_nothing_switches_nothing_on() {
+    fn an_empty_file_enables_nothing() {
         assert_eq!(Operator::parse(""), Ok(Operator::default()));
         assert_eq!(Operator::parse("[msgpack]\n"), Ok(Operator::default()));
     }
 
     #[test]
-    fn a_good_file_is_taken_as_it_says() {
+    fn a_valid_file_is_read_as_written() {
         let text = "[msgpack]\nlisten = '127.0.0.1:9400'\nshared = true\nopen_calls = 64\ncalls_per_connection = 4\n\
                     server_kinds = ['m2']\nserver_hosts = ['s-1', 's-2']\n";
         let operator = Operator::parse(text).expect("good");
@@ -312,7 +318,7 @@
     }
 
     #[test]
-    fn the_examples_are_good() {
+    fn the_example_files_are_valid() {
         assert!(Operator::parse(include_str!("../../../deploy/node.toml")).is_ok());
         let example = Operator::parse(include_str!("../../../deploy/registrations.toml")).expect("good");
         assert_eq!(example.registrations.map(|r| (r.members.len(), r.guard_hold_ms)), Some((3, 400)));
@@ -321,10 +327,10 @@
     }
 
     #[test]
-    fn a_bad_table_of_custody_is_refused_with_its_field_and_reason() {
+    fn an_invalid_table_of_custody_is_refused_with_its_field_and_reason() {
         let example = include_str!("../../../deploy/custody.toml");
-        let told = Operator::parse(example).expect("good").custody.expect("on");
-        assert_eq!((told.rosters.epoch, told.life_ms, told.patience_ms), (1, 30_000, 150));
+        let table = Operator::parse(example).expect("good").custody.expect("on");
+        assert_eq!((table.rosters.epoch, table.life_ms, table.patience_ms), (1, 30_000, 150));
         let bad = [
             ("name = \"n1\"", "name = \"n0\"", "custody.keeper: a name stands twice"),
             (
@@ -345,9 +351,9 @@
             ),
             ("poll_ms = 50", "leader = 1", "custody.leader: no such field"),
         ];
-        for (from, to, words) in bad {
+        for (from, to, message) in bad {
             let text = example.replacen(from, to, 1);
-            assert_eq!(Operator::parse(&text).expect_err(words), words);
+            assert_eq!(Operator::parse(&text).expect_err(message), message);
         }
         assert_eq!(
             Operator::parse("[custody]\n").expect_err("no keepers"),
@@ -356,10 +362,10 @@
     }
 
     #[test]
-    fn a_bad_table_of_members_is_refused_with_its_field_and_reason() {
+    fn an_invalid_table_of_members_is_refused_with_its_field_and_reason() {
         let example = include_str!("../../../deploy/members.toml");
-        let told = Operator::parse(example).expect("good").members.expect("on");
-        assert_eq!((told.probe_ms, told.seeds.len(), told.zone.as_str()), (100, 3, "a"));
+        let table = Operator::parse(example).expect("good").members.expect("on");
+        assert_eq!((table.probe_ms, table.seeds.len(), table.zone.as_str()), (100, 3, "a"));
         let bad = [
             (
                 "seeds = [",
@@ -384,14 +390,14 @@
             ("most = 1000", "most = 1", "members.most: a whole number from 2 to 4096 expected, not 1"),
             ("most = 1000", "leader = true", "members.leader: no such field"),
         ];
-        for (from, to, words) in bad {
+        for (from, to, message) in bad {
             let text = example.replacen(from, to, 1);
-            assert_eq!(Operator::parse(&text).expect_err(words), words);
+            assert_eq!(Operator::parse(&text).expect_err(message), message);
         }
     }
 
     #[test]
-    fn a_bad_table_of_usage_is_refused_with_its_field_and_reason() {
+    fn an_invalid_table_of_usage_is_refused_with_its_field_and_reason() {
         let one = "[[usage.instance]]\nname = 'n0'\naddress = '127.0.0.1:1'\n";
         let bad = [
             (String::new(), "usage.instances: 1 to 1000 expected, not 0"),
@@ -413,27 +419,30 @@
             (format!("gone_ms = 150\n{one}"), "usage.gone_ms: 200 to 3600000 expected, not 150"),
             (format!("peers = 1\n{one}"), "usage.peers: no such field"),
         ];
-        for (text, words) in bad {
+        for (text, message) in bad {
             let text = format!("[usage]\nsecret = 's'\n{text}");
-            assert_eq!(Operator::parse(&text), Err(words.to_string()), "{text}");
+            assert_eq!(Operator::parse(&text), Err(message.to_string()), "{text}");
         }
-        let words = "usage.secret: needed, the path of a file";
-        assert_eq!(Operator::parse(&format!("[usage]\n{one}")), Err(words.to_string()));
+        let message = "usage.secret: needed, the path of a file";
+        assert_eq!(Operator::parse(&format!("[usage]\n{one}")), Err(message.to_string()));
     }
 
     #[test]
-    fn registrations_are_off_without_their_table_and_mild_with_it() {
+    fn registrations_are_off_without_their_table_and_have_defaults_with_it() {
         assert_eq!(Operator::parse("").expect("good").registrations, None);
         let text =
             "[registrations]\nmembers = ['127.0.0.1:2181', '[::1]:2181']\nsave = '/var/lib/glenwood/view'\n";
-        let told = Operator::parse(text).expect("good").registrations.expect("on");
-        assert_eq!((told.members.len(), told.path.as_str(), told.alone), (2, "/servers", false));
-        assert_eq!((told.guard_hold_ms, told.timeout_ms), (0, 2000));
-        assert_eq!(told.save, Some("/var/lib/glenwood/view".into()));
+        let table = Operator::parse(text).expect("good").registrations.expect("on");
+        assert_eq!(
+            (table.members.len(), table.path.as_str(), table.replaces_discovery),
+            (2, "/servers", false)
+        );
+        assert_eq!((table.guard_hold_ms, table.timeout_ms), (0, 2000));
+        assert_eq!(table.save, Some("/var/lib/glenwood/view".into()));
     }
 
     #[test]
-    fn a_bad_file_is_refused_with_its_field_and_reason() {
+    fn an_invalid_file_is_refused_with_its_field_and_reason() {
         let bad = [
             ("msgpack = 3", "msgpack: a table expected, not 3"),
             ("[rpc]\n", "rpc: no such field"),
@@ -487,8 +496,8 @@
             ),
             ("[msgpack]\nlissten = '127.0.0.1:1'", "msgpack.lissten: no such field"),
         ];
-        for (text, words) in bad {
-            assert_eq!(Operator::parse(text), Err(words.to_string()), "{text}");
+        for (text, message) in bad {
+            assert_eq!(Operator::parse(text), Err(message.to_string()), "{text}");
         }
         let twice = Operator::parse("[msgpack]\nshared = true\nshared = true").expect_err("twice");
         assert!(twice.starts_with("line 3: "), "{twice}");
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -112,7 +112,7 @@
     }
 
     fn subscribe(&self) {
-        if !self.hub.config.operator.asks_discovery() {
+        if !self.hub.config.operator.uses_discovery() {
             return;
         }
         let call = spawn_local(discovery::follow(self.hub.clone(), self.discovery.get())).abort_handle();
@@ -215,7 +215,7 @@
     };
     log::line(settings_line(&hub));
     hub.start(outside, known);
-    if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.asks_discovery() {
+    if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.uses_discovery() {
         spawn_local(watch_agent(actions.clone()));
     }
     if let Some(settings) = hub.config.operator.registrations.clone() {
