--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -168,28 +168,29 @@
     Ok(config)
 }
 
-/// Reads the text of the file that a node starts with.
+/// Parses the text of the file that a node starts with.
 ///
 /// # Errors
-/// One line that names the field.
+/// One line with the field and the reason.
 pub fn first(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     parse(read(text)?, env)
 }
 
-/// Reads the file again. The environment is that of the start: what it says of discovery is what the file now
-/// replaces, so here the file goes first. The rest of the environment still holds.
+/// Reads the file again at a reload. Here the file takes precedence over the environment for discovery: the
+/// environment is still that of the start, and its address of discovery is the one that the file now
+/// replaces. For the other fields the environment still takes precedence.
 ///
 /// # Errors
-/// One line that names the field.
+/// One line with the field and the reason.
 pub fn reload(running: &FileFields) -> Result<Config, String> {
     following(&text()?, running, |name| std::env::var(name).ok().filter(|_| name != "BALANCER_DISCOVERY"))
 }
 
-/// Reads a file that is to follow on the running one. One that was written in part may still be JSON: what the running one
-/// has it must have too.
+/// Parses a file for a reload. It must have all fields that the running file has, as a partly written file
+/// may still be valid JSON.
 ///
 /// # Errors
-/// One line that names the field.
+/// One line with the field and the reason.
 pub fn following(
     text: &str,
     running: &FileFields,
@@ -256,14 +257,14 @@
     })
 }
 
-fn limit(value: &Value, name: &str, default: u64, min: u64) -> Result<usize, String> {
+fn limit(value: &Value, name: &str, default: u64, minimum: u64) -> Result<usize, String> {
     let configured = value.get("limits").and_then(|l| l.get(name));
     let count = match configured {
         None => default,
         Some(v) => v.as_u64().ok_or_else(|| format!("limits.{name}: whole number expected"))?,
     };
-    if count < min {
-        return Err(format!("limits.{name}: at least {min} expected, not {count}"));
+    if count < minimum {
+        return Err(format!("limits.{name}: at least {minimum} expected, not {count}"));
     }
     Ok(count.min(1 << 20) as usize)
 }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -74,12 +74,12 @@
             self.replica.borrow_mut().tick(now);
             self.apply_offers(now);
             while let Some(request) = self.poll_request() {
-                self.send(request, &received_messages);
+                self.send_request(request, &received_messages);
             }
             let due = self.replica.borrow().due().saturating_sub(now).max(1);
             tokio::select! {
                 () = sleep(Duration::from_millis(due)) => {}
-                Some((call, message)) = incoming.recv() => self.receive(call, message),
+                Some((call, message)) = incoming.recv() => self.on_message(call, message),
             }
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /// Handles a publisher's message, or the end of the call to it.
-    fn receive(&self, call: u64, message: Option<Publication>) {
+    fn on_message(&self, call: u64, message: Option<Publication>) {
         if call != self.call.borrow().0 {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /// Sends a request to the followed publisher. A subscription replaces the current call.
-    fn send(&self, request: Request, received_messages: &mpsc::Sender<ReceivedMessage>) {
+    fn send_request(&self, request: Request, received_messages: &mpsc::Sender<ReceivedMessage>) {
         let to = self.table.publishers[self.replica.borrow().publisher()];
         let name = self.hub.config.name.clone();
         if let Request::Report(summary) = request {
@@ -144,7 +144,7 @@
         self.hub.change_settings(prepared.settings).map_err(|e| e.to_string())?;
         *self.base.borrow_mut() = prepared.base;
         if !prepared.hosts.is_empty() {
-            self.hub.configured_servers(prepared.hosts);
+            self.hub.apply_configured_servers(prepared.hosts);
         }
         Ok(())
     }
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -116,11 +116,12 @@
 /// Checks that guarded works are retained for longer than the longest deadline, as at the start.
 fn check_deadlines(hub: &Hub, change: &SettingsChange) -> Result<(), String> {
     let Some(custody) = &hub.config.operator.custody else { return Ok(()) };
-    let max = custody.life_ms as f64 / 2.0;
-    let too_long = change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.patience > max));
+    let limit = custody.life_ms as f64 / 2.0;
+    let too_long =
+        change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.patience > limit));
     match too_long {
         Some((name, _)) => {
-            Err(format!("class {name}: a deadline of {max} ms at most expected, by custody.life_ms"))
+            Err(format!("class {name}: a deadline of {limit} ms at most expected, by custody.life_ms"))
         }
         None => Ok(()),
     }
--- a/crates/node/src/custody/attempts.rs
+++ b/crates/node/src/custody/attempts.rs
@@ -47,7 +47,7 @@
                 _ => return,
             }
         };
-        let (zone, cell) = self.hub.home(next.1).unwrap_or_default();
+        let (zone, cell) = self.hub.zone_and_cell(next.1).unwrap_or_default();
         let number = self.coordinator.borrow_mut().intend(self.now(), ticket, next.1 .0, zone, cell);
         if let (Some(number), Some(local)) = (number, self.local_works.borrow_mut().get_mut(&ticket)) {
             local.numbers.insert(next.0, number);
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -22,7 +22,7 @@
 }
 
 /// A digest of what is requested and by whom. With a key: tenant, class and key. Without one: everything
-/// that the node can see, except the id and the fields that the protocol changes digest each try.
+/// that the node can see, except the id and the fields that the protocol changes with each try.
 pub fn slot(call: &Call) -> (u64, u64) {
     let tenant = call.of.1.as_ref().map_or("", |tenant| &*tenant.name);
     let class = &*call.of.0.name;
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -73,7 +73,7 @@
 struct Waiting {
     number: u64,
     waiter: Waiter,
-    /// When it is answered that no answer came in time.
+    /// When the client is answered that no answer came in time.
     until: u64,
 }
 
@@ -268,7 +268,7 @@
             }
             Event::Go(ticket) => {
                 let pending = self.take_pending(ticket);
-                // Where there is none, the attempt was abandoned meanwhile and is not sent.
+                // If there is none, the attempt was abandoned meanwhile and is not sent.
                 if let (Some(pending), Some(inner)) = (pending, self.inner.get()) {
                     inner.start(pending.attempt, pending.server, pending.end, pending.call);
                 }
@@ -437,7 +437,7 @@
 
     fn on_verdict(&self, ticket: Ticket, verdict: Verdict, bytes: Option<&Bytes>) {
         let request = self.local_works.borrow_mut().get_mut(&ticket).and_then(|local| local.request.take());
-        // What this node still does for the request is of no more use.
+        // The work is decided, so the attempts that this node still makes for it are abandoned.
         request.into_iter().for_each(|request| self.hub.client_gone(request));
         let sharing_clients = self.local_works.borrow().get(&ticket).map_or(0, |local| {
             // The first client of a request that was executed here gets its own answer and is not counted.
--- a/crates/node/src/custody/table.rs
+++ b/crates/node/src/custody/table.rs
@@ -76,7 +76,7 @@
                 }
             }
         }
-        let table = Self {
+        let parsed = Self {
             rosters: Rosters { epoch, now, before },
             patience_ms: f.within("patience_ms", 10..=10_000, 150)? as u64,
             resend_ms: f.within("resend_ms", 5..=1000, 20)? as u64,
@@ -88,12 +88,12 @@
             unguarded_classes: f.names("without")?,
         };
         f.end()?;
-        if table.life_ms < 4 * table.patience_ms {
+        if parsed.life_ms < 4 * parsed.patience_ms {
             return Err(format!(
                 "custody.life_ms: four times patience_ms at the least expected, not {}",
-                table.life_ms
+                parsed.life_ms
             ));
         }
-        Ok(table)
+        Ok(parsed)
     }
 }
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Gives up a work if no client waits for it any more. A work local by another node is no longer polled;
+    /// Gives up a work if no client waits for it any more. A work held by another node is no longer polled;
     /// what this node has sent goes on. What it has not sent would be sent for nobody: it is released, so
     /// that the next request for it can hold it.
     pub(super) fn on_waiters_changed(&self, ticket: Ticket) {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -127,7 +127,9 @@
             (due, answered) = (Instant::now() + SILENCE_TIMEOUT, true);
             match message {
                 Message::Alive => hub.discovery_alive(first),
-                Message::Object(text) => hub.listed(read(&text)?).map_err(Ended::Unreadable)?,
+                Message::Object(text) => {
+                    hub.apply_discovery_update(read(&text)?).map_err(Ended::Unreadable)?
+                }
             }
         }
     }
@@ -159,7 +161,7 @@
     }
     let update = read(&text)?;
     let version = update.version;
-    hub.listed(update).map_err(Ended::Unreadable)?;
+    hub.apply_discovery_update(update).map_err(Ended::Unreadable)?;
     Ok(version)
 }
 
--- a/crates/node/src/hub/answers.rs
+++ b/crates/node/src/hub/answers.rs
@@ -63,7 +63,7 @@
                 Scope::All => "all servers".to_string(),
             };
             log::line(format!(
-                "{node} doubts {whom}: connections rest for {:.0} ms when new and {:.0} ms after an answer",
+                "{node} doubts answers of {whom}: connections stay idle for {:.0} ms when new and {:.0} ms after an answer",
                 ms(need.new),
                 ms(need.used)
             ));
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -537,7 +537,9 @@
         if self.merge.is_some() {
             let server = self.core.borrow().attempt(attempt).map(|(server, _)| server);
             let now = self.clock.now();
-            server.into_iter().for_each(|server| self.servers.borrow_mut().heard(server, now, outcome));
+            server
+                .into_iter()
+                .for_each(|server| self.servers.borrow_mut().record_outcome(server, now, outcome));
         }
         self.update_core(|core, now| core.attempt_ended(now, attempt, ended));
     }
@@ -570,8 +572,8 @@
     }
 
     /// The zone and the cell of a server, as numbers that are the same on all nodes.
-    pub fn home(&self, server: ServerId) -> Option<(u64, u64)> {
-        self.servers.borrow().home(server)
+    pub fn zone_and_cell(&self, server: ServerId) -> Option<(u64, u64)> {
+        self.servers.borrow().zone_and_cell(server)
     }
 
     /// A server's address and incarnation, if it is listed as up.
@@ -580,7 +582,7 @@
     }
 
     /// Is a server in use, that is not ejected for its own answers?
-    pub fn uses(&self, server: ServerId) -> bool {
+    pub fn is_in_use(&self, server: ServerId) -> bool {
         !self.core.borrow().is_ejected(server)
     }
 
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -91,13 +91,13 @@
         if first || !discovery_answered {
             let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
             self.update_core(|core, now| core.list_changed(now, Vec::new()));
-            self.note_followed(trust);
+            self.log_list_followed_again(trust);
             self.update_figures();
         }
     }
 
     /// Logs for how long the list was not followed, if it has just come back; `trust` is the state before.
-    fn note_followed(&self, trust: Option<Trust>) {
+    fn log_list_followed_again(&self, trust: Option<Trust>) {
         let Some(Trust { rotated, proved, seen, refuse }) = trust else { return };
         if self.core.borrow().has_lost_list() {
             return;
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// What is inconsistent about the update; nothing changes then.
-    pub fn listed(&self, update: Update) -> Result<(), String> {
+    pub fn apply_discovery_update(&self, update: Update) -> Result<(), String> {
         // Where servers register as well, discovery may have no servers left.
         let known = if self.merge.is_some() { 0 } else { self.servers.borrow().len() };
         self.succession.borrow_mut().take(&update, known)?;
@@ -128,7 +128,7 @@
         }
         let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
         self.take_list(Source::Discovery, update, false);
-        self.note_followed(trust);
+        self.log_list_followed_again(trust);
         Ok(())
     }
 
@@ -136,7 +136,7 @@
 
     /// Registrations have changed; with `whole`, `hosts` are all there are. `saved` is set for those saved
     /// before the node's start.
-    pub fn registered(&self, whole: bool, hosts: Vec<Host>, saved: bool) {
+    pub fn apply_registrations(&self, whole: bool, hosts: Vec<Host>, saved: bool) {
         if !saved {
             self.discovery_answered.set(true);
         }
@@ -144,13 +144,13 @@
     }
 
     /// Configuration has added, changed or removed servers.
-    pub fn configured_servers(&self, hosts: Vec<Host>) {
+    pub fn apply_configured_servers(&self, hosts: Vec<Host>) {
         self.discovery_answered.set(true);
         self.take_list(Source::Registrations, Update { version: 0, whole: false, hosts }, false);
     }
 
     /// Has the server of that name answered within the last `max_age` milliseconds, and not failed since?
-    pub fn answers(&self, name: &str, max_age: Millis) -> bool {
+    pub fn has_answered_within(&self, name: &str, max_age: Millis) -> bool {
         let answered = self.servers.borrow().answered(name);
         answered.is_some_and(|at| self.clock.now() - at <= max_age)
     }
--- a/crates/node/src/identity.rs
+++ b/crates/node/src/identity.rs
@@ -10,7 +10,7 @@
 const MIN_SECRET_BYTES: usize = 16;
 
 /// A number that differs for each start, also for starts at the same moment or with the same seed.
-pub fn life(seed: u64) -> u64 {
+pub fn unique_start_number(seed: u64) -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
     let ids = [seed.to_be_bytes(), u64::from(std::process::id()).to_be_bytes()];
     number_of(&[&ids[0], &ids[1], &since.to_be_bytes()]).max(1)
--- a/crates/node/src/inspect.rs
+++ b/crates/node/src/inspect.rs
@@ -70,7 +70,7 @@
     list_age_ms: Option<f64>,
     /// Tenants' usage over all nodes, where it is counted.
     usage: Option<crate::usage::Report>,
-    /// What else there is.
+    /// The sections of the parts, by their names.
     #[serde(flatten)]
     parts: serde_json::Map<String, serde_json::Value>,
 }
@@ -119,7 +119,7 @@
 }
 
 /// Serves the inspection socket; never returns.
-pub async fn serve(
+pub async fn answer_connections(
     hub: Rc<Hub>,
     parts: Vec<Rc<dyn Part>>,
     listener: UnixListener,
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -55,7 +55,7 @@
     answered: Option<Millis>,
 }
 
-/// All listed_state servers that are not gone.
+/// All listed servers that are not gone.
 #[derive(Default)]
 pub struct Servers {
     marks: Marks,
@@ -96,7 +96,7 @@
     }
 
     /// The zone and the cell of a server, if it is known.
-    pub fn home(&self, server: ServerId) -> Option<(u64, u64)> {
+    pub fn zone_and_cell(&self, server: ServerId) -> Option<(u64, u64)> {
         self.known.get(&server).map(|known| known.home)
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Records from the outcome of an attempt whether its server answers.
-    pub fn heard(&mut self, server: ServerId, now: Millis, outcome: Outcome) {
+    pub fn record_outcome(&mut self, server: ServerId, now: Millis, outcome: Outcome) {
         let Some(known) = self.known.get_mut(&server) else { return };
         match outcome {
             Outcome::Done | Outcome::Error | Outcome::Full | Outcome::Rejected => known.answered = Some(now),
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -67,7 +67,7 @@
         let seeds = |value: Value| value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>();
         let seeds = |value| seeds(value).filter(|all| (1..=64).contains(&all.len()));
         let zone = |value: Value| text(value).filter(|zone| zone.len() <= ZONE_MOST);
-        let table = Self {
+        let parsed = Self {
             cluster: f.text("cluster", "a name")?.unwrap_or_else(|| "glenwood".into()),
             secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
             listen: f.need("listen", "an IP address and port", |v| address(&v))?,
@@ -78,11 +78,11 @@
             most: f.within("most", 2..=4096, 1000)?,
             forget_ms: f.within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
         };
-        if table.address.is_none() && table.listen.ip().is_unspecified() {
-            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), table.listen));
+        if parsed.address.is_none() && parsed.listen.ip().is_unspecified() {
+            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), parsed.listen));
         }
         f.end()?;
-        Ok(table)
+        Ok(parsed)
     }
 }
 
@@ -139,7 +139,7 @@
             ));
         }
         let secret = identity::secret("members", &table.secret)?;
-        let life = identity::life(config.seed);
+        let life = identity::unique_start_number(config.seed);
         Ok(Some(Rc::new(Self {
             table,
             name: config.name.clone(),
@@ -308,13 +308,13 @@
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
-            gauge("members_living", living, "Other nodes that are table for living."),
-            counter("members_declared", figures.declared, "Nodes that this one took for lost."),
+            gauge("members_living", living, "Other nodes that are considered alive."),
+            counter("members_declared", figures.declared, "Nodes that this one declared lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
-            counter("members_stalls", figures.stalls, "Times that this node stood still."),
-            counter("members_refused", figures.refused, "Datagrams that were turned down."),
+            counter("members_stalls", figures.stalls, "Times that this node was stalled."),
+            counter("members_refused", figures.refused, "Datagrams that were rejected."),
             counter("members_sent", figures.sent, "Datagrams sent."),
-            counter("members_sent_bytes", figures.sent_bytes, "Bytes of those."),
+            counter("members_sent_bytes", figures.sent_bytes, "Bytes of the datagrams sent."),
         ]
     }
 
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -113,7 +113,7 @@
             one.end()?;
             instances.push((name, address));
         }
-        let table = Self {
+        let parsed = Self {
             list: f.within("list", 0..=u32::MAX as usize, 0)? as u32,
             listen: f.address("listen")?,
             secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
@@ -124,8 +124,8 @@
             instances,
         };
         f.end()?;
-        table.settings(0).check().map_err(|reason| format!("usage.{reason}"))?;
-        Ok(table)
+        parsed.settings(0).check().map_err(|reason| format!("usage.{reason}"))?;
+        Ok(parsed)
     }
 
     /// The settings for the state machine; `number` is the index of this instance.
@@ -185,7 +185,7 @@
             let share = value.as_float().or(value.as_integer().map(|n| n as f64));
             share.filter(|share| *share > 0.0 && *share <= 1.0)
         };
-        let table = Self {
+        let parsed = Self {
             members: f
                 .take("members", "a list of 1 to 9 IP addresses and ports", members)?
                 .ok_or("registrations.members: needed where there is a table registrations")?,
@@ -201,7 +201,7 @@
             save: f.text("save", "the path of a file")?.map(PathBuf::from),
         };
         f.end()?;
-        Ok(table)
+        Ok(parsed)
     }
 }
 
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -43,7 +43,7 @@
                 let age = ((unix_ms() - saved.at_unix_ms) / 1000.0).max(0.0);
                 let count = saved.hosts.len();
                 log::line(format!("registrations: {count} servers of a saved view, {age:.0} s old"));
-                hub.registered(true, saved.hosts, true);
+                hub.apply_registrations(true, saved.hosts, true);
             }
         },
     }
@@ -141,7 +141,7 @@
         suspect: settings.suspect_ms as f64,
     };
     let (known, max_age) = (hub.clone(), settings.answer_ms as f64);
-    let answers = Box::new(move |name: &str| known.answers(name, max_age));
+    let answers = Box::new(move |name: &str| known.has_answered_within(name, max_age));
     let view = match View::new(0.0, view_settings, answers) {
         Ok(view) => view,
         // The operator's file was checked before; this is for settings that only the view can check.
@@ -179,7 +179,7 @@
                 for host in &hosts {
                     invalid.remove(&host.host);
                 }
-                hub.registered(whole, hosts, false);
+                hub.apply_registrations(whole, hosts, false);
                 saver.iter_mut().for_each(Saver::changed);
             }
             Some(Said::Unfit { name, reason }) => {
@@ -203,7 +203,9 @@
                 let now = Instant::now();
                 if let Some(away) = away.as_mut().filter(|a| a.since + a.next <= now) {
                     let age = away.since.elapsed().as_secs();
-                    log::line(format!("registrations: away for {age} s; {listed} servers as they were"));
+                    log::line(format!(
+                        "registrations: still away after {age} s; {listed} servers stay listed"
+                    ));
                     away.next *= 2;
                 }
                 if let Some(saver) = &mut saver {
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -57,7 +57,7 @@
 const AGENT_RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
 /// How often metrics that are not counted as events happen are updated.
 const FIGURES_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a node that starts other_listens another process checks whether it is ready.
+/// How often a node that starts beside another process checks whether it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
@@ -102,7 +102,7 @@
     fn probe(&self, server: ServerId) {
         match self.hub.place(server).map(|place| place.dial.protocol) {
             Some(Protocol::Msgpack) => self.msgpack.probe(server),
-            _ => self.http1.probe(server, self.hub.uses(server)),
+            _ => self.http1.probe(server, self.hub.is_in_use(server)),
         }
     }
 
@@ -181,7 +181,8 @@
     // Connections that the kernel assigns to this process must be served. Where no other process listens,
     // clients see by refusals that this one is not ready. Where one does, this process does not listen
     // until it is ready, so that clients don't notice it.
-    let predecessor = upgrade::socket_path(config.listen).as_deref().and_then(upgrade::connect);
+    let predecessor =
+        upgrade::socket_path(config.listen).as_deref().and_then(upgrade::connect_to_predecessor);
     let other_listens = predecessor.is_some() || addresses.iter().any(|(at, _)| is_taken(*at));
     type Listeners = Vec<(TcpListener, Speaks)>;
     let listen_all = || -> Result<Listeners, String> {
@@ -218,9 +219,9 @@
     if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.uses_discovery() {
         spawn_local(watch_agent(actions.clone()));
     }
-    if let Some(settings) = hub.config.operator.registrations.clone() {
-        registrations::load_saved(&hub, &settings);
-        spawn_local(registrations::follow(hub.clone(), settings));
+    if let Some(source) = hub.config.operator.registrations.clone() {
+        registrations::load_saved(&hub, &source);
+        spawn_local(registrations::follow(hub.clone(), source));
     }
     if other_listens {
         log::line(format!("{}: another process listens at {}", hub.config.name, hub.config.listen));
@@ -272,14 +273,14 @@
         });
     }
     if let Some(listener) = inspecting {
-        spawn_local(inspect::serve(hub.clone(), parts, listener, operator));
+        spawn_local(inspect::answer_connections(hub.clone(), parts, listener, operator));
     }
     let fronts = Fronts::new(&hub, descriptors.clone());
     let set_limits = {
         let (hub, fronts, descriptors) = (hub.clone(), fronts.clone(), descriptors.clone());
-        move |most: usize| {
-            let (clients, servers) = hub.config.split_descriptors(most);
-            hub.bodies.bound(hub.config.max_body_bytes(most));
+        move |max_descriptors: usize| {
+            let (clients, servers) = hub.config.split_descriptors(max_descriptors);
+            hub.bodies.bound(hub.config.max_body_bytes(max_descriptors));
             fronts.clients.bound(clients);
             descriptors.bound(servers);
         }
@@ -294,7 +295,7 @@
         let (hub, fronts) = (hub.clone(), fronts.clone());
         let count_descriptors =
             move || hub.config.reserved_descriptors() + fronts.clients.count() + descriptors.held();
-        spawn_local(handoff.clone().serve(listener, all, count_descriptors, set_limits));
+        spawn_local(handoff.clone().serve_successors(listener, all, count_descriptors, set_limits));
         handoff
     });
     spawn_local(sweep_idle(actions.clone(), fronts.clone()));
@@ -332,7 +333,7 @@
     let settings = hub.settings();
     let policy = &settings.policy;
     format!(
-        "{} runs by: {} nodes, lists {:?}, asked for within {} ms, deadlines of {} ms at most, connections up within {} ms",
+        "{} settings: {} nodes, lists {:?}, asked for within {} ms, deadlines of {} ms at most, connect timeout {} ms",
         hub.config.name,
         policy.nodes,
         policy.discovery,
@@ -439,8 +440,8 @@
 
 /// The time from SIGTERM until SIGKILL may come.
 fn kill_delay(longest_deadline: f64) -> Duration {
-    let most = KILL_DELAY.0.as_secs_f64();
-    KILL_DELAY.1 + Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, most))
+    let longest = KILL_DELAY.0.as_secs_f64();
+    KILL_DELAY.1 + Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, longest))
 }
 
 /// Stops the node and finishes all requests that it has taken. `/ready` reports that the node is not ready,
--- a/crates/node/src/upgrade.rs
+++ b/crates/node/src/upgrade.rs
@@ -51,22 +51,22 @@
 }
 
 /// Asks the older process for its listening sockets; `None` where there is none, or it gives none.
-pub fn connect(path: &Path) -> Option<Predecessor> {
+pub fn connect_to_predecessor(path: &Path) -> Option<Predecessor> {
     let mut link = UnixStream::connect(path).ok()?;
     link.set_read_timeout(Some(MESSAGE_TIMEOUT)).ok()?;
     link.write_all(ASK).ok()?;
-    let mut message = [0; GIVE.len()];
+    let mut buffer = [0; GIVE.len()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let got =
-        recvmsg(&link, &mut [IoSliceMut::new(&mut message)], &mut control, RecvFlags::CMSG_CLOEXEC).ok()?;
+        recvmsg(&link, &mut [IoSliceMut::new(&mut buffer)], &mut control, RecvFlags::CMSG_CLOEXEC).ok()?;
     let mut listeners = Vec::new();
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(sockets) = message {
             listeners.extend(sockets.map(|socket: OwnedFd| TcpListener::from(socket)));
         }
     }
-    (got.bytes == GIVE.len() && &message == GIVE).then_some(Predecessor { listeners, link })
+    (got.bytes == GIVE.len() && &buffer == GIVE).then_some(Predecessor { listeners, link })
 }
 
 impl Predecessor {
@@ -97,15 +97,15 @@
 }
 
 impl Handoff {
-    /// Opens the handoff socket, in path of one of an earlier process; `None` where that fails.
+    /// Opens the handoff socket, in place of one of an earlier process; `None` where that fails.
     pub fn open(path: PathBuf, sockets: Vec<OwnedFd>) -> Option<(Rc<Self>, UnixListener)> {
         let _ = std::fs::remove_file(&path);
         // Whoever can connect gets the listening sockets: only the owner may, as with the folder.
-        let own = |listener| {
+        let restrict = |listener| {
             std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600))?;
             Ok::<_, std::io::Error>(listener)
         };
-        match UnixListener::bind(&path).and_then(own) {
+        match UnixListener::bind(&path).and_then(restrict) {
             Ok(listener) => Some((
                 Rc::new(Self { stage: Cell::default(), path, sockets: RefCell::new(sockets) }),
                 listener,
@@ -141,7 +141,7 @@
 
     /// Serves successors one at a time; never returns. `count_descriptors` returns how many descriptors this process
     /// holds, `set_limit` sets how many it may hold.
-    pub async fn serve(
+    pub async fn serve_successors(
         self: Rc<Self>,
         listener: UnixListener,
         all: usize,
@@ -153,9 +153,9 @@
                 tokio::time::sleep(REPORT_INTERVAL).await;
                 continue;
             };
-            let mut message = [0; ASK.len()];
-            let asked = timeout(MESSAGE_TIMEOUT, link.read_exact(&mut message)).await;
-            if !matches!(asked, Ok(Ok(_))) || &message != ASK || !self.change(Incumbent::came) {
+            let mut buffer = [0; ASK.len()];
+            let asked = timeout(MESSAGE_TIMEOUT, link.read_exact(&mut buffer)).await;
+            if !matches!(asked, Ok(Ok(_))) || &buffer != ASK || !self.change(Incumbent::came) {
                 continue;
             }
             set_limit(self.stage().part(all));
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -73,19 +73,20 @@
     /// # Errors
     /// One line with the field and the reason.
     pub fn new(config: &Config, now: u64) -> Result<Option<Self>, String> {
-        let Some(settings) = &config.operator.usage else { return Ok(None) };
-        let number = settings.instances.iter().position(|(name, _)| *name == config.name);
+        let Some(table) = &config.operator.usage else { return Ok(None) };
+        let number = table.instances.iter().position(|(name, _)| *name == config.name);
         let number = number.ok_or_else(|| format!("usage.instance: {} is not among them", config.name))?;
-        let secret = identity::secret("usage", &settings.secret)?;
-        let machine = Usage::new(settings.settings(number), secret, Boot(identity::life(config.seed)), now)
-            .map_err(|reason| format!("usage.{reason}"))?;
+        let secret = identity::secret("usage", &table.secret)?;
+        let machine =
+            Usage::new(table.settings(number), secret, Boot(identity::unique_start_number(config.seed)), now)
+                .map_err(|reason| format!("usage.{reason}"))?;
         let shares = Self {
             machine: RefCell::new(machine),
             tenants: RefCell::default(),
-            window_ms: settings.window_ms,
+            window_ms: table.window_ms,
             open: Cell::new(false),
-            listen: settings.listen.unwrap_or(settings.instances[number].1),
-            instances: settings.instances.clone(),
+            listen: table.listen.unwrap_or(table.instances[number].1),
+            instances: table.instances.clone(),
         };
         Ok(Some(shares))
     }
