--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -70,7 +70,7 @@
 }
 
 /// A client that waits for the answer to a work.
-struct Waiting {
+struct WaitingClient {
     number: u64,
     waiter: Waiter,
     /// When the client is answered that no answer came in time.
@@ -93,7 +93,7 @@
     class: usize,
     /// The name of the class.
     name: String,
-    waiting: Vec<Waiting>,
+    waiting: Vec<WaitingClient>,
     /// The core's request, while the core works on it.
     request: Option<RequestId>,
     /// This node's core has had the request.
@@ -302,14 +302,14 @@
 
     fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
         let now = self.hub.clock.now();
-        let one = |(sent, ago): &(Sent, u64)| Earlier {
+        let to_earlier = |(sent, ago): &(Sent, u64)| Earlier {
             server: ServerId(sent.server),
             zone: sent.zone,
             cell: sent.cell,
             sent: now - *ago as Millis,
             outcome: if sent.never { Outcome::NotSent } else { Outcome::Unheard },
         };
-        earlier.iter().map(one).collect()
+        earlier.iter().map(to_earlier).collect()
     }
 
     /// Decodes the request of a lost node; its deadline is what remains of its client's time.
@@ -353,9 +353,9 @@
         self.local_works.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
         self.calls.borrow_mut().insert(at, ticket);
         let Some(this) = self.weak_self.upgrade() else { return };
-        let taken =
+        let submission =
             self.hub.request(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
-        match taken {
+        match submission {
             Ok(request) => {
                 if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
                     // The request may have been answered already; its number is of no use then.
@@ -537,8 +537,8 @@
         };
         self.count(|counts| counts.guarded += 1);
         let class = incoming.class;
-        let asked = self.coordinator.borrow_mut().ask(now, ask);
-        let Some((ticket, _)) = asked else {
+        let accepted = self.coordinator.borrow_mut().ask(now, ask);
+        let Some((ticket, _)) = accepted else {
             // The coordinator is full: treated like a missing majority, as nothing is known of the work.
             if self.no_majority_rule(class, &name) == NoMajorityRule::Serve {
                 self.count(|counts| counts.unguarded += 1);
@@ -556,7 +556,7 @@
             let local = all.entry(ticket).or_insert_with(|| LocalWork::new(class, name, None));
             local.incoming = local.incoming.take().or(Some(incoming)).filter(|_| local.request.is_none());
             let until = now + (left - GUARD_MARGIN).max(left / 2.0) as u64;
-            local.waiting.push(Waiting { number, waiter, until });
+            local.waiting.push(WaitingClient { number, waiter, until });
         }
         self.pump_and_notify();
         Ok(number)
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -148,7 +148,7 @@
     /// The version of the list; `None` requests the complete list.
     version: Cell<Option<u64>>,
     /// A source of the list has answered.
-    discovery_answered: Cell<bool>,
+    list_received: Cell<bool>,
     /// The last discovery error that was logged; empty once discovery has answered again.
     last_discovery_error: RefCell<String>,
     /// When each source of the list was last seen.
@@ -210,7 +210,7 @@
             merge: config.operator.has_additional_source().then(RefCell::default),
             succession: RefCell::default(),
             version: Cell::new(None),
-            discovery_answered: Cell::new(false),
+            list_received: Cell::new(false),
             last_discovery_error: RefCell::default(),
             list_last_seen: LastSeen::default(),
             list_lost_since: Cell::default(),
@@ -267,7 +267,7 @@
     /// a fleet starts at the same time, discovery answers late, and the few other nodes can't carry all
     /// clients meanwhile.
     pub fn ready(&self) -> bool {
-        self.stopping.get().is_none() && (self.discovery_answered.get() || !self.servers.borrow().is_empty())
+        self.stopping.get().is_none() && (self.list_received.get() || !self.servers.borrow().is_empty())
     }
 
     /// Updates the core, and processes its outputs.
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -87,8 +87,8 @@
     pub fn discovery_alive(&self, first: bool) {
         self.last_discovery_error.borrow_mut().clear();
         self.list_last_seen.of(Source::Discovery).set(Some(self.clock.now()));
-        let discovery_answered = self.discovery_answered.replace(true);
-        if first || !discovery_answered {
+        let list_received = self.list_received.replace(true);
+        if first || !list_received {
             let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
             self.update_core(|core, now| core.list_changed(now, Vec::new()));
             self.log_list_followed_again(trust);
@@ -120,7 +120,7 @@
         let known = if self.merge.is_some() { 0 } else { self.servers.borrow().len() };
         self.succession.borrow_mut().take(&update, known)?;
         self.last_discovery_error.borrow_mut().clear();
-        self.discovery_answered.set(true);
+        self.list_received.set(true);
         self.trace(|_| Doing::List { whole: update.whole, entries: update.hosts.len() });
         self.trace(|_| Doing::Version(update.version));
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
@@ -138,14 +138,14 @@
     /// before the node's start.
     pub fn apply_registrations(&self, whole: bool, hosts: Vec<Host>, saved: bool) {
         if !saved {
-            self.discovery_answered.set(true);
+            self.list_received.set(true);
         }
         self.take_list(Source::Registrations, Update { version: 0, whole, hosts }, saved);
     }
 
     /// Configuration has added, changed or removed servers.
     pub fn apply_configured_servers(&self, hosts: Vec<Host>) {
-        self.discovery_answered.set(true);
+        self.list_received.set(true);
         self.take_list(Source::Registrations, Update { version: 0, whole: false, hosts }, false);
     }
 
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -25,11 +25,11 @@
 
 /// The value in each slot; a slot whose entry vanished keeps its old value.
 fn values_by_slot<T: Clone>(turns: &[Turn], old: &[T], new: &[T]) -> Vec<T> {
-    let of = |(slot, turn): (usize, &Turn)| match turn {
+    let value_of = |(slot, turn): (usize, &Turn)| match turn {
         Turn::Stays(n) | Turn::Begins(n) => new[*n].clone(),
         Turn::Vanished => old[slot].clone(),
     };
-    turns.iter().enumerate().map(of).collect()
+    turns.iter().enumerate().map(value_of).collect()
 }
 
 impl Hub {
@@ -69,7 +69,7 @@
         let are_new = |turns: &[Turn]| turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
         if let Some(shares) = &self.shares {
             let places = self.tenants.borrow();
-            let name = |place: usize| places.name(place).map_or_else(String::new, |name| name.to_string());
+            let name = |slot: usize| places.name(slot).map_or_else(String::new, |name| name.to_string());
             shares.follow(&(0..new.policy.tenants.len()).map(name).collect::<Vec<_>>(), &new);
         }
         let (classes, tenants, policy) = (are_new(&classes), are_new(&tenants), new.policy.clone());
@@ -130,7 +130,7 @@
             let mut settings = self.settings.borrow_mut();
             let known = &mut Rc::make_mut(&mut settings).policy.tenants;
             let mut places = self.tenants.borrow_mut();
-            let mut taken = Vec::new();
+            let mut applied = Vec::new();
             for (name, tenant) in changes {
                 let Some(tenant) = tenant else {
                     places.remove(&name);
@@ -139,9 +139,9 @@
                 let (place, anew) = places.insert(&name);
                 known.splice(place..known.len().min(place + 1), [tenant.clone()]);
                 self.shares.iter().for_each(|shares| shares.allow(place, &name, &tenant));
-                taken.push(TenantChange { place, tenant, anew });
+                applied.push(TenantChange { place, tenant, anew });
             }
-            taken
+            applied
         };
         self.update_core(|core, now| core.change_tenants(now, changes));
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -49,7 +49,7 @@
     name: String,
     place: Place,
     /// Its zone and its cell, as the numbers that the core gets.
-    home: (u64, u64),
+    location: (u64, u64),
     state: Listed,
     /// When it last answered, if it has not failed since.
     answered: Option<Millis>,
@@ -97,7 +97,7 @@
 
     /// The zone and the cell of a server, if it is known.
     pub fn zone_and_cell(&self, server: ServerId) -> Option<(u64, u64)> {
-        self.known.get(&server).map(|known| known.home)
+        self.known.get(&server).map(|known| known.location)
     }
 
     /// A server's name, if it is known.
@@ -173,8 +173,8 @@
         if let Some(dial) = dial {
             let place = Place { dial, born_ms: host.born_ms };
             let answered = before.filter(|b| b.place == place).and_then(|b| b.answered);
-            let home = (number_of(&host.zone), host.cell);
-            self.known.insert(server, KnownServer { name: host.host, place, home, state, answered });
+            let location = (number_of(&host.zone), host.cell);
+            self.known.insert(server, KnownServer { name: host.host, place, location, state, answered });
         }
         Some(Entry {
             server,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -308,7 +308,7 @@
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
-            gauge("members_living", living, "Other nodes that are considered alive."),
+            gauge("members_living", living, "Other nodes that are considered living."),
             counter("members_declared", figures.declared, "Nodes that this one declared lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
             counter("members_stalls", figures.stalls, "Times that this node was stalled."),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -329,8 +329,8 @@
     #[test]
     fn an_invalid_table_of_custody_is_refused_with_its_field_and_reason() {
         let example = include_str!("../../../deploy/custody.toml");
-        let table = Operator::parse(example).expect("good").custody.expect("on");
-        assert_eq!((table.rosters.epoch, table.life_ms, table.patience_ms), (1, 30_000, 150));
+        let loaded = Operator::parse(example).expect("good").custody.expect("on");
+        assert_eq!((loaded.rosters.epoch, loaded.life_ms, loaded.patience_ms), (1, 30_000, 150));
         let bad = [
             ("name = \"n1\"", "name = \"n0\"", "custody.keeper: a name stands twice"),
             (
@@ -364,8 +364,8 @@
     #[test]
     fn an_invalid_table_of_members_is_refused_with_its_field_and_reason() {
         let example = include_str!("../../../deploy/members.toml");
-        let table = Operator::parse(example).expect("good").members.expect("on");
-        assert_eq!((table.probe_ms, table.seeds.len(), table.zone.as_str()), (100, 3, "a"));
+        let loaded = Operator::parse(example).expect("good").members.expect("on");
+        assert_eq!((loaded.probe_ms, loaded.seeds.len(), loaded.zone.as_str()), (100, 3, "a"));
         let bad = [
             (
                 "seeds = [",
@@ -432,13 +432,13 @@
         assert_eq!(Operator::parse("").expect("good").registrations, None);
         let text =
             "[registrations]\nmembers = ['127.0.0.1:2181', '[::1]:2181']\nsave = '/var/lib/glenwood/view'\n";
-        let table = Operator::parse(text).expect("good").registrations.expect("on");
+        let loaded = Operator::parse(text).expect("good").registrations.expect("on");
         assert_eq!(
-            (table.members.len(), table.path.as_str(), table.replaces_discovery),
+            (loaded.members.len(), loaded.path.as_str(), loaded.replaces_discovery),
             (2, "/servers", false)
         );
-        assert_eq!((table.guard_hold_ms, table.timeout_ms), (0, 2000));
-        assert_eq!(table.save, Some("/var/lib/glenwood/view".into()));
+        assert_eq!((loaded.guard_hold_ms, loaded.timeout_ms), (0, 2000));
+        assert_eq!(loaded.save, Some("/var/lib/glenwood/view".into()));
     }
 
     #[test]
--- a/crates/node/src/upgrade.rs
+++ b/crates/node/src/upgrade.rs
@@ -70,8 +70,8 @@
 }
 
 impl Predecessor {
-    /// Reads how many descriptors the older process holds until it is gone, and calls `set_limit` with what is
-    /// left of `all`.
+    /// Reads how many descriptors the older process holds until it is gone, and calls `set_limit` with what
+    /// is left of `all`.
     pub async fn follow(self, all: usize, set_limit: impl Fn(usize)) {
         let link = self.link.set_nonblocking(true).and_then(|()| tokio::net::UnixStream::from_std(self.link));
         if let Ok(link) = link {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Serves successors one at a time; never returns. `count_descriptors` returns how many descriptors this process
-    /// holds, `set_limit` sets how many it may hold.
+    /// Serves successors one at a time; never returns. `count_descriptors` returns how many descriptors
+    /// this process holds, `set_limit` sets how many it may hold.
     pub async fn serve_successors(
         self: Rc<Self>,
         listener: UnixListener,
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -94,11 +94,11 @@
     /// Sets all tenants, by their slots, with their allowances.
     pub fn follow(&self, names: &[String], settings: &NodeSettings) {
         let mut machine = self.machine.borrow_mut();
-        let one = |(name, tenant): (&String, &Tenant)| {
+        let add_tenant = |(name, tenant): (&String, &Tenant)| {
             let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
             (name.clone(), machine.allow(key_of(name), allowed.clamp(0.0, f64::from(u32::MAX)) as u32))
         };
-        let all = names.iter().zip(&settings.policy.tenants).map(one).collect();
+        let all = names.iter().zip(&settings.policy.tenants).map(add_tenant).collect();
         self.tenants.replace(all);
     }
 
