--- a/crates/fleet/benches/agent.rs
+++ b/crates/fleet/benches/agent.rs
@@ -1,5 +1,5 @@
-//! What the agent's core costs over many instances, without their processes: `cargo bench -p glenwood-fleet --bench agent`.
-//! One round is one word of each instance, as an agent takes ten times a second.
+//! Measures the CPU time of the agent's state machine with many instances and no processes. Run it with
+//! `cargo bench -p glenwood-fleet --bench agent`. A round is one inspection of each instance; an agent does ten per second.
 
 use std::time::Instant;
 
@@ -9,14 +9,14 @@
 use glenwood_fleet::lease::Holder;
 
 fn main() {
-    let rules = Desired::parse("").expect("an empty file is good").rules;
+    let rules = Desired::parse("").expect("an empty file is valid").rules;
     for count in [8, 200, 1000] {
         let mut agent = Agent::new(0.0, rules.clone(), Book::default(), 1);
         let holder = Holder { who: "a".into(), why: "b".into(), since_unix_ms: 0.0, span_ms: 600_000.0 };
-        agent.lease(0.0, 1, holder).expect("free");
+        agent.lease(0.0, 1, holder).expect("the lease is free");
         let target = Target { release: "r1".into(), config: "c1".into() };
         for n in 0..count {
-            agent.want(0.0, 1, &format!("n{n}"), true, &target).expect("idle");
+            agent.want(0.0, 1, &format!("n{n}"), true, &target).expect("no change is in progress");
         }
         let mut tokens = Vec::new();
         while let Some(output) = agent.poll() {
@@ -26,7 +26,7 @@
             }
         }
         let rounds = 20;
-        let began = Instant::now();
+        let started_at = Instant::now();
         for round in 0..rounds {
             let now = 100.0 * f64::from(round);
             for (name, token) in &tokens {
@@ -34,12 +34,12 @@
             }
             agent.poll_timeout();
         }
-        let round = began.elapsed().as_secs_f64() * 1000.0 / f64::from(rounds);
-        let began = Instant::now();
+        let round = started_at.elapsed().as_secs_f64() * 1000.0 / f64::from(rounds);
+        let started_at = Instant::now();
         agent.handle_timeout(3000.0);
-        let whole = began.elapsed().as_secs_f64() * 1000.0;
+        let full_check = started_at.elapsed().as_secs_f64() * 1000.0;
         println!(
-            "{count:5} instances: {round:.3} ms a round, {whole:.3} ms for a look at all; {} listed",
+            "{count:5} instances: {round:.3} ms per round, {full_check:.3} ms per check of all instances; {} running",
             tokens.len()
         );
     }
--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -1,13 +1,14 @@
-//! An agent: keeps the instances of one machine running what they are to run, and changes them one at a time.
+//! The agent supervises the instances of one machine and rolls changes out to them one at a time.
 //!
-//! What goes in: the time, processes that started or ended, what instances say of themselves, operators' commands. What
-//! comes out are [`Output`]s, to be done one after another: a [`Output::Write`] is on the disk before the next is begun. An
-//! agent that is killed between any two of them is made anew from its journal, told which processes run
-//! ([`Agent::adopt`]), and goes on; instances serve meanwhile as if nothing were.
+//! Its inputs are the time, process starts and exits, the status that instances report, and operators' commands. Its
+//! outputs are [`Output`]s, which the driver carries out strictly in order: an [`Output::Write`] must be on disk before
+//! the next output is started. An agent that is killed between any two outputs is rebuilt from its journal, is given the
+//! running processes ([`Agent::adopt`]) and continues; the instances keep serving in the meantime.
 //!
-//! A change goes from instance to instance: told to end (the instance drains by itself), started with what is new, ready,
-//! as good as its peers, a pause. One that fails anywhere on that way is undone, from the last to the first. While a change
-//! is under way no more than `max_unavailable` are out, those that are out for other reasons included.
+//! A change visits one instance after another: terminate it (the instance drains by itself), start it with the new
+//! target, wait until it is ready, compare its failure rate with its peers', pause. If any step fails the change is rolled
+//! back, from the last instance to the first. During a change at most `max_unavailable` instances are unavailable,
+//! including those that are unavailable for other reasons.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,87 +17,87 @@
 use crate::lease::{Holder, Lease, Refused};
 use crate::Millis;
 
-/// What a process is told.
+/// A signal to send to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To drain and end.
+    /// Drain and exit.
     Terminate,
-    /// It ends, whatever it does.
+    /// Exit at once; the process cannot ignore it.
     Kill,
 }
 
-/// What the driver is to do, in this order.
+/// An action for the driver; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write a fact to the journal, and sync it, before anything that follows.
+    /// Write a fact to the journal and sync it before any later output is carried out.
     Write(Fact),
-    /// Start a process, and say so with [`Agent::spawned`].
+    /// Start a process and report the result with [`Agent::spawned`].
     Spawn {
-        /// For which instance.
+        /// The instance's name.
         name: String,
-        /// The token to give it.
+        /// The token to pass to the process.
         token: u64,
-        /// What it is to run.
+        /// The release and configuration to run.
         target: Target,
     },
-    /// Tell a process something.
+    /// Send a signal to a process.
     Signal {
-        /// The process: only it, not another one with its number.
+        /// The process; a different process that reuses its pid must not be signalled.
         process: Process,
-        /// What.
+        /// The signal.
         signal: Signal,
     },
-    /// Something that operators should know.
+    /// A message for the operators.
     Say(String),
 }
 
-/// What an instance says of itself.
+/// The status that an instance reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// It takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Requests that it has answered since its start.
+    /// Requests answered since the instance started.
     pub answered: u64,
-    /// Those of them that failed.
+    /// Answered requests that failed.
     pub failed: u64,
 }
 
-/// Why a command is not carried out.
+/// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandRefused {
-    /// The epoch does not count.
+    /// The command's epoch is not valid.
     Lease(Refused),
-    /// A change is under way.
+    /// A change is in progress.
     Busy {
-        /// Its number.
+        /// The change's id.
         change: u64,
     },
-    /// None is under way.
+    /// No change is in progress.
     Idle,
-    /// There is no such instance, or none in such a state.
+    /// No instance has this name, or it is not in the required state.
     Unknown(String),
 }
 
-/// What is seen of a process, and not on the disk.
+/// Observed state of an instance's process; not persisted.
 #[derive(Clone, Debug, Default)]
 struct Live {
-    /// Since when it runs, as far as this agent knows.
+    /// When the process started, was adopted, or was last given a new target.
     since: Millis,
     status: Status,
-    /// How often in a row it did not answer for itself.
-    missed: u32,
-    /// When it was told to end.
-    told: Option<Millis>,
+    /// Consecutive inspections that got no answer.
+    missed_inspections: u32,
+    /// When SIGTERM was sent.
+    terminated_at: Option<Millis>,
     killed: bool,
-    /// When it ended by itself, within the window.
-    ends: VecDeque<Millis>,
-    /// Not started before.
+    /// Times of unexpected exits within the restart window.
+    exits: VecDeque<Millis>,
+    /// Earliest time of the next start.
     retry_at: Millis,
-    /// Its last end was by itself.
+    /// Whether the last exit was unexpected.
     failing: bool,
 }
 
-/// Counts at the beginning of a comparison.
+/// Request counts at the start of a comparison between a changed instance and its peers.
 #[derive(Clone, Debug)]
 struct Canary {
     since: Millis,
@@ -104,74 +105,77 @@
     peers: BTreeMap<String, Status>,
 }
 
-/// Looks after the instances of one machine.
+/// Supervises the instances of one machine.
 pub struct Agent {
     rules: Rules,
     book: Book,
     lease: Lease,
     live: BTreeMap<String, Live>,
     canary: Option<Canary>,
-    /// No further instance of a change is begun before.
-    rest_until: Millis,
+    /// The change does not move on to its next instance before this time.
+    paused_until: Millis,
     random: u64,
     outputs: VecDeque<Output>,
 }
 
-/// So many words that an instance does not answer in a row, and it counts as not ready.
-const MISSED_MOST: u32 = 3;
-/// How much worse a new instance may be than its peers, whatever the counts: below that nobody would notice.
-const WORSE_BY: f64 = 0.005;
-/// How sure it must be: the one-sided quantile of 0.999.
-const SURE: f64 = 3.09;
+/// Number of consecutive unanswered inspections after which an instance counts as not ready.
+const MAX_MISSED_INSPECTIONS: u32 = 3;
+/// A failure rate that exceeds the peers' by no more than this is accepted at any sample size: the difference is too
+/// small to notice.
+const MAX_FAILURE_RATE_EXCESS: f64 = 0.005;
+/// One-sided normal quantile for a confidence of 0.999.
+const CONFIDENCE_QUANTILE: f64 = 3.09;
 
-/// With fewer failures than these the test below means nothing.
-const FEW: u64 = 5;
+/// With fewer failures the test in [`is_worse`] is not meaningful.
+const MIN_FAILURES: u64 = 5;
 
-/// Is the first share of failures above the second, beyond what chance explains? A one-sided test of two proportions.
+/// Whether an instance's failure rate is significantly higher than its peers': a one-sided two-proportion z-test.
 pub fn is_worse(failed: u64, answered: u64, peers_failed: u64, peers_answered: u64) -> bool {
-    if failed < FEW {
+    if failed < MIN_FAILURES {
         return false;
     }
     let (n, m) = (answered as f64, (peers_answered as f64).max(1.0));
     let (p, q) = (failed as f64 / n, peers_failed as f64 / m);
     let pooled = (failed + peers_failed) as f64 / (n + m);
     let spread = (pooled * (1.0 - pooled) * (1.0 / n + 1.0 / m)).sqrt();
-    p - q > WORSE_BY && p - q > SURE * spread
+    p - q > MAX_FAILURE_RATE_EXCESS && p - q > CONFIDENCE_QUANTILE * spread
 }
 
 impl Agent {
-    /// An agent with what its journal says; [`Agent::adopt`] comes next.
+    /// Creates an agent from the state recovered from its journal. Call [`Agent::adopt`] next.
     pub fn new(now: Millis, rules: Rules, book: Book, seed: u64) -> Self {
         let lease = Lease::restored(now, book.epoch, book.holder.clone());
         let (live, outputs) = (BTreeMap::new(), VecDeque::new());
-        Self { rules, book, lease, live, canary: None, rest_until: now, random: seed, outputs }
+        Self { rules, book, lease, live, canary: None, paused_until: now, random: seed, outputs }
     }
 
-    /// What is known for certain.
+    /// The agent's durable state.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// The next thing to do.
+    /// The next action to carry out.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The next moment at which something may be due.
+    /// The time at which [`Agent::handle_timeout`] should next be called.
     pub fn poll_timeout(&self) -> Option<Millis> {
         let mut due: Vec<Millis> = Vec::new();
-        for (name, kept) in &self.book.instances {
+        for (name, instance) in &self.book.instances {
             let Some(live) = self.live.get(name) else { continue };
-            let idle = kept.process.is_none() && kept.starting.is_none();
-            if idle && kept.run && !kept.gave_up {
+            let idle = instance.process.is_none() && instance.starting.is_none();
+            if idle && instance.run && !instance.gave_up {
                 due.push(live.retry_at);
             }
-            if let (true, Some(told), false) = (kept.process.is_some(), live.told, live.killed) {
-                due.push(told + self.rules.stop_within_ms as f64);
+            if let (true, Some(terminated_at), false) =
+                (instance.process.is_some(), live.terminated_at, live.killed)
+            {
+                due.push(terminated_at + self.rules.stop_within_ms as f64);
             }
         }
-        if let Some(name) = self.current() {
-            due.push(self.rest_until);
+        if let Some(name) = self.current_instance() {
+            due.push(self.paused_until);
             if let Some(live) = self.live.get(&name) {
                 due.push(live.since + self.rules.ready_within_ms as f64);
             }
@@ -185,12 +189,12 @@
         self.outputs.push_back(Output::Write(fact));
     }
 
-    fn say(&mut self, words: String) {
-        self.outputs.push_back(Output::Say(words));
+    fn notify(&mut self, message: String) {
+        self.outputs.push_back(Output::Say(message));
     }
 
-    /// SplitMix64, as a share.
-    fn random(&mut self) -> f64 {
+    /// A SplitMix64 random number in [0, 1).
+    fn next_random(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.random;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -202,101 +206,108 @@
         self.live.entry(name.to_string()).or_default()
     }
 
-    // ---- What happens ----
+    // ---- Process events ----
 
-    /// The processes that run and bear a token of this agent, after its start. Each instance whose process is among them
-    /// goes on; one whose process is not has ended.
+    /// Takes over the running processes that carry one of this agent's tokens, after the agent has started. Recorded
+    /// processes among them continue; a recorded process that is missing has exited.
     pub fn adopt(&mut self, now: Millis, running: &[(String, Process)]) {
         let names: Vec<String> = self.book.instances.keys().cloned().collect();
         let mut ours: Vec<u64> = Vec::new();
         for name in names {
-            let kept = self.book.instances[&name].clone();
+            let instance = self.book.instances[&name].clone();
             let runs =
                 |token: u64| running.iter().find(|(n, p)| *n == name && p.token == token).map(|(_, p)| p);
-            if let Some((token, _)) = kept.starting {
+            if let Some((token, _)) = instance.starting {
                 match runs(token) {
-                    // It was started, and the agent ended before it could write so.
+                    // The process was started, but the agent was killed before it recorded that.
                     Some(process) => {
                         self.write(Fact::Started { name: name.clone(), process: process.clone() })
                     }
                     None => self.write(Fact::Ended { name: name.clone(), token, code: None }),
                 }
             }
-            if let Some((process, _)) = kept.process {
+            if let Some((process, _)) = instance.process {
                 if runs(process.token) != Some(&process) {
                     self.write(Fact::Ended { name: name.clone(), token: process.token, code: None });
                 }
             }
             let live = self.live(&name);
             (live.since, live.retry_at) = (now, now);
-            let kept = &self.book.instances[&name];
-            ours.extend(kept.process.iter().map(|(p, _)| p.token));
-            if kept.stopping {
-                // Perhaps it was told, perhaps not: told twice it ends no later.
-                if let Some((process, _)) = kept.process.clone() {
-                    self.live(&name).told = Some(now);
+            let instance = &self.book.instances[&name];
+            ours.extend(instance.process.iter().map(|(p, _)| p.token));
+            if instance.stopping {
+                // SIGTERM may or may not have been sent before the restart; sending it twice does no harm.
+                if let Some((process, _)) = instance.process.clone() {
+                    self.live(&name).terminated_at = Some(now);
                     self.outputs.push_back(Output::Signal { process, signal: Signal::Terminate });
                 }
             }
         }
         for (name, process) in running.iter().filter(|(_, p)| !ours.contains(&p.token)) {
-            self.say(format!("{name}: a process that is nobody's any more is told to end: {}", process.pid));
+            self.notify(format!(
+                "{name}: terminating process {}, which is not part of the recorded state",
+                process.pid
+            ));
             self.outputs.push_back(Output::Signal { process: process.clone(), signal: Signal::Terminate });
         }
-        self.drive(now);
+        self.reconcile_all(now);
     }
 
-    /// A process has started, or could not be.
+    /// Handles the result of starting a process: its pid and start time, or an error message.
     pub fn spawned(&mut self, now: Millis, name: &str, token: u64, spawned: Result<(u32, u64), String>) {
         match spawned {
             Ok((pid, born)) => {
                 let process = Process { token, pid, born };
                 self.write(Fact::Started { name: name.to_string(), process });
                 let live = self.live(name);
-                (live.since, live.status, live.told, live.killed) = (now, Status::default(), None, false);
-                live.missed = 0;
-                self.drive(now);
+                (live.since, live.status, live.terminated_at, live.killed) =
+                    (now, Status::default(), None, false);
+                live.missed_inspections = 0;
+                self.reconcile_all(now);
             }
-            Err(words) => {
-                self.say(format!("{name}: {words}"));
+            Err(message) => {
+                self.notify(format!("{name}: {message}"));
                 self.exited(now, name, token, None);
             }
         }
     }
 
-    /// A process has ended.
+    /// Handles the exit of a process, or a failed start.
     pub fn exited(&mut self, now: Millis, name: &str, token: u64, code: Option<i32>) {
-        let Some(kept) = self.book.instances.get(name) else { return };
-        let is_its = kept.process.as_ref().is_some_and(|(p, _)| p.token == token)
-            || kept.starting.as_ref().is_some_and(|(starting, _)| *starting == token);
-        if !is_its {
+        let Some(instance) = self.book.instances.get(name) else { return };
+        let is_current = instance.process.as_ref().is_some_and(|(p, _)| p.token == token)
+            || instance.starting.as_ref().is_some_and(|(starting, _)| *starting == token);
+        if !is_current {
             return;
         }
-        let by_itself = !kept.stopping;
+        let unexpected = !instance.stopping;
         self.write(Fact::Ended { name: name.to_string(), token, code });
-        let (window, most) = (self.rules.restart_window_ms as f64, self.rules.restarts_most);
-        let (first, jitter) = (self.rules.backoff_ms as f64, 0.5 + self.random() / 2.0);
+        let (window, max_restarts) = (self.rules.restart_window_ms as f64, self.rules.restarts_most);
+        let (first, jitter) = (self.rules.backoff_ms as f64, 0.5 + self.next_random() / 2.0);
         let live = self.live(name);
-        (live.status, live.told, live.killed, live.failing) = (Status::default(), None, false, by_itself);
+        (live.status, live.terminated_at, live.killed, live.failing) =
+            (Status::default(), None, false, unexpected);
         live.retry_at = now;
-        if by_itself {
-            live.ends.push_back(now);
-            while live.ends.front().is_some_and(|at| at + window <= now) {
-                live.ends.pop_front();
+        if unexpected {
+            live.exits.push_back(now);
+            while live.exits.front().is_some_and(|at| at + window <= now) {
+                live.exits.pop_front();
             }
-            let count = live.ends.len();
+            let count = live.exits.len();
             live.retry_at = now + (first * 2.0f64.powi(count.min(12) as i32 - 1)).min(window) * jitter;
             let code = code.map_or("no code".to_string(), |c| format!("code {c}"));
-            self.say(format!("{name}: ended by itself, {code}, {count} times within the window"));
-            if count > most {
-                self.say(format!("{name}: no more is tried"));
+            self.notify(format!(
+                "{name}: exited unexpectedly with {code}, {count} times within the restart window"
+            ));
+            if count > max_restarts {
+                self.notify(format!("{name}: too many unexpected exits, giving up restarting it"));
                 self.write(Fact::GaveUp { name: name.to_string() });
             }
         }
-        self.drive(now);
+        self.reconcile_all(now);
     }
 
-    /// What an instance says of itself, or `None` where it does not answer.
+    /// Handles the result of an inspection: the instance's status, or `None` if it did not answer.
     pub fn inspected(&mut self, now: Millis, name: &str, token: u64, status: Option<Status>) {
         let runs = self.book.instances.get(name).and_then(|k| k.process.as_ref());
         if runs.is_none_or(|(p, _)| p.token != token) {
@@ -304,61 +315,61 @@
         }
         let live = self.live(name);
         match status {
-            Some(status) => (live.status, live.missed) = (status, 0),
+            Some(status) => (live.status, live.missed_inspections) = (status, 0),
             None => {
-                // One answer that is late on a busy machine says nothing.
-                live.missed += 1;
-                live.status.ready &= live.missed < MISSED_MOST;
+                // A single late answer on a busy machine does not mean that the instance is not ready.
+                live.missed_inspections += 1;
+                live.status.ready &= live.missed_inspections < MAX_MISSED_INSPECTIONS;
             }
         }
-        // Many say something many times a second: the others are looked at only where this brought something about.
-        if self.step_change(now) {
-            self.drive(now);
+        // Inspections are frequent: check the other instances only if this one advanced the change.
+        if self.advance_change(now) {
+            self.reconcile_all(now);
         } else {
-            self.keep(now, name);
+            self.reconcile(now, name);
         }
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due at `now`.
     pub fn handle_timeout(&mut self, now: Millis) {
-        self.drive(now);
+        self.reconcile_all(now);
     }
 
-    // ---- What operators say ----
+    // ---- Operators' commands ----
 
-    /// Grants the lease.
+    /// Grants the lease to `holder` under `epoch`.
     ///
     /// # Errors
-    /// Says who has it.
+    /// If another holder has the lease or the epoch is not higher than every granted one.
     pub fn lease(&mut self, now: Millis, epoch: u64, holder: Holder) -> Result<(), Refused> {
         self.lease.grant(now, epoch, holder)?;
         let holder = self.lease.holder(now).cloned();
         if (self.book.epoch, &self.book.holder) != (epoch, &holder) {
-            // One that only holds on to it is not written each time.
+            // A repeated grant to the same holder is not written to the journal again.
             self.write(Fact::Lease { epoch, holder });
         }
         Ok(())
     }
 
-    /// Takes the lease back from its holder's own hand.
+    /// Releases the lease on behalf of its holder.
     ///
     /// # Errors
-    /// Where the epoch counts no more.
+    /// If the epoch is no longer valid.
     pub fn give_back(&mut self, now: Millis, epoch: u64) -> Result<(), Refused> {
         self.lease.release(now, epoch)?;
         self.write(Fact::Lease { epoch, holder: None });
         Ok(())
     }
 
-    /// The lease, to look at and to renew.
+    /// The lease, for checking and renewing it.
     pub fn lease_mut(&mut self) -> &mut Lease {
         &mut self.lease
     }
 
-    /// Wants an instance to run, with that target where it is new, or not to run.
+    /// Sets whether an instance should run. A new instance gets `target`; an existing one keeps its own.
     ///
     /// # Errors
-    /// Where the epoch does not count, or a change is under way.
+    /// If the epoch is not valid or a change is in progress.
     pub fn want(
         &mut self,
         now: Millis,
@@ -367,25 +378,25 @@
         run: bool,
         target: &Target,
     ) -> Result<(), CommandRefused> {
-        self.may(now, epoch)?;
+        self.check_idle(now, epoch)?;
         if !self.book.instances.contains_key(name) {
             self.write(Fact::Target { name: name.to_string(), target: target.clone() });
             self.live(name).retry_at = now;
         }
-        self.live(name).ends.clear();
+        self.live(name).exits.clear();
         self.write(Fact::Wanted { name: name.to_string(), run });
-        self.drive(now);
+        self.reconcile_all(now);
         Ok(())
     }
 
-    /// Forgets an instance that has no process.
+    /// Removes a stopped instance.
     ///
     /// # Errors
-    /// Where the epoch does not count, a change is under way, or there is no such instance that is stopped.
+    /// If the epoch is not valid, a change is in progress, or no stopped instance has this name.
     pub fn retire(&mut self, now: Millis, epoch: u64, name: &str) -> Result<(), CommandRefused> {
-        self.may(now, epoch)?;
-        let kept = self.book.instances.get(name);
-        let idle = kept.is_some_and(|k| !k.run && k.process.is_none() && k.starting.is_none());
+        self.check_idle(now, epoch)?;
+        let instance = self.book.instances.get(name);
+        let idle = instance.is_some_and(|k| !k.run && k.process.is_none() && k.starting.is_none());
         if !idle {
             return Err(CommandRefused::Unknown(name.to_string()));
         }
@@ -394,7 +405,8 @@
         Ok(())
     }
 
-    fn may(&self, now: Millis, epoch: u64) -> Result<(), CommandRefused> {
+    /// Checks that the epoch is valid and that no change is in progress.
+    fn check_idle(&self, now: Millis, epoch: u64) -> Result<(), CommandRefused> {
         self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
         match &self.book.change {
             Some(change) => Err(CommandRefused::Busy { change: change.id }),
@@ -402,10 +414,10 @@
         }
     }
 
-    /// Begins a change of these instances, in this order, each to its target.
+    /// Begins a change that moves the named instances, in this order, to their targets in `to`; returns its id.
     ///
     /// # Errors
-    /// Where the epoch does not count, another change is under way, or there is no such instance.
+    /// If the epoch is not valid, another change is in progress, or an instance or its target is missing.
     pub fn begin(
         &mut self,
         now: Millis,
@@ -413,115 +425,117 @@
         names: &[String],
         to: BTreeMap<String, Target>,
     ) -> Result<u64, CommandRefused> {
-        self.may(now, epoch)?;
+        self.check_idle(now, epoch)?;
         let mut from = BTreeMap::new();
         for name in names {
-            let kept = self.book.instances.get(name);
-            let kept = kept.filter(|_| to.contains_key(name));
-            let kept = kept.ok_or_else(|| CommandRefused::Unknown(name.clone()))?;
-            from.insert(name.clone(), kept.target.clone());
+            let instance = self.book.instances.get(name);
+            let instance = instance.filter(|_| to.contains_key(name));
+            let instance = instance.ok_or_else(|| CommandRefused::Unknown(name.clone()))?;
+            from.insert(name.clone(), instance.target.clone());
         }
         let id = self.book.last_change + 1;
         let by = self.lease.holder(now).cloned();
-        // Checked above: the lease has a holder.
+        // Cannot fail: `check_idle` has verified that the lease has a holder.
         let by = by.ok_or(CommandRefused::Lease(Refused::Stale { epoch }))?;
         let (names, done) = (names.to_vec(), Vec::new());
         let change = Change { id, names, to, from, by, done, undone_for: None, paused: false };
         self.write(Fact::Began(change));
-        self.rest_until = now;
+        self.paused_until = now;
         self.canary = None;
-        self.drive(now);
+        self.reconcile_all(now);
         Ok(id)
     }
 
-    /// Undoes the change that is under way.
+    /// Rolls back the change in progress.
     ///
     /// # Errors
-    /// Where the epoch does not count, or none is under way.
+    /// If the epoch is not valid or no change is in progress.
     pub fn abort(&mut self, now: Millis, epoch: u64) -> Result<(), CommandRefused> {
         self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
         let change = self.book.change.as_ref().ok_or(CommandRefused::Idle)?;
         if change.undone_for.is_none() {
-            self.undo(now, "an operator's word".to_string());
+            self.roll_back(now, "an operator's word".to_string());
         }
-        self.drive(now);
+        self.reconcile_all(now);
         Ok(())
     }
 
-    /// Lets the change wait before its next instance, or go on.
+    /// Pauses the change before its next instance, or resumes it.
     ///
     /// # Errors
-    /// Where the epoch does not count, or none is under way.
+    /// If the epoch is not valid or no change is in progress.
     pub fn pause(&mut self, now: Millis, epoch: u64, paused: bool) -> Result<(), CommandRefused> {
         self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
         self.book.change.as_ref().ok_or(CommandRefused::Idle)?;
         self.write(Fact::Paused(paused));
-        self.drive(now);
+        self.reconcile_all(now);
         Ok(())
     }
 
-    // ---- What is done about it ----
+    // ---- Reconciliation ----
 
-    /// Is this instance ready, running what it is to run?
+    /// Whether the instance runs its target and is ready.
     fn is_ready(&self, name: &str) -> bool {
-        let kept = self.book.instances.get(name);
-        let runs = kept.is_some_and(|k| {
+        let instance = self.book.instances.get(name);
+        let runs = instance.is_some_and(|k| {
             !k.stopping && k.process.as_ref().is_some_and(|(_, target)| *target == k.target)
         });
         runs && self.live.get(name).is_some_and(|l| l.status.ready)
     }
 
-    /// How many are to run and do not serve, besides this one.
-    fn out_besides(&self, name: &str) -> usize {
+    /// Number of other instances that should run but are not ready.
+    fn count_other_unavailable(&self, name: &str) -> usize {
         let wanted = self.book.instances.iter().filter(|(n, k)| k.run && *n != name);
         wanted.filter(|(n, _)| !self.is_ready(n)).count()
     }
 
-    /// The instance that the change is at.
-    fn current(&self) -> Option<String> {
+    /// The instance that the change is working on.
+    fn current_instance(&self) -> Option<String> {
         let change = self.book.change.as_ref()?;
         change.names.iter().find(|n| !change.done.contains(n)).cloned()
     }
 
-    fn undo(&mut self, now: Millis, reason: String) {
-        self.say(format!("the change is undone: {reason}"));
+    fn roll_back(&mut self, now: Millis, reason: String) {
+        self.notify(format!("rolling back the change: {reason}"));
         self.write(Fact::Undone { reason });
         self.canary = None;
-        self.rest_until = now;
+        self.paused_until = now;
     }
 
-    fn drive(&mut self, now: Millis) {
-        // A change may bring about a start or an end, and these another step of the change, all at one moment.
-        while self.step_change(now) {}
+    /// Advances the change as far as possible, then reconciles every instance.
+    fn reconcile_all(&mut self, now: Millis) {
+        // One step of the change may enable the next one at the same time.
+        while self.advance_change(now) {}
         let names: Vec<String> = self.book.instances.keys().cloned().collect();
         for name in names {
-            self.keep(now, &name);
+            self.reconcile(now, &name);
         }
     }
 
-    /// Starts, ends or kills what is due.
-    fn keep(&mut self, now: Millis, name: &str) {
-        let kept = self.book.instances[name].clone();
+    /// Starts, terminates or kills the instance's process if that is due.
+    fn reconcile(&mut self, now: Millis, name: &str) {
+        let instance = self.book.instances[name].clone();
         let stop_within = self.rules.stop_within_ms as f64;
-        match (kept.process, kept.starting) {
+        match (instance.process, instance.starting) {
             (Some((process, runs)), _) => {
-                let unwanted = !kept.run || runs != kept.target;
-                if unwanted && !kept.stopping {
+                let unwanted = !instance.run || runs != instance.target;
+                if unwanted && !instance.stopping {
                     self.write(Fact::Stopping { name: name.to_string(), token: process.token });
-                    self.live(name).told = Some(now);
+                    self.live(name).terminated_at = Some(now);
                     self.outputs.push_back(Output::Signal { process, signal: Signal::Terminate });
-                } else if kept.stopping {
+                } else if instance.stopping {
                     let live = self.live(name);
-                    let due = live.told.is_some_and(|told| now >= told + stop_within);
+                    let due =
+                        live.terminated_at.is_some_and(|terminated_at| now >= terminated_at + stop_within);
                     if due && !std::mem::replace(&mut live.killed, true) {
-                        self.say(format!("{name}: did not end in time, and is killed"));
+                        self.notify(format!("{name}: did not exit in time after SIGTERM, killing it"));
                         self.outputs.push_back(Output::Signal { process, signal: Signal::Kill });
                     }
                 }
             }
-            (None, None) if kept.run && !kept.gave_up && now >= self.live(name).retry_at => {
+            (None, None) if instance.run && !instance.gave_up && now >= self.live(name).retry_at => {
                 let token = self.book.token + 1;
-                let target = kept.target;
+                let target = instance.target;
                 self.live(name).since = now;
                 let name = name.to_string();
                 self.write(Fact::Starting { name: name.clone(), token, target: target.clone() });
@@ -531,53 +545,54 @@
         }
     }
 
-    /// Takes the change one step on; true where something was done at once.
-    fn step_change(&mut self, now: Millis) -> bool {
+    /// Advances the change by one step. Returns true if another step may follow at once.
+    fn advance_change(&mut self, now: Millis) -> bool {
         let Some(change) = self.book.change.clone() else { return false };
-        let Some(name) = self.current() else {
+        let Some(name) = self.current_instance() else {
             let (outcome, reason) = match change.undone_for {
-                None => (Outcome::Done, "all instances run it".to_string()),
+                None => (Outcome::Done, "all instances run their targets".to_string()),
                 Some(reason) => (Outcome::RolledBack, reason),
             };
             self.write(Fact::Finished { outcome, reason });
             return false;
         };
-        let back = change.undone_for.is_some();
-        let wanted = if back { change.from.get(&name) } else { change.to.get(&name) };
+        let is_rollback = change.undone_for.is_some();
+        let wanted = if is_rollback { change.from.get(&name) } else { change.to.get(&name) };
         let wanted = wanted.cloned().unwrap_or_default();
-        let kept = &self.book.instances[&name];
-        if kept.target != wanted {
-            // Nothing is taken out for a change while too many are out already; but one that is out itself is not.
-            let room = self.out_besides(&name) < self.rules.max_unavailable || !self.is_ready(&name);
-            if now < self.rest_until || !room || change.paused {
+        let instance = &self.book.instances[&name];
+        if instance.target != wanted {
+            // An instance that is ready may be taken down only while fewer than `max_unavailable` others are unavailable.
+            let has_capacity =
+                self.count_other_unavailable(&name) < self.rules.max_unavailable || !self.is_ready(&name);
+            if now < self.paused_until || !has_capacity || change.paused {
                 return false;
             }
             self.canary = None;
             let live = self.live(&name);
             (live.since, live.failing, live.retry_at) = (now, false, now);
-            live.ends.clear();
+            live.exits.clear();
             self.write(Fact::Target { name, target: wanted });
             return true;
         }
-        if !kept.run {
-            // One that is not to run only learns what it would run.
+        if !instance.run {
+            // A stopped instance only records its new target.
             self.write(Fact::Through { name });
             return true;
         }
         if self.is_ready(&name) {
-            let better = if back { Some(true) } else { self.compare(now, &name) };
-            match better {
+            let passed = if is_rollback { Some(true) } else { self.compare(now, &name) };
+            match passed {
                 None => return false,
                 Some(true) => {
                     self.canary = None;
-                    self.rest_until = now + self.rules.pause_ms as f64;
+                    self.paused_until = now + self.rules.pause_ms as f64;
                     self.write(Fact::Through { name });
                 }
-                Some(false) => self.undo(now, format!("{name} fails more requests than its peers")),
+                Some(false) => self.roll_back(now, format!("{name} fails more requests than its peers")),
             }
             return true;
         }
-        let runs = kept.process.as_ref().is_some_and(|(_, target)| *target == wanted);
+        let runs = instance.process.as_ref().is_some_and(|(_, target)| *target == wanted);
         let live = self.live(&name);
         let late = now >= live.since + self.rules.ready_within_ms as f64 + self.rules.stop_within_ms as f64;
         let late = late || (runs && now >= self.live[&name].since + self.rules.ready_within_ms as f64);
@@ -585,21 +600,19 @@
         if !(late || failing) {
             return false;
         }
-        let reason = if failing { "ended by itself" } else { "was not ready in time" };
-        if back {
-            let reason = format!(
-                "{name} {reason} when the change was undone; {}",
-                change.undone_for.unwrap_or_default()
-            );
-            self.say(format!("people are needed: {reason}"));
+        let reason = if failing { "exited unexpectedly" } else { "was not ready in time" };
+        if is_rollback {
+            let reason =
+                format!("{name} {reason} during the rollback; {}", change.undone_for.unwrap_or_default());
+            self.notify(format!("operator intervention is needed: {reason}"));
             self.write(Fact::Finished { outcome: Outcome::Mixed, reason });
             return false;
         }
-        self.undo(now, format!("{name} {reason}"));
+        self.roll_back(now, format!("{name} {reason}"));
         true
     }
 
-    /// Does a new instance do as well as its peers? `None` while that is not known.
+    /// Whether a changed instance fails no more often than its peers; `None` while there are too few requests to tell.
     fn compare(&mut self, now: Millis, name: &str) -> Option<bool> {
         if self.rules.canary_requests == 0 {
             return Some(true);
@@ -616,14 +629,14 @@
         let answered = own.answered.saturating_sub(canary.own.answered);
         let failed = own.failed.saturating_sub(canary.own.failed);
         if answered < self.rules.canary_requests as u64 {
-            let over = now >= canary.since + self.rules.canary_ms as f64;
-            return over.then_some(true);
+            let expired = now >= canary.since + self.rules.canary_ms as f64;
+            return expired.then_some(true);
         }
         let (mut peers_answered, mut peers_failed) = (0, 0);
-        for (name, now) in peers() {
-            let Some(before) = canary.peers.get(&name) else { continue };
-            peers_answered += now.answered.saturating_sub(before.answered);
-            peers_failed += now.failed.saturating_sub(before.failed);
+        for (name, status) in peers() {
+            let Some(baseline) = canary.peers.get(&name) else { continue };
+            peers_answered += status.answered.saturating_sub(baseline.answered);
+            peers_failed += status.failed.saturating_sub(baseline.failed);
         }
         Some(!is_worse(failed, answered, peers_failed, peers_answered))
     }
--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,6 +1,6 @@
-//! The trail of who changed what: one line for each change, each with the digest of the one before, so that a line that is
-//! changed, left out or moved is noticed by whoever reads it. It does not keep somebody who can write the file from writing
-//! all of it anew: for that its last digest must be kept elsewhere.
+//! The audit trail of who changed what: one line per change, each with the digest of the previous line, so that a reader
+//! detects a line that was modified, removed or moved. The chain does not protect against somebody who can rewrite the
+//! whole file; to detect that, the last digest must be stored elsewhere.
 
 use std::fmt;
 
@@ -9,29 +9,29 @@
 
 use crate::Millis;
 
-/// One change.
+/// One entry of the audit trail, written as a line of JSON.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
-    /// Its number, from 1.
+    /// The entry's number, from 1.
     pub number: u64,
-    /// When, Unix time in milliseconds.
+    /// When the change was made, as Unix time in milliseconds.
     pub at_unix_ms: Millis,
-    /// Who.
+    /// Who made the change.
     pub who: String,
-    /// What.
+    /// What was changed.
     pub what: String,
-    /// Under which epoch of the lease.
+    /// The lease's epoch under which the change was made.
     pub epoch: u64,
-    /// The digest of the line before; of nothing for the first.
+    /// The digest of the previous line, or of an empty string for the first entry.
     pub before: String,
 }
 
-/// Where a trail is broken.
+/// The first line at which a trail fails verification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// The line, from 1.
+    /// The line's number, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// Why the line is invalid.
     pub reason: String,
 }
 
@@ -43,12 +43,12 @@
 
 impl std::error::Error for Broken {}
 
-/// The digest of some bytes, as hex digits.
+/// The SHA-256 digest of `bytes` in lower-case hexadecimal.
 pub fn digest(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The end of a trail: what the next line follows on.
+/// The state at the end of a trail, from which the next line is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trail {
     number: u64,
@@ -56,56 +56,56 @@
 }
 
 impl Default for Trail {
-    /// One with no line yet.
+    /// An empty trail.
     fn default() -> Self {
         Self { number: 0, last: digest(b"") }
     }
 }
 
 impl Trail {
-    /// How many lines it has.
+    /// The number of lines.
     pub fn len(&self) -> u64 {
         self.number
     }
 
-    /// Has it none?
+    /// Whether the trail has no lines.
     pub fn is_empty(&self) -> bool {
         self.number == 0
     }
 
-    /// The digest of its last line.
+    /// The digest of the last line.
     pub fn last(&self) -> &str {
         &self.last
     }
 
-    /// The next line, with its line end.
+    /// Appends an entry and returns its line, newline included.
     pub fn add(&mut self, at_unix_ms: Millis, who: &str, what: &str, epoch: u64) -> String {
         let (number, before) = (self.number + 1, self.last.clone());
         let entry = Entry { number, at_unix_ms, who: who.into(), what: what.into(), epoch, before };
-        // Text and finite numbers: there is nothing in it that can't be written.
+        // Serialization cannot fail: an entry has only strings and numbers.
         let line = serde_json::to_string(&entry).unwrap_or_default();
         (self.number, self.last) = (number, digest(line.as_bytes()));
         line + "\n"
     }
 
-    /// Reads a whole trail and checks it.
+    /// Parses a complete trail and verifies its chain of digests.
     ///
     /// # Errors
-    /// Names the first line that does not follow on the one before.
+    /// The first line that cannot be parsed or does not continue the chain.
     pub fn read(text: &str) -> Result<(Self, Vec<Entry>), Broken> {
         let (mut trail, mut entries) = (Self::default(), Vec::new());
         for (n, line) in text.lines().enumerate() {
-            let broken = |reason: String| Broken { line: n + 1, reason };
-            let entry: Entry = serde_json::from_str(line).map_err(|e| broken(e.to_string()))?;
+            let error_at = |reason: String| Broken { line: n + 1, reason };
+            let entry: Entry = serde_json::from_str(line).map_err(|e| error_at(e.to_string()))?;
             if entry.number != trail.number + 1 {
-                return Err(broken(format!(
-                    "the number {} expected, not {}",
+                return Err(error_at(format!(
+                    "entry number {} expected, not {}",
                     trail.number + 1,
                     entry.number
                 )));
             }
             if entry.before != trail.last {
-                return Err(broken("it does not follow on the line before".into()));
+                return Err(error_at("the digest does not match the previous line".into()));
             }
             (trail.number, trail.last) = (entry.number, digest(line.as_bytes()));
             entries.push(entry);
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -1,5 +1,5 @@
-//! What an agent knows for certain: the sum of the facts in its journal. A fact is written and on the disk before anything
-//! that it announces is done, so that an agent which is killed anywhere finds in it what it may have done.
+//! The agent's durable state, obtained by replaying the facts in its journal. A fact is on disk before the action that it
+//! announces is carried out, so an agent that was killed at any point finds in its journal what it may have done.
 
 use std::collections::BTreeMap;
 
@@ -7,225 +7,225 @@
 
 use crate::lease::Holder;
 
-/// What an instance is to run.
+/// The release and configuration that an instance should run.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Target {
-    /// The release, by name.
+    /// The release's name.
     pub release: String,
-    /// The version of its configuration: the digest of its files.
+    /// The version of the configuration: the digest of its files.
     pub config: String,
 }
 
-/// A process, so that another one under the same number is not taken for it.
+/// Identifies a process, so that another process with the same pid is not mistaken for it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Process {
-    /// The token that it was started with; no two processes ever have the same.
+    /// The token that it was started with, unique among all processes of the agent.
     pub token: u64,
-    /// Its number.
+    /// The process id.
     pub pid: u32,
-    /// When it started, as the kernel counts.
+    /// Start time as the kernel reports it.
     pub born: u64,
 }
 
 /// How a change ended.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Outcome {
-    /// All instances run what was wanted.
+    /// All instances run their new targets.
     Done,
-    /// All run again what they ran before.
+    /// All changed instances run their previous targets again.
     RolledBack,
-    /// Some run the one and some the other; people are needed.
+    /// Some instances run the new target and some the previous one; an operator must intervene.
     Mixed,
 }
 
-/// A change of some instances, one after another.
+/// A change that moves instances to new targets, one after another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
-    /// Its number.
+    /// The change's id.
     pub id: u64,
-    /// The instances, in order.
+    /// The instances, in the order in which they are changed.
     pub names: Vec<String>,
-    /// What each is to run.
+    /// Each instance's new target.
     pub to: BTreeMap<String, Target>,
-    /// What each ran before.
+    /// Each instance's previous target.
     pub from: BTreeMap<String, Target>,
-    /// Who began it, and what for.
+    /// Who began the change, and why.
     pub by: Holder,
-    /// Those that are through.
+    /// The instances that are complete.
     pub done: Vec<String>,
-    /// Why it is being undone, where it is.
+    /// Why the change is being rolled back, if it is.
     pub undone_for: Option<String>,
-    /// It waits for an operator's word.
+    /// Whether the change is paused until an operator resumes it.
     pub paused: bool,
 }
 
-/// One fact.
+/// One entry of the agent's journal.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Fact {
-    /// An instance is to run, or not.
+    /// An instance should run, or should not.
     Wanted {
-        /// Which.
+        /// The instance's name.
         name: String,
-        /// To run?
+        /// Whether it should run.
         run: bool,
     },
-    /// An instance is to run this from now on.
+    /// An instance has a new target.
     Target {
-        /// Which.
+        /// The instance's name.
         name: String,
-        /// What.
+        /// The new target.
         target: Target,
     },
-    /// An instance is forgotten.
+    /// An instance was removed.
     Retired {
-        /// Which.
+        /// The instance's name.
         name: String,
     },
-    /// A process is about to be started.
+    /// A process is about to be started for an instance.
     Starting {
-        /// For which instance.
+        /// The instance's name.
         name: String,
-        /// With this token.
+        /// The process's token.
         token: u64,
-        /// To run this.
+        /// What the process will run.
         target: Target,
     },
-    /// It has started.
+    /// A process was started.
     Started {
-        /// For which instance.
+        /// The instance's name.
         name: String,
         /// The process.
         process: Process,
     },
-    /// It is about to be told to end.
+    /// A process is about to get SIGTERM.
     Stopping {
-        /// Of which instance.
+        /// The instance's name.
         name: String,
-        /// Its token.
+        /// The process's token.
         token: u64,
     },
-    /// It has ended, or never started.
+    /// A process has exited, or could not be started.
     Ended {
-        /// Of which instance.
+        /// The instance's name.
         name: String,
-        /// Its token.
+        /// The process's token.
         token: u64,
-        /// How, if that is known.
+        /// The exit code, if known.
         code: Option<i32>,
     },
-    /// It ended too often: no more is tried before somebody says so.
+    /// An instance exited too often: it is not restarted until an operator asks for it or its target changes.
     GaveUp {
-        /// Which instance.
+        /// The instance's name.
         name: String,
     },
-    /// An epoch was granted, or given back.
+    /// The lease was granted or released.
     Lease {
         /// The epoch.
         epoch: u64,
-        /// To whom; `None` where it was given back.
+        /// The holder, or `None` if the lease was released.
         holder: Option<Holder>,
     },
-    /// A change begins.
+    /// A change began.
     Began(Change),
-    /// One of its instances is through.
+    /// The change has completed an instance.
     Through {
-        /// Which.
+        /// The instance's name.
         name: String,
     },
-    /// It is being undone from now on.
+    /// The change is being rolled back.
     Undone {
-        /// Why.
+        /// Why it is rolled back.
         reason: String,
     },
-    /// It waits, or goes on.
+    /// The change was paused (`true`) or resumed (`false`).
     Paused(bool),
-    /// Numbers that are used up, in a journal that was made anew.
+    /// Tokens and change ids that are already used; the first fact of a compacted journal.
     Used {
-        /// Tokens, up to this one.
+        /// The highest used token.
         token: u64,
-        /// Changes, up to this one.
+        /// The highest used change id.
         change: u64,
     },
-    /// It has ended.
+    /// The change has ended.
     Finished {
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Why, in words.
+        /// Why it ended so, for operators.
         reason: String,
     },
 }
 
-/// What is known of one instance.
+/// The durable state of one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
-    /// Is it to run?
+    /// Whether it should run.
     pub run: bool,
-    /// What it is to run.
+    /// What it should run.
     pub target: Target,
-    /// The token of a process that may have been started, and what that runs.
+    /// The token of a process whose start is not confirmed yet, and its target.
     pub starting: Option<(u64, Target)>,
-    /// Its process, and what that runs.
+    /// The process, and the target that it runs.
     pub process: Option<(Process, Target)>,
-    /// The process has been told to end.
+    /// Whether the process has been asked to exit.
     pub stopping: bool,
-    /// No more is tried.
+    /// Whether restarting was given up after too many unexpected exits.
     pub gave_up: bool,
 }
 
-/// The sum of all facts.
+/// The agent's durable state: the result of applying all facts in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Book {
-    /// Instances, by name.
+    /// The instances, by name.
     pub instances: BTreeMap<String, Kept>,
-    /// The highest token that was used.
+    /// The highest used token.
     pub token: u64,
-    /// The highest epoch that was granted.
+    /// The highest granted epoch.
     pub epoch: u64,
-    /// Who has the lease, as far as the journal tells.
+    /// The lease's holder according to the journal; the lease may have expired.
     pub holder: Option<Holder>,
-    /// The change that is under way.
+    /// The change in progress.
     pub change: Option<Change>,
-    /// The number of the last change.
+    /// The id of the last change.
     pub last_change: u64,
-    /// How the last one ended, and why.
+    /// How the last change ended, and why.
     pub outcome: Option<(Outcome, String)>,
 }
 
 impl Book {
-    /// Adds a fact. One that makes no sense (of a token that is not the instance's) changes nothing.
+    /// Applies a fact. A fact about a token that is not the instance's current one changes nothing.
     pub fn add(&mut self, fact: &Fact) {
         match fact {
             Fact::Wanted { name, run } => {
-                let kept = self.instances.entry(name.clone()).or_default();
-                (kept.run, kept.gave_up) = (*run, false);
+                let instance = self.instances.entry(name.clone()).or_default();
+                (instance.run, instance.gave_up) = (*run, false);
             }
             Fact::Target { name, target } => {
-                let kept = self.instances.entry(name.clone()).or_default();
-                kept.target = target.clone();
-                // What could not run before may run now.
-                kept.gave_up = false;
+                let instance = self.instances.entry(name.clone()).or_default();
+                instance.target = target.clone();
+                // The new target may run although the previous one exited too often.
+                instance.gave_up = false;
             }
             Fact::Retired { name } => drop(self.instances.remove(name)),
             Fact::Starting { name, token, target } => {
                 self.token = self.token.max(*token);
-                let kept = self.instances.entry(name.clone()).or_default();
-                kept.starting = Some((*token, target.clone()));
+                let instance = self.instances.entry(name.clone()).or_default();
+                instance.starting = Some((*token, target.clone()));
             }
             Fact::Started { name, process } => {
-                let kept = self.instances.entry(name.clone()).or_default();
-                if let Some((_, target)) = kept.starting.take_if(|(token, _)| *token == process.token) {
-                    (kept.process, kept.stopping) = (Some((process.clone(), target)), false);
+                let instance = self.instances.entry(name.clone()).or_default();
+                if let Some((_, target)) = instance.starting.take_if(|(token, _)| *token == process.token) {
+                    (instance.process, instance.stopping) = (Some((process.clone(), target)), false);
                 }
             }
             Fact::Stopping { name, token } => {
-                let kept = self.instances.entry(name.clone()).or_default();
-                kept.stopping |= kept.process.as_ref().is_some_and(|(p, _)| p.token == *token);
+                let instance = self.instances.entry(name.clone()).or_default();
+                instance.stopping |= instance.process.as_ref().is_some_and(|(p, _)| p.token == *token);
             }
             Fact::Ended { name, token, .. } => {
-                let kept = self.instances.entry(name.clone()).or_default();
-                kept.starting.take_if(|(starting, _)| starting == token);
-                if kept.process.take_if(|(p, _)| p.token == *token).is_some() {
-                    kept.stopping = false;
+                let instance = self.instances.entry(name.clone()).or_default();
+                instance.starting.take_if(|(starting, _)| starting == token);
+                if instance.process.take_if(|(p, _)| p.token == *token).is_some() {
+                    instance.stopping = false;
                 }
             }
             Fact::GaveUp { name } => self.instances.entry(name.clone()).or_default().gave_up = true,
@@ -240,7 +240,7 @@
             Fact::Through { name } => self.change.iter_mut().for_each(|c| c.done.push(name.clone())),
             Fact::Undone { reason } => {
                 if let Some(change) = &mut self.change {
-                    // Those that were touched, the last one first.
+                    // Only the instances that the change has reached are rolled back, the last one first.
                     let touched = change.names.iter().take(change.done.len() + 1).rev().cloned().collect();
                     (change.names, change.done) = (touched, Vec::new());
                     (change.undone_for, change.paused) = (Some(reason.clone()), false);
@@ -256,26 +256,26 @@
         }
     }
 
-    /// The fewest facts that make this book: a long journal is made anew from them.
+    /// A minimal list of facts that reproduces this state, for compacting a long journal.
     pub fn facts(&self) -> Vec<Fact> {
         let mut facts = vec![Fact::Used { token: self.token, change: self.last_change }];
         if self.epoch > 0 {
             facts.push(Fact::Lease { epoch: self.epoch, holder: self.holder.clone() });
         }
-        for (name, kept) in &self.instances {
+        for (name, instance) in &self.instances {
             let name = || name.clone();
-            facts.push(Fact::Target { name: name(), target: kept.target.clone() });
-            facts.push(Fact::Wanted { name: name(), run: kept.run });
-            if let Some((process, target)) = &kept.process {
+            facts.push(Fact::Target { name: name(), target: instance.target.clone() });
+            facts.push(Fact::Wanted { name: name(), run: instance.run });
+            if let Some((process, target)) = &instance.process {
                 let (token, target) = (process.token, target.clone());
                 facts.push(Fact::Starting { name: name(), token, target });
                 facts.push(Fact::Started { name: name(), process: process.clone() });
-                facts.extend(kept.stopping.then(|| Fact::Stopping { name: name(), token }));
+                facts.extend(instance.stopping.then(|| Fact::Stopping { name: name(), token }));
             }
-            if let Some((token, target)) = &kept.starting {
+            if let Some((token, target)) = &instance.starting {
                 facts.push(Fact::Starting { name: name(), token: *token, target: target.clone() });
             }
-            facts.extend(kept.gave_up.then(|| Fact::GaveUp { name: name() }));
+            facts.extend(instance.gave_up.then(|| Fact::GaveUp { name: name() }));
         }
         facts.extend(self.change.clone().map(Fact::Began));
         if let Some((outcome, reason)) = &self.outcome {
--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -1,4 +1,4 @@
-//! What is desired of the instances of one machine: the operators' file, checked when it is read.
+//! The desired state of one machine's instances: parses and validates the operators' file.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,128 +7,130 @@
 /// A program that instances can run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
-    /// Its file.
+    /// The path of the executable.
     pub path: String,
-    /// The digest of that file: SHA-256 in hex digits. A file with another is not started.
+    /// The executable's SHA-256 digest in hexadecimal. A file with another digest is not started.
     pub sha256: String,
-    /// Arguments before its own.
+    /// Arguments that precede those of the instance.
     pub arguments: Vec<String>,
 }
 
-/// One instance.
+/// One instance that should exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its name, the same after each restart.
+    /// The name, which stays the same across restarts.
     pub name: String,
-    /// The group that it can be named by.
+    /// The group through which commands and protections can select it.
     pub group: String,
-    /// Which release it runs.
+    /// The name of the release that it runs.
     pub release: String,
-    /// Its configuration's file.
+    /// The path of its configuration file.
     pub config: String,
-    /// The operator's file that it gets, if any.
+    /// The path of the operator's file passed to it, if any.
     pub operator: Option<String>,
-    /// Where it stands in changes: the lower goes first; equal ones by name.
+    /// The position in changes: lower values go first, equal ones by name.
     pub order: usize,
-    /// It is not to run.
+    /// Whether it should not run.
     pub stopped: bool,
 }
 
-/// What is not to be stopped.
+/// A period in which certain instances must not be stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Protect {
-    /// Instances, by name.
+    /// Names of the protected instances.
     pub names: BTreeSet<String>,
-    /// Instances, by group.
+    /// Groups whose instances are protected.
     pub groups: BTreeSet<String>,
-    /// On which days, 0 for Monday; every day where it is empty.
+    /// The days of the week, 0 for Monday; empty for every day.
     pub days: BTreeSet<u8>,
-    /// From which minute of the day ...
+    /// The first protected minute of the day.
     pub from: u16,
-    /// ... to which, not included.
+    /// The end of the period, a minute of the day that is not included.
     pub to: u16,
 }
 
-/// How instances are kept, and changed.
+/// Settings for supervising and changing instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// How many may be out at once in a change, 1 at least.
+    /// The maximum number of instances unavailable at once during a change, at least 1.
     pub max_unavailable: usize,
-    /// How long a change rests between two instances, in milliseconds.
+    /// The pause of a change between two instances, in milliseconds.
     pub pause_ms: usize,
-    /// How soon after its start an instance must be ready, in milliseconds.
+    /// The time within which a started instance must be ready, in milliseconds.
     pub ready_within_ms: usize,
-    /// How long after SIGTERM it is killed, in milliseconds.
+    /// The time after SIGTERM at which an instance is killed, in milliseconds.
     pub stop_within_ms: usize,
-    /// How long the first restart waits, in milliseconds; twice that each time.
+    /// The delay of the first restart, in milliseconds; it doubles with each further one.
     pub backoff_ms: usize,
-    /// How often it may end by itself within the window before no more is tried.
+    /// The number of unexpected exits within the window that are tolerated; one more and the instance is not restarted.
     pub restarts_most: usize,
-    /// That window, in milliseconds.
+    /// The window for `restarts_most`, in milliseconds.
     pub restart_window_ms: usize,
-    /// How many requests a new instance must have answered before it is compared with its peers.
+    /// The number of requests that a changed instance must answer before it is compared with its peers; 0 disables the
+    /// comparison.
     pub canary_requests: usize,
-    /// How long it is waited for these, in milliseconds; with fewer the change goes on, as nothing speaks against it.
+    /// The time to wait for these requests, in milliseconds. With fewer requests after that time the change continues.
     pub canary_ms: usize,
 }
 
-/// The whole file.
+/// The complete file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Desired {
-    /// How instances are kept, and changed.
+    /// Settings for supervising and changing instances.
     pub rules: Rules,
-    /// Releases, by name.
+    /// The releases, by name.
     pub releases: BTreeMap<String, Release>,
-    /// What is not to be stopped.
+    /// Periods in which instances must not be stopped.
     pub protect: Vec<Protect>,
-    /// Instances, in the order of changes.
+    /// The instances, in the order in which changes visit them.
     pub instances: Vec<Instance>,
 }
 
+/// Names of the days of the week in the file.
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
-/// Names become parts of paths, and of commands.
-const NAME: &str = "1 to 64 of a to z, 0 to 9, - and _";
+/// The description of a valid name; names become parts of paths and commands.
+const NAME_FORMAT: &str = "1 to 64 of a to z, 0 to 9, - and _";
 
-/// Is this a name of an instance, a group or a release?
+/// Whether `text` is a valid name for an instance, a group or a release.
 pub fn is_name(text: &str) -> bool {
-    let good = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
-    (1..=64).contains(&text.len()) && text.chars().all(good)
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
+    (1..=64).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
-fn name(f: &mut Fields, key: &str, default: Option<&str>) -> Result<String, String> {
+fn parse_name(f: &mut Fields, key: &str, default: Option<&str>) -> Result<String, String> {
     let read = |v: Value| v.as_str().filter(|t| is_name(t)).map(str::to_string);
     match default {
-        Some(default) => Ok(f.take(key, NAME, read)?.unwrap_or_else(|| default.to_string())),
-        None => f.need(key, NAME, read),
+        Some(default) => Ok(f.take(key, NAME_FORMAT, read)?.unwrap_or_else(|| default.to_string())),
+        None => f.need(key, NAME_FORMAT, read),
     }
 }
 
-/// A time of day, as minutes.
-fn minute(text: &str) -> Option<u16> {
+/// Parses a time of day (`HH:MM`, up to 24:00) into minutes since midnight.
+fn parse_minute(text: &str) -> Option<u16> {
     let (hours, minutes) = text.split_once(':')?;
-    let two = |part: &str| (part.len() == 2).then(|| part.parse::<u16>().ok()).flatten();
-    let (hours, minutes) = (two(hours)?, two(minutes)?);
-    let at = hours * 60 + minutes;
-    (minutes < 60 && at <= 24 * 60).then_some(at)
+    let two_digits = |part: &str| (part.len() == 2).then(|| part.parse::<u16>().ok()).flatten();
+    let (hours, minutes) = (two_digits(hours)?, two_digits(minutes)?);
+    let total = hours * 60 + minutes;
+    (minutes < 60 && total <= 24 * 60).then_some(total)
 }
 
 impl Desired {
-    /// Reads the text of the file.
+    /// Parses and validates the text of the file.
     ///
     /// # Errors
-    /// One line: the field and the reason.
+    /// A one-line message that names the field and the reason.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut top = Fields::parse(text)?;
-        let rules = Self::rules(top.table("fleet")?)?;
+        let rules = Self::parse_rules(top.table("fleet")?)?;
         let mut releases = BTreeMap::new();
         for (key, mut f) in top.table("releases")?.map(Fields::rest).transpose()?.unwrap_or_default() {
             if !is_name(&key) {
-                return Err(format!("releases: {NAME} expected, not {key:?}"));
+                return Err(format!("releases: {NAME_FORMAT} expected, not {key:?}"));
             }
-            let hex = |t: &str| {
+            let is_hex_digest = |t: &str| {
                 t.len() == 64 && t.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
             };
-            let digest = |v: Value| v.as_str().filter(|t| hex(t)).map(str::to_string);
+            let digest = |v: Value| v.as_str().filter(|t| is_hex_digest(t)).map(str::to_string);
             let path = |v: Value| v.as_str().filter(|t| t.starts_with('/')).map(str::to_string);
             let release = Release {
                 path: f.need("path", "a path that begins with /", path)?,
@@ -141,9 +143,9 @@
         let mut instances: Vec<Instance> = Vec::new();
         for mut f in top.tables("instance")? {
             let instance = Instance {
-                name: name(&mut f, "name", None)?,
-                group: name(&mut f, "group", Some("all"))?,
-                release: name(&mut f, "release", None)?,
+                name: parse_name(&mut f, "name", None)?,
+                group: parse_name(&mut f, "group", Some("all"))?,
+                release: parse_name(&mut f, "release", None)?,
                 config: f
                     .text("config", "the path of a file")?
                     .ok_or_else(|| format!("{}: needed, the path of a file", f.name("config")))?,
@@ -163,38 +165,38 @@
         instances.sort_by(|a, b| a.order.cmp(&b.order).then_with(|| a.name.cmp(&b.name)));
         let mut protect = Vec::new();
         for f in top.tables("protect")? {
-            protect.push(Self::protect(f, &instances)?);
+            protect.push(Self::parse_protect(f, &instances)?);
         }
         top.end()?;
         if rules.max_unavailable > instances.len().max(1) {
-            let (most, count) = (rules.max_unavailable, instances.len());
-            return Err(format!("fleet.max_unavailable: {most} of {count} instances"));
+            let (max, count) = (rules.max_unavailable, instances.len());
+            return Err(format!("fleet.max_unavailable: {max} of {count} instances"));
         }
         Ok(Self { rules, releases, protect, instances })
     }
 
-    fn rules(table: Option<Fields>) -> Result<Rules, String> {
+    fn parse_rules(table: Option<Fields>) -> Result<Rules, String> {
         let mut f = match table {
             Some(f) => f,
             None => Fields::parse("")?,
         };
-        let hour = 3_600_000;
+        let hour_ms = 3_600_000;
         let rules = Rules {
             max_unavailable: f.within("max_unavailable", 1..=1000, 1)?,
-            pause_ms: f.within("pause_ms", 0..=hour, 1000)?,
-            ready_within_ms: f.within("ready_within_ms", 100..=hour, 10_000)?,
-            stop_within_ms: f.within("stop_within_ms", 100..=hour, 10_000)?,
-            backoff_ms: f.within("backoff_ms", 10..=hour, 200)?,
+            pause_ms: f.within("pause_ms", 0..=hour_ms, 1000)?,
+            ready_within_ms: f.within("ready_within_ms", 100..=hour_ms, 10_000)?,
+            stop_within_ms: f.within("stop_within_ms", 100..=hour_ms, 10_000)?,
+            backoff_ms: f.within("backoff_ms", 10..=hour_ms, 200)?,
             restarts_most: f.within("restarts_most", 0..=1000, 5)?,
-            restart_window_ms: f.within("restart_window_ms", 1000..=24 * hour, 60_000)?,
+            restart_window_ms: f.within("restart_window_ms", 1000..=24 * hour_ms, 60_000)?,
             canary_requests: f.within("canary_requests", 0..=1_000_000, 200)?,
-            canary_ms: f.within("canary_ms", 0..=hour, 5000)?,
+            canary_ms: f.within("canary_ms", 0..=hour_ms, 5000)?,
         };
         f.end()?;
         Ok(rules)
     }
 
-    fn protect(mut f: Fields, instances: &[Instance]) -> Result<Protect, String> {
+    fn parse_protect(mut f: Fields, instances: &[Instance]) -> Result<Protect, String> {
         let set = |names: Vec<String>| names.into_iter().collect::<BTreeSet<String>>();
         let (names, groups) = (set(f.names("names")?), set(f.names("groups")?));
         if names.is_empty() && groups.is_empty() {
@@ -208,15 +210,15 @@
         }
         let mut days = BTreeSet::new();
         for day in f.names("days")? {
-            let at = DAYS.iter().position(|d| *d == day);
-            let at =
-                at.ok_or_else(|| format!("{}: mon, tue, ... or sun expected, not {day:?}", f.name("days")))?;
-            days.insert(at as u8);
+            let index = DAYS.iter().position(|d| *d == day);
+            let index = index
+                .ok_or_else(|| format!("{}: mon, tue, ... or sun expected, not {day:?}", f.name("days")))?;
+            days.insert(index as u8);
         }
-        let time = |v: Value| v.as_str().and_then(minute);
-        let want = "a time of day such as \"06:30\"";
-        let from = f.take("from", want, time)?.unwrap_or(0);
-        let to = f.take("to", want, time)?.unwrap_or(24 * 60);
+        let time = |v: Value| v.as_str().and_then(parse_minute);
+        let expected = "a time of day such as \"06:30\"";
+        let from = f.take("from", expected, time)?.unwrap_or(0);
+        let to = f.take("to", expected, time)?.unwrap_or(24 * 60);
         if from >= to {
             return Err(format!("{}: later than from expected", f.name("to")));
         }
@@ -224,17 +226,18 @@
         Ok(Protect { names, groups, days, from, to })
     }
 
-    /// The instance of that name.
+    /// The instance with this name.
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.instances.iter().find(|i| i.name == name)
     }
 
-    /// What forbids to stop this instance at that local time: the day, 0 for Monday, and the minute of the day.
+    /// The protection that forbids stopping this instance at a local time, given as the day of the week (0 for Monday) and
+    /// the minute of the day.
     pub fn protected(&self, name: &str, day: u8, minute: u16) -> Option<&Protect> {
         let instance = self.instance(name)?;
         self.protect.iter().find(|p| {
-            let meant = p.names.contains(name) || p.groups.contains(&instance.group);
-            meant && (p.days.is_empty() || p.days.contains(&day)) && (p.from..p.to).contains(&minute)
+            let is_selected = p.names.contains(name) || p.groups.contains(&instance.group);
+            is_selected && (p.days.is_empty() || p.days.contains(&day)) && (p.from..p.to).contains(&minute)
         })
     }
 }
--- a/crates/fleet/src/journal.rs
+++ b/crates/fleet/src/journal.rs
@@ -1,48 +1,48 @@
-//! The journal of an agent: what it means to do and what came of it, each record written and synced before the agent goes
-//! on.
+//! The agent's write-ahead journal: records of intended actions and their results, each written and synced before the
+//! agent continues.
 //!
-//! A record is its length, a checksum over its number and its bytes, its number, and its bytes. Numbers go up by one. A
-//! journal may end in a torn record, as the agent may be killed while it writes: that one was not acted on, and is left
-//! out. A record that is damaged anywhere else is not passed over: what came behind it was acted on.
+//! A record consists of its length, a checksum over its number and payload, its number, and its payload. Numbers are
+//! consecutive. A journal may end with a torn record because the agent can be killed during a write; that record was not
+//! acted on and is ignored. A damaged record anywhere else is an error, because the records after it were acted on.
 
 use std::fmt;
 
-/// Length, checksum and number.
-const HEAD: usize = 4 + 4 + 8;
-/// The longest record; a length beyond it is damage.
-pub const LONGEST: usize = 1 << 20;
+/// Size of the header: length, checksum and number.
+const HEADER_BYTES: usize = 4 + 4 + 8;
+/// Maximum payload of a record in bytes; a greater length is treated as damage.
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// One record.
+/// One record of the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its number.
+    /// The record's number.
     pub number: u64,
-    /// Its bytes.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
-/// What a journal holds.
+/// The readable contents of a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read {
-    /// Its records, in order.
+    /// The records, in order.
     pub records: Vec<Record>,
-    /// How many bytes they take: what is behind is torn, and to be cut off before more is written.
+    /// The length of the valid records in bytes. Anything after it is torn and must be truncated before the next write.
     pub length: usize,
 }
 
-/// Why a journal is not taken.
+/// Why a journal cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// A record is damaged, and there are good ones behind it.
+    /// A record is damaged and valid records follow it.
     Middle {
-        /// Where it begins, in bytes.
+        /// The record's offset in the journal, in bytes.
         at: usize,
     },
-    /// A record's number does not follow on the one before.
+    /// A record's number is not the expected one.
     Order {
-        /// Where it begins, in bytes.
+        /// The record's offset in the journal, in bytes.
         at: usize,
-        /// The number that it has.
+        /// The record's number.
         number: u64,
     },
 }
@@ -60,55 +60,61 @@
 
 impl std::error::Error for Damage {}
 
-fn sum(number: u64, bytes: &[u8]) -> u32 {
+fn checksum(number: u64, bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&number.to_be_bytes());
     hasher.update(bytes);
     hasher.finalize()
 }
 
-/// A record as it is written.
+/// Encodes a record.
 ///
 /// # Panics
-/// Where it is longer than [`LONGEST`].
+/// If `bytes` is longer than [`MAX_RECORD_BYTES`].
 pub fn write(number: u64, bytes: &[u8]) -> Vec<u8> {
-    assert!(bytes.len() <= LONGEST, "a record of {} bytes", bytes.len());
-    let mut out = Vec::with_capacity(HEAD + bytes.len());
+    assert!(bytes.len() <= MAX_RECORD_BYTES, "a journal record of {} bytes is too long", bytes.len());
+    let mut out = Vec::with_capacity(HEADER_BYTES + bytes.len());
     out.extend((bytes.len() as u32).to_be_bytes());
-    out.extend(sum(number, bytes).to_be_bytes());
+    out.extend(checksum(number, bytes).to_be_bytes());
     out.extend(number.to_be_bytes());
     out.extend(bytes);
     out
 }
 
-/// The record that begins there, and where it ends; `None` where there is no good one.
-fn record(all: &[u8], at: usize) -> Option<(Record, usize)> {
-    let head = all.get(at..at + HEAD)?;
-    let word = |from: usize| u32::from_be_bytes([head[from], head[from + 1], head[from + 2], head[from + 3]]);
-    let (length, checksum) = (word(0) as usize, word(4));
-    let number = u64::from(word(8)) << 32 | u64::from(word(12));
-    if length > LONGEST {
+/// Decodes the record that begins at byte `at`; returns it with its end, or `None` if there is no valid record.
+fn decode(all: &[u8], at: usize) -> Option<(Record, usize)> {
+    let header = all.get(at..at + HEADER_BYTES)?;
+    let be_u32 = |from: usize| {
+        u32::from_be_bytes([header[from], header[from + 1], header[from + 2], header[from + 3]])
+    };
+    let (length, stored_checksum) = (be_u32(0) as usize, be_u32(4));
+    let number = u64::from(be_u32(8)) << 32 | u64::from(be_u32(12));
+    if length > MAX_RECORD_BYTES {
         return None;
     }
-    let end = at + HEAD + length;
-    let bytes = all.get(at + HEAD..end)?;
-    (sum(number, bytes) == checksum).then(|| (Record { number, bytes: bytes.to_vec() }, end))
+    let end = at + HEADER_BYTES + length;
+    let bytes = all.get(at + HEADER_BYTES..end)?;
+    (checksum(number, bytes) == stored_checksum).then(|| (Record { number, bytes: bytes.to_vec() }, end))
 }
 
-/// Reads a journal; its first record has the number `first`, or any where that is `None`.
+/// Reads a journal whose first record has the number `first`, or any number if that is `None`.
 ///
 /// # Errors
-/// Where a record is damaged that is not the torn last one.
+/// If a record other than a torn last one is damaged, or a number is not the expected one.
 pub fn read(all: &[u8], first: Option<u64>) -> Result<Read, Damage> {
     let mut records: Vec<Record> = Vec::new();
     let (mut at, mut next) = (0, first);
     while at < all.len() {
-        let Some((record, end)) = record(all, at) else {
-            // Torn, if nothing good is behind it: a record is written only when the one before is on the disk.
-            let behind = (at + 1..all.len()).any(|from| {
-                record(all, from).is_some_and(|(later, _)| next.is_none_or(|next| later.number > next))
+        let Some((record, end)) = decode(all, at) else {
+            // The record is torn if no valid record follows: a record is written only after the previous one is on disk.
+            let has_later_record = (at + 1..all.len()).any(|from| {
+                decode(all, from).is_some_and(|(later, _)| next.is_none_or(|next| later.number > next))
             });
-            return if behind { Err(Damage::Middle { at }) } else { Ok(Read { records, length: at }) };
+            return if has_later_record {
+                Err(Damage::Middle { at })
+            } else {
+                Ok(Read { records, length: at })
+            };
         };
         if next.is_some_and(|next| next != record.number) {
             return Err(Damage::Order { at, number: record.number });
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,12 +1,12 @@
-//! The operators' lock: one change at a time.
+//! The operators' lock: a lease with a fencing epoch, so that only one change runs at a time.
 //!
-//! A lease is granted for a time under an *epoch*, a number that only goes up, and every step of a change says its epoch.
-//! An operator who was paused beyond the lease and goes on is refused by the epoch, not by anybody's clock: once a later
-//! one was granted, or the time is over, the earlier one counts no more. The highest epoch is on disk before it is granted,
-//! so that it holds after a restart too.
+//! A lease is granted for a limited time under an *epoch*, a number that only increases, and every step of a change names
+//! its epoch. An operator's program that was suspended for longer than its lease is rejected by the epoch and does not
+//! depend on its own clock: an epoch becomes invalid when a later one is granted or its lease expires. The highest epoch
+//! is written to disk before it is granted, so it is still known after a restart.
 //!
-//! Over many agents the lease is a majority's: [`Bid`] asks all of them for the same epoch and has the lease when more than
-//! half have granted it, so that two bidders never both have it.
+//! Over many agents a lease needs a majority: [`Bid`] asks all of them for the same epoch and has the lease once more than
+//! half have granted it, so two bidders can never both have it.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -15,40 +15,40 @@
 
 use crate::Millis;
 
-/// The longest that a lease is granted for: an operator who vanishes blocks nobody for longer.
-pub const LONGEST: Millis = 600_000.0;
+/// Maximum duration of a lease, which limits how long an operator who disappears blocks the others.
+pub const MAX_LEASE_MS: Millis = 600_000.0;
 
-/// Who holds the lease, and what for.
+/// The holder of a lease.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Holder {
-    /// Who.
+    /// The operator's name.
     pub who: String,
-    /// What for.
+    /// The reason given for taking the lease.
     pub why: String,
-    /// Since when, Unix time in milliseconds: for people to read.
+    /// When the lease was first granted, as Unix time in milliseconds; for display only.
     pub since_unix_ms: Millis,
-    /// For how long it was granted, in milliseconds.
+    /// The duration of the lease in milliseconds.
     pub span_ms: Millis,
 }
 
-/// Why a lease is not granted, or a step not taken.
+/// Why a lease was not granted or a step was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refused {
-    /// Somebody has it.
+    /// Another holder has the lease.
     Held {
-        /// Who.
+        /// The current holder.
         holder: Holder,
-        /// For how long at the most, in milliseconds.
+        /// The time until the lease expires unless it is renewed, in milliseconds.
         left: Millis,
-        /// The epoch to go beyond when it is free.
+        /// The highest granted epoch; the next request must name a higher one.
         epoch: u64,
     },
-    /// The epoch is not beyond all that were granted.
+    /// The requested epoch is not higher than all granted ones.
     Behind {
         /// The highest one.
         epoch: u64,
     },
-    /// The epoch counts no more: its lease is over, was given back, or a later one was granted.
+    /// The epoch is no longer valid: its lease expired or was released, or a later one was granted.
     Stale {
         /// The highest one.
         epoch: u64,
@@ -61,21 +61,23 @@
             Self::Held { holder, left, .. } => {
                 write!(
                     f,
-                    "held by {} ({}), for {:.0} s more at the most",
+                    "held by {} ({}), expires in at most {:.0} s",
                     holder.who,
                     holder.why,
                     left / 1000.0
                 )
             }
-            Self::Behind { epoch } => write!(f, "the epoch must be beyond {epoch}"),
-            Self::Stale { epoch } => write!(f, "the lease is over; the epoch is {epoch} by now"),
+            Self::Behind { epoch } => write!(f, "the epoch must be higher than {epoch}"),
+            Self::Stale { epoch } => {
+                write!(f, "the lease is no longer valid; the highest granted epoch is {epoch}")
+            }
         }
     }
 }
 
 impl std::error::Error for Refused {}
 
-/// An agent's part.
+/// The state of the lease at one agent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lease {
     epoch: u64,
@@ -83,34 +85,34 @@
 }
 
 impl Lease {
-    /// As it is after a restart: the highest epoch, and who may still hold it. Nobody knows how much of the lease is over
-    /// by now, so it counts from the start once more, for as long as it was granted.
+    /// Restores the lease after a restart from the highest epoch and its possible holder. The time that has already
+    /// passed is unknown, so the full duration starts again.
     pub fn restored(now: Millis, epoch: u64, holder: Option<Holder>) -> Self {
         let held = holder.map(|holder| {
-            let until = now + holder.span_ms.clamp(0.0, LONGEST);
+            let until = now + holder.span_ms.clamp(0.0, MAX_LEASE_MS);
             (holder, until)
         });
         Self { epoch, held }
     }
 
-    /// The highest epoch that was granted.
+    /// The highest granted epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Who holds it now.
+    /// The current holder.
     pub fn holder(&self, now: Millis) -> Option<&Holder> {
         self.held.as_ref().filter(|(_, until)| now < *until).map(|(holder, _)| holder)
     }
 
-    /// Grants an epoch for as long as the holder asks for, [`LONGEST`] at the most. Whoever calls this writes the epoch to disk
-    /// before the answer goes out.
+    /// Grants an epoch for the duration that the holder asks for, limited to [`MAX_LEASE_MS`]. The caller must write the
+    /// epoch to disk before it sends the answer.
     ///
     /// # Errors
-    /// Says who has it, or which epoch to go beyond.
+    /// The current holder, or the epoch that must be exceeded.
     pub fn grant(&mut self, now: Millis, epoch: u64, mut holder: Holder) -> Result<(), Refused> {
         if let Some((held, until)) = self.held.as_ref().filter(|(_, until)| now < *until) {
-            // Its own holder may ask again: the answer may have been lost, or it holds on to it.
+            // The holder itself may ask again, because the answer was lost or to extend the lease.
             if epoch != self.epoch || (&held.who, &held.why) != (&holder.who, &holder.why) {
                 return Err(Refused::Held { holder: held.clone(), left: until - now, epoch: self.epoch });
             }
@@ -119,37 +121,37 @@
             return Err(Refused::Behind { epoch: self.epoch });
         }
         self.epoch = epoch;
-        holder.span_ms = holder.span_ms.clamp(0.0, LONGEST);
+        holder.span_ms = holder.span_ms.clamp(0.0, MAX_LEASE_MS);
         let until = now + holder.span_ms;
         self.held = Some((holder, until));
         Ok(())
     }
 
-    /// May a step be taken under this epoch now?
+    /// Checks that a step may be taken under this epoch now.
     ///
     /// # Errors
-    /// Where it counts no more.
+    /// If the epoch is no longer valid.
     pub fn check(&self, now: Millis, epoch: u64) -> Result<(), Refused> {
-        let counts = epoch == self.epoch && self.holder(now).is_some();
-        counts.then_some(()).ok_or(Refused::Stale { epoch: self.epoch })
+        let is_valid = epoch == self.epoch && self.holder(now).is_some();
+        is_valid.then_some(()).ok_or(Refused::Stale { epoch: self.epoch })
     }
 
-    /// Holds on to it for another span.
+    /// Renews the lease for `span` from now.
     ///
     /// # Errors
-    /// Where it counts no more.
+    /// If the epoch is no longer valid.
     pub fn renew(&mut self, now: Millis, epoch: u64, span: Millis) -> Result<(), Refused> {
         self.check(now, epoch)?;
         if let Some((_, until)) = &mut self.held {
-            *until = now + span.clamp(0.0, LONGEST);
+            *until = now + span.clamp(0.0, MAX_LEASE_MS);
         }
         Ok(())
     }
 
-    /// Gives it back; the epoch stays used.
+    /// Releases the lease. Its epoch is not granted again.
     ///
     /// # Errors
-    /// Where it counts no more.
+    /// If the epoch is no longer valid.
     pub fn release(&mut self, now: Millis, epoch: u64) -> Result<(), Refused> {
         self.check(now, epoch)?;
         self.held = None;
@@ -157,41 +159,41 @@
     }
 }
 
-/// How a bid stands.
+/// The state of a bid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Answers are awaited.
+    /// More answers are needed.
     Open,
-    /// More than half have granted it.
+    /// More than half of the agents have granted the lease.
     Won,
-    /// It can't be won: what was granted is to be given back.
+    /// A majority is no longer possible: leases that were granted must be released.
     Lost,
 }
 
-/// An operator's part over many agents: the answers to one epoch.
+/// An operator's request for the lease over many agents: the answers to one epoch.
 #[derive(Clone, Debug)]
 pub struct Bid {
     agents: usize,
     epoch: u64,
     granted: BTreeSet<usize>,
     refused: BTreeSet<usize>,
-    /// The highest epoch that any answer named.
-    highest: u64,
+    /// The highest epoch named in any answer.
+    highest_epoch: u64,
 }
 
 impl Bid {
-    /// A bid for an epoch beyond all that the agents named; there are so many agents, silent ones included.
+    /// Creates a bid for an epoch higher than all in `known`. `agents` counts all agents, including those that do not answer.
     pub fn new(agents: usize, known: &[u64]) -> Self {
         let epoch = known.iter().max().copied().unwrap_or(0) + 1;
-        Self { agents, epoch, granted: BTreeSet::new(), refused: BTreeSet::new(), highest: epoch }
+        Self { agents, epoch, granted: BTreeSet::new(), refused: BTreeSet::new(), highest_epoch: epoch }
     }
 
-    /// The epoch that is asked for.
+    /// The requested epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// An agent's answer; none at all is to be counted as a refusal.
+    /// Records an agent's answer. If there is no answer, the caller must pass `Err(None)`, which counts as a refusal.
     pub fn answer(&mut self, agent: usize, answer: Result<(), Option<&Refused>>) {
         match answer {
             Ok(()) => drop(self.granted.insert(agent)),
@@ -202,17 +204,17 @@
                 else {
                     return;
                 };
-                self.highest = self.highest.max(*epoch);
+                self.highest_epoch = self.highest_epoch.max(*epoch);
             }
         }
     }
 
-    /// Who has granted it.
+    /// The agents that have granted the lease.
     pub fn granted(&self) -> impl Iterator<Item = usize> + '_ {
         self.granted.iter().copied()
     }
 
-    /// How it stands.
+    /// The current state of the bid.
     pub fn standing(&self) -> Standing {
         if 2 * self.granted.len() > self.agents {
             Standing::Won
@@ -223,8 +225,8 @@
         }
     }
 
-    /// The next try, beyond all that is known by now.
+    /// A new bid for an epoch higher than all named in the answers so far.
     pub fn again(&self) -> Self {
-        Self::new(self.agents, &[self.highest])
+        Self::new(self.agents, &[self.highest_epoch])
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! Many instances as one, as state machines: events and the time go in, actions come out. No I/O and no clock.
+//! State machines that operate many instances as one fleet: events and the current time go in, actions come out. There
+//! is no I/O and no clock in this crate.
 //!
-//! - [`agent`] keeps the instances of one machine running, and changes them one at a time; [`book`] is what it knows for
-//!   certain.
-//! - [`desired`] is the operators' file: which instances there are to be, with which release and configuration.
-//! - [`journal`] is what an agent writes before it acts, and how it is read after a crash.
-//! - [`lease`] is the operators' lock: one change at a time, with an epoch that fences off whoever held it before.
-//! - [`audit`] is the trail of who changed what, each entry chained to the one before.
+//! - [`agent`] keeps the instances of one machine running and rolls changes out to them one at a time; [`book`] is its
+//!   durable state.
+//! - [`desired`] parses the operators' file: which instances should exist, with which release and configuration.
+//! - [`journal`] is the agent's write-ahead log and its recovery after a crash.
+//! - [`lease`] is the operators' lock: one change at a time, with an epoch that fences off earlier holders.
+//! - [`audit`] is the hash-chained log of who changed what.
 //!
-//! Times are milliseconds of any clock that never runs backwards, but for those that say Unix time.
+//! Times are milliseconds of any monotonic clock, except where they are documented as Unix time.
 #![warn(missing_docs)]
 
 pub mod agent;
@@ -17,5 +18,5 @@
 pub mod journal;
 pub mod lease;
 
-/// A time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/fleet/tests/agent.rs
+++ b/crates/fleet/tests/agent.rs
@@ -1,4 +1,5 @@
-//! An agent over virtual processes: it is killed at every point of a change in turn, and made anew from its journal.
+//! Tests of the agent with simulated processes and a simulated disk. Among others, the agent is killed at every step of a
+//! change and rebuilt from its journal.
 
 use std::collections::BTreeMap;
 
@@ -20,16 +21,18 @@
     canary_ms: 400,
 };
 
-/// How long a process takes to be ready, and to end once it is told.
-const READY: f64 = 40.0;
-const ENDS: f64 = 30.0;
-/// How long nobody starts an agent that was killed.
-const DEAD: f64 = 70.0;
+/// Time from a process's start until it is ready, in milliseconds.
+const READY_AFTER_MS: f64 = 40.0;
+/// Time from SIGTERM until a process exits, in milliseconds.
+const EXIT_AFTER_MS: f64 = 30.0;
+/// Time until a killed agent is started again, in milliseconds.
+const AGENT_DOWNTIME_MS: f64 = 70.0;
 
 fn target(release: &str) -> Target {
     Target { release: release.into(), config: "c1".into() }
 }
 
+/// The targets that move all `names` to `release`.
 fn all_to(names: &[String], release: &str) -> BTreeMap<String, Target> {
     names.iter().map(|name| (name.clone(), target(release))).collect()
 }
@@ -38,51 +41,60 @@
     Holder { who: who.into(), why: "a test".into(), since_unix_ms: 0.0, span_ms: 600_000.0 }
 }
 
+/// A simulated process. The release selects its behaviour: `never` is never ready, `crash` exits soon after its start,
+/// `errors` fails many requests, and `ignores-term` ignores SIGTERM.
 #[derive(Clone, Debug)]
 struct Proc {
     name: String,
     process: Process,
     release: String,
-    began: f64,
-    told: Option<f64>,
+    started_at: f64,
+    terminated_at: Option<f64>,
 }
 
 impl Proc {
-    fn ready(&self, now: f64) -> bool {
-        self.release != "never" && self.release != "crash" && self.told.is_none() && now >= self.began + READY
+    fn is_ready(&self, now: f64) -> bool {
+        self.release != "never"
+            && self.release != "crash"
+            && self.terminated_at.is_none()
+            && now >= self.started_at + READY_AFTER_MS
     }
 
-    fn over(&self, now: f64) -> bool {
-        let told = self.told.is_some_and(|told| now >= told + ENDS) && self.release != "deaf";
-        told || (self.release == "crash" && now >= self.began + 10.0)
+    fn has_exited(&self, now: f64) -> bool {
+        let terminated = self.terminated_at.is_some_and(|terminated_at| now >= terminated_at + EXIT_AFTER_MS)
+            && self.release != "ignores-term";
+        terminated || (self.release == "crash" && now >= self.started_at + 10.0)
     }
 
     fn status(&self, now: f64) -> Status {
-        let answered = (now - self.began).max(0.0) as u64;
+        let answered = (now - self.started_at).max(0.0) as u64;
         let failed = if self.release == "errors" { answered / 8 } else { answered / 500 };
-        Status { ready: self.ready(now), answered, failed }
+        Status { ready: self.is_ready(now), answered, failed }
     }
 }
 
-/// One machine: processes that live on whatever happens to the agent, a disk, and an agent that may be killed.
+/// A simulated machine: a disk, processes that keep running when the agent is killed, and the agent.
 struct Machine {
     now: f64,
     rules: Rules,
     agent: Option<Agent>,
-    back_at: f64,
+    /// When a killed agent is started again.
+    agent_restart_at: f64,
     disk: Vec<u8>,
     number: u64,
     procs: Vec<Proc>,
     last_pid: u32,
-    /// How many outputs were carried out, and before which of them the agent is killed.
-    done: usize,
+    /// Number of outputs carried out.
+    executed: usize,
+    /// The agent is killed before this output.
     kill_before: Option<usize>,
+    /// Whether the kill leaves a half-written journal record.
     torn: bool,
     kills: usize,
-    /// The most instances that were out at once, since it is counted.
-    worst: usize,
+    /// Maximum number of instances unavailable at once since `counting` was set.
+    max_unavailable_seen: usize,
     counting: bool,
-    said: Vec<String>,
+    messages: Vec<String>,
     signals: Vec<(u32, Signal)>,
 }
 
@@ -94,32 +106,32 @@
             now: 0.0,
             rules,
             agent: Some(agent),
-            back_at: 0.0,
+            agent_restart_at: 0.0,
             disk: Vec::new(),
             number: 0,
             procs: Vec::new(),
             last_pid: 100,
-            done: 0,
+            executed: 0,
             kill_before: None,
             torn: false,
             kills: 0,
-            worst: 0,
+            max_unavailable_seen: 0,
             counting: false,
-            said: Vec::new(),
+            messages: Vec::new(),
             signals: Vec::new(),
         }
     }
 
-    /// So many instances of a release, all serving; the lease has the epoch 1.
+    /// A machine with `count` ready instances of a release; the lease is held under epoch 1.
     fn serving(count: usize, release: &str, rules: Rules) -> Self {
         let mut machine = Self::new(rules);
-        let agent = machine.agent.as_mut().expect("it lives");
-        agent.lease(0.0, 1, holder("ada")).expect("free");
+        let agent = machine.agent.as_mut().expect("the agent is running");
+        agent.lease(0.0, 1, holder("ada")).expect("the lease is free");
         for n in 0..count {
-            agent.want(0.0, 1, &format!("n{n}"), true, &target(release)).expect("nothing is under way");
+            agent.want(0.0, 1, &format!("n{n}"), true, &target(release)).expect("no change is in progress");
         }
-        machine.pass(300.0);
-        assert_eq!(machine.out(), 0);
+        machine.advance(300.0);
+        assert_eq!(machine.count_unavailable(), 0);
         machine.counting = true;
         machine
     }
@@ -132,9 +144,9 @@
         self.agent.as_ref().map(|a| a.book().clone()).unwrap_or_else(|| self.replay().0)
     }
 
-    /// What the journal says, and how long it is without a torn end.
+    /// Replays the journal: the state, the length of the valid records, and their number.
     fn replay(&self) -> (Book, usize, u64) {
-        let read = journal::read(&self.disk, Some(1)).expect("the disk is well");
+        let read = journal::read(&self.disk, Some(1)).expect("an undamaged journal");
         let mut book = Book::default();
         for record in &read.records {
             let fact: Fact = serde_json::from_slice(&record.bytes).expect("a fact");
@@ -143,8 +155,8 @@
         (book, read.length, read.records.len() as u64)
     }
 
-    /// How many instances that are to run serve nobody.
-    fn out(&self) -> usize {
+    /// Number of instances that should run but are not ready.
+    fn count_unavailable(&self) -> usize {
         let replayed;
         let book = match &self.agent {
             Some(agent) => agent.book(),
@@ -154,9 +166,12 @@
             }
         };
         let wanted = book.instances.iter().filter(|(_, k)| k.run);
-        wanted.filter(|(name, _)| !self.procs.iter().any(|p| p.name == **name && p.ready(self.now))).count()
+        wanted
+            .filter(|(name, _)| !self.procs.iter().any(|p| p.name == **name && p.is_ready(self.now)))
+            .count()
     }
 
+    /// The releases of the running processes, ordered by instance.
     fn releases(&self) -> Vec<String> {
         let mut all: Vec<(String, String)> =
             self.procs.iter().map(|p| (p.name.clone(), p.release.clone())).collect();
@@ -164,26 +179,27 @@
         all.into_iter().map(|(_, release)| release).collect()
     }
 
-    fn kill(&mut self) {
-        self.agent.iter().for_each(|agent| made_anew(agent.book()));
+    /// Kills the agent.
+    fn kill_agent(&mut self) {
+        self.agent.iter().for_each(|agent| assert_compaction_preserves(agent.book()));
         self.agent = None;
         self.kills += 1;
-        self.back_at = self.now + DEAD;
+        self.agent_restart_at = self.now + AGENT_DOWNTIME_MS;
     }
 
-    /// Carries outputs out, each after the one before, until there are none or the agent is killed.
-    fn act(&mut self) {
+    /// Carries out the agent's outputs in order until there are none left or the agent is killed.
+    fn execute_outputs(&mut self) {
         while let Some(output) = self.agent.as_mut().and_then(Agent::poll) {
-            if self.kill_before == Some(self.done) {
+            if self.kill_before == Some(self.executed) {
                 self.kill_before = None;
                 if let (Output::Write(fact), true) = (&output, self.torn) {
                     let bytes = serde_json::to_vec(fact).expect("a fact");
                     let record = journal::write(self.number + 1, &bytes);
                     self.disk.extend(&record[..record.len() / 2]);
                 }
-                return self.kill();
+                return self.kill_agent();
             }
-            self.done += 1;
+            self.executed += 1;
             match output {
                 Output::Write(fact) => {
                     self.number += 1;
@@ -193,16 +209,16 @@
                 Output::Spawn { name, token, target } => {
                     self.last_pid += 1;
                     let process = Process { token, pid: self.last_pid, born: self.now as u64 };
-                    let (began, told, release) = (self.now, None, target.release);
-                    self.procs.push(Proc { name: name.clone(), process, release, began, told });
-                    let twice = self.procs.iter().filter(|p| p.name == name).count();
-                    assert_eq!(twice, 1, "{name} runs twice");
-                    // The agent may be killed before it hears of it.
-                    if self.kill_before == Some(self.done) {
+                    let (started_at, terminated_at, release) = (self.now, None, target.release);
+                    self.procs.push(Proc { name: name.clone(), process, release, started_at, terminated_at });
+                    let running = self.procs.iter().filter(|p| p.name == name).count();
+                    assert_eq!(running, 1, "{name} runs twice");
+                    // The agent may be killed before it is informed of the start.
+                    if self.kill_before == Some(self.executed) {
                         self.kill_before = None;
-                        return self.kill();
+                        return self.kill_agent();
                     }
-                    self.done += 1;
+                    self.executed += 1;
                     let (pid, born, now) = (self.last_pid, self.now as u64, self.now);
                     if let Some(agent) = &mut self.agent {
                         agent.spawned(now, &name, token, Ok((pid, born)));
@@ -214,34 +230,36 @@
                     match signal {
                         Signal::Terminate => {
                             for proc in self.procs.iter_mut().filter(|p| p.process == process) {
-                                proc.told = proc.told.or(Some(now));
+                                proc.terminated_at = proc.terminated_at.or(Some(now));
                             }
                         }
-                        Signal::Kill => self.end(|p| p.process == process),
+                        Signal::Kill => self.exit_processes(|p| p.process == process),
                     }
                 }
-                Output::Say(words) => self.said.push(words),
+                Output::Say(message) => self.messages.push(message),
             }
         }
     }
 
-    fn end(&mut self, which: impl Fn(&Proc) -> bool) {
-        let (over, rest) = std::mem::take(&mut self.procs).into_iter().partition(|p| which(p));
+    /// Ends the processes that `which` selects.
+    fn exit_processes(&mut self, which: impl Fn(&Proc) -> bool) {
+        let (exited, rest) = std::mem::take(&mut self.procs).into_iter().partition(|p| which(p));
         self.procs = rest;
-        for proc in over {
-            let code = if proc.told.is_some() { 0 } else { 1 };
+        for proc in exited {
+            let code = if proc.terminated_at.is_some() { 0 } else { 1 };
             if let Some(agent) = &mut self.agent {
                 agent.exited(self.now, &proc.name, proc.process.token, Some(code));
             }
         }
     }
 
-    fn pass(&mut self, span: f64) {
+    /// Advances the simulated time by `span` milliseconds.
+    fn advance(&mut self, span: f64) {
         let until = self.now + span;
         while self.now < until {
             self.now += 1.0;
             let now = self.now;
-            if self.agent.is_none() && now >= self.back_at {
+            if self.agent.is_none() && now >= self.agent_restart_at {
                 let (book, length, number) = self.replay();
                 self.disk.truncate(length);
                 self.number = number;
@@ -251,40 +269,41 @@
                 agent.adopt(now, &running);
                 self.agent = Some(agent);
             }
-            self.act();
-            self.end(|p| p.over(now));
-            self.act();
+            self.execute_outputs();
+            self.exit_processes(|p| p.has_exited(now));
+            self.execute_outputs();
             if (now as u64).is_multiple_of(10) {
                 for proc in self.procs.clone() {
                     if let Some(agent) = &mut self.agent {
                         agent.inspected(now, &proc.name, proc.process.token, Some(proc.status(now)));
                     }
-                    self.act();
+                    self.execute_outputs();
                 }
             }
             if self.agent.as_ref().and_then(Agent::poll_timeout).is_some_and(|due| due <= now) {
                 if let Some(agent) = &mut self.agent {
                     agent.handle_timeout(now);
                 }
-                self.act();
+                self.execute_outputs();
             }
             if self.counting {
-                self.worst = self.worst.max(self.out());
+                self.max_unavailable_seen = self.max_unavailable_seen.max(self.count_unavailable());
             }
         }
     }
 
+    /// Begins a change of all instances to `release`.
     fn begin(&mut self, release: &str) {
         let names = self.names();
         let now = self.now;
-        let agent = self.agent.as_mut().expect("it lives");
-        agent.begin(now, 1, &names, all_to(&names, release)).expect("nothing is under way");
+        let agent = self.agent.as_mut().expect("the agent is running");
+        agent.begin(now, 1, &names, all_to(&names, release)).expect("no change is in progress");
     }
 
-    /// Until the change is over, for a minute at the most.
+    /// Runs until the change has ended, for at most a simulated minute, and returns its outcome.
     fn finish(&mut self) -> Option<(Outcome, String)> {
         for _ in 0..600 {
-            self.pass(100.0);
+            self.advance(100.0);
             let Some(agent) = &self.agent else { continue };
             if agent.book().change.is_none() {
                 return agent.book().outcome.clone();
@@ -294,109 +313,121 @@
     }
 }
 
-/// A journal that is made anew from the book makes the same book.
-fn made_anew(book: &Book) {
-    let mut again = Book::default();
-    book.facts().iter().for_each(|fact| again.add(fact));
-    assert_eq!(&again, book);
+/// Asserts that replaying the compacted facts of a book reproduces it.
+fn assert_compaction_preserves(book: &Book) {
+    let mut replayed = Book::default();
+    book.facts().iter().for_each(|fact| replayed.add(fact));
+    assert_eq!(&replayed, book);
 }
 
 #[test]
-fn a_change_goes_from_one_to_the_next() {
+fn a_change_updates_one_instance_after_another() {
     let mut machine = Machine::serving(4, "r1", RULES);
     machine.begin("r2");
     let outcome = machine.finish();
     assert_eq!(outcome.map(|o| o.0), Some(Outcome::Done));
-    assert_eq!((machine.releases(), machine.worst), (vec!["r2".to_string(); 4], 1));
+    assert_eq!((machine.releases(), machine.max_unavailable_seen), (vec!["r2".to_string(); 4], 1));
 }
 
-/// The agent is killed before each of its outputs in turn, also half-way through a write to its journal.
+/// Kills the agent before each of its outputs in turn, with and without a half-written journal record. The change must
+/// end as it does without a kill.
 #[test]
-fn a_change_survives_the_agents_death_at_every_point() {
+fn a_change_survives_a_kill_of_the_agent_at_every_step() {
     for (release, outcome) in
         [("r2", Outcome::Done), ("never", Outcome::RolledBack), ("errors", Outcome::RolledBack)]
     {
-        let mut whole = Machine::serving(3, "r1", RULES);
-        let first = whole.done;
-        whole.begin(release);
-        assert_eq!(whole.finish().map(|o| o.0), Some(outcome), "{release}");
-        let points = whole.done - first;
+        let mut undisturbed = Machine::serving(3, "r1", RULES);
+        let first = undisturbed.executed;
+        undisturbed.begin(release);
+        assert_eq!(undisturbed.finish().map(|o| o.0), Some(outcome), "{release}");
+        let points = undisturbed.executed - first;
         assert!(points > 15, "{release}: {points} points");
         for point in 0..points {
             for torn in [false, true] {
                 let mut machine = Machine::serving(3, "r1", RULES);
-                (machine.kill_before, machine.torn) = (Some(machine.done + point), torn);
+                (machine.kill_before, machine.torn) = (Some(machine.executed + point), torn);
                 machine.begin(release);
-                let what = format!("{release}, killed at {point}, torn {torn}");
+                let case = format!("{release}, killed at {point}, torn {torn}");
                 let ended = machine.finish();
                 if point == 0 && machine.kills == 1 && ended.is_none() {
-                    // It was never written that it began: it has not begun.
-                    assert_eq!(machine.releases(), vec!["r1".to_string(); 3], "{what}");
+                    // The agent was killed before it recorded the beginning, so the change was never begun.
+                    assert_eq!(machine.releases(), vec!["r1".to_string(); 3], "{case}");
                     continue;
                 }
-                assert_eq!((ended.map(|o| o.0), machine.kills), (Some(outcome), 1), "{what}");
+                assert_eq!((ended.map(|o| o.0), machine.kills), (Some(outcome), 1), "{case}");
                 let runs = if outcome == Outcome::Done { release } else { "r1" };
-                machine.pass(1000.0);
-                assert_eq!(machine.releases(), vec![runs.to_string(); 3], "{what}");
-                assert_eq!((machine.worst, machine.out()), (1, 0), "{what}");
-                made_anew(&machine.book());
+                machine.advance(1000.0);
+                assert_eq!(machine.releases(), vec![runs.to_string(); 3], "{case}");
+                assert_eq!((machine.max_unavailable_seen, machine.count_unavailable()), (1, 0), "{case}");
+                assert_compaction_preserves(&machine.book());
             }
         }
     }
 }
 
 #[test]
-fn a_release_that_is_never_ready_ends_or_fails_is_undone() {
-    for (release, words) in [
+fn a_release_that_is_not_ready_crashes_or_fails_is_rolled_back() {
+    for (release, reason) in [
         ("never", "n0 was not ready in time"),
-        ("crash", "n0 ended by itself"),
+        ("crash", "n0 exited unexpectedly"),
         ("errors", "n0 fails more requests than its peers"),
     ] {
         let mut machine = Machine::serving(4, "r1", RULES);
         machine.begin(release);
-        assert_eq!(machine.finish(), Some((Outcome::RolledBack, words.into())));
-        machine.pass(500.0);
-        assert_eq!((machine.releases(), machine.worst, machine.out()), (vec!["r1".to_string(); 4], 1, 0));
+        assert_eq!(machine.finish(), Some((Outcome::RolledBack, reason.into())));
+        machine.advance(500.0);
+        assert_eq!(
+            (machine.releases(), machine.max_unavailable_seen, machine.count_unavailable()),
+            (vec!["r1".to_string(); 4], 1, 0)
+        );
     }
 }
 
-/// It ignores SIGTERM: it is killed when its time is over, and the change goes on.
+/// The process ignores SIGTERM: it is killed after `stop_within_ms`, and the change continues.
 #[test]
-fn an_instance_that_does_not_end_is_killed() {
-    let mut machine = Machine::serving(2, "deaf", RULES);
+fn an_instance_that_ignores_sigterm_is_killed() {
+    let mut machine = Machine::serving(2, "ignores-term", RULES);
     machine.begin("r1");
     assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
     assert_eq!(machine.signals.iter().filter(|s| s.1 == Signal::Kill).count(), 2);
-    assert_eq!(machine.worst, 1);
+    assert_eq!(machine.max_unavailable_seen, 1);
 }
 
 #[test]
-fn one_that_ends_by_itself_is_started_again_until_that_makes_no_sense() {
+fn an_instance_that_exits_is_restarted_until_the_limit() {
     let mut machine = Machine::serving(2, "r1", RULES);
-    machine.end(|p| p.name == "n0");
-    machine.pass(200.0);
-    assert_eq!(machine.out(), 0, "it is back");
+    machine.exit_processes(|p| p.name == "n0");
+    machine.advance(200.0);
+    assert_eq!(machine.count_unavailable(), 0, "n0 is ready again");
     let mut machine = Machine::new(RULES);
-    let agent = machine.agent.as_mut().expect("it lives");
-    agent.lease(0.0, 1, holder("ada")).expect("free");
-    agent.want(0.0, 1, "n0", true, &target("crash")).expect("nothing is under way");
-    machine.pass(5000.0);
+    let agent = machine.agent.as_mut().expect("the agent is running");
+    agent.lease(0.0, 1, holder("ada")).expect("the lease is free");
+    agent.want(0.0, 1, "n0", true, &target("crash")).expect("no change is in progress");
+    machine.advance(5000.0);
     assert_eq!(machine.last_pid - 100, RULES.restarts_most as u32 + 1);
     assert!(machine.book().instances["n0"].gave_up);
-    assert_eq!(machine.said.last().map(String::as_str), Some("n0: no more is tried"));
-    // An operator's word begins anew.
+    assert_eq!(
+        machine.messages.last().map(String::as_str),
+        Some("n0: too many unexpected exits, giving up restarting it")
+    );
+    // An operator's command resets the count of exits.
     let now = machine.now;
-    machine.agent.as_mut().expect("it lives").want(now, 1, "n0", true, &target("crash")).expect("idle");
-    machine.pass(50.0);
+    machine
+        .agent
+        .as_mut()
+        .expect("the agent is running")
+        .want(now, 1, "n0", true, &target("crash"))
+        .expect("no change is in progress");
+    machine.advance(50.0);
     assert!(machine.last_pid - 100 > RULES.restarts_most as u32 + 1);
 }
 
-/// The number of a process that ended is another process's by now: that one is neither adopted nor told anything.
+/// The pid of a process that exited has been reused: the other process is neither adopted nor signalled.
 #[test]
-fn a_number_that_is_used_again_is_not_taken_for_the_process() {
+fn a_reused_pid_is_not_mistaken_for_the_process() {
     let mut machine = Machine::serving(1, "r1", RULES);
     let old = machine.procs[0].process.clone();
-    machine.kill();
+    machine.kill_agent();
     machine.procs.clear();
     let (book, _, _) = machine.replay();
     let mut agent = Agent::new(machine.now, RULES, book, 1);
@@ -406,7 +437,7 @@
     assert!(matches!(&outputs[0], Output::Write(Fact::Ended { .. })), "{outputs:?}");
     assert!(outputs.iter().any(|o| matches!(o, Output::Spawn { .. })));
     assert!(!outputs.iter().any(|o| matches!(o, Output::Signal { .. })));
-    // With its token copied into another process it is still not that one.
+    // A process with the same token and pid but another start time is not adopted either.
     let (book, _, _) = machine.replay();
     let mut agent = Agent::new(machine.now, RULES, book, 1);
     agent.adopt(machine.now, &[("n0".into(), other)]);
@@ -415,11 +446,11 @@
 }
 
 #[test]
-fn commands_need_the_epoch_that_counts_and_one_change_at_a_time() {
+fn commands_need_the_valid_epoch_and_no_other_change() {
     let mut machine = Machine::serving(3, "r1", RULES);
     let now = machine.now;
     let names = machine.names();
-    let agent = machine.agent.as_mut().expect("it lives");
+    let agent = machine.agent.as_mut().expect("the agent is running");
     let stale = CommandRefused::Lease(Refused::Stale { epoch: 1 });
     assert_eq!(agent.begin(now, 0, &names, all_to(&names, "r2")), Err(stale.clone()));
     assert_eq!(agent.want(now, 2, "n0", false, &target("r1")), Err(stale));
@@ -428,15 +459,15 @@
         agent.begin(now, 1, &["n9".into()], all_to(&["n9".into()], "r2")),
         Err(CommandRefused::Unknown("n9".into()))
     );
-    let id = agent.begin(now, 1, &names, all_to(&names, "r2")).expect("idle");
+    let id = agent.begin(now, 1, &names, all_to(&names, "r2")).expect("no change is in progress");
     assert_eq!(agent.begin(now, 1, &names, all_to(&names, "r3")), Err(CommandRefused::Busy { change: id }));
     assert_eq!(agent.want(now, 1, "n0", false, &target("r1")), Err(CommandRefused::Busy { change: id }));
-    // The agent is killed and comes back: the epoch of before still counts, and an older one does not.
-    machine.pass(10.0);
-    machine.kill();
-    machine.pass(DEAD + 1.0);
+    // After the agent has been killed and restarted the epoch is still valid, and an older one is not.
+    machine.advance(10.0);
+    machine.kill_agent();
+    machine.advance(AGENT_DOWNTIME_MS + 1.0);
     let now = machine.now;
-    let agent = machine.agent.as_mut().expect("it is back");
+    let agent = machine.agent.as_mut().expect("the agent is running");
     assert_eq!(agent.abort(now, 0), Err(CommandRefused::Lease(Refused::Stale { epoch: 1 })));
     assert!(matches!(agent.lease(now, 2, holder("ben")), Err(Refused::Held { .. })));
     assert_eq!(agent.abort(now, 1), Ok(()));
@@ -445,105 +476,131 @@
 }
 
 #[test]
-fn a_change_waits_and_goes_on() {
+fn a_change_can_be_paused_and_resumed() {
     let mut machine = Machine::serving(3, "r1", RULES);
     machine.begin("r2");
     let now = machine.now;
-    machine.agent.as_mut().expect("it lives").pause(now, 1, true).expect("under way");
-    machine.pass(20_000.0);
-    assert_eq!((machine.releases(), machine.out()), (vec!["r2".into(), "r1".into(), "r1".into()], 0));
+    machine
+        .agent
+        .as_mut()
+        .expect("the agent is running")
+        .pause(now, 1, true)
+        .expect("a change is in progress");
+    machine.advance(20_000.0);
+    assert_eq!(
+        (machine.releases(), machine.count_unavailable()),
+        (vec!["r2".into(), "r1".into(), "r1".into()], 0)
+    );
     let now = machine.now;
-    machine.agent.as_mut().expect("it lives").pause(now, 1, false).expect("under way");
+    machine
+        .agent
+        .as_mut()
+        .expect("the agent is running")
+        .pause(now, 1, false)
+        .expect("a change is in progress");
     assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
 }
 
-/// An instance misses an answer or two on a busy machine: it is still ready, and the change is not undone for it.
+/// On a busy machine an instance may miss one or two inspections: it still counts as ready. With three it does not.
 #[test]
-fn an_answer_that_is_late_is_no_failure() {
+fn a_late_answer_does_not_make_an_instance_unavailable() {
     let mut machine = Machine::serving(2, "r1", RULES);
     let token = |machine: &Machine| machine.procs.iter().find(|p| p.name == "n0").map(|p| p.process.token);
-    let mut told_at_once = |misses: usize| {
-        machine.pass(20.0);
-        let (now, token) = (machine.now, token(&machine).expect("it runs"));
+    let mut terminates_at_once = |misses: usize| {
+        machine.advance(20.0);
+        let (now, token) = (machine.now, token(&machine).expect("n0 is running"));
         let before = machine.signals.len();
-        let agent = machine.agent.as_mut().expect("it lives");
+        let agent = machine.agent.as_mut().expect("the agent is running");
         (0..misses).for_each(|_| agent.inspected(now, "n0", token, None));
-        // With n0 out no other may be taken out for a change.
-        agent.begin(now, 1, &["n1".into()], all_to(&["n1".into()], "r2")).expect("idle");
-        machine.act();
-        let told = machine.signals.len() > before;
+        // While n0 is unavailable no other instance may be taken down for a change.
+        agent.begin(now, 1, &["n1".into()], all_to(&["n1".into()], "r2")).expect("no change is in progress");
+        machine.execute_outputs();
+        let signalled = machine.signals.len() > before;
         assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
         machine.begin("r1");
         assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
-        told
+        signalled
     };
-    assert!(told_at_once(0) && told_at_once(2));
-    assert!(!told_at_once(3), "n0 counts as out until it answers again");
+    assert!(terminates_at_once(0) && terminates_at_once(2));
+    assert!(!terminates_at_once(3), "n0 counts as unavailable until it answers again");
 }
 
-/// One is out already: nothing more is taken out for the change before it is back.
+/// While one instance is unavailable for another reason, the change takes no further instance down.
 #[test]
-fn what_is_out_already_counts() {
+fn instances_already_unavailable_count_toward_the_limit() {
     let mut machine = Machine::serving(4, "r1", RULES);
-    let agent = machine.agent.as_mut().expect("it lives");
-    agent.want(machine.now, 1, "n9", true, &target("never")).expect("idle");
-    machine.pass(100.0);
-    machine.worst = 0;
+    let agent = machine.agent.as_mut().expect("the agent is running");
+    agent.want(machine.now, 1, "n9", true, &target("never")).expect("no change is in progress");
+    machine.advance(100.0);
+    machine.max_unavailable_seen = 0;
     let names: Vec<String> = (0..4).map(|n| format!("n{n}")).collect();
     let now = machine.now;
-    machine.agent.as_mut().expect("it lives").begin(now, 1, &names, all_to(&names, "r2")).expect("idle");
-    machine.pass(3000.0);
-    assert_eq!((machine.releases()[..4].to_vec(), machine.worst), (vec!["r1".to_string(); 4], 1));
+    machine
+        .agent
+        .as_mut()
+        .expect("the agent is running")
+        .begin(now, 1, &names, all_to(&names, "r2"))
+        .expect("no change is in progress");
+    machine.advance(3000.0);
+    assert_eq!(
+        (machine.releases()[..4].to_vec(), machine.max_unavailable_seen),
+        (vec!["r1".to_string(); 4], 1)
+    );
 }
 
 #[test]
-fn the_comparison_needs_a_difference_and_counts_enough_for_it() {
+fn the_comparison_needs_a_relevant_difference_and_enough_failures() {
     assert!(!is_worse(0, 0, 0, 0) && !is_worse(0, 1000, 0, 1000));
     assert!(is_worse(100, 1000, 10, 1000));
-    assert!(!is_worse(12, 1000, 10, 1000), "chance explains it");
-    assert!(!is_worse(1, 10, 1, 1000), "one of ten is no count");
-    assert!(!is_worse(40, 10_000, 10, 10_000), "beyond chance, and too little to matter");
-    assert!(!is_worse(10, 1000, 100, 1000), "better is not worse");
+    assert!(!is_worse(12, 1000, 10, 1000), "not statistically significant");
+    assert!(!is_worse(1, 10, 1, 1000), "too few failures");
+    assert!(!is_worse(40, 10_000, 10, 10_000), "significant, but too small to matter");
+    assert!(!is_worse(10, 1000, 100, 1000), "a lower failure rate is not worse");
 }
 
-/// Fifty machines with twenty instances each, agents killed at random: every change ends whole, and the bound holds.
+/// Fifty machines with twenty instances each, whose agents are killed at random: every change is either completed or
+/// rolled back, and at most `max_unavailable` instances are unavailable at once.
 #[test]
-fn a_thousand_instances_under_fifty_agents() {
+fn changes_of_a_thousand_instances_survive_random_agent_kills() {
     let mut seed = 9u64;
     let mut below = move |n: u64| {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) % n
     };
-    let (mut done, mut undone, mut not_begun, mut kills) = (0, 0, 0, 0);
+    let (mut done, mut rolled_back, mut not_begun, mut kills) = (0, 0, 0, 0);
     for number in 0..50 {
         let rules = Rules { max_unavailable: 3, canary_requests: 50, pause_ms: 5, ..RULES };
         let mut machine = Machine::serving(20, "r1", rules);
         let release = if below(4) == 0 { ["never", "crash", "errors"][below(3) as usize] } else { "r2" };
         machine.begin(release);
         for _ in 0..below(6) {
-            machine.kill_before = Some(machine.done + below(40) as usize);
+            machine.kill_before = Some(machine.executed + below(40) as usize);
             machine.torn = below(2) == 0;
-            machine.pass(300.0);
+            machine.advance(300.0);
         }
         let Some((outcome, reason)) = machine.finish() else {
-            // The agent was killed before it could write that it begins: nothing has begun.
+            // The agent was killed before it recorded the beginning, so the change was never begun.
             assert!(
                 machine.book().last_change == 0 && machine.book().change.is_none(),
-                "machine {number}: no end"
+                "machine {number}: the change did not end"
             );
             assert_eq!(machine.releases(), vec!["r1".to_string(); 20]);
             not_begun += 1;
             continue;
         };
-        machine.pass(500.0);
+        machine.advance(500.0);
         let runs = if outcome == Outcome::Done { release } else { "r1" };
         assert_eq!(machine.releases(), vec![runs.to_string(); 20], "machine {number}, {release}: {reason}");
         assert_eq!(outcome == Outcome::Done, release == "r2", "machine {number}, {release}: {reason}");
-        assert!(machine.worst <= 3, "machine {number}: {} were out", machine.worst);
+        assert!(
+            machine.max_unavailable_seen <= 3,
+            "machine {number}: {} were unavailable",
+            machine.max_unavailable_seen
+        );
         done += usize::from(outcome == Outcome::Done);
-        undone += usize::from(outcome == Outcome::RolledBack);
+        rolled_back += usize::from(outcome == Outcome::RolledBack);
         kills += machine.kills;
     }
-    let counts = format!("{done} done, {undone} undone, {not_begun} not begun, {kills} kills");
-    assert!(done > 25 && undone > 4 && not_begun < 5 && kills > 50, "{counts}");
+    let counts = format!("{done} done, {rolled_back} rolled back, {not_begun} not begun, {kills} kills");
+    assert!(done > 25 && rolled_back > 4 && not_begun < 5 && kills > 50, "{counts}");
 }
--- a/crates/fleet/tests/audit.rs
+++ b/crates/fleet/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail.
+//! Tests of the audit trail: writing, reading and detection of tampering.
 
 use glenwood_fleet::audit::{digest, Trail};
 
@@ -9,29 +9,34 @@
 }
 
 #[test]
-fn a_trail_is_read_as_it_was_written_and_goes_on() {
-    let (mut whole, text) = trail(4);
-    let (read, entries) = Trail::read(&text).expect("whole");
-    assert_eq!((&read, entries.len(), entries[3].what.as_str()), (&whole, 4, "stop n3"));
-    let more = whole.add(0.0, "ben", "a line\nthat is two", 4);
+fn a_trail_is_read_back_and_can_be_extended() {
+    let (mut written, text) = trail(4);
+    let (read, entries) = Trail::read(&text).expect("an intact trail");
+    assert_eq!((&read, entries.len(), entries[3].what.as_str()), (&written, 4, "stop n3"));
+    let more = written.add(0.0, "ben", "text with\na line break", 4);
     assert_eq!(more.matches('\n').count(), 1);
     assert_eq!(Trail::read(&(text + &more)).map(|(t, _)| t.len()), Ok(5));
     assert!(Trail::read("").is_ok_and(|(t, _)| t.is_empty()));
 }
 
 #[test]
-fn a_line_that_is_changed_left_out_or_moved_is_named() {
+fn a_modified_removed_or_moved_line_is_reported() {
     let (_, text) = trail(4);
     let lines: Vec<&str> = text.lines().collect();
-    let at = |lines: &[&str]| Trail::read(&lines.join("\n")).expect_err("broken").line;
+    let broken_line = |lines: &[&str]| Trail::read(&lines.join("\n")).expect_err("broken").line;
     let changed = lines[1].replace("ada", "eve");
-    assert_eq!(at(&[lines[0], &changed, lines[2], lines[3]]), 3, "the next one does not follow on it");
-    assert_eq!(at(&[lines[0], lines[2], lines[3]]), 2);
-    assert_eq!(at(&[lines[1], lines[0]]), 1);
-    assert_eq!(at(&[lines[0], lines[0]]), 2);
-    assert_eq!(at(&[lines[0], "{}"]), 2);
-    // The last line is bound by nothing but the digest that is kept of it.
+    assert_eq!(
+        broken_line(&[lines[0], &changed, lines[2], lines[3]]),
+        3,
+        "the next line has the digest of the original"
+    );
+    assert_eq!(broken_line(&[lines[0], lines[2], lines[3]]), 2);
+    assert_eq!(broken_line(&[lines[1], lines[0]]), 1);
+    assert_eq!(broken_line(&[lines[0], lines[0]]), 2);
+    assert_eq!(broken_line(&[lines[0], "{}"]), 2);
+    // No later line has the digest of the last one: only a digest stored elsewhere reveals a change of it.
     let last = lines[3].replace("ada", "eve");
-    let read = Trail::read(&[lines[0], lines[1], lines[2], &last].join("\n")).expect("nothing follows");
+    let read = Trail::read(&[lines[0], lines[1], lines[2], &last].join("\n"))
+        .expect("no line follows the changed one");
     assert_ne!(read.0.last(), digest(lines[3].as_bytes()));
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a node says it does, line by line, and what the lines of a whole fleet add up to. A node alone looks harmless;
-//! what a hundred of them do at the same moment shows only when their lines are counted together.
+//! Trace records that nodes write to their logs, and tables that aggregate the records of a complete fleet. The load that
+//! many nodes cause at the same time is visible only when their records are counted together.
 #![warn(missing_docs)]
 
 mod record;
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,4 +1,5 @@
-//! One line of a trace: `trace UNIX_MS WORD [FIELD...]`, or an object of JSON: `{"at":UNIX_MS,"doing":WORD,"of":FIELDS}`.
+//! A trace record and its two formats: a line of text, `trace UNIX_MS WORD [FIELD...]`, or a JSON object,
+//! `{"at":UNIX_MS,"doing":WORD,"of":FIELDS}`.
 
 use std::fmt;
 
@@ -8,98 +9,99 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// Served.
+    /// A server has served the request.
     Served,
-    /// Refused: trying again is harmless.
+    /// Refused: the request had no effect, so sending it again is safe.
     Refused,
-    /// Failed.
+    /// The request failed and may have had an effect.
     Failed,
 }
 
 impl Answer {
-    const ALL: [(Self, &'static str); 3] =
+    /// All answers with their names in the text format.
+    const NAMES: [(Self, &'static str); 3] =
         [(Self::Served, "served"), (Self::Refused, "refused"), (Self::Failed, "failed")];
 }
 
-/// What a node does.
+/// An event at a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "doing", content = "of", rename_all = "kebab-case")]
 pub enum Doing {
-    /// Calls discovery.
+    /// Started a call to discovery.
     Call,
-    /// Has the list from discovery, or changes of it: so many entries.
+    /// Received the complete list of servers from discovery, or changes to it.
     List {
-        /// The whole list.
+        /// Whether it is the complete list.
         whole: bool,
-        /// How many entries.
+        /// The number of entries.
         entries: usize,
     },
     /// A call to discovery failed, or its watch ended.
     CallFailed,
-    /// Writes a call to discovery: for the changes after a version, or for the whole list.
+    /// Wrote a request to discovery for the changes after a version, or for the complete list.
     Asking {
-        /// The version to watch from; `None` for the whole list.
+        /// The version to watch from; `None` for the complete list.
         from: Option<u64>,
     },
-    /// The head of discovery's answer is there.
+    /// Received the header of discovery's response.
     Answering,
-    /// A watch that stood ended, with these last bytes of all that came on its connection, in hexadecimal digits.
+    /// An established watch ended.
     WatchEnded {
-        /// Of a message that is not whole there was a part.
+        /// Whether it ended within a message.
         amid: bool,
-        /// The last bytes.
+        /// The last bytes received on the connection, in hexadecimal.
         last: String,
     },
-    /// The version of the list that it has from now on.
+    /// The node now uses this version of the list.
     Version(u64),
-    /// A server of the list that takes nothing new any more.
+    /// A server in the list that accepts no new requests.
     Entry {
-        /// Its name.
+        /// The server's name.
         server: String,
-        /// What the list says of it, in one word.
+        /// Its health according to the list, in one word.
         health: String,
     },
-    /// The next call to discovery is due in so many milliseconds.
+    /// The time until the next call to discovery, in milliseconds.
     CallDue(f64),
-    /// Has read a new configuration, or could not; `moved` if discovery is elsewhere.
+    /// Tried to load a new configuration.
     Reload {
-        /// It counts from now on.
+        /// Whether the configuration is now in effect.
         taken: bool,
-        /// Discovery is elsewhere.
+        /// Whether the address of discovery has changed.
         moved: bool,
     },
-    /// Opens a connection to a server.
+    /// Started to open a connection to a server.
     Connect(String),
-    /// Probes a server.
+    /// Sent a probe to a server.
     Probe(String),
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The server.
         server: String,
         /// How it ended, in one word.
         outcome: String,
     },
-    /// Takes a request in.
+    /// Accepted a request from a client.
     Ask {
-        /// Its number at this node.
+        /// The request's number at this node.
         request: u64,
-        /// Its class.
+        /// The index of the request's class.
         class: usize,
     },
-    /// The client's name for a request that was taken in.
+    /// The client's id for an accepted request.
     Id {
-        /// Its number at this node.
+        /// The request's number at this node.
         request: u64,
-        /// The client's name for it.
+        /// The client's id for the request.
         id: String,
     },
-    /// Starts an attempt.
+    /// Started an attempt.
     Send {
         /// The request.
         request: u64,
         /// The attempt's number, from 0.
         attempt: usize,
-        /// Where to.
+        /// The server that it is sent to.
         server: String,
     },
     /// An attempt ended.
@@ -112,23 +114,23 @@
         server: String,
         /// How it ended, in one word.
         outcome: String,
-        /// How long it took, in milliseconds.
+        /// The duration of the attempt in milliseconds.
         took: f64,
     },
-    /// Bytes came from a server that nobody asked for.
+    /// Received bytes from a server that belong to no outstanding request.
     OutOfTurn {
         /// The server.
         server: String,
-        /// What its connection was in the middle of, in one word.
+        /// The state of the connection, in one word.
         position: String,
-        /// How long after the last answer, or after the connection came up, in milliseconds.
+        /// Time since the last answer, or since the connection was established, in milliseconds.
         after: f64,
-        /// How old the connection was, in milliseconds.
+        /// The age of the connection in milliseconds.
         age: f64,
-        /// How many answers it had had.
+        /// The number of answers received on the connection before.
         answers: u32,
     },
-    /// An answer was not taken for what it said.
+    /// An answer was not accepted as proof of what it states.
     Doubted {
         /// The request.
         request: u64,
@@ -136,62 +138,65 @@
         attempt: usize,
         /// Where it was.
         server: String,
-        /// What is proved of the attempt, in one word.
+        /// What is proven about the attempt, in one word.
         proof: String,
         /// Why, in one word.
         why: String,
     },
-    /// Says why the answer that follows is a refusal or a failure.
+    /// The reason why the answer that follows is a refusal or a failure.
     Explain {
         /// The request.
         request: u64,
         /// Why, in one word.
         reason: String,
     },
-    /// Closes a client's connection.
+    /// Closed a client's connection.
     Close {
-        /// Where the client is.
+        /// The client's address.
         client: String,
         /// Why, in one word.
         reason: String,
     },
-    /// Answers a request.
+    /// Answered a request.
     Answer {
         /// The request.
         request: u64,
-        /// How.
+        /// The final answer.
         answer: Answer,
     },
 }
 
-/// One line: when, and what.
+/// A trace record: an event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Unix time in milliseconds.
     pub at: f64,
-    /// What the node does.
+    /// The event.
     #[serde(flatten)]
     pub doing: Doing,
 }
 
-/// The words for yes and no of what a reload came to, and of where discovery is after it.
+/// Tokens for whether a new configuration is in effect: yes, no.
 const RELOAD_TAKEN: [&str; 2] = ["taken", "refused"];
+/// Tokens for whether the address of discovery has changed: yes, no.
 const RELOAD_MOVED: [&str; 2] = ["moved", "same"];
 
-/// The words for a watch that ended within a message or between two.
+/// Tokens for whether a watch ended within a message: yes, no.
 const ENDED_AMID: [&str; 2] = ["amid", "between"];
 
-fn word(yes: bool, words: [&'static str; 2]) -> &'static str {
-    words[usize::from(!yes)]
+/// The token for a flag, from the tokens for yes and no.
+fn flag_token(yes: bool, tokens: [&'static str; 2]) -> &'static str {
+    tokens[usize::from(!yes)]
 }
 
-/// A number that can be reckoned with.
-fn finite(said: &str) -> Option<f64> {
-    said.parse().ok().filter(|number: &f64| number.is_finite())
+/// Parses a finite number.
+fn parse_finite(token: &str) -> Option<f64> {
+    token.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
-fn is_yes(said: &str, words: [&'static str; 2]) -> Option<bool> {
-    words.iter().position(|word| *word == said).map(|place| place == 0)
+/// Parses a flag, given the tokens for yes and no.
+fn parse_flag(token: &str, tokens: [&'static str; 2]) -> Option<bool> {
+    tokens.iter().position(|known| *known == token).map(|index| index == 0)
 }
 
 impl fmt::Display for Record {
@@ -206,12 +211,14 @@
             Doing::Asking { from: Some(version) } => write!(f, "asking changes {version}"),
             Doing::Asking { from: None } => write!(f, "asking whole"),
             Doing::Answering => write!(f, "answering"),
-            Doing::WatchEnded { amid, last } => write!(f, "watch-ended {} {last}", word(*amid, ENDED_AMID)),
+            Doing::WatchEnded { amid, last } => {
+                write!(f, "watch-ended {} {last}", flag_token(*amid, ENDED_AMID))
+            }
             Doing::Version(version) => write!(f, "version {version}"),
             Doing::Entry { server, health } => write!(f, "entry {server} {health}"),
             Doing::CallDue(within) => write!(f, "call-due {within:.1}"),
             Doing::Reload { taken, moved } => {
-                write!(f, "reload {} {}", word(*taken, RELOAD_TAKEN), word(*moved, RELOAD_MOVED))
+                write!(f, "reload {} {}", flag_token(*taken, RELOAD_TAKEN), flag_token(*moved, RELOAD_MOVED))
             }
             Doing::Id { request, id } => write!(f, "id {request} {id}"),
             Doing::Connect(server) => write!(f, "connect {server}"),
@@ -231,8 +238,8 @@
             Doing::Explain { request, reason } => write!(f, "explain {request} {reason}"),
             Doing::Close { client, reason } => write!(f, "close {client} {reason}"),
             Doing::Answer { request, answer } => {
-                let word = Answer::ALL.iter().find(|(a, _)| a == answer).map_or("", |(_, word)| word);
-                write!(f, "answer {request} {word}")
+                let name = Answer::NAMES.iter().find(|(a, _)| a == answer).map_or("", |(_, name)| name);
+                write!(f, "answer {request} {name}")
             }
         }
     }
@@ -241,22 +248,23 @@
 impl Record {
     /// The record as one line of JSON.
     pub fn json(&self) -> String {
-        // Nothing in it can fail to be written.
+        // Serialization cannot fail: a record has only strings, numbers and flags.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Finds the record in a line of a log, whatever stands ahead of it; `None` where the line holds none.
+    /// Finds a record in a line of a log, after any prefix; `None` if the line contains no record.
     pub fn find(line: &str) -> Option<Self> {
-        Self::find_words(line).or_else(|| serde_json::from_str(&line[line.find('{')?..]).ok())
+        Self::find_text(line).or_else(|| serde_json::from_str(&line[line.find('{')?..]).ok())
     }
 
-    fn find_words(line: &str) -> Option<Self> {
+    /// Finds a record in the text format.
+    fn find_text(line: &str) -> Option<Self> {
         let start = line.find("trace ").filter(|at| *at == 0 || line.as_bytes()[at - 1] == b' ')?;
-        let mut words = line[start..].split_ascii_whitespace().skip(1);
-        let at: f64 = words.next()?.parse().ok().filter(|at: &f64| at.is_finite())?;
-        let word = words.next()?;
-        let mut next = || words.next();
-        let doing = match word {
+        let mut tokens = line[start..].split_ascii_whitespace().skip(1);
+        let at: f64 = tokens.next()?.parse().ok().filter(|at: &f64| at.is_finite())?;
+        let kind = tokens.next()?;
+        let mut next = || tokens.next();
+        let doing = match kind {
             "call" => Doing::Call,
             "list" => Doing::List {
                 whole: match next()? {
@@ -275,19 +283,22 @@
                 },
             },
             "answering" => Doing::Answering,
-            "watch-ended" => Doing::WatchEnded { amid: is_yes(next()?, ENDED_AMID)?, last: next()?.into() },
+            "watch-ended" => {
+                Doing::WatchEnded { amid: parse_flag(next()?, ENDED_AMID)?, last: next()?.into() }
+            }
             "version" => Doing::Version(next()?.parse().ok()?),
             "entry" => Doing::Entry { server: next()?.into(), health: next()?.into() },
             "call-due" => Doing::CallDue(next()?.parse().ok().filter(|within: &f64| within.is_finite())?),
-            "reload" => {
-                Doing::Reload { taken: is_yes(next()?, RELOAD_TAKEN)?, moved: is_yes(next()?, RELOAD_MOVED)? }
-            }
+            "reload" => Doing::Reload {
+                taken: parse_flag(next()?, RELOAD_TAKEN)?,
+                moved: parse_flag(next()?, RELOAD_MOVED)?,
+            },
             "id" => Doing::Id { request: next()?.parse().ok()?, id: next()?.into() },
             "out-of-turn" => Doing::OutOfTurn {
                 server: next()?.into(),
                 position: next()?.into(),
-                after: finite(next()?)?,
-                age: finite(next()?)?,
+                after: parse_finite(next()?)?,
+                age: parse_finite(next()?)?,
                 answers: next()?.parse().ok()?,
             },
             "doubted" => Doing::Doubted {
@@ -316,8 +327,8 @@
                 took: next()?.parse().ok().filter(|took: &f64| took.is_finite())?,
             },
             "answer" => {
-                let (request, word) = (next()?.parse().ok()?, next()?);
-                Doing::Answer { request, answer: Answer::ALL.iter().find(|(_, w)| *w == word)?.0 }
+                let (request, name) = (next()?.parse().ok()?, next()?);
+                Doing::Answer { request, answer: Answer::NAMES.iter().find(|(_, n)| *n == name)?.0 }
             }
             _ => return None,
         };
--- a/crates/trace/src/tables.rs
+++ b/crates/trace/src/tables.rs
@@ -1,90 +1,90 @@
-//! What the lines of a whole fleet add up to, second by second and server by server.
+//! Aggregates the trace records of a complete fleet per second and per server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
 use crate::{Answer, Doing, Record};
 
-/// One second of the whole fleet.
+/// Totals of the fleet for one second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Second {
-    /// Calls to discovery, and those that failed.
+    /// Calls to discovery: started and failed.
     pub calls: (usize, usize),
-    /// Lists, whole or changes.
+    /// Lists received from discovery, complete or changes.
     pub lists: usize,
     /// Connections opened to servers.
     pub connects: usize,
-    /// The most of these to one server.
+    /// The maximum number of connections opened to one server.
     pub connects_most: usize,
-    /// Probes.
+    /// Probes sent.
     pub probes: usize,
-    /// Requests taken in.
+    /// Requests accepted.
     pub asked: usize,
-    /// First attempts and further ones.
+    /// Attempts: first attempts and retries.
     pub sends: (usize, usize),
-    /// Servers that got any.
+    /// Servers to which an attempt was sent.
     pub servers: usize,
-    /// The most attempts to one server.
+    /// The maximum number of attempts to one server.
     pub sends_most: usize,
-    /// Ends of attempts, by outcome.
+    /// Ended attempts, by outcome.
     pub ends: BTreeMap<String, usize>,
-    /// Requests served, failed, refused with no attempt before, and refused after one.
+    /// Requests served, failed, refused without an attempt, and refused after an attempt.
     pub answers: [usize; 4],
-    /// The most attempts of all nodes that were out at one server at once.
+    /// The maximum number of concurrent attempts of all nodes at one server.
     pub out_most: usize,
 }
 
-/// One server over the whole time.
+/// Totals of one server over the complete trace.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerSum {
-    /// Nodes that sent to it.
+    /// Nodes that sent attempts to it.
     pub nodes: BTreeSet<String>,
-    /// Attempts.
+    /// Attempts sent.
     pub sends: usize,
     /// Connections opened.
     pub connects: usize,
-    /// Answers, and the sum of their times.
+    /// Attempts that ended with an answer, and the sum of their durations in milliseconds.
     pub done: (usize, f64),
-    /// Other ends.
+    /// Attempts that ended otherwise.
     pub not_done: usize,
-    /// The most attempts of all nodes that were out at once.
+    /// The maximum number of concurrent attempts of all nodes.
     pub out_most: usize,
 }
 
-/// One attempt fewer is out at a server.
-fn left(out: &mut BTreeMap<String, usize>, server: &str) {
-    if let Some(out) = out.get_mut(server) {
-        *out = out.saturating_sub(1);
+/// Decrements the number of concurrent attempts at a server.
+fn decrement(concurrent: &mut BTreeMap<String, usize>, server: &str) {
+    if let Some(concurrent) = concurrent.get_mut(server) {
+        *concurrent = concurrent.saturating_sub(1);
     }
 }
 
-/// The tables of a fleet.
+/// Collects the records of a fleet and aggregates them.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
-    /// All lines with their nodes, sorted once all are there.
-    lines: Vec<(f64, String, Doing)>,
+    /// Time, node and event of each record; sorted by time when they are counted.
+    records: Vec<(f64, String, Doing)>,
 }
 
 impl Tables {
-    /// Takes one line of one node's log; false where it is no record.
+    /// Adds a line of a node's log; returns false if it contains no record.
     pub fn take(&mut self, node: &str, line: &str) -> bool {
         let Some(record) = Record::find(line) else { return false };
-        self.lines.push((record.at, node.to_string(), record.doing));
+        self.records.push((record.at, node.to_string(), record.doing));
         true
     }
 
-    /// Counts: seconds from the first line on, and servers by name.
+    /// Aggregates the records per second since the first one and per server name.
     pub fn count(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerSum>) {
-        self.lines.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let start = self.lines.first().map_or(0.0, |l| l.0);
+        self.records.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let start = self.records.first().map_or(0.0, |l| l.0);
         let (mut seconds, mut servers) =
             (BTreeMap::<u64, Second>::new(), BTreeMap::<String, ServerSum>::new());
-        let mut out: BTreeMap<String, usize> = BTreeMap::new();
-        let mut tried: BTreeSet<(String, u64)> = BTreeSet::new();
+        let mut concurrent: BTreeMap<String, usize> = BTreeMap::new();
+        let mut attempted: BTreeSet<(String, u64)> = BTreeSet::new();
         let mut open: BTreeMap<(String, u64, usize), String> = BTreeMap::new();
-        let mut last: BTreeMap<String, u64> = BTreeMap::new();
+        let mut last_request: BTreeMap<String, u64> = BTreeMap::new();
         let mut by_second: BTreeMap<u64, BTreeMap<String, (usize, usize)>> = BTreeMap::new();
-        for (at, node, doing) in &self.lines {
+        for (at, node, doing) in &self.records {
             let number = ((at - start) / 1000.0) as u64;
             let second = seconds.entry(number).or_default();
             let of_server = by_second.entry(number).or_default();
@@ -113,20 +113,20 @@
                 | Doing::Id { .. } => {}
                 Doing::Ask { request, .. } => {
                     second.asked += 1;
-                    if last.insert(node.clone(), *request).is_some_and(|last| last >= *request) {
-                        // The node was restarted, and numbers its requests anew: what was out is over.
-                        tried.retain(|(of, _)| of != node);
-                        open.retain(|(of, _, _), server| {
-                            let goes = of == node;
-                            if goes {
-                                left(&mut out, server);
+                    if last_request.insert(node.clone(), *request).is_some_and(|last| last >= *request) {
+                        // The node was restarted and its request numbers start again: its open attempts have ended.
+                        attempted.retain(|(record_node, _)| record_node != node);
+                        open.retain(|(record_node, _, _), server| {
+                            let is_restarted = record_node == node;
+                            if is_restarted {
+                                decrement(&mut concurrent, server);
                             }
-                            !goes
+                            !is_restarted
                         });
                     }
                 }
                 Doing::Send { request, attempt, server } => {
-                    tried.insert((node.clone(), *request));
+                    attempted.insert((node.clone(), *request));
                     if *attempt == 0 {
                         second.sends.0 += 1;
                     } else {
@@ -137,10 +137,10 @@
                     sum.nodes.insert(node.clone());
                     of_server.entry(server.clone()).or_default().0 += 1;
                     if open.insert((node.clone(), *request, *attempt), server.clone()).is_none() {
-                        let out = out.entry(server.clone()).or_default();
-                        *out += 1;
-                        second.out_most = second.out_most.max(*out);
-                        sum.out_most = sum.out_most.max(*out);
+                        let concurrent = concurrent.entry(server.clone()).or_default();
+                        *concurrent += 1;
+                        second.out_most = second.out_most.max(*concurrent);
+                        sum.out_most = sum.out_most.max(*concurrent);
                     }
                 }
                 Doing::End { request, attempt, server, outcome, took } => {
@@ -152,11 +152,11 @@
                         sum.not_done += 1;
                     }
                     if open.remove(&(node.clone(), *request, *attempt)).is_some() {
-                        left(&mut out, server);
+                        decrement(&mut concurrent, server);
                     }
                 }
                 Doing::Answer { request, answer } => {
-                    let sent = tried.contains(&(node.clone(), *request));
+                    let sent = attempted.contains(&(node.clone(), *request));
                     second.answers[match (answer, sent) {
                         (Answer::Served, _) => 0,
                         (Answer::Failed, _) => 1,
@@ -175,16 +175,17 @@
         (seconds, servers)
     }
 
-    /// The tables as text.
+    /// Formats the tables as text.
     pub fn text(&mut self) -> String {
         let (seconds, servers) = self.count();
         let mut text = String::new();
-        let head = "second calls failed lists connects most probes asked first again servers most out served failed \
+        let header = "second calls failed lists connects most probes asked first again servers most out served failed \
                     refused after-try ends";
-        // Writing to a string can't fail.
-        let _ = writeln!(text, "{head}");
+        // Writing to a string cannot fail.
+        let _ = writeln!(text, "{header}");
         for (number, s) in seconds {
-            let ends: Vec<String> = s.ends.iter().map(|(word, count)| format!("{word}:{count}")).collect();
+            let ends: Vec<String> =
+                s.ends.iter().map(|(outcome, count)| format!("{outcome}:{count}")).collect();
             let _ = writeln!(
                 text,
                 "{number:6} {:5} {:6} {:5} {:8} {:4} {:6} {:5} {:5} {:5} {:7} {:4} {:3} {:6} {:6} {:7} {:9} {}",
--- a/crates/trace/tests/tables.rs
+++ b/crates/trace/tests/tables.rs
@@ -1,8 +1,9 @@
-//! Lines come back as they were written, and add up over nodes.
+//! Tests of reading trace records back and of aggregating them over nodes.
 
 use glenwood_trace::{Answer, Doing, Record, Tables};
 
-fn all() -> Vec<Doing> {
+/// An event of each kind.
+fn sample_events() -> Vec<Doing> {
     let server = || "s-1".to_string();
     vec![
         Doing::Call,
@@ -34,25 +35,25 @@
 }
 
 #[test]
-fn every_record_is_read_as_it_was_written_whatever_stands_ahead_of_it() {
-    for doing in all() {
+fn every_record_is_read_back_after_any_prefix() {
+    for doing in sample_events() {
         let record = Record { at: 1_796_148_007_503.8, doing };
-        for ahead in ["", "0.016 ", "2026-12-01 host glenwood[1]: "] {
-            assert_eq!(Record::find(&format!("{ahead}{record}")), Some(record.clone()));
-            assert_eq!(Record::find(&format!("{ahead}{}", record.json())), Some(record.clone()));
+        for prefix in ["", "0.016 ", "2026-12-01 host glenwood[1]: "] {
+            assert_eq!(Record::find(&format!("{prefix}{record}")), Some(record.clone()));
+            assert_eq!(Record::find(&format!("{prefix}{}", record.json())), Some(record.clone()));
         }
     }
 }
 
 #[test]
-fn other_lines_and_halves_of_records_are_none() {
-    let whole = Record { at: 1.0, doing: all()[8].clone() }.to_string();
-    for cut in 0..whole.len() - 1 {
-        let half = Record::find(&whole[..cut]);
-        // Cut within its last number it is another good line.
-        assert!(half.is_none() || cut > whole.rfind(' ').expect("words"), "{cut}");
+fn other_lines_and_truncated_records_are_rejected() {
+    let complete = Record { at: 1.0, doing: sample_events()[8].clone() }.to_string();
+    for cut in 0..complete.len() - 1 {
+        let truncated = Record::find(&complete[..cut]);
+        // A record truncated within its last number is another valid record.
+        assert!(truncated.is_none() || cut > complete.rfind(' ').expect("several tokens"), "{cut}");
     }
-    for bad in [
+    for line in [
         "n0 listens at 10.0.0.1:9000",
         "trace",
         "trace x call",
@@ -68,41 +69,41 @@
         "{\"at\":\"x\",\"doing\":\"call\"}",
         "{\"at\":1.0,\"doing\":\"call\"",
     ] {
-        assert_eq!(Record::find(bad), None, "{bad}");
+        assert_eq!(Record::find(line), None, "{line}");
     }
 }
 
 #[test]
-fn a_fleet_adds_up_by_second_and_by_server() {
+fn records_are_counted_per_second_and_per_server() {
     let mut tables = Tables::default();
-    let mut take = |node: &str, at: f64, doing: Doing| {
+    let mut add = |node: &str, at: f64, doing: Doing| {
         assert!(tables.take(node, &Record { at, doing }.to_string()));
     };
     let server = || "s-1".to_string();
-    // Handed in node by node: what happened at one time is found by the time, not by the order.
+    // The records are added node by node, so the tables must sort them by time to find concurrent attempts.
     for (node, offset) in [("n1", 0.0), ("n0", 1.0)] {
         for request in 0..2 {
             let at = 1000.0 + offset + request as f64;
-            take(node, at, Doing::Ask { request, class: 0 });
-            take(node, at + 10.0, Doing::Send { request, attempt: 0, server: server() });
+            add(node, at, Doing::Ask { request, class: 0 });
+            add(node, at + 10.0, Doing::Send { request, attempt: 0, server: server() });
             let outcome = if request == 0 { "Done" } else { "Full" };
-            take(
+            add(
                 node,
                 at + 50.0,
                 Doing::End { request, attempt: 0, server: server(), outcome: outcome.into(), took: 40.0 },
             );
             let answer = if request == 0 { Answer::Served } else { Answer::Refused };
-            take(node, at + 60.0, Doing::Answer { request, answer });
+            add(node, at + 60.0, Doing::Answer { request, answer });
         }
-        take(node, 2100.0, Doing::Ask { request: 9, class: 0 });
-        take(node, 2101.0, Doing::Answer { request: 9, answer: Answer::Refused });
-        take(node, 2102.0, Doing::Connect(server()));
+        add(node, 2100.0, Doing::Ask { request: 9, class: 0 });
+        add(node, 2101.0, Doing::Answer { request: 9, answer: Answer::Refused });
+        add(node, 2102.0, Doing::Connect(server()));
     }
     let (seconds, servers) = tables.count();
     let (first, second) = (&seconds[&0], &seconds[&1]);
     assert_eq!((first.asked, first.sends, first.out_most), (4, (4, 0), 4));
     assert_eq!(first.answers, [2, 0, 0, 2], "refused after an attempt");
-    assert_eq!(second.answers, [0, 0, 2, 0], "refused with none");
+    assert_eq!(second.answers, [0, 0, 2, 0], "refused without an attempt");
     assert_eq!((second.connects, second.connects_most, first.connects), (2, 2, 0));
     let sum = &servers["s-1"];
     assert_eq!((sum.nodes.len(), sum.sends, sum.done, sum.not_done, sum.out_most), (2, 4, (2, 80.0), 2, 4));
@@ -110,9 +111,10 @@
     assert!(text.lines().any(|line| line.starts_with("s-1 ")), "{text}");
 }
 
-/// A node that was killed numbers its requests anew, and what was out there ends with no line.
+/// A killed node starts its request numbers again and writes no end of its open attempts. A request after the restart
+/// must not count as attempted because an earlier one had its number.
 #[test]
-fn a_restart_does_not_pass_for_an_attempt_made_before() {
+fn a_request_after_a_restart_does_not_inherit_earlier_attempts() {
     let mut tables = Tables::default();
     let lines = [
         "trace 1.0 ask 1 0",
@@ -125,5 +127,5 @@
     assert!(lines.iter().all(|line| tables.take("n0", line)));
     let (seconds, servers) = tables.count();
     assert_eq!(seconds[&1].answers, [0, 0, 1, 0]);
-    assert_eq!(servers["s-1"].out_most, 1, "the first went with its node");
+    assert_eq!(servers["s-1"].out_most, 1, "the attempt before the restart has ended");
 }
