--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -1,14 +1,15 @@
 //! The agent supervises the instances of one machine and rolls changes out to them one at a time.
 //!
-//! Its inputs are the time, process starts and exits, the status that instances report, and operators' commands. Its
-//! outputs are [`Output`]s, which the driver carries out strictly in order: an [`Output::Write`] must be on disk before
-//! the next output is started. An agent that is killed between any two outputs is rebuilt from its journal, is given the
-//! running processes ([`Agent::adopt`]) and continues; the instances keep serving in the meantime.
+//! Its inputs are the time, process starts and exits, the status that instances report, and operators'
+//! commands. Its outputs are [`Output`]s, which the driver carries out strictly in order: an
+//! [`Output::Write`] must be on disk before the next output is started. An agent that is killed between any
+//! two outputs is rebuilt from its journal, is given the running processes ([`Agent::adopt`]) and continues;
+//! the instances keep serving in the meantime.
 //!
-//! A change visits one instance after another: terminate it (the instance drains by itself), start it with the new
-//! target, wait until it is ready, compare its failure rate with its peers', pause. If any step fails the change is rolled
-//! back, from the last instance to the first. During a change at most `max_unavailable` instances are unavailable,
-//! including those that are unavailable for other reasons.
+//! A change visits one instance after another: terminate it (the instance drains by itself), start it with
+//! the new target, wait until it is ready, compare its failure rate with its peers', pause. If any step fails
+//! the change is rolled back, from the last instance to the first. During a change at most `max_unavailable`
+//! instances are unavailable, including those that are unavailable for other reasons.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -80,7 +81,7 @@
 
 /// Observed state of an instance's process; not persisted.
 #[derive(Clone, Debug, Default)]
-struct Live {
+struct RuntimeState {
     /// When the process started, was adopted, or was last given a new target.
     since: Millis,
     status: Status,
@@ -110,7 +111,7 @@
     rules: Rules,
     book: Book,
     lease: Lease,
-    live: BTreeMap<String, Live>,
+    live: BTreeMap<String, RuntimeState>,
     canary: Option<Canary>,
     /// The change does not move on to its next instance before this time.
     paused_until: Millis,
@@ -119,9 +120,9 @@
 }
 
 /// Number of consecutive unanswered inspections after which an instance counts as not ready.
-const MAX_MISSED_INSPECTIONS: u32 = 3;
-/// A failure rate that exceeds the peers' by no more than this is accepted at any sample size: the difference is too
-/// small to notice.
+const MISSED_INSPECTIONS_UNTIL_UNREADY: u32 = 3;
+/// A failure rate that exceeds the peers' by no more than this is accepted at any sample size: the difference
+/// is too small to notice.
 const MAX_FAILURE_RATE_EXCESS: f64 = 0.005;
 /// One-sided normal quantile for a confidence of 0.999.
 const CONFIDENCE_QUANTILE: f64 = 3.09;
@@ -129,7 +130,8 @@
 /// With fewer failures the test in [`is_worse`] is not meaningful.
 const MIN_FAILURES: u64 = 5;
 
-/// Whether an instance's failure rate is significantly higher than its peers': a one-sided two-proportion z-test.
+/// Whether an instance's failure rate is significantly higher than its peers': a one-sided two-proportion
+/// z-test.
 pub fn is_worse(failed: u64, answered: u64, peers_failed: u64, peers_answered: u64) -> bool {
     if failed < MIN_FAILURES {
         return false;
@@ -202,14 +204,14 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn live(&mut self, name: &str) -> &mut Live {
+    fn live(&mut self, name: &str) -> &mut RuntimeState {
         self.live.entry(name.to_string()).or_default()
     }
 
     // ---- Process events ----
 
-    /// Takes over the running processes that carry one of this agent's tokens, after the agent has started. Recorded
-    /// processes among them continue; a recorded process that is missing has exited.
+    /// Takes over the running processes that carry one of this agent's tokens, after the agent has started.
+    /// Recorded processes among them continue; a recorded process that is missing has exited.
     pub fn adopt(&mut self, now: Millis, running: &[(String, Process)]) {
         let names: Vec<String> = self.book.instances.keys().cloned().collect();
         let mut ours: Vec<u64> = Vec::new();
@@ -282,7 +284,7 @@
         }
         let unexpected = !instance.stopping;
         self.write(Fact::Ended { name: name.to_string(), token, code });
-        let (window, max_restarts) = (self.rules.restart_window_ms as f64, self.rules.restarts_most);
+        let (window, max_restarts) = (self.rules.restart_window_ms as f64, self.rules.max_restarts);
         let (first, jitter) = (self.rules.backoff_ms as f64, 0.5 + self.next_random() / 2.0);
         let live = self.live(name);
         (live.status, live.terminated_at, live.killed, live.failing) =
@@ -319,7 +321,7 @@
             None => {
                 // A single late answer on a busy machine does not mean that the instance is not ready.
                 live.missed_inspections += 1;
-                live.status.ready &= live.missed_inspections < MAX_MISSED_INSPECTIONS;
+                live.status.ready &= live.missed_inspections < MISSED_INSPECTIONS_UNTIL_UNREADY;
             }
         }
         // Inspections are frequent: check the other instances only if this one advanced the change.
@@ -414,7 +416,8 @@
         }
     }
 
-    /// Begins a change that moves the named instances, in this order, to their targets in `to`; returns its id.
+    /// Begins a change that moves the named instances, in this order, to their targets in `to`; returns its
+    /// id.
     ///
     /// # Errors
     /// If the epoch is not valid, another change is in progress, or an instance or its target is missing.
@@ -561,7 +564,8 @@
         let wanted = wanted.cloned().unwrap_or_default();
         let instance = &self.book.instances[&name];
         if instance.target != wanted {
-            // An instance that is ready may be taken down only while fewer than `max_unavailable` others are unavailable.
+            // An instance that is ready may be taken down only while fewer than `max_unavailable` others are
+            // unavailable.
             let has_capacity =
                 self.count_other_unavailable(&name) < self.rules.max_unavailable || !self.is_ready(&name);
             if now < self.paused_until || !has_capacity || change.paused {
@@ -612,7 +616,8 @@
         true
     }
 
-    /// Whether a changed instance fails no more often than its peers; `None` while there are too few requests to tell.
+    /// Whether a changed instance fails no more often than its peers; `None` while there are too few requests
+    /// to tell.
     fn compare(&mut self, now: Millis, name: &str) -> Option<bool> {
         if self.rules.canary_requests == 0 {
             return Some(true);
--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,6 +1,6 @@
-//! The audit trail of who changed what: one line per change, each with the digest of the previous line, so that a reader
-//! detects a line that was modified, removed or moved. The chain does not protect against somebody who can rewrite the
-//! whole file; to detect that, the last digest must be stored elsewhere.
+//! The audit trail of who changed what: one line per change, each with the digest of the previous line, so
+//! that a reader detects a line that was modified, removed or moved. The chain does not protect against
+//! somebody who can rewrite the whole file; to detect that, the last digest must be stored elsewhere.
 
 use std::fmt;
 
@@ -28,20 +28,20 @@
 
 /// The first line at which a trail fails verification.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct InvalidLine {
     /// The line's number, from 1.
     pub line: usize,
     /// Why the line is invalid.
     pub reason: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for InvalidLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for InvalidLine {}
 
 /// The SHA-256 digest of `bytes` in lower-case hexadecimal.
 pub fn digest(bytes: &[u8]) -> String {
@@ -92,10 +92,10 @@
     ///
     /// # Errors
     /// The first line that cannot be parsed or does not continue the chain.
-    pub fn read(text: &str) -> Result<(Self, Vec<Entry>), Broken> {
+    pub fn read(text: &str) -> Result<(Self, Vec<Entry>), InvalidLine> {
         let (mut trail, mut entries) = (Self::default(), Vec::new());
         for (n, line) in text.lines().enumerate() {
-            let error_at = |reason: String| Broken { line: n + 1, reason };
+            let error_at = |reason: String| InvalidLine { line: n + 1, reason };
             let entry: Entry = serde_json::from_str(line).map_err(|e| error_at(e.to_string()))?;
             if entry.number != trail.number + 1 {
                 return Err(error_at(format!(
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -1,5 +1,6 @@
-//! The agent's durable state, obtained by replaying the facts in its journal. A fact is on disk before the action that it
-//! announces is carried out, so an agent that was killed at any point finds in its journal what it may have done.
+//! The agent's durable state, obtained by replaying the facts in its journal. A fact is on disk before the
+//! action that it announces is carried out, so an agent that was killed at any point finds in its journal
+//! what it may have done.
 
 use std::collections::BTreeMap;
 
--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -62,14 +62,16 @@
     pub stop_within_ms: usize,
     /// The delay of the first restart, in milliseconds; it doubles with each further one.
     pub backoff_ms: usize,
-    /// The number of unexpected exits within the window that are tolerated; one more and the instance is not restarted.
-    pub restarts_most: usize,
-    /// The window for `restarts_most`, in milliseconds.
+    /// The number of unexpected exits within the window that are tolerated; one more and the instance is not
+    /// restarted.
+    pub max_restarts: usize,
+    /// The window for `max_restarts`, in milliseconds.
     pub restart_window_ms: usize,
-    /// The number of requests that a changed instance must answer before it is compared with its peers; 0 disables the
-    /// comparison.
+    /// The number of requests that a changed instance must answer before it is compared with its peers; 0
+    /// disables the comparison.
     pub canary_requests: usize,
-    /// The time to wait for these requests, in milliseconds. With fewer requests after that time the change continues.
+    /// The time to wait for these requests, in milliseconds. With fewer requests after that time the change
+    /// continues.
     pub canary_ms: usize,
 }
 
@@ -169,8 +171,8 @@
         }
         top.end()?;
         if rules.max_unavailable > instances.len().max(1) {
-            let (max, count) = (rules.max_unavailable, instances.len());
-            return Err(format!("fleet.max_unavailable: {max} of {count} instances"));
+            let (limit, count) = (rules.max_unavailable, instances.len());
+            return Err(format!("fleet.max_unavailable: {limit} of {count} instances"));
         }
         Ok(Self { rules, releases, protect, instances })
     }
@@ -187,7 +189,7 @@
             ready_within_ms: f.within("ready_within_ms", 100..=hour_ms, 10_000)?,
             stop_within_ms: f.within("stop_within_ms", 100..=hour_ms, 10_000)?,
             backoff_ms: f.within("backoff_ms", 10..=hour_ms, 200)?,
-            restarts_most: f.within("restarts_most", 0..=1000, 5)?,
+            max_restarts: f.within("restarts_most", 0..=1000, 5)?,
             restart_window_ms: f.within("restart_window_ms", 1000..=24 * hour_ms, 60_000)?,
             canary_requests: f.within("canary_requests", 0..=1_000_000, 200)?,
             canary_ms: f.within("canary_ms", 0..=hour_ms, 5000)?,
@@ -231,8 +233,8 @@
         self.instances.iter().find(|i| i.name == name)
     }
 
-    /// The protection that forbids stopping this instance at a local time, given as the day of the week (0 for Monday) and
-    /// the minute of the day.
+    /// The protection that forbids stopping this instance at a local time, given as the day of the week (0
+    /// for Monday) and the minute of the day.
     pub fn protected(&self, name: &str, day: u8, minute: u16) -> Option<&Protect> {
         let instance = self.instance(name)?;
         self.protect.iter().find(|p| {
--- a/crates/fleet/src/journal.rs
+++ b/crates/fleet/src/journal.rs
@@ -1,9 +1,10 @@
-//! The agent's write-ahead journal: records of intended actions and their results, each written and synced before the
-//! agent continues.
+//! The agent's write-ahead journal: records of intended actions and their results, each written and synced
+//! before the agent continues.
 //!
-//! A record consists of its length, a checksum over its number and payload, its number, and its payload. Numbers are
-//! consecutive. A journal may end with a torn record because the agent can be killed during a write; that record was not
-//! acted on and is ignored. A damaged record anywhere else is an error, because the records after it were acted on.
+//! A record consists of its length, a checksum over its number and payload, its number, and its payload.
+//! Numbers are consecutive. A journal may end with a torn record because the agent can be killed during a
+//! write; that record was not acted on and is ignored. A damaged record anywhere else is an error, because
+//! the records after it were acted on.
 
 use std::fmt;
 
@@ -23,10 +24,11 @@
 
 /// The readable contents of a journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct Contents {
     /// The records, in order.
     pub records: Vec<Record>,
-    /// The length of the valid records in bytes. Anything after it is torn and must be truncated before the next write.
+    /// The length of the valid records in bytes. Anything after it is torn and must be truncated before the
+    /// next write.
     pub length: usize,
 }
 
@@ -34,12 +36,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
     /// A record is damaged and valid records follow it.
-    Middle {
+    DamagedRecord {
         /// The record's offset in the journal, in bytes.
         at: usize,
     },
     /// A record's number is not the expected one.
-    Order {
+    UnexpectedNumber {
         /// The record's offset in the journal, in bytes.
         at: usize,
         /// The record's number.
@@ -50,8 +52,10 @@
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Middle { at } => write!(f, "the record at byte {at} is damaged, and others follow it"),
-            Self::Order { at, number } => {
+            Self::DamagedRecord { at } => {
+                write!(f, "the record at byte {at} is damaged, and others follow it")
+            }
+            Self::UnexpectedNumber { at, number } => {
                 write!(f, "the record at byte {at} has the number {number}, out of order")
             }
         }
@@ -81,7 +85,8 @@
     out
 }
 
-/// Decodes the record that begins at byte `at`; returns it with its end, or `None` if there is no valid record.
+/// Decodes the record that begins at byte `at`; returns it with its end, or `None` if there is no valid
+/// record.
 fn decode(all: &[u8], at: usize) -> Option<(Record, usize)> {
     let header = all.get(at..at + HEADER_BYTES)?;
     let be_u32 = |from: usize| {
@@ -101,27 +106,28 @@
 ///
 /// # Errors
 /// If a record other than a torn last one is damaged, or a number is not the expected one.
-pub fn read(all: &[u8], first: Option<u64>) -> Result<Read, Damage> {
+pub fn read(all: &[u8], first: Option<u64>) -> Result<Contents, Damage> {
     let mut records: Vec<Record> = Vec::new();
     let (mut at, mut next) = (0, first);
     while at < all.len() {
         let Some((record, end)) = decode(all, at) else {
-            // The record is torn if no valid record follows: a record is written only after the previous one is on disk.
+            // The record is torn if no valid record follows: a record is written only after the previous one
+            // is on disk.
             let has_later_record = (at + 1..all.len()).any(|from| {
                 decode(all, from).is_some_and(|(later, _)| next.is_none_or(|next| later.number > next))
             });
             return if has_later_record {
-                Err(Damage::Middle { at })
+                Err(Damage::DamagedRecord { at })
             } else {
-                Ok(Read { records, length: at })
+                Ok(Contents { records, length: at })
             };
         };
         if next.is_some_and(|next| next != record.number) {
-            return Err(Damage::Order { at, number: record.number });
+            return Err(Damage::UnexpectedNumber { at, number: record.number });
         }
         next = Some(record.number + 1);
         records.push(record);
         at = end;
     }
-    Ok(Read { records, length: at })
+    Ok(Contents { records, length: at })
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,12 +1,13 @@
 //! The operators' lock: a lease with a fencing epoch, so that only one change runs at a time.
 //!
-//! A lease is granted for a limited time under an *epoch*, a number that only increases, and every step of a change names
-//! its epoch. An operator's program that was suspended for longer than its lease is rejected by the epoch and does not
-//! depend on its own clock: an epoch becomes invalid when a later one is granted or its lease expires. The highest epoch
-//! is written to disk before it is granted, so it is still known after a restart.
+//! A lease is granted for a limited time under an *epoch*, a number that only increases, and every step of a
+//! change names its epoch. An operator's program that was suspended for longer than its lease is rejected by
+//! the epoch and does not depend on its own clock: an epoch becomes invalid when a later one is granted or
+//! its lease expires. The highest epoch is written to disk before it is granted, so it is still known after a
+//! restart.
 //!
-//! Over many agents a lease needs a majority: [`Bid`] asks all of them for the same epoch and has the lease once more than
-//! half have granted it, so two bidders can never both have it.
+//! Over many agents a lease needs a majority: [`Bid`] asks all of them for the same epoch and has the lease
+//! once more than half have granted it, so two bidders can never both have it.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -81,18 +82,18 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lease {
     epoch: u64,
-    held: Option<(Holder, Millis)>,
+    current: Option<(Holder, Millis)>,
 }
 
 impl Lease {
-    /// Restores the lease after a restart from the highest epoch and its possible holder. The time that has already
-    /// passed is unknown, so the full duration starts again.
+    /// Restores the lease after a restart from the highest epoch and its possible holder. The time that has
+    /// already passed is unknown, so the full duration starts again.
     pub fn restored(now: Millis, epoch: u64, holder: Option<Holder>) -> Self {
-        let held = holder.map(|holder| {
+        let current = holder.map(|holder| {
             let until = now + holder.span_ms.clamp(0.0, MAX_LEASE_MS);
             (holder, until)
         });
-        Self { epoch, held }
+        Self { epoch, current }
     }
 
     /// The highest granted epoch.
@@ -102,16 +103,16 @@
 
     /// The current holder.
     pub fn holder(&self, now: Millis) -> Option<&Holder> {
-        self.held.as_ref().filter(|(_, until)| now < *until).map(|(holder, _)| holder)
+        self.current.as_ref().filter(|(_, until)| now < *until).map(|(holder, _)| holder)
     }
 
-    /// Grants an epoch for the duration that the holder asks for, limited to [`MAX_LEASE_MS`]. The caller must write the
-    /// epoch to disk before it sends the answer.
+    /// Grants an epoch for the duration that the holder asks for, limited to [`MAX_LEASE_MS`]. The caller
+    /// must write the epoch to disk before it sends the answer.
     ///
     /// # Errors
     /// The current holder, or the epoch that must be exceeded.
     pub fn grant(&mut self, now: Millis, epoch: u64, mut holder: Holder) -> Result<(), Refused> {
-        if let Some((held, until)) = self.held.as_ref().filter(|(_, until)| now < *until) {
+        if let Some((held, until)) = self.current.as_ref().filter(|(_, until)| now < *until) {
             // The holder itself may ask again, because the answer was lost or to extend the lease.
             if epoch != self.epoch || (&held.who, &held.why) != (&holder.who, &holder.why) {
                 return Err(Refused::Held { holder: held.clone(), left: until - now, epoch: self.epoch });
@@ -123,7 +124,7 @@
         self.epoch = epoch;
         holder.span_ms = holder.span_ms.clamp(0.0, MAX_LEASE_MS);
         let until = now + holder.span_ms;
-        self.held = Some((holder, until));
+        self.current = Some((holder, until));
         Ok(())
     }
 
@@ -142,7 +143,7 @@
     /// If the epoch is no longer valid.
     pub fn renew(&mut self, now: Millis, epoch: u64, span: Millis) -> Result<(), Refused> {
         self.check(now, epoch)?;
-        if let Some((_, until)) = &mut self.held {
+        if let Some((_, until)) = &mut self.current {
             *until = now + span.clamp(0.0, MAX_LEASE_MS);
         }
         Ok(())
@@ -154,7 +155,7 @@
     /// If the epoch is no longer valid.
     pub fn release(&mut self, now: Millis, epoch: u64) -> Result<(), Refused> {
         self.check(now, epoch)?;
-        self.held = None;
+        self.current = None;
         Ok(())
     }
 }
@@ -182,7 +183,8 @@
 }
 
 impl Bid {
-    /// Creates a bid for an epoch higher than all in `known`. `agents` counts all agents, including those that do not answer.
+    /// Creates a bid for an epoch higher than all in `known`. `agents` counts all agents, including those
+    /// that do not answer.
     pub fn new(agents: usize, known: &[u64]) -> Self {
         let epoch = known.iter().max().copied().unwrap_or(0) + 1;
         Self { agents, epoch, granted: BTreeSet::new(), refused: BTreeSet::new(), highest_epoch: epoch }
@@ -193,7 +195,8 @@
         self.epoch
     }
 
-    /// Records an agent's answer. If there is no answer, the caller must pass `Err(None)`, which counts as a refusal.
+    /// Records an agent's answer. If there is no answer, the caller must pass `Err(None)`, which counts as a
+    /// refusal.
     pub fn answer(&mut self, agent: usize, answer: Result<(), Option<&Refused>>) {
         match answer {
             Ok(()) => drop(self.granted.insert(agent)),
--- a/crates/fleet/tests/agent.rs
+++ b/crates/fleet/tests/agent.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent with simulated processes and a simulated disk. Among others, the agent is killed at every step of a
-//! change and rebuilt from its journal.
+//! Tests of the agent with simulated processes and a simulated disk. Among others, the agent is killed at
+//! every step of a change and rebuilt from its journal.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     ready_within_ms: 500,
     stop_within_ms: 300,
     backoff_ms: 20,
-    restarts_most: 3,
+    max_restarts: 3,
     restart_window_ms: 60_000,
     canary_requests: 100,
     canary_ms: 400,
@@ -41,8 +41,8 @@
     Holder { who: who.into(), why: "a test".into(), since_unix_ms: 0.0, span_ms: 600_000.0 }
 }
 
-/// A simulated process. The release selects its behaviour: `never` is never ready, `crash` exits soon after its start,
-/// `errors` fails many requests, and `ignores-term` ignores SIGTERM.
+/// A simulated process. The release selects its behaviour: `never` is never ready, `crash` exits soon after
+/// its start, `errors` fails many requests, and `ignores-term` ignores SIGTERM.
 #[derive(Clone, Debug)]
 struct Proc {
     name: String,
@@ -211,8 +211,8 @@
                     let process = Process { token, pid: self.last_pid, born: self.now as u64 };
                     let (started_at, terminated_at, release) = (self.now, None, target.release);
                     self.procs.push(Proc { name: name.clone(), process, release, started_at, terminated_at });
-                    let running = self.procs.iter().filter(|p| p.name == name).count();
-                    assert_eq!(running, 1, "{name} runs twice");
+                    let process_count = self.procs.iter().filter(|p| p.name == name).count();
+                    assert_eq!(process_count, 1, "{name} runs twice");
                     // The agent may be killed before it is informed of the start.
                     if self.kill_before == Some(self.executed) {
                         self.kill_before = None;
@@ -315,9 +315,9 @@
 
 /// Asserts that replaying the compacted facts of a book reproduces it.
 fn assert_compaction_preserves(book: &Book) {
-    let mut replayed = Book::default();
-    book.facts().iter().for_each(|fact| replayed.add(fact));
-    assert_eq!(&replayed, book);
+    let mut rebuilt = Book::default();
+    book.facts().iter().for_each(|fact| rebuilt.add(fact));
+    assert_eq!(&rebuilt, book);
 }
 
 #[test]
@@ -329,8 +329,8 @@
     assert_eq!((machine.releases(), machine.max_unavailable_seen), (vec!["r2".to_string(); 4], 1));
 }
 
-/// Kills the agent before each of its outputs in turn, with and without a half-written journal record. The change must
-/// end as it does without a kill.
+/// Kills the agent before each of its outputs in turn, with and without a half-written journal record. The
+/// change must end as it does without a kill.
 #[test]
 fn a_change_survives_a_kill_of_the_agent_at_every_step() {
     for (release, outcome) in
@@ -404,7 +404,7 @@
     agent.lease(0.0, 1, holder("ada")).expect("the lease is free");
     agent.want(0.0, 1, "n0", true, &target("crash")).expect("no change is in progress");
     machine.advance(5000.0);
-    assert_eq!(machine.last_pid - 100, RULES.restarts_most as u32 + 1);
+    assert_eq!(machine.last_pid - 100, RULES.max_restarts as u32 + 1);
     assert!(machine.book().instances["n0"].gave_up);
     assert_eq!(
         machine.messages.last().map(String::as_str),
@@ -419,7 +419,7 @@
         .want(now, 1, "n0", true, &target("crash"))
         .expect("no change is in progress");
     machine.advance(50.0);
-    assert!(machine.last_pid - 100 > RULES.restarts_most as u32 + 1);
+    assert!(machine.last_pid - 100 > RULES.max_restarts as u32 + 1);
 }
 
 /// The pid of a process that exited has been reused: the other process is neither adopted nor signalled.
@@ -501,7 +501,8 @@
     assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
 }
 
-/// On a busy machine an instance may miss one or two inspections: it still counts as ready. With three it does not.
+/// On a busy machine an instance may miss one or two inspections: it still counts as ready. With three it
+/// does not.
 #[test]
 fn a_late_answer_does_not_make_an_instance_unavailable() {
     let mut machine = Machine::serving(2, "r1", RULES);
@@ -558,8 +559,8 @@
     assert!(!is_worse(10, 1000, 100, 1000), "a lower failure rate is not worse");
 }
 
-/// Fifty machines with twenty instances each, whose agents are killed at random: every change is either completed or
-/// rolled back, and at most `max_unavailable` instances are unavailable at once.
+/// Fifty machines with twenty instances each, whose agents are killed at random: every change is either
+/// completed or rolled back, and at most `max_unavailable` instances are unavailable at once.
 #[test]
 fn changes_of_a_thousand_instances_survive_random_agent_kills() {
     let mut seed = 9u64;
--- a/crates/fleet/tests/desired.rs
+++ b/crates/fleet/tests/desired.rs
@@ -52,48 +52,54 @@
 
 #[test]
 fn an_invalid_file_is_rejected_with_the_field_and_the_reason() {
-    let replace = |from: &str, to: &str| {
+    let with_edit = |from: &str, to: &str| {
         let text = valid_file();
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
     };
     let cases = [
         (
-            replace("max_unavailable = 2", "max_unavailable = 0"),
+            with_edit("max_unavailable = 2", "max_unavailable = 0"),
             "fleet.max_unavailable: a whole number from 1 to 1000",
         ),
-        (replace("max_unavailable = 2", "max_unavailable = 4"), "fleet.max_unavailable: 4 of 3 instances"),
-        (replace("max_unavailable = 2", "max_out = 2"), "fleet.max_out: no such field"),
+        (with_edit("max_unavailable = 2", "max_unavailable = 4"), "fleet.max_unavailable: 4 of 3 instances"),
+        (with_edit("max_unavailable = 2", "max_out = 2"), "fleet.max_out: no such field"),
         (
-            replace("path = '/opt/r1/glenwood'", "path = 'glenwood'"),
+            with_edit("path = '/opt/r1/glenwood'", "path = 'glenwood'"),
             "releases.r1.path: a path that begins with /",
         ),
-        (replace("path = '/opt/r1/glenwood'\n", ""), "releases.r1.path: needed, a path that begins with /"),
-        (replace(DIGEST, "e3b0"), "releases.r1.sha256: 64 hex digits in lower case expected"),
-        (replace(DIGEST, &DIGEST.to_uppercase()), "releases.r1.sha256: 64 hex digits in lower case expected"),
-        (replace("name = 'n1'", "name = 'n2'"), "instance[1].name: \"n2\" is there twice"),
+        (with_edit("path = '/opt/r1/glenwood'\n", ""), "releases.r1.path: needed, a path that begins with /"),
+        (with_edit(DIGEST, "e3b0"), "releases.r1.sha256: 64 hex digits in lower case expected"),
         (
-            replace("name = 'n2'", "name = '../n2'"),
+            with_edit(DIGEST, &DIGEST.to_uppercase()),
+            "releases.r1.sha256: 64 hex digits in lower case expected",
+        ),
+        (with_edit("name = 'n1'", "name = 'n2'"), "instance[1].name: \"n2\" is there twice"),
+        (
+            with_edit("name = 'n2'", "name = '../n2'"),
             "instance[0].name: 1 to 64 of a to z, 0 to 9, - and _ expected",
         ),
-        (replace("name = 'n2'\n", ""), "instance[0].name: needed"),
+        (with_edit("name = 'n2'\n", ""), "instance[0].name: needed"),
         (
-            replace("release = 'r1'\nconfig = 'n2", "release = 'r9'\nconfig = 'n2"),
+            with_edit("release = 'r1'\nconfig = 'n2", "release = 'r9'\nconfig = 'n2"),
             "instance[0].release: there is no release \"r9\"",
         ),
-        (replace("config = 'n0.json'\n", ""), "instance[2].config: needed, the path of a file"),
-        (replace("stopped = true", "stopped = 1"), "instance[2].stopped: true or false expected, not 1"),
+        (with_edit("config = 'n0.json'\n", ""), "instance[2].config: needed, the path of a file"),
+        (with_edit("stopped = true", "stopped = 1"), "instance[2].stopped: true or false expected, not 1"),
         (
-            replace("groups = ['exam']", "groups = ['exams']"),
+            with_edit("groups = ['exam']", "groups = ['exams']"),
             "protect[0].groups: there is no group \"exams\"",
         ),
-        (replace("groups = ['exam']", "names = ['n7']"), "protect[0].names: there is no instance \"n7\""),
-        (replace("groups = ['exam']\n", ""), "protect[0].names: names or groups are needed"),
-        (replace("'mon', ", "'monday', "), "protect[0].days: mon, tue, ... or sun expected, not \"monday\""),
-        (replace("to = '12:30'", "to = '05:00'"), "protect[0].to: later than from expected"),
-        (replace("to = '12:30'", "to = '12:60'"), "protect[0].to: a time of day"),
-        (replace("[fleet]", "[flot]"), "flot: no such field"),
-        (replace("[[instance]]", "[instance]"), "line "),
+        (with_edit("groups = ['exam']", "names = ['n7']"), "protect[0].names: there is no instance \"n7\""),
+        (with_edit("groups = ['exam']\n", ""), "protect[0].names: names or groups are needed"),
+        (
+            with_edit("'mon', ", "'monday', "),
+            "protect[0].days: mon, tue, ... or sun expected, not \"monday\"",
+        ),
+        (with_edit("to = '12:30'", "to = '05:00'"), "protect[0].to: later than from expected"),
+        (with_edit("to = '12:30'", "to = '12:60'"), "protect[0].to: a time of day"),
+        (with_edit("[fleet]", "[flot]"), "flot: no such field"),
+        (with_edit("[[instance]]", "[instance]"), "line "),
     ];
     for (text, prefix) in cases {
         let error = Desired::parse(&text).expect_err(prefix);
--- a/crates/fleet/tests/journal.rs
+++ b/crates/fleet/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Tests of reading the journal after crashes and damage.
 
-use glenwood_fleet::journal::{read, write, Damage, Read, Record, MAX_RECORD_BYTES};
+use glenwood_fleet::journal::{read, write, Contents, Damage, Record, MAX_RECORD_BYTES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -13,23 +13,23 @@
 
 #[test]
 fn an_empty_and_a_complete_journal_are_read() {
-    assert_eq!(read(&[], None), Ok(Read { records: Vec::new(), length: 0 }));
+    assert_eq!(read(&[], None), Ok(Contents { records: Vec::new(), length: 0 }));
     let (records, file) = make_journal(&[b"one".to_vec(), Vec::new(), b"three".to_vec()]);
-    assert_eq!(read(&file, Some(5)), Ok(Read { records, length: file.len() }));
+    assert_eq!(read(&file, Some(5)), Ok(Contents { records, length: file.len() }));
 }
 
 #[test]
 fn a_record_that_is_out_of_order_is_reported() {
     let file = [write(5, b"a"), write(7, b"b")].concat();
-    assert_eq!(read(&file, None), Err(Damage::Order { at: 17, number: 7 }));
-    assert_eq!(read(&file, Some(4)), Err(Damage::Order { at: 0, number: 5 }));
+    assert_eq!(read(&file, None), Err(Damage::UnexpectedNumber { at: 17, number: 7 }));
+    assert_eq!(read(&file, Some(4)), Err(Damage::UnexpectedNumber { at: 0, number: 5 }));
 }
 
 #[test]
 fn a_length_above_the_maximum_is_treated_as_damage() {
     let mut file = write(5, b"a");
     file[0] = 0xff;
-    assert_eq!(read(&file, None), Ok(Read { records: Vec::new(), length: 0 }));
+    assert_eq!(read(&file, None), Ok(Contents { records: Vec::new(), length: 0 }));
     assert!(read(&write(1, &vec![7; MAX_RECORD_BYTES]), None).is_ok_and(|read| read.records.len() == 1));
 }
 
@@ -38,7 +38,8 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Truncates the journal at any byte: all complete records are read, and the reported length excludes the torn one.
+    /// Truncates the journal at any byte: all complete records are read, and the reported length excludes the
+    /// torn one.
     #[test]
     fn a_torn_end_loses_only_the_last_record(all in vec(vec(any::<u8>(), 0..20), 1..6), cut in any::<prop::sample::Index>()) {
         let (records, file) = make_journal(&all);
@@ -50,7 +51,8 @@
         prop_assert!(read.records.len() == records.len() || next > cut, "a complete record is missing");
     }
 
-    /// A flipped bit is reported as damage if other records follow; in the last record it may look like a torn write.
+    /// A flipped bit is reported as damage if other records follow; in the last record it may look like a
+    /// torn write.
     #[test]
     fn a_record_with_a_flipped_bit_is_never_accepted(all in vec(vec(any::<u8>(), 0..20), 1..6), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let (records, mut file) = make_journal(&all);
--- a/crates/fleet/tests/lease.rs
+++ b/crates/fleet/tests/lease.rs
@@ -82,8 +82,9 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Three operators bid at five agents while messages are lost, agents restart and operators are suspended. At no time
-    /// may two operators both hold a valid lease at a majority of the agents, and an agent's epoch never decreases.
+    /// Three operators bid at five agents while messages are lost, agents restart and operators are
+    /// suspended. At no time may two operators both hold a valid lease at a majority of the agents, and an
+    /// agent's epoch never decreases.
     #[test]
     fn two_operators_never_hold_the_lease_at_once(steps in vec((0..3usize, 0..5usize, 0..6u8, 0..400u16), 1..200)) {
         let mut agents = vec![Lease::default(); 5];
--- a/crates/trace/src/tables.rs
+++ b/crates/trace/src/tables.rs
@@ -15,7 +15,7 @@
     /// Connections opened to servers.
     pub connects: usize,
     /// The maximum number of connections opened to one server.
-    pub connects_most: usize,
+    pub max_connects_per_server: usize,
     /// Probes sent.
     pub probes: usize,
     /// Requests accepted.
@@ -25,18 +25,18 @@
     /// Servers to which an attempt was sent.
     pub servers: usize,
     /// The maximum number of attempts to one server.
-    pub sends_most: usize,
+    pub max_sends_per_server: usize,
     /// Ended attempts, by outcome.
     pub ends: BTreeMap<String, usize>,
     /// Requests served, failed, refused without an attempt, and refused after an attempt.
     pub answers: [usize; 4],
     /// The maximum number of concurrent attempts of all nodes at one server.
-    pub out_most: usize,
+    pub max_concurrent: usize,
 }
 
 /// Totals of one server over the complete trace.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ServerSum {
+pub struct ServerTotals {
     /// Nodes that sent attempts to it.
     pub nodes: BTreeSet<String>,
     /// Attempts sent.
@@ -48,7 +48,7 @@
     /// Attempts that ended otherwise.
     pub not_done: usize,
     /// The maximum number of concurrent attempts of all nodes.
-    pub out_most: usize,
+    pub max_concurrent: usize,
 }
 
 /// Decrements the number of concurrent attempts at a server.
@@ -74,11 +74,11 @@
     }
 
     /// Aggregates the records per second since the first one and per server name.
-    pub fn count(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerSum>) {
+    pub fn count(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerTotals>) {
         self.records.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let start = self.records.first().map_or(0.0, |l| l.0);
+        let start = self.records.first().map_or(0.0, |record| record.0);
         let (mut seconds, mut servers) =
-            (BTreeMap::<u64, Second>::new(), BTreeMap::<String, ServerSum>::new());
+            (BTreeMap::<u64, Second>::new(), BTreeMap::<String, ServerTotals>::new());
         let mut concurrent: BTreeMap<String, usize> = BTreeMap::new();
         let mut attempted: BTreeSet<(String, u64)> = BTreeSet::new();
         let mut open: BTreeMap<(String, u64, usize), String> = BTreeMap::new();
@@ -114,7 +114,8 @@
                 Doing::Ask { request, .. } => {
                     second.asked += 1;
                     if last_request.insert(node.clone(), *request).is_some_and(|last| last >= *request) {
-                        // The node was restarted and its request numbers start again: its open attempts have ended.
+                        // The node was restarted and its request numbers start again: its open attempts have
+                        // ended.
                         attempted.retain(|(record_node, _)| record_node != node);
                         open.retain(|(record_node, _, _), server| {
                             let is_restarted = record_node == node;
@@ -139,8 +140,8 @@
                     if open.insert((node.clone(), *request, *attempt), server.clone()).is_none() {
                         let concurrent = concurrent.entry(server.clone()).or_default();
                         *concurrent += 1;
-                        second.out_most = second.out_most.max(*concurrent);
-                        sum.out_most = sum.out_most.max(*concurrent);
+                        second.max_concurrent = second.max_concurrent.max(*concurrent);
+                        sum.max_concurrent = sum.max_concurrent.max(*concurrent);
                     }
                 }
                 Doing::End { request, attempt, server, outcome, took } => {
@@ -169,8 +170,9 @@
         for (number, of_server) in by_second {
             let Some(second) = seconds.get_mut(&number) else { continue };
             second.servers = of_server.values().filter(|(sends, _)| *sends > 0).count();
-            second.sends_most = of_server.values().map(|(sends, _)| *sends).max().unwrap_or(0);
-            second.connects_most = of_server.values().map(|(_, connects)| *connects).max().unwrap_or(0);
+            second.max_sends_per_server = of_server.values().map(|(sends, _)| *sends).max().unwrap_or(0);
+            second.max_connects_per_server =
+                of_server.values().map(|(_, connects)| *connects).max().unwrap_or(0);
         }
         (seconds, servers)
     }
@@ -185,7 +187,7 @@
         let _ = writeln!(text, "{header}");
         for (number, s) in seconds {
             let ends: Vec<String> =
-                s.ends.iter().map(|(outcome, count)| format!("{outcome}:{count}")).collect();
+                s.ends.iter().map(|(ending, count)| format!("{ending}:{count}")).collect();
             let _ = writeln!(
                 text,
                 "{number:6} {:5} {:6} {:5} {:8} {:4} {:6} {:5} {:5} {:5} {:7} {:4} {:3} {:6} {:6} {:7} {:9} {}",
@@ -193,14 +195,14 @@
                 s.calls.1,
                 s.lists,
                 s.connects,
-                s.connects_most,
+                s.max_connects_per_server,
                 s.probes,
                 s.asked,
                 s.sends.0,
                 s.sends.1,
                 s.servers,
-                s.sends_most,
-                s.out_most,
+                s.max_sends_per_server,
+                s.max_concurrent,
                 s.answers[0],
                 s.answers[1],
                 s.answers[2],
@@ -219,7 +221,7 @@
                 s.connects,
                 s.done.0,
                 s.not_done,
-                s.out_most
+                s.max_concurrent
             );
         }
         text
--- a/crates/trace/tests/tables.rs
+++ b/crates/trace/tests/tables.rs
@@ -53,7 +53,7 @@
         // A record truncated within its last number is another valid record.
         assert!(truncated.is_none() || cut > complete.rfind(' ').expect("several tokens"), "{cut}");
     }
-    for line in [
+    for malformed in [
         "n0 listens at 10.0.0.1:9000",
         "trace",
         "trace x call",
@@ -69,7 +69,7 @@
         "{\"at\":\"x\",\"doing\":\"call\"}",
         "{\"at\":1.0,\"doing\":\"call\"",
     ] {
-        assert_eq!(Record::find(line), None, "{line}");
+        assert_eq!(Record::find(malformed), None, "{malformed}");
     }
 }
 
@@ -101,18 +101,21 @@
     }
     let (seconds, servers) = tables.count();
     let (first, second) = (&seconds[&0], &seconds[&1]);
-    assert_eq!((first.asked, first.sends, first.out_most), (4, (4, 0), 4));
+    assert_eq!((first.asked, first.sends, first.max_concurrent), (4, (4, 0), 4));
     assert_eq!(first.answers, [2, 0, 0, 2], "refused after an attempt");
     assert_eq!(second.answers, [0, 0, 2, 0], "refused without an attempt");
-    assert_eq!((second.connects, second.connects_most, first.connects), (2, 2, 0));
+    assert_eq!((second.connects, second.max_connects_per_server, first.connects), (2, 2, 0));
     let sum = &servers["s-1"];
-    assert_eq!((sum.nodes.len(), sum.sends, sum.done, sum.not_done, sum.out_most), (2, 4, (2, 80.0), 2, 4));
+    assert_eq!(
+        (sum.nodes.len(), sum.sends, sum.done, sum.not_done, sum.max_concurrent),
+        (2, 4, (2, 80.0), 2, 4)
+    );
     let text = tables.text();
     assert!(text.lines().any(|line| line.starts_with("s-1 ")), "{text}");
 }
 
-/// A killed node starts its request numbers again and writes no end of its open attempts. A request after the restart
-/// must not count as attempted because an earlier one had its number.
+/// A killed node starts its request numbers again and writes no end of its open attempts. A request after the
+/// restart must not count as attempted because an earlier one had its number.
 #[test]
 fn a_request_after_a_restart_does_not_inherit_earlier_attempts() {
     let mut tables = Tables::default();
@@ -127,5 +130,5 @@
     assert!(lines.iter().all(|line| tables.take("n0", line)));
     let (seconds, servers) = tables.count();
     assert_eq!(seconds[&1].answers, [0, 0, 1, 0]);
-    assert_eq!(servers["s-1"].out_most, 1, "the attempt before the restart has ended");
+    assert_eq!(servers["s-1"].max_concurrent, 1, "the attempt before the restart has ended");
 }
