--- a/crates/fleet/benches/agent.rs
+++ b/crates/fleet/benches/agent.rs
@@ -1,4 +1,4 @@
-//! Measures the CPU time of the agent's state machine with many instances and no processes. Run it with
+//! Measures the time taken by the agent's state machine with many instances and no processes. Run it with
 //! `cargo bench -p glenwood-fleet --bench agent`. A round is one inspection of each instance; an agent does
 //! ten per second.
 
--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -211,16 +211,17 @@
     // ---- Process events ----
 
     /// Takes over the running processes that carry one of this agent's tokens, after the agent has started.
-    /// Recorded processes among them continue; a recorded process that is missing has exited.
+    /// Recorded processes among them continue; a recorded process that is missing has exited, and an
+    /// unrecorded one is terminated.
     pub fn adopt(&mut self, now: Millis, running: &[(String, Process)]) {
         let names: Vec<String> = self.book.instances.keys().cloned().collect();
         let mut ours: Vec<u64> = Vec::new();
         for name in names {
             let instance = self.book.instances[&name].clone();
-            let runs =
+            let find_running =
                 |token: u64| running.iter().find(|(n, p)| *n == name && p.token == token).map(|(_, p)| p);
             if let Some((token, _)) = instance.starting {
-                match runs(token) {
+                match find_running(token) {
                     // The process was started, but the agent was killed before it recorded that.
                     Some(process) => {
                         self.write(Fact::Started { name: name.clone(), process: process.clone() })
@@ -229,7 +230,7 @@
                 }
             }
             if let Some((process, _)) = instance.process {
-                if runs(process.token) != Some(&process) {
+                if find_running(process.token) != Some(&process) {
                     self.write(Fact::Ended { name: name.clone(), token: process.token, code: None });
                 }
             }
@@ -284,7 +285,7 @@
         }
         let unexpected = !instance.stopping;
         self.write(Fact::Ended { name: name.to_string(), token, code });
-        let (window, max_restarts) = (self.rules.restart_window_ms as f64, self.rules.max_restarts);
+        let (window, limit) = (self.rules.restart_window_ms as f64, self.rules.max_restarts);
         let (first, jitter) = (self.rules.backoff_ms as f64, 0.5 + self.next_random() / 2.0);
         let live = self.live(name);
         (live.status, live.terminated_at, live.killed, live.failing) =
@@ -301,7 +302,7 @@
             self.notify(format!(
                 "{name}: exited unexpectedly with {code}, {count} times within the restart window"
             ));
-            if count > max_restarts {
+            if count > limit {
                 self.notify(format!("{name}: too many unexpected exits, giving up restarting it"));
                 self.write(Fact::GaveUp { name: name.to_string() });
             }
@@ -311,8 +312,8 @@
 
     /// Handles the result of an inspection: the instance's status, or `None` if it did not answer.
     pub fn inspected(&mut self, now: Millis, name: &str, token: u64, status: Option<Status>) {
-        let runs = self.book.instances.get(name).and_then(|k| k.process.as_ref());
-        if runs.is_none_or(|(p, _)| p.token != token) {
+        let recorded = self.book.instances.get(name).and_then(|k| k.process.as_ref());
+        if recorded.is_none_or(|(p, _)| p.token != token) {
             return;
         }
         let live = self.live(name);
@@ -480,10 +481,10 @@
     /// Whether the instance runs its target and is ready.
     fn is_ready(&self, name: &str) -> bool {
         let instance = self.book.instances.get(name);
-        let runs = instance.is_some_and(|k| {
+        let runs_target = instance.is_some_and(|k| {
             !k.stopping && k.process.as_ref().is_some_and(|(_, target)| *target == k.target)
         });
-        runs && self.live.get(name).is_some_and(|l| l.status.ready)
+        runs_target && self.live.get(name).is_some_and(|l| l.status.ready)
     }
 
     /// Number of other instances that should run but are not ready.
@@ -520,8 +521,8 @@
         let instance = self.book.instances[name].clone();
         let stop_within = self.rules.stop_within_ms as f64;
         match (instance.process, instance.starting) {
-            (Some((process, runs)), _) => {
-                let unwanted = !instance.run || runs != instance.target;
+            (Some((process, running_target)), _) => {
+                let unwanted = !instance.run || running_target != instance.target;
                 if unwanted && !instance.stopping {
                     self.write(Fact::Stopping { name: name.to_string(), token: process.token });
                     self.live(name).terminated_at = Some(now);
@@ -596,10 +597,10 @@
             }
             return true;
         }
-        let runs = instance.process.as_ref().is_some_and(|(_, target)| *target == wanted);
+        let runs_wanted = instance.process.as_ref().is_some_and(|(_, target)| *target == wanted);
         let live = self.live(&name);
         let late = now >= live.since + self.rules.ready_within_ms as f64 + self.rules.stop_within_ms as f64;
-        let late = late || (runs && now >= self.live[&name].since + self.rules.ready_within_ms as f64);
+        let late = late || (runs_wanted && now >= self.live[&name].since + self.rules.ready_within_ms as f64);
         let failing = self.live[&name].failing || self.book.instances[&name].gave_up;
         if !(late || failing) {
             return false;
--- a/crates/trace/src/tables.rs
+++ b/crates/trace/src/tables.rs
@@ -76,7 +76,7 @@
     /// Aggregates the records per second since the first one and per server name.
     pub fn count(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerTotals>) {
         self.records.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let start = self.records.first().map_or(0.0, |record| record.0);
+        let start = self.records.first().map_or(0.0, |earliest| earliest.0);
         let (mut seconds, mut servers) =
             (BTreeMap::<u64, Second>::new(), BTreeMap::<String, ServerTotals>::new());
         let mut concurrent: BTreeMap<String, usize> = BTreeMap::new();
