--- a/crates/agent/src/disk.rs
+++ b/crates/agent/src/disk.rs
@@ -1,9 +1,11 @@
-//! What an agent keeps in its folder:
+//! The files in an agent's folder:
 //!
-//! - `journal`: its facts, each synced before the agent goes on; made anew from the book when it has grown long.
-//! - `audit`: the trail of what operators did.
-//! - `configs/DIGEST/`: each version of an instance's files, so that an older one can be gone back to.
-//! - `NAME.log`, `NAME.sock`: an instance's log and its socket.
+//! - `journal`: the agent's facts. Each is synced to disk before the agent acts on it. A long journal is
+//!   compacted when it is opened.
+//! - `audit`: the audit trail of operators' commands.
+//! - `configs/DIGEST/`: each version of an instance's files, so that a change can be rolled back to an older
+//!   one.
+//! - `NAME.log`, `NAME.sock`: the log and the socket of an instance.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -15,38 +17,39 @@
 
 use crate::records::Records;
 
-/// A journal of so many bytes is made anew when it is opened.
-const ANEW: usize = 1 << 20;
+/// A journal of at least this many bytes is compacted when it is opened.
+const COMPACTION_THRESHOLD_BYTES: usize = 1 << 20;
 
-/// The journal of an agent, open for more.
+/// The journal of an agent, open for appending.
 pub struct Journal {
     records: Records,
-    number: u64,
+    /// The number of the last record; records are numbered from 1.
+    last_number: u64,
 }
 
-fn bad(words: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, words)
+fn invalid_data(message: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-/// Makes what was done in a folder last.
+/// Syncs a folder, so that files created, renamed or removed in it survive a crash.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
-/// Writes a file so that there is the old one or the new one, whole, whatever happens meanwhile.
+/// Replaces a file atomically: after a crash it has either its old or its new content, complete.
 ///
 /// # Errors
-/// Where the disk does not take it; then the old one is there.
-pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
+/// If the new content can't be written; the old file is left unchanged.
+pub fn replace_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
-    let written = (|| {
+    let result = (|| {
         let mut file = File::create(&new)?;
         file.write_all(bytes)?;
         file.sync_all()
     })();
-    if let Err(e) = written {
-        // What is there of it is worth nothing, and takes room on a disk that may be full.
+    if let Err(e) = result {
+        // Remove the partial file: it is useless and takes space on a disk that may be full.
         let _ = std::fs::remove_file(&new);
         return Err(e);
     }
@@ -55,67 +58,68 @@
 }
 
 impl Journal {
-    /// Opens the journal of a folder, or begins it; gives what it says. A torn end is cut off.
+    /// Opens or creates the journal of a folder and returns it with the book that its facts make up. An
+    /// incomplete record at the end is removed.
     ///
     /// # Errors
-    /// Where it can't be read or is damaged; nothing is changed then.
+    /// If the journal can't be read, or is damaged before its end; a damaged journal is left unchanged.
     pub fn open(folder: &Path) -> io::Result<(Self, Book)> {
         let path = folder.join("journal");
-        let all = match std::fs::read(&path) {
-            Ok(all) => all,
+        let content = match std::fs::read(&path) {
+            Ok(content) => content,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(e),
         };
-        let read = journal::read(&all, Some(1)).map_err(|e| bad(format!("journal: {e}")))?;
+        let parsed = journal::read(&content, Some(1)).map_err(|e| invalid_data(format!("journal: {e}")))?;
         let mut book = Book::default();
-        for record in &read.records {
+        for record in &parsed.records {
             let fact: Fact = serde_json::from_slice(&record.bytes)
-                .map_err(|e| bad(format!("journal: record {}: {e}", record.number)))?;
+                .map_err(|e| invalid_data(format!("journal: record {}: {e}", record.number)))?;
             book.add(&fact);
         }
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        if read.length < all.len() {
-            file.set_len(read.length as u64)?;
+        if parsed.length < content.len() {
+            file.set_len(parsed.length as u64)?;
         }
         file.sync_all()?;
         sync_folder(folder)?;
-        if all.len() < ANEW {
-            let records = Records::new(file, read.length as u64);
-            return Ok((Self { records, number: read.records.len() as u64 }, book));
+        if content.len() < COMPACTION_THRESHOLD_BYTES {
+            let records = Records::new(file, parsed.length as u64);
+            return Ok((Self { records, last_number: parsed.records.len() as u64 }, book));
         }
-        let mut anew = Vec::new();
+        let mut compacted = Vec::new();
         for (number, fact) in (1..).zip(book.facts()) {
-            anew.extend(journal::write(number, &serde_json::to_vec(&fact)?));
+            compacted.extend(journal::write(number, &serde_json::to_vec(&fact)?));
         }
-        replace(&path, &anew)?;
+        replace_atomically(&path, &compacted)?;
         let file = OpenOptions::new().append(true).open(&path)?;
-        let records = Records::new(file, anew.len() as u64);
-        Ok((Self { records, number: book.facts().len() as u64 }, book))
+        let records = Records::new(file, compacted.len() as u64);
+        Ok((Self { records, last_number: book.facts().len() as u64 }, book))
     }
 
-    /// Adds a fact, and returns when it is on the disk.
+    /// Appends a fact and returns once it is synced to disk.
     ///
     /// # Errors
-    /// Where the disk does not take it.
+    /// If the fact can't be written or synced; it then doesn't count as written.
     pub fn write(&mut self, fact: &Fact) -> io::Result<()> {
         let bytes = serde_json::to_vec(fact)?;
-        self.records.add(&journal::write(self.number + 1, &bytes))?;
-        self.number += 1;
+        self.records.add(&journal::write(self.last_number + 1, &bytes))?;
+        self.last_number += 1;
         Ok(())
     }
 }
 
-/// The audit trail, open for more.
+/// The audit trail, open for appending.
 pub struct Audit {
     records: Records,
     trail: Trail,
 }
 
 impl Audit {
-    /// Opens the trail of a folder, or begins it.
+    /// Opens or creates the audit trail of a folder. An incomplete line at the end is removed.
     ///
     /// # Errors
-    /// Where it can't be read, or a line does not follow on the one before.
+    /// If the trail can't be read, or a line does not continue the digest chain of the line before it.
     pub fn open(folder: &Path) -> io::Result<Self> {
         let path = folder.join("audit");
         let text = match std::fs::read_to_string(&path) {
@@ -123,20 +127,22 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
             Err(e) => return Err(e),
         };
-        // A line that was being written when the agent was killed was not acted on.
-        let whole = text.rfind('\n').map_or(0, |at| at + 1);
-        let (trail, _) = Trail::read(&text[..whole]).map_err(|e| bad(format!("audit: {e}")))?;
+        // An incomplete last line was being written when the agent was killed, before it acted on the
+        // command.
+        let complete_length = text.rfind('\n').map_or(0, |at| at + 1);
+        let (trail, _) =
+            Trail::read(&text[..complete_length]).map_err(|e| invalid_data(format!("audit: {e}")))?;
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        if whole < text.len() {
-            file.set_len(whole as u64)?;
+        if complete_length < text.len() {
+            file.set_len(complete_length as u64)?;
         }
-        Ok(Self { records: Records::new(file, whole as u64), trail })
+        Ok(Self { records: Records::new(file, complete_length as u64), trail })
     }
 
-    /// Adds a line, and returns when it is on the disk.
+    /// Appends a line and returns once it is synced to disk.
     ///
     /// # Errors
-    /// Where the disk does not take it.
+    /// If the line can't be written or synced; it then doesn't count as written.
     pub fn add(&mut self, at_unix_ms: f64, who: &str, what: &str, epoch: u64) -> io::Result<()> {
         let mut next = self.trail.clone();
         let line = next.add(at_unix_ms, who, what, epoch);
@@ -146,68 +152,87 @@
     }
 }
 
-/// The files of one instance in one version.
+/// The paths of one version of an instance's files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
-    /// The version: the digest of both.
+pub struct InstanceFiles {
+    /// The version: the digest of both files.
     pub version: String,
-    /// The configuration.
+    /// The configuration file.
     pub config: PathBuf,
-    /// The operator's own file.
+    /// The operator's settings file.
     pub operator: PathBuf,
 }
 
-fn files(folder: &Path, version: &str) -> Files {
-    let at = folder.join("configs").join(version);
-    Files { version: version.to_string(), config: at.join("config.json"), operator: at.join("node.toml") }
+/// The paths at which a version of an instance's files is stored.
+fn file_paths(folder: &Path, version: &str) -> InstanceFiles {
+    let version_folder = folder.join("configs").join(version);
+    InstanceFiles {
+        version: version.to_string(),
+        config: version_folder.join("config.json"),
+        operator: version_folder.join("node.toml"),
+    }
 }
 
-/// Keeps a version of an instance's files; the operator's file gets the socket at which the instance answers for itself.
+/// Stores a copy of an instance's files as a new version. The agent adds an `[inspect]` table to the
+/// operator's file, with the socket at which the instance reports its state.
 ///
 /// # Errors
-/// Where a file can't be read or written, or the operator's file has a table `inspect` of its own.
-pub fn keep_files(folder: &Path, name: &str, config: &Path, operator: Option<&Path>) -> io::Result<Files> {
-    let said = |path: &Path, e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
-    let read = |path: &Path| std::fs::read(path).map_err(|e| said(path, e));
-    let config = read(config)?;
-    let mut own = operator.map(read).transpose()?.unwrap_or_default();
-    if String::from_utf8_lossy(&own).lines().any(|line| line.trim() == "[inspect]") {
-        return Err(bad(format!("{name}: the operator's file has a table inspect; the agent sets that")));
+/// If a file can't be read or written, or the operator's file already has an `[inspect]` table.
+pub fn store_files(
+    folder: &Path,
+    name: &str,
+    config: &Path,
+    operator: Option<&Path>,
+) -> io::Result<InstanceFiles> {
+    let with_path = |path: &Path, e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+    let read_file = |path: &Path| std::fs::read(path).map_err(|e| with_path(path, e));
+    let config = read_file(config)?;
+    let mut operator_content = operator.map(read_file).transpose()?.unwrap_or_default();
+    if String::from_utf8_lossy(&operator_content).lines().any(|line| line.trim() == "[inspect]") {
+        return Err(invalid_data(format!(
+            "{name}: the operator's file must not have an [inspect] table: the agent adds it"
+        )));
     }
-    own.extend(format!("\n[inspect]\nsocket = {:?}\n", socket(folder, name).display().to_string()).bytes());
-    // As the node counts it, of the files that it was started with.
+    operator_content.extend(
+        format!("\n[inspect]\nsocket = {:?}\n", socket_path(folder, name).display().to_string()).bytes(),
+    );
+    // The node computes the digest of its files in the same way, so that the two can be compared.
     let length = |bytes: &[u8]| (bytes.len() as u64).to_be_bytes();
-    let version = digest(&[&length(&config)[..], &config, &length(&own)[..], &own].concat());
-    let files = files(folder, &version);
+    let version =
+        digest(&[&length(&config)[..], &config, &length(&operator_content)[..], &operator_content].concat());
+    let files = file_paths(folder, &version);
     std::fs::create_dir_all(files.config.parent().unwrap_or(folder))?;
-    replace(&files.config, &config)?;
-    replace(&files.operator, &own)?;
+    replace_atomically(&files.config, &config)?;
+    replace_atomically(&files.operator, &operator_content)?;
     Ok(files)
 }
 
-/// The files of a version that was kept.
+/// The files of a version stored by [`store_files`].
 ///
 /// # Errors
-/// Where it was not.
-pub fn kept_files(folder: &Path, version: &str) -> io::Result<Files> {
-    let files = files(folder, version);
+/// If a file of this version does not exist.
+pub fn stored_files(folder: &Path, version: &str) -> io::Result<InstanceFiles> {
+    let files = file_paths(folder, version);
     match files.config.exists() && files.operator.exists() {
         true => Ok(files),
-        false => Err(io::Error::new(io::ErrorKind::NotFound, format!("no files of the version {version}"))),
+        false => Err(io::Error::new(
+            io::ErrorKind::NotFound,
+            format!("the files of version {version} are not stored"),
+        )),
     }
 }
 
-/// An instance's socket.
-pub fn socket(folder: &Path, name: &str) -> PathBuf {
+/// The path of the socket at which an instance reports its state.
+pub fn socket_path(folder: &Path, name: &str) -> PathBuf {
     folder.join(format!("{name}.sock"))
 }
 
-/// An instance's log.
-pub fn log(folder: &Path, name: &str) -> PathBuf {
+/// The path of an instance's log.
+pub fn log_path(folder: &Path, name: &str) -> PathBuf {
     folder.join(format!("{name}.log"))
 }
 
-/// The last lines of a log.
+/// The last `count` lines of a text file; none if it can't be read.
 pub fn last_lines(path: &Path, count: usize) -> Vec<String> {
     let text = std::fs::read(path).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `glenwood-agent`; see the library.
+//! The `glenwood-agent` program. All of its code is in the library `glenwood_agent`.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -1,27 +1,28 @@
-//! A file that grows by whole records: one that the disk did not take leaves nothing behind, also where the disk fails for a while.
+//! Appends complete records to a file. A record that could not be written or synced is removed again, also if
+//! the disk fails for a while.
 
 use std::fs::File;
 use std::io::{self, Write};
 
-/// What is needed of a file.
+/// The file operations that [`Records`] needs; tests replace them by ones that fail.
 pub trait Storage {
-    /// Writes at its end; some of it may be there after a failure.
+    /// Appends bytes at the end of the file.
     ///
     /// # Errors
-    /// Where the disk does not take it.
+    /// If not all bytes can be written; some of them may be in the file.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns when all is on the disk.
+    /// Returns once everything written so far is on disk.
     ///
     /// # Errors
-    /// Where the disk fails; what was written since the last time may be there or not.
+    /// If the disk fails; what was written since the last sync may be on disk or not.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Cuts off what is behind a length.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// Where the disk does not do it.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    /// If the file can't be truncated.
+    fn truncate_to(&mut self, length: u64) -> io::Result<()>;
 }
 
 impl Storage for File {
@@ -33,50 +34,51 @@
         self.sync_data()
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate_to(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 }
 
-/// The records of a file that is open for more.
+/// A file of records, open for appending.
 pub struct Records<F = File> {
     file: F,
-    /// How long the file is with its whole records alone.
+    /// The length in bytes of all complete records.
     length: u64,
-    /// Something may be behind them, of a record that failed.
-    torn: bool,
+    /// Whether the file may contain part of a failed record after the complete ones.
+    may_be_partial: bool,
 }
 
 impl<F: Storage> Records<F> {
-    /// Those of a file that has so many bytes of whole records, and nothing else.
+    /// Wraps a file that consists of `length` bytes of complete records.
     pub fn new(file: F, length: u64) -> Self {
-        Self { file, length, torn: false }
+        Self { file, length, may_be_partial: false }
     }
 
-    /// Adds a record, and returns when it is on the disk.
+    /// Appends a record and returns once it is synced to disk.
     ///
-    /// # Errors
-    /// Where the disk does not take it: it is not among the records then, and a later one may be taken.
+    /// # Errors If the record can't be written or synced; it is then removed, at the latest before the next
+    /// record is appended. A later call may succeed.
     pub fn add(&mut self, record: &[u8]) -> io::Result<()> {
-        if self.torn {
-            self.mend()?;
+        if self.may_be_partial {
+            self.remove_partial_record()?;
         }
-        self.torn = true;
+        self.may_be_partial = true;
         if let Err(error) = self.file.append(record).and_then(|()| self.file.sync()) {
-            // Where that fails too it is done before the next record.
-            let _ = self.mend();
+            // If this fails too, the next call truncates the file before it appends.
+            let _ = self.remove_partial_record();
             return Err(error);
         }
-        self.torn = false;
+        self.may_be_partial = false;
         self.length += record.len() as u64;
         Ok(())
     }
 
-    /// Half a record, or one that nobody acted on, would be damage in the middle once another one follows.
-    fn mend(&mut self) -> io::Result<()> {
-        self.file.cut(self.length)?;
+    /// Removes what a failed record left behind. A partial record, or one that was never acted on, would be
+    /// read as damage once another record follows it.
+    fn remove_partial_record(&mut self) -> io::Result<()> {
+        self.file.truncate_to(self.length)?;
         self.file.sync()?;
-        self.torn = false;
+        self.may_be_partial = false;
         Ok(())
     }
 }
@@ -85,25 +87,25 @@
 mod tests {
     use super::*;
 
-    /// A disk that fails when it is told to.
+    /// An in-memory file with injected failures.
     #[derive(Default)]
-    struct Disk {
+    struct FaultyFile {
         bytes: Vec<u8>,
-        /// How many bytes of the next record it takes, where it does not take all.
-        room: Option<usize>,
+        /// The number of bytes that a write accepts before it fails; `None` for all.
+        accepted_bytes: Option<usize>,
         fails_to_sync: bool,
-        fails_to_cut: bool,
+        fails_to_truncate: bool,
     }
 
     fn failure() -> io::Error {
         rustix::io::Errno::IO.into()
     }
 
-    impl Storage for Disk {
+    impl Storage for FaultyFile {
         fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-            let taken = self.room.unwrap_or(bytes.len()).min(bytes.len());
-            self.bytes.extend_from_slice(&bytes[..taken]);
-            if taken < bytes.len() {
+            let accepted = self.accepted_bytes.unwrap_or(bytes.len()).min(bytes.len());
+            self.bytes.extend_from_slice(&bytes[..accepted]);
+            if accepted < bytes.len() {
                 return Err(failure());
             }
             Ok(())
@@ -116,8 +118,8 @@
             Ok(())
         }
 
-        fn cut(&mut self, length: u64) -> io::Result<()> {
-            if self.fails_to_cut {
+        fn truncate_to(&mut self, length: u64) -> io::Result<()> {
+            if self.fails_to_truncate {
                 return Err(failure());
             }
             self.bytes.truncate(length as usize);
@@ -125,44 +127,44 @@
         }
     }
 
-    fn records() -> Records<Disk> {
-        let mut records = Records::new(Disk::default(), 0);
-        records.add(b"first\n").expect("the disk is well");
+    fn records() -> Records<FaultyFile> {
+        let mut records = Records::new(FaultyFile::default(), 0);
+        records.add(b"first\n").expect("the disk works");
         records
     }
 
     #[test]
-    fn a_record_that_a_full_disk_took_in_part_is_gone() {
+    fn a_partially_written_record_is_removed() {
         let mut records = records();
-        records.file.room = Some(3);
+        records.file.accepted_bytes = Some(3);
         assert!(records.add(b"second\n").is_err());
         assert_eq!(records.file.bytes, b"first\n");
-        records.file.room = None;
-        records.add(b"third\n").expect("there is room again");
+        records.file.accepted_bytes = None;
+        records.add(b"third\n").expect("the disk has space again");
         assert_eq!(records.file.bytes, b"first\nthird\n");
     }
 
     #[test]
-    fn a_record_that_was_not_synced_does_not_stay() {
+    fn a_record_that_could_not_be_synced_is_removed() {
         let mut records = records();
         records.file.fails_to_sync = true;
         assert!(records.add(b"second\n").is_err());
         assert!(records.add(b"third\n").is_err());
         records.file.fails_to_sync = false;
-        records.add(b"fourth\n").expect("the disk is well again");
+        records.add(b"fourth\n").expect("the disk works again");
         assert_eq!(records.file.bytes, b"first\nfourth\n");
     }
 
     #[test]
-    fn what_could_not_be_cut_off_is_cut_off_before_the_next_record() {
+    fn a_failed_truncation_is_repeated_before_the_next_record() {
         let mut records = records();
-        (records.file.room, records.file.fails_to_cut) = (Some(3), true);
+        (records.file.accepted_bytes, records.file.fails_to_truncate) = (Some(3), true);
         assert!(records.add(b"second\n").is_err());
         assert_eq!(records.file.bytes, b"first\nsec");
-        records.file.room = None;
-        assert!(records.add(b"third\n").is_err(), "behind half a record nothing is written");
-        records.file.fails_to_cut = false;
-        records.add(b"fourth\n").expect("the disk is well again");
+        records.file.accepted_bytes = None;
+        assert!(records.add(b"third\n").is_err(), "nothing is appended after a partial record");
+        records.file.fails_to_truncate = false;
+        records.add(b"fourth\n").expect("the disk works again");
         assert_eq!(records.file.bytes, b"first\nfourth\n");
     }
 }
--- a/crates/agent/src/talk.rs
+++ b/crates/agent/src/talk.rs
@@ -1,4 +1,5 @@
-//! What operators' programs say to an agent: one JSON object a line, one answer a line.
+//! The protocol between operators' programs and an agent: one JSON object on one line as the command, one as
+//! the reply.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -8,172 +9,177 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long an agent may take to reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What is asked.
+/// A command to an agent. Commands that change something carry the epoch of the lease under which they are
+/// given.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Ask {
-    /// How all is.
+    /// Returns the status of all instances, the change and the lease.
     Status,
-    /// The lease, for so many milliseconds.
+    /// Takes or renews the lease, without which nothing can be changed.
     Lease {
-        /// For whom.
+        /// Who asks for the lease.
         who: String,
-        /// What for.
+        /// The reason, shown to other operators.
         why: String,
-        /// Under which epoch; `None` for the next one.
+        /// The epoch of the lease; `None` for the next one.
         epoch: Option<u64>,
-        /// For how long.
+        /// How long the lease lasts, in milliseconds.
         span_ms: f64,
     },
-    /// The lease goes back.
+    /// Releases the lease.
     GiveBack {
-        /// Its epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
-    /// Reads the file of what is desired again; what is new in it starts.
+    /// Reads the file with the desired state again and adds the instances that are new in it. They are started
+    /// unless the file marks them as stopped.
     Apply {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
-    /// An instance is to run, or not.
+    /// Starts or stops an instance.
     Want {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
-        /// Which.
+        /// The name of the instance.
         name: String,
-        /// To run?
+        /// Whether it should run.
         run: bool,
-        /// Also where it is protected, and why.
+        /// The reason for doing so although the instance is protected, if it is to be overridden.
         force: Option<String>,
     },
-    /// A change of these instances, in their order; all of them where none is named.
+    /// Changes instances one after another, in the order of the file with the desired state, to a release and
+    /// to their files as they are now.
     Roll {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
-        /// Which.
+        /// The names of the instances; empty for all.
         names: Vec<String>,
-        /// To this release.
+        /// The name of the release.
         release: String,
-        /// Also where some are protected, and why.
+        /// The reason for doing so although some instances are protected, if it is to be overridden.
         force: Option<String>,
     },
-    /// What a change would do; those of these names that this agent has, or all.
+    /// Returns the steps that a change would take, without starting it. Names that this agent doesn't have
+    /// are ignored.
     Plan {
-        /// Which.
+        /// The names of the instances; empty for all.
         names: Vec<String>,
-        /// To which release.
+        /// The name of the release.
         release: String,
     },
-    /// An instance that is stopped is forgotten.
+    /// Removes a stopped instance from the agent's records.
     Retire {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
-        /// Which.
+        /// The name of the instance.
         name: String,
     },
-    /// The change is undone.
+    /// Rolls back the change in progress.
     Abort {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
     },
-    /// The change waits, or goes on.
+    /// Pauses or resumes the change in progress.
     Pause {
-        /// The epoch.
+        /// The epoch of the lease.
         epoch: u64,
-        /// Waits?
+        /// Whether it is paused.
         paused: bool,
     },
-    /// The last lines of an instance's log.
+    /// Returns the last lines of an instance's log.
     Logs {
-        /// Which.
+        /// The name of the instance.
         name: String,
-        /// How many.
+        /// The number of lines, 1000 at most.
         lines: usize,
     },
-    /// The audit trail.
+    /// Returns the last 1000 lines of the audit trail.
     History,
 }
 
 impl Ask {
-    /// Does it change anything, if it is granted?
-    pub fn changes(&self) -> bool {
+    /// Whether the command can change the state of the agent or of its instances.
+    pub fn is_mutating(&self) -> bool {
         !matches!(self, Self::Status | Self::Plan { .. } | Self::Logs { .. } | Self::History)
     }
 }
 
-/// How one instance is.
+/// The status of one instance.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct InstanceStatus {
-    /// Is it to run?
+    /// Whether it should run.
     pub run: bool,
-    /// Which release it is to run, and which files.
+    /// The release that it should run.
     pub release: String,
-    /// The version of its files.
+    /// The version of the files that it should run with.
     pub config: String,
-    /// Its process, if it has one.
+    /// The pid of its process, if it has one.
     pub pid: Option<u32>,
-    /// What it says of itself: starting, ready, stopping; `None` where it does not answer.
+    /// The stage that it reports: starting, ready or stopping; `None` if it does not answer.
     pub stage: Option<String>,
-    /// Requests that await their answer.
+    /// The number of requests that it has not answered yet.
     pub open: u64,
-    /// Answers so far.
+    /// The number of requests answered so far.
     pub answered: u64,
-    /// Those of them that failed.
+    /// The number of these answers that were failures.
     pub failed: u64,
-    /// The age of its list, in milliseconds.
+    /// The age of its list of servers, in milliseconds.
     pub list_age_ms: Option<f64>,
-    /// No more is tried: it ended too often.
+    /// Whether the agent has stopped restarting it because it ended too often.
     pub gave_up: bool,
-    /// In which points it is not what it should be.
+    /// The differences from the desired state, one message each.
     pub drift: Vec<String>,
 }
 
-/// How all is.
+/// The status of an agent.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Status {
     /// The instances, by name.
     pub instances: BTreeMap<String, InstanceStatus>,
-    /// The change under way, in words, with those that are through and all of them.
+    /// The change in progress: a description, the number of instances that are done, and the number of all
+    /// its instances.
     pub change: Option<(String, usize, usize)>,
-    /// How the last change ended, and why.
+    /// The outcome of the last change and the reason for it.
     pub outcome: Option<(String, String)>,
-    /// Who has the lease, and what for.
+    /// The holder of the lease and the reason given.
     pub lease: Option<(String, String)>,
-    /// The highest epoch.
+    /// The highest epoch of a lease so far.
     pub epoch: u64,
 }
 
-/// An answer.
+/// The reply to a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// How all is.
+    /// The status of the agent.
     Status(Box<Status>),
-    /// Granted under this epoch.
+    /// The lease is granted, under this epoch.
     Granted(u64),
-    /// Done, or begun; in words.
+    /// The command was carried out or has started; with a message for the operator.
     Done(String),
-    /// Not done, and why.
+    /// The command was refused, with the reason.
     Refused(String),
-    /// Lines.
+    /// The lines of a plan, a log or the audit trail.
     Lines(Vec<String>),
 }
 
-/// Asks an agent one thing.
+/// Sends one command to the agent at a socket and returns its reply.
 ///
 /// # Errors
-/// Where it can't be reached, or does not answer.
+/// If the agent can't be reached, or does not send a valid reply in time.
 pub fn ask(socket: &Path, ask: &Ask) -> Result<Reply, String> {
-    let said = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let mut stream = UnixStream::connect(socket).map_err(said)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(said)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", socket.display());
+    let mut stream = UnixStream::connect(socket).map_err(with_path)?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).map_err(with_path)?;
     let mut line = serde_json::to_vec(ask).map_err(|e| e.to_string())?;
     line.push(b'\n');
-    stream.write_all(&line).map_err(said)?;
-    let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).map_err(said)?;
-    serde_json::from_str(&answer).map_err(|e| format!("{}: {e}", socket.display()))
+    stream.write_all(&line).map_err(with_path)?;
+    let mut reply = String::new();
+    BufReader::new(stream).read_line(&mut reply).map_err(with_path)?;
+    serde_json::from_str(&reply).map_err(|e| format!("{}: {e}", socket.display()))
 }
