--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -86,7 +86,7 @@
     journal: Journal,
     audit: Audit,
     agent: Agent,
-    start: Instant,
+    started_at: Instant,
     events: mpsc::UnboundedSender<Event>,
     event_receiver: mpsc::UnboundedReceiver<Event>,
     /// The last report of each instance; none if it did not answer the last time.
@@ -125,7 +125,7 @@
         let desired = read_desired(file)?;
         let (journal, book) = Journal::open(&folder).map_err(with_path)?;
         let audit = Audit::open(&folder).map_err(with_path)?;
-        let start = Instant::now();
+        let started_at = Instant::now();
         let seed = u64::from(std::process::id());
         let mut agent = Agent::new(0.0, desired.rules.clone(), book, seed);
         agent.adopt(0.0, &process::find_running(&folder));
@@ -138,7 +138,7 @@
             journal,
             audit,
             agent,
-            start,
+            started_at,
             events,
             event_receiver,
             reports: BTreeMap::new(),
@@ -151,7 +151,7 @@
 
     /// The time since the start of the agent in milliseconds: the clock of the core.
     fn now_ms(&self) -> f64 {
-        self.start.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
     /// Runs until SIGTERM or SIGINT. The instances keep running.
@@ -176,7 +176,7 @@
             let due = self
                 .agent
                 .poll_timeout()
-                .map(|at| self.start + Duration::from_secs_f64(at.max(0.0) / 1000.0));
+                .map(|at| self.started_at + Duration::from_secs_f64(at.max(0.0) / 1000.0));
             let timer = async {
                 match due {
                     // At least 5 ms, so that a timeout that stays due while it waits for something else does
@@ -273,8 +273,8 @@
     /// The digest of a file, computed again only if the file's length or modification time has changed.
     fn digest_of(&mut self, path: &Path) -> Result<String, String> {
         let with_path = |e: io::Error| format!("{}: {e}", path.display());
-        let metadata = std::fs::metadata(path).map_err(with_path)?;
-        let fingerprint = (metadata.len(), metadata.modified().ok());
+        let file_metadata = std::fs::metadata(path).map_err(with_path)?;
+        let fingerprint = (file_metadata.len(), file_metadata.modified().ok());
         if let Some((_, cached)) =
             self.digests.get(path).filter(|(cached_fingerprint, _)| *cached_fingerprint == fingerprint)
         {
