--- a/crates/glenctl/src/custody.rs
+++ b/crates/glenctl/src/custody.rs
@@ -154,7 +154,7 @@
                 }
             }
             if !found {
-                return Err(format!("{work}: none custody_of these nodes keeps it"));
+                return Err(format!("{work}: none of these nodes keeps it"));
             }
         }
     }
--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -143,11 +143,11 @@
     if arguments.fleet {
         return crate::demo_fleet::run();
     }
-    let Ok(own) = std::env::current_exe() else {
+    let Ok(own_path) = std::env::current_exe() else {
         eprintln!("glenctl: the path of this program can't be determined");
         return ExitCode::FAILURE;
     };
-    let program = Program { path: own, arguments: vec!["node".into()] };
+    let program = Program { path: own_path, arguments: vec!["node".into()] };
     let log = |line: &str| {
         eprintln!("{line}");
         let _ = std::io::stderr().flush();
@@ -216,18 +216,32 @@
     run_until(0.35);
     log("restore: the server http-0 is back, cold, and discovery lists it as active");
     let back = StandIn::start_at(crashed_at, crashed_identity, script.clone(), ledger.clone());
-    let own = &back.identity;
-    discovery.tell(host(&own.name, back.address, own.protocol, own.cell, "active", unix_ms()));
+    let server_identity = &back.identity;
+    discovery.tell(host(
+        &server_identity.name,
+        back.address,
+        server_identity.protocol,
+        server_identity.cell,
+        "active",
+        unix_ms(),
+    ));
     servers.push(back);
     run_until(0.45);
     log("drain: discovery lists the server rpc-1 as leaving");
     if let Some(draining) = servers.iter().find(|s| s.identity.name == "rpc-1") {
-        let own = &draining.identity;
-        discovery.tell(host(&own.name, draining.address, own.protocol, own.cell, "leaving", 0));
+        let server_identity = &draining.identity;
+        discovery.tell(host(
+            &server_identity.name,
+            draining.address,
+            server_identity.protocol,
+            server_identity.cell,
+            "leaving",
+            0,
+        ));
         *watch.drained.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
     run_until(0.6);
-    log("restart: the node n1 is drained_at to stop, and started again when it has ended");
+    log("restart: the node n1 is told to stop, and started again when it has ended");
     nodes[1].terminate();
     let code = nodes[1].exit_code();
     nodes[1] = node(1);
@@ -294,8 +308,7 @@
         ));
     }
     if code != Some(0) {
-        violations
-            .push(format!("the node that was drained_at to stop exited with {code:?} instead of code 0"));
+        violations.push(format!("the node that was told to stop exited with {code:?} instead of code 0"));
     }
     if arguments.json {
         println!("{}", json!({"rows": rows, "broken": violations}));
--- a/crates/glenctl/src/stand_in.rs
+++ b/crates/glenctl/src/stand_in.rs
@@ -108,7 +108,7 @@
                 service.members.iter().enumerate().map(|(n, at)| format!("member {n} {at}")).collect();
             if *chaos {
                 let (count, seed) = (u64::from(*members), *seed);
-                std::thread::spawn(move || kill_in_turn(&service, count, seed));
+                std::thread::spawn(move || kill_random_members(&service, count, seed));
                 return run_until_interrupted(&lines.join("\n"));
             }
             if *by_hand {
@@ -144,7 +144,7 @@
 }
 
 /// Kills and restores one randomly chosen member after another, without end.
-fn kill_in_turn(service: &Service, members: u64, seed: u64) {
+fn kill_random_members(service: &Service, members: u64, seed: u64) {
     let mut random = seed;
     loop {
         std::thread::sleep(Duration::from_secs(2));
--- a/crates/glenctl/src/usage.rs
+++ b/crates/glenctl/src/usage.rs
@@ -124,7 +124,7 @@
                 println!("{name:16} {age:>10} {ahead:>12} {behind:>8} {gone:>6}");
             }
             let window = number(&usage, "window_ms").max(1) as f64;
-            println!("bound: nothing beyond an allowance by each node's own windows; by one clock, {:.1}% through clock differences", 200.0 * max_clock_difference_ms as f64 / window);
+            println!("bound: nothing beyond an allowance counted by window number; by one clock, up to {:.1}% from clock differences", 200.0 * max_clock_difference_ms as f64 / window);
             println!("datagrams turned down: {}", usage["refused"]);
         }
     }
--- a/crates/glenctl/tests/completions.rs
+++ b/crates/glenctl/tests/completions.rs
@@ -1,18 +1,18 @@
-//! Completions of `glenctl` for shells.
+//! Shell completions of `glenctl`.
 
 use std::process::Command;
 
 #[test]
-fn each_shell_has_completions_of_the_commands() {
-    for (shell, words) in
+fn completions_for_each_shell_contain_the_commands() {
+    for (shell, marker) in
         [("bash", "complete -F _glenctl"), ("zsh", "#compdef glenctl"), ("fish", "complete -c glenctl")]
     {
         let output = Command::new(env!("CARGO_BIN_EXE_glenctl"))
             .args(["completions", shell])
             .output()
-            .expect("it runs");
+            .expect("run glenctl");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert!(output.status.success() && text.contains(words), "{shell}");
+        assert!(output.status.success() && text.contains(marker), "{shell}");
         for command in ["fleet", "roll", "retire", "register", "stand-in"] {
             assert!(text.contains(command), "{shell}: {command}");
         }
--- a/crates/glenctl/tests/configuration.rs
+++ b/crates/glenctl/tests/configuration.rs
@@ -1,7 +1,8 @@
-//! Configuration in versions over real processes: a source, relays, and nodes under load, with publishers and nodes killed,
-//! stopped and started between.
+//! Versioned configuration over real processes: a source, relays, and nodes under load, while publishers and nodes are
+//! killed, stopped and started.
 //!
-//! 40 nodes, or what GLENWOOD_PROCESSES says, to be run by hand on a machine for it.
+//! The largest test runs 40 nodes, or the number in GLENWOOD_PROCESSES, which is set by hand on a machine with room for
+//! more.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,17 +19,20 @@
 use glenwood_testkit::until;
 use serde_json::{json, Value};
 
+/// Number of relays behind the source.
 const RELAYS: usize = 4;
-/// In force everywhere within this.
-const BUDGET: Duration = Duration::from_secs(12);
+/// Time within which a change must be in force at all nodes.
+const MAX_ROLLOUT_TIME: Duration = Duration::from_secs(12);
 
+/// Runs `glenctl`; returns whether it succeeded and everything that it printed.
 fn glenctl(arguments: &[&str]) -> (bool, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_glenctl")).args(arguments).output().expect("it runs");
-    let said = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&said).trim().to_string())
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_glenctl")).args(arguments).output().expect("the process runs");
+    let output_bytes = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8_lossy(&output_bytes).trim().to_string())
 }
 
-/// A source or a relay; it is killed when this is dropped.
+/// A source or relay process, killed when this is dropped.
 struct Publisher {
     child: Child,
     at: SocketAddr,
@@ -42,10 +46,14 @@
             .args(["--listen", listen])
             .stdout(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("start glenctl");
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("its address");
-        let at = line.split_whitespace().nth(1).and_then(|at| at.parse().ok()).expect("an address");
+        BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("read its address");
+        let at = line
+            .split_whitespace()
+            .nth(1)
+            .and_then(|at| at.parse().ok())
+            .expect("the line contains an address");
         Self { child, at }
     }
 
@@ -62,7 +70,8 @@
     }
 }
 
-struct World {
+/// A source, relays, nodes, and the stand-ins that they need.
+struct Cluster {
     folder: std::path::PathBuf,
     source: Publisher,
     relays: Vec<Option<Publisher>>,
@@ -85,14 +94,14 @@
         "body": {"class": {"aim_ms": 2000.0, "deadline_ms": deadline_ms, "worth": 1.0, "effect": "safe"}}})
 }
 
-impl World {
+impl Cluster {
     fn new(nodes: usize, name: &str) -> Self {
         let folder =
             std::env::temp_dir().join(format!("glenctl-configuration-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("create the folder");
         let first = folder.join("first.json");
         let resources = json!([service("search"), service("other"), tenant("acme", 5.0)]);
-        std::fs::write(&first, resources.to_string()).expect("a file");
+        std::fs::write(&first, resources.to_string()).expect("write the file");
         let first = first.display().to_string();
         let source = Publisher::start(&["source", "--first", &first], "127.0.0.1:0");
         let upstream = source.at.to_string();
@@ -108,10 +117,10 @@
         let server = StandIn::start(identity, always(Step::Serve), Ledger::new(Duration::from_secs(8)));
         let discovery = Discovery::start(&[active(&server)]);
         let relays = relays.into_iter().map(Some).collect();
-        let mut world =
+        let mut cluster =
             Self { folder, source, relays, relay_at, nodes: Vec::new(), discovery, _server: server };
-        world.nodes = (0..nodes).map(|n| Some(world.node(n))).collect();
-        world
+        cluster.nodes = (0..nodes).map(|n| Some(cluster.node(n))).collect();
+        cluster
     }
 
     fn socket(&self, n: usize) -> String {
@@ -133,7 +142,7 @@
         Node::start(&program, &config(&format!("n{n}"), self.discovery.address, settings), Some(&operator))
     }
 
-    /// What a node says of its configuration.
+    /// The configuration part of a node's inspection report; null if it can't be read.
     fn inspect(&self, n: usize) -> Value {
         let mut text = String::new();
         let Ok(mut stream) = std::os::unix::net::UnixStream::connect(self.socket(n)) else {
@@ -144,33 +153,35 @@
         serde_json::from_str::<Value>(&text).map_or(Value::Null, |report| report["configuration"].clone())
     }
 
+    /// Pushes a change; returns whether it was accepted, and the version or the reason.
     fn push(&self, operations: &Value) -> (bool, String) {
         let file = self.folder.join("change.json");
-        std::fs::write(&file, operations.to_string()).expect("a file");
+        std::fs::write(&file, operations.to_string()).expect("write the file");
         glenctl(&["configuration", "push", &self.source.at.to_string(), &file.display().to_string()])
     }
 
-    fn pushed(&self, operations: &Value) -> String {
+    /// Pushes a change that must be accepted; returns its version.
+    fn push_accepted(&self, operations: &Value) -> String {
         let (taken, version) = self.push(operations);
         assert!(taken, "{version}");
         version
     }
 
-    /// How many running nodes do not have this version in force.
+    /// Number of running nodes that do not have this version in force.
     fn lagging(&self, version: &str) -> usize {
         let running = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some());
         running.filter(|n| self.inspect(*n)["in_force"] != version).count()
     }
 
-    /// Waits until all running nodes have a version; how long that took.
-    fn everywhere(&self, version: &str) -> Duration {
+    /// Waits until a version is in force at all running nodes; returns how long that took.
+    fn wait_until_in_force(&self, version: &str) -> Duration {
         let began = Instant::now();
         loop {
             let lagging = self.lagging(version);
             if lagging == 0 {
                 return began.elapsed();
             }
-            assert!(began.elapsed() < 3 * BUDGET, "{lagging} nodes do not have {version}");
+            assert!(began.elapsed() < 3 * MAX_ROLLOUT_TIME, "{lagging} nodes do not have {version}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -182,68 +193,69 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// One request of a class; the status, `None` where no answer comes.
+/// Sends one request; returns the status, or `None` if no answer came.
 fn ask(at: SocketAddr, txn: &str, class: &str, org: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
-    let words = format!(
+    let request = format!(
         "GET /{class}/1 HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Org: {org}\r\nX-Remaining-Ms: 8000\r\nConnection: close\r\n\r\n"
     );
-    stream.write_all(words.as_bytes()).ok()?;
+    stream.write_all(request.as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
     answer.split_whitespace().nth(1)?.parse().ok()
 }
 
 #[test]
-fn what_is_pushed_counts_at_the_nodes_before_the_file_and_the_file_counts_again_without_it() {
-    let world = World::new(2, "counts");
-    world.everywhere("1.0");
-    let at = world.nodes[0].as_ref().expect("it runs").address;
-    assert_eq!(ask(at, "a1", "fresh", "acme"), Some(404), "there is no such class");
-    let version = world.pushed(&json!([{"put": class("fresh", 9000.0)}, {"put": tenant("new", 8.0)}]));
+fn pushed_configuration_overrides_the_file_until_it_is_removed() {
+    let cluster = Cluster::new(2, "counts");
+    cluster.wait_until_in_force("1.0");
+    let at = cluster.nodes[0].as_ref().expect("the process runs").address;
+    assert_eq!(ask(at, "a1", "fresh", "acme"), Some(404), "the class does not exist yet");
+    let version =
+        cluster.push_accepted(&json!([{"put": class("fresh", 9000.0)}, {"put": tenant("new", 8.0)}]));
     assert_eq!(version, "1.1");
-    world.everywhere(&version);
-    assert_eq!(ask(at, "a2", "fresh", "new"), Some(200), "it counts");
-    // A file at SIGHUP does not undo it.
-    let node = world.nodes[0].as_ref().expect("it runs");
+    cluster.wait_until_in_force(&version);
+    assert_eq!(ask(at, "a2", "fresh", "new"), Some(200), "the pushed class is in force");
+    // Reloading the file at SIGHUP does not undo a pushed change.
+    let node = cluster.nodes[0].as_ref().expect("the process runs");
     let mut file = settings(2000.0);
     file["Customers"] =
         json!([{"Name": "of-the-file", "QuotaPerS": 4.0}, {"Name": "acme", "QuotaPerS": 1.0}]);
-    node.reload(&config("n0", world.discovery.address, file));
-    until("the file is read", || {
-        world.nodes[0].as_ref().is_some_and(|node| node.lines("reload: discovery is") > 0)
+    node.reload(&config("n0", cluster.discovery.address, file));
+    until("the file is reloaded", || {
+        cluster.nodes[0].as_ref().is_some_and(|node| node.lines("reload: discovery is") > 0)
     });
-    assert_eq!(ask(at, "a3", "fresh", "new"), Some(200), "it still counts");
-    // Changes and files at once.
+    assert_eq!(ask(at, "a3", "fresh", "new"), Some(200), "the pushed class is still in force");
+    // Pushes and file reloads at the same time.
     for n in 0..10 {
-        let node = world.nodes[0].as_ref().expect("it runs");
+        let node = cluster.nodes[0].as_ref().expect("the process runs");
         let mut file = settings(2000.0);
         file["Customers"] = json!([{"Name": "of-the-file", "QuotaPerS": 4.0 + f64::from(n)}]);
         file["Customers"].as_array_mut().expect("a list").push(json!({"Name": "acme", "QuotaPerS": 1.0}));
-        node.reload(&config("n0", world.discovery.address, file));
-        world.pushed(&json!([{"put": tenant("new", 9.0 + f64::from(n))}]));
+        node.reload(&config("n0", cluster.discovery.address, file));
+        cluster.push_accepted(&json!([{"put": tenant("new", 9.0 + f64::from(n))}]));
     }
-    world.everywhere("1.11");
+    cluster.wait_until_in_force("1.11");
     assert_eq!(ask(at, "a4", "fresh", "new"), Some(200));
     let gone = json!([{"remove": {"key": {"kind": "class", "name": "fresh"}, "owner": "ops"}}]);
-    let version = world.pushed(&gone);
-    world.everywhere(&version);
-    assert_eq!(ask(at, "a5", "fresh", "new"), Some(404), "it is no more");
-    assert_eq!(ask(at, "a6", "look", "acme"), Some(200), "what the file says stays");
+    let version = cluster.push_accepted(&gone);
+    cluster.wait_until_in_force(&version);
+    assert_eq!(ask(at, "a5", "fresh", "new"), Some(404), "the class is removed");
+    assert_eq!(ask(at, "a6", "look", "acme"), Some(200), "the file's classes remain");
 }
 
 #[test]
-fn a_bad_change_gets_its_reason_and_no_number() {
-    let world = World::new(1, "bad");
-    world.everywhere("1.0");
-    for (operations, words) in [
+fn a_bad_change_is_rejected_with_a_reason_and_makes_no_version() {
+    let cluster = Cluster::new(1, "bad");
+    cluster.wait_until_in_force("1.0");
+    for (operations, reason) in [
         (json!([{"put": tenant("x", -1.0)}]), "tenant x: quota_per_s: a number from 0 on expected, not -1"),
         (
             json!([{"remove": {"key": {"kind": "service", "name": "search"}, "owner": "ops"}}]),
@@ -256,21 +268,21 @@
         (json!([{"add": {}}]), "unknown variant `add`"),
         (json!({}), "invalid type"),
     ] {
-        let (taken, said) = world.push(&operations);
-        assert!(!taken && said.contains(words), "{said}");
+        let (taken, output_text) = cluster.push(&operations);
+        assert!(!taken && output_text.contains(reason), "{output_text}");
     }
-    let (_, status) = glenctl(&["configuration", "status", &world.source.at.to_string()]);
+    let (_, status) = glenctl(&["configuration", "status", &cluster.source.at.to_string()]);
     assert!(status.contains("source at 1.0"), "{status}");
-    let (told, status) = glenctl(&["configuration", "status", &world.relay_at[0].to_string(), "--json"]);
-    assert!(told && status.contains("\"role\":\"relay\""), "{status}");
-    let relay = world.relay_at[0].to_string();
-    let file = world.folder.join("change.json").display().to_string();
-    std::fs::write(&file, json!([{"put": tenant("x", 1.0)}]).to_string()).expect("a file");
-    let (taken, said) = glenctl(&["configuration", "push", &relay, &file]);
-    assert!(!taken && said.contains("changes are pushed to the source"), "{said}");
+    let (ok, status) = glenctl(&["configuration", "status", &cluster.relay_at[0].to_string(), "--json"]);
+    assert!(ok && status.contains("\"role\":\"relay\""), "{status}");
+    let relay = cluster.relay_at[0].to_string();
+    let file = cluster.folder.join("change.json").display().to_string();
+    std::fs::write(&file, json!([{"put": tenant("x", 1.0)}]).to_string()).expect("write the file");
+    let (taken, output_text) = glenctl(&["configuration", "push", &relay, &file]);
+    assert!(!taken && output_text.contains("changes are pushed to the source"), "{output_text}");
 }
 
-/// Load at all nodes: requests that were not answered at all or with an error, while their node ran.
+/// Load on all nodes that keep running. Counts the requests that got no answer or an error.
 struct Load {
     stop: Arc<AtomicBool>,
     asked: Arc<AtomicUsize>,
@@ -279,12 +291,12 @@
 }
 
 impl Load {
-    fn start(world: &World, spared: &[usize]) -> Self {
+    fn start(cluster: &Cluster, excluded: &[usize]) -> Self {
         let load =
             Self { stop: Arc::default(), asked: Arc::default(), bad: Arc::default(), clients: Vec::new() };
-        let at: Vec<SocketAddr> = (0..world.nodes.len())
-            .filter(|n| !spared.contains(n))
-            .filter_map(|n| world.nodes[n].as_ref().map(|node| node.address))
+        let at: Vec<SocketAddr> = (0..cluster.nodes.len())
+            .filter(|n| !excluded.contains(n))
+            .filter_map(|n| cluster.nodes[n].as_ref().map(|node| node.address))
             .collect();
         let client = |which: usize| {
             let (stop, asked, bad, at) =
@@ -310,91 +322,94 @@
 
     fn end(self) -> (usize, BTreeMap<String, usize>) {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.into_iter().for_each(|client| client.join().expect("it ends"));
+        self.clients.into_iter().for_each(|client| client.join().expect("the client ends"));
         let bad = self.bad.lock().unwrap_or_else(PoisonError::into_inner).clone();
         (self.asked.load(Ordering::Relaxed), bad)
     }
 }
 
 #[test]
-fn many_nodes_under_load_have_each_change_in_time_whatever_relay_or_node_fails() {
+fn each_change_is_in_force_at_many_loaded_nodes_in_time_despite_failing_relays_and_nodes() {
     let count = std::env::var("GLENWOOD_PROCESSES").ok().and_then(|n| n.parse().ok()).unwrap_or(40);
-    let mut world = World::new(count, "many");
-    world.everywhere("1.0");
-    // These are killed and stopped: they are not asked.
-    let spared: Vec<usize> = (0..count).step_by(8).collect();
-    let load = Load::start(&world, &spared);
+    let mut cluster = Cluster::new(count, "many");
+    cluster.wait_until_in_force("1.0");
+    // These nodes are killed below, so the load leaves them out.
+    let excluded: Vec<usize> = (0..count).step_by(8).collect();
+    let load = Load::start(&cluster, &excluded);
     let mut slowest = Duration::ZERO;
-    let mut check = |world: &World, what: &str, quota: f64| {
+    let mut check = |cluster: &Cluster, what: &str, quota: f64| {
         let began = Instant::now();
-        let version = world.pushed(&json!([{"put": tenant("acme", quota)}]));
-        world.everywhere(&version);
+        let version = cluster.push_accepted(&json!([{"put": tenant("acme", quota)}]));
+        cluster.wait_until_in_force(&version);
         let took = began.elapsed();
-        assert!(took <= BUDGET, "{what}: {took:?}");
+        assert!(took <= MAX_ROLLOUT_TIME, "{what}: {took:?}");
         slowest = slowest.max(took);
         version
     };
-    check(&world, "no fault", 6.0);
+    check(&cluster, "no fault", 6.0);
     for relay in 0..RELAYS {
-        // Killed as it hands on.
-        world.pushed(&json!([{"put": tenant("acme", 7.0 + relay as f64)}]));
-        world.relays[relay] = None;
-        check(&world, "a relay is killed", 8.0);
-        world.start_relay(relay);
-        check(&world, "it is back", 9.0);
+        // The relay is killed while it passes a change on.
+        cluster.push_accepted(&json!([{"put": tenant("acme", 7.0 + relay as f64)}]));
+        cluster.relays[relay] = None;
+        check(&cluster, "a relay is killed", 8.0);
+        cluster.start_relay(relay);
+        check(&cluster, "the relay is back", 9.0);
     }
-    // One stands still for longer than its subscribers wait.
-    world.relays[0].as_ref().expect("it runs").signal("-STOP");
-    check(&world, "a relay stands still", 10.0);
-    world.relays[0].as_ref().expect("it runs").signal("-CONT");
-    check(&world, "it goes on", 11.0);
-    // A tenth of the nodes is killed and started again.
-    for node in &spared {
-        world.nodes[*node] = None;
+    // One relay is stopped for longer than its subscribers wait.
+    cluster.relays[0].as_ref().expect("the process runs").signal("-STOP");
+    check(&cluster, "a relay is stopped", 10.0);
+    cluster.relays[0].as_ref().expect("the process runs").signal("-CONT");
+    check(&cluster, "the relay continues", 11.0);
+    // Every eighth node is killed and started again.
+    for node in &excluded {
+        cluster.nodes[*node] = None;
     }
-    let head = check(&world, "nodes are killed", 12.0);
-    for node in &spared {
-        let started = world.node(*node);
-        world.nodes[*node] = Some(started);
+    let head = check(&cluster, "nodes are killed", 12.0);
+    for node in &excluded {
+        let started = cluster.node(*node);
+        cluster.nodes[*node] = Some(started);
     }
-    // A process digests its whole file when it is first inspected, which for many of them takes longer than a change may.
-    world.everywhere(&head);
-    check(&world, "nodes are back", 13.0);
-    // The source is gone: everybody runs on what there is, and says how old that is.
-    let head = check(&world, "before the source goes", 14.0);
-    world.source.signal("-STOP");
-    until("nodes say how old what they have is", || {
-        world.inspect(1)["age_ms"].as_u64().is_some_and(|age| age > 3_000)
+    // A process computes the digest of its executable when it is first inspected. For many processes that takes longer
+    // than the limit for a change, so this waits without the limit.
+    cluster.wait_until_in_force(&head);
+    check(&cluster, "nodes are back", 13.0);
+    // The source stops: all nodes keep their configuration and report its age.
+    let head = check(&cluster, "before the source stops", 14.0);
+    cluster.source.signal("-STOP");
+    until("nodes report the age of their configuration", || {
+        cluster.inspect(1)["age_ms"].as_u64().is_some_and(|age| age > 3_000)
     });
-    assert_eq!(world.lagging(&head), 0, "it stays in force");
-    world.source.signal("-CONT");
-    check(&world, "the source goes on", 15.0);
+    assert_eq!(cluster.lagging(&head), 0, "the version stays in force");
+    cluster.source.signal("-CONT");
+    check(&cluster, "the source continues", 15.0);
     let (asked, bad) = load.end();
     assert!(bad.is_empty(), "{bad:?} of {asked} requests");
     println!("{count} nodes, {RELAYS} relays: the slowest change was in force everywhere after {slowest:?}; {asked} requests, all served");
 }
 
-/// A source that comes back with an older log leads nobody backwards, and takes nothing until an operator has decided.
+/// Nodes do not revert when the source comes back with an older log, and the source rejects changes until an operator
+/// begins a new epoch.
 #[test]
-fn a_source_back_with_an_older_log_waits_for_an_operator() {
-    let mut world = World::new(3, "older");
-    world.everywhere("1.0");
-    let later = world.pushed(&json!([{"put": tenant("acme", 6.0)}]));
-    world.everywhere(&later);
-    let (at, first) = (world.source.at.to_string(), world.folder.join("first.json").display().to_string());
-    world.source.signal("-KILL");
-    let _ = world.source.child.wait();
-    world.source = Publisher::start(&["source", "--first", &first], &at);
-    let source = world.source.at.to_string();
+fn a_source_restarted_with_an_older_log_waits_for_an_operator() {
+    let mut cluster = Cluster::new(3, "older");
+    cluster.wait_until_in_force("1.0");
+    let later = cluster.push_accepted(&json!([{"put": tenant("acme", 6.0)}]));
+    cluster.wait_until_in_force(&later);
+    let (at, first) =
+        (cluster.source.at.to_string(), cluster.folder.join("first.json").display().to_string());
+    cluster.source.signal("-KILL");
+    let _ = cluster.source.child.wait();
+    cluster.source = Publisher::start(&["source", "--first", &first], &at);
+    let source = cluster.source.at.to_string();
     let refused = || {
-        let (taken, said) = world.push(&json!([{"put": tenant("acme", 7.0)}]));
-        !taken && said.contains("older log")
+        let (taken, output_text) = cluster.push(&json!([{"put": tenant("acme", 7.0)}]));
+        !taken && output_text.contains("older log")
     };
-    until("the source hears of later versions", refused);
-    assert_eq!(world.lagging(&later), 0, "nobody went backwards");
+    until("the source learns of later versions", refused);
+    assert_eq!(cluster.lagging(&later), 0, "no node reverted");
     let (begun, epoch) = glenctl(&["configuration", "begin-epoch", &source, "--go-back"]);
     assert!(begun && epoch == "2.0", "{epoch}");
-    world.everywhere("2.0");
-    let next = world.pushed(&json!([{"put": tenant("acme", 8.0)}]));
-    world.everywhere(&next);
+    cluster.wait_until_in_force("2.0");
+    let next = cluster.push_accepted(&json!([{"put": tenant("acme", 8.0)}]));
+    cluster.wait_until_in_force(&next);
 }
--- a/crates/glenctl/tests/custody.rs
+++ b/crates/glenctl/tests/custody.rs
@@ -1,4 +1,4 @@
-//! `glenctl custody` beside nodes that guard one another's work.
+//! `glenctl custody` against nodes that keep custody records for one another.
 
 use std::process::Command;
 use std::sync::Arc;
@@ -12,20 +12,24 @@
 use glenwood_testkit::{runtime, until, wait};
 use serde_json::json;
 
+/// Runs `glenctl custody`; returns whether it succeeded and everything that it printed.
 fn glenctl(arguments: &[&str]) -> (bool, String) {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_glenctl")).arg("custody").args(arguments).output().expect("it runs");
-    let said = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&said).into_owned())
+    let output = Command::new(env!("CARGO_BIN_EXE_glenctl"))
+        .arg("custody")
+        .args(arguments)
+        .output()
+        .expect("run glenctl");
+    let output_bytes = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8_lossy(&output_bytes).into_owned())
 }
 
 #[test]
-fn it_shows_works_in_hand_and_what_each_keeper_has_of_one() {
+fn top_lists_works_in_custody_and_explain_shows_each_keepers_record() {
     let program = Program { path: env!("CARGO_BIN_EXE_glenctl").into(), arguments: vec!["node".into()] };
     let mut plan = Plan::new(program, 3, 1, Arc::new(|_| Step::ServeAfter(Duration::from_millis(1500))));
     plan.sockets = vec![MEMBERS, "custody: asks from "];
     plan.change = |settings| {
-        for class in settings["Classes"].as_array_mut().expect("classes") {
+        for class in settings["Classes"].as_array_mut().expect("settings have classes") {
             (class["Deadline"], class["Slo"]) = (json!(2000), json!(2000));
         }
     };
@@ -34,28 +38,28 @@
         format!("[custody]\nlife_ms = 4000\n{keepers}")
     });
     let rig = Rig::started(plan);
-    until("keepers give votes", || (0..3).all(|n| rig.figure(n, "custody_votes") == Some(1)));
+    until("keepers vote", || (0..3).all(|n| rig.figure(n, "custody_votes") == Some(1)));
     let sockets: Vec<String> = (0..3).map(|n| rig.socket(n).display().to_string()).collect();
     let all: Vec<&str> = sockets.iter().map(String::as_str).collect();
-    // Their first inspection takes a while.
+    // The first inspection of a node takes longer than later ones, so it is done before the request.
     assert!(glenctl(&[&["top"][..], &all].concat()).0);
     let (address, mut ask) = (rig.address(1), Ask::new("slip", Effect::Unsafe, "t1", 1900));
     ask.path = "/w1".into();
     let answer = runtime().spawn(async move { ask_at(address, &ask).await });
     let mut work = String::new();
-    until("it shows the work", || {
-        let (fine, said) = glenctl(&[&["top"][..], &all].concat());
-        assert!(fine, "{said}");
-        let row = said.lines().find(|line| line.contains(" slip ") && line.contains(" n1 "));
+    until("top lists the work", || {
+        let (ok, output_text) = glenctl(&[&["top"][..], &all].concat());
+        assert!(ok, "{output_text}");
+        let row = output_text.lines().find(|line| line.contains(" slip ") && line.contains(" n1 "));
         work = row.and_then(|row| row.split_whitespace().next()).unwrap_or_default().to_string();
         !work.is_empty()
     });
-    let (fine, said) = glenctl(&[&["explain", &work[..16]][..], &all].concat());
-    assert!(fine && said.matches("unsafe slip, held by n1").count() >= 2, "{said}");
-    assert!(said.contains("meant ") && said.contains("verdict: "), "{said}");
-    let _ = wait("its answer", answer);
-    let (fine, said) = glenctl(&["explain", "zzz", all[0]]);
-    assert!(!fine && said.contains("zzz: none of these nodes keeps it"), "{said}");
-    let (fine, said) = glenctl(&["top", "/nowhere.sock"]);
-    assert!(!fine && said.lines().count() == 1, "{said}");
+    let (ok, output_text) = glenctl(&[&["explain", &work[..16]][..], &all].concat());
+    assert!(ok && output_text.matches("unsafe slip, held by n1").count() >= 2, "{output_text}");
+    assert!(output_text.contains("meant ") && output_text.contains("verdict: "), "{output_text}");
+    let _ = wait("the answer arrives", answer);
+    let (ok, output_text) = glenctl(&["explain", "zzz", all[0]]);
+    assert!(!ok && output_text.contains("zzz: none of these nodes keeps it"), "{output_text}");
+    let (ok, output_text) = glenctl(&["top", "/nowhere.sock"]);
+    assert!(!ok && output_text.lines().count() == 1, "{output_text}");
 }
--- a/crates/glenctl/tests/fleet.rs
+++ b/crates/glenctl/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Real instances under an agent, changed by `glenctl fleet` while clients of both protocols ask them all the while.
+//! `glenctl fleet` on real instances under an agent, while clients of both protocols keep sending requests.
 
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -12,29 +12,30 @@
 const GLENCTL: &str = env!("CARGO_BIN_EXE_glenctl");
 
 fn machine(name: &str, instances: usize, more: &str) -> Machine {
-    let sha256 = |path: &Path| digest(&std::fs::read(path).expect("a program"));
+    let sha256 = |path: &Path| digest(&std::fs::read(path).expect("read the program"));
     Machine::new(Path::new(GLENCTL), sha256, name, instances, more)
 }
 
-fn no_effect_twice(ledger: &Ledger) {
-    let twice: Vec<_> = ledger.repeated().into_iter().collect();
-    assert!(twice.is_empty(), "carried out more than once: {twice:?}");
+/// Asserts that no request with an effect was carried out more than once.
+fn assert_no_repeated_execution(ledger: &Ledger) {
+    let repeated: Vec<_> = ledger.repeated().into_iter().collect();
+    assert!(repeated.is_empty(), "carried out more than once: {repeated:?}");
 }
 
-/// Eight instances under load are changed to another release and another configuration; the agent is killed in the middle.
+/// Rolls eight instances under load to another release and configuration, and kills the agent halfway.
 #[test]
 fn eight_instances_are_rolled_under_load_while_the_agent_is_killed() {
     let mut machine = machine("eight", 8, "");
-    let before = machine.pids();
+    let pids_before = machine.pids();
     let versions: Vec<String> =
         (0..8).map(|n| machine.of(&format!("n{n}"))["config"].as_str().expect("a version").into()).collect();
-    // The files are other ones, too.
+    // The roll also changes the configuration files.
     std::fs::write(machine.folder.join("own.toml"), "[msgpack]\nshared = true\nopen_calls = 16\n")
-        .expect("a file");
+        .expect("write the file");
     let load = Load::start(&machine.addresses);
     let mut roll = machine.command(&["roll", "--to", "r2", "--no-wait"]);
     assert!(roll.stdout(Stdio::null()).status().is_ok_and(|s| s.success()));
-    until("some are through", || {
+    until("some instances are done", || {
         machine.status().is_some_and(|s| s["change"][1].as_u64().is_some_and(|done| done >= 3))
     });
     machine.kill_agent();
@@ -42,12 +43,12 @@
     assert!(serving >= 7, "{serving} serve while the agent is dead");
     machine.start_agent();
     for more in [5, 7] {
-        until("more are through", || {
+        until("more instances are done", || {
             machine.status().is_some_and(|s| s["change"][1].as_u64().is_none_or(|done| done >= more))
         });
     }
     until("the change is over", || machine.status().is_some_and(|s| s["change"].is_null()));
-    let status = machine.status().expect("it answers");
+    let status = machine.status().expect("the agent answers");
     assert_eq!(status["outcome"][0], "Done", "{}", machine.agent_log());
     let counts = load.end();
     for (n, version) in versions.iter().enumerate() {
@@ -55,48 +56,51 @@
         assert_eq!(instance["release"], "r2");
         assert_ne!(instance["config"].as_str(), Some(version.as_str()));
     }
-    let after = machine.pids();
-    assert!(after.len() == 8 && after.iter().all(|pid| !before.contains(pid)), "{before:?} {after:?}");
+    let pids_after = machine.pids();
+    assert!(
+        pids_after.len() == 8 && pids_after.iter().all(|pid| !pids_before.contains(pid)),
+        "{pids_before:?} {pids_after:?}"
+    );
     assert!(counts.asked > 1000, "{counts:?}");
     assert_eq!((counts.served, counts.nowhere), (counts.asked, 0), "{counts:?}");
-    no_effect_twice(&machine.ledger);
+    assert_no_repeated_execution(&machine.ledger);
 }
 
-/// The new release starts and never answers: it is undone, and nobody notices.
+/// A new release that starts and never answers is rolled back, and no request fails.
 #[test]
-fn a_release_that_hangs_is_undone_under_load() {
+fn a_release_that_hangs_is_rolled_back_under_load() {
     let machine = machine("hangs", 3, "");
-    let text = std::fs::read_to_string(machine.folder.join("fleet.toml")).expect("it is there");
+    let text = std::fs::read_to_string(machine.folder.join("fleet.toml")).expect("the file exists");
     let shorter = text.replace("ready_within_ms = 10000", "ready_within_ms = 1500");
-    std::fs::write(machine.folder.join("fleet.toml"), shorter).expect("a file");
+    std::fs::write(machine.folder.join("fleet.toml"), shorter).expect("write the file");
     assert!(machine.fleet(&["apply"]).status.success());
     let load = Load::start(&machine.addresses);
     let output = machine.fleet(&["roll", "--to", "hangs"]);
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("RolledBack: n0 was not ready in time"), "{said}");
+    let output_text = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert_eq!(output.status.code(), Some(1), "{output_text}");
+    assert!(output_text.contains("RolledBack: n0 was not ready in time"), "{output_text}");
     machine.until_well();
     let counts = load.end();
     assert_eq!((counts.served, counts.nowhere), (counts.asked, 0), "{counts:?}");
-    no_effect_twice(&machine.ledger);
+    assert_no_repeated_execution(&machine.ledger);
     for n in 0..3 {
         assert_eq!(machine.of(&format!("n{n}"))["release"], "r1");
     }
-    // One whose file is not what its digest says is not even started.
+    // A release whose file does not match its digest is never started.
     let output = machine.fleet(&["roll", "--to", "other"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(machine.agent_log().contains("not the file with the digest of other"));
     machine.until_well();
 }
 
-/// A crashed instance is back; a stopped one is not; a protected one is not stopped without a reason; a second operator is
-/// told who has the lease; the trail has it all.
+/// The agent restarts a crashed instance but not a stopped one, stops a protected one only with a reason, tells a second
+/// operator who holds the lease, and records every action in the audit trail.
 #[test]
-fn instances_are_kept_started_and_stopped() {
+fn instances_are_restarted_started_and_stopped() {
     let machine = machine("kept", 2, "[[protect]]\nnames = ['n1']");
-    let pid = machine.of("n0")["pid"].as_u64().expect("it runs");
+    let pid = machine.of("n0")["pid"].as_u64().expect("the process runs");
     assert!(Command::new("kill").arg("-KILL").arg(pid.to_string()).status().is_ok_and(|s| s.success()));
-    until("it is back", || machine.of("n0")["pid"].as_u64().is_some_and(|now| now != pid));
+    until("n0 is back", || machine.of("n0")["pid"].as_u64().is_some_and(|now| now != pid));
     machine.until_well();
     assert!(machine.fleet(&["stop", "n0"]).status.success());
     until("it is stopped", || machine.of("n0")["pid"].is_null());
@@ -109,8 +113,13 @@
     let unknown = machine.fleet(&["stop", "n7"]);
     assert_eq!(unknown.status.code(), Some(3));
     until("it is stopped", || machine.of("n1")["pid"].is_null());
-    assert_eq!(machine.fleet(&["status"]).status.code(), Some(0), "stopped as wanted is no drift");
-    // What a change would do is said, and not done; one that runs is not forgotten, one that is stopped is.
+    assert_eq!(
+        machine.fleet(&["status"]).status.code(),
+        Some(0),
+        "an instance stopped by an operator is no drift"
+    );
+    // `plan` prints the steps of a change without taking them. `retire` refuses a running instance and removes a
+    // stopped one.
     let plan = machine.fleet(&["plan", "--to", "r2"]);
     let plan = String::from_utf8_lossy(&plan.stdout).into_owned();
     assert!(plan.starts_with("1. n0: r1 -> r2: stop, start, wait until ready, compare\n2. n1: "), "{plan}");
@@ -118,7 +127,7 @@
     assert_eq!(machine.fleet(&["retire", "n0"]).status.code(), Some(3));
     assert_eq!(machine.fleet(&["retire", "n1"]).status.code(), Some(0));
     assert!(machine.of("n1").is_null());
-    assert!(machine.fleet(&["apply"]).status.success(), "the file has it still");
+    assert!(machine.fleet(&["apply"]).status.success(), "the file still lists n1");
     machine.until_well();
     assert!(machine.fleet(&["stop", "n1", "--override", "again"]).status.success());
     until("it is stopped", || machine.of("n1")["pid"].is_null());
@@ -133,10 +142,11 @@
     assert!(matches!(granted, Ok(glenwood_agent::talk::Reply::Granted(_))), "{granted:?}");
     let refused = machine.fleet(&["start", "n1"]);
     assert_eq!(refused.status.code(), Some(3));
-    let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(said.contains("held by ben (uid ") && said.contains("(a look)"), "{said}");
-    let trail = std::fs::read_to_string(machine.folder.join("run").join("audit")).expect("a trail");
-    let (_, entries) = Trail::read(&trail).expect("whole");
+    let output_text = String::from_utf8_lossy(&refused.stderr).into_owned();
+    assert!(output_text.contains("held by ben (uid ") && output_text.contains("(a look)"), "{output_text}");
+    let trail =
+        std::fs::read_to_string(machine.folder.join("run").join("audit")).expect("read the audit trail");
+    let (_, entries) = Trail::read(&trail).expect("the audit trail is intact");
     let what: Vec<&str> = entries.iter().map(|e| e.what.as_str()).collect();
     let all = [
         "apply",
@@ -149,24 +159,25 @@
         "stop n1 again",
     ];
     assert_eq!(what, all);
-    // A second agent in the same folder ends at once.
+    // A second agent in the same folder exits at once.
     let second = Command::new(GLENCTL)
         .args(["agent", "--fleet"])
         .arg(machine.folder.join("fleet.toml"))
         .arg("--folder")
         .arg(machine.folder.join("run"))
         .output()
-        .expect("it runs");
+        .expect("the process runs");
     assert!(String::from_utf8_lossy(&second.stderr).contains("another agent has this folder"));
-    let nobody = Command::new(GLENCTL).args(["fleet", "--agents", "/nowhere/agent.sock", "status"]).output();
-    assert_eq!(nobody.expect("it runs").status.code(), Some(4));
+    let unreachable =
+        Command::new(GLENCTL).args(["fleet", "--agents", "/nowhere/agent.sock", "status"]).output();
+    assert_eq!(unreachable.expect("the process runs").status.code(), Some(4));
     assert!(Path::new(&machine.folder).exists());
 }
 
-/// Three machines, one agent out of reach: the lease is the other two's, they are changed, and the third is said. A lease
-/// that somebody has at two of three is nobody else's.
+/// Of three machines one agent can't be reached: the other two grant the lease and are changed, and the third is
+/// reported. When another operator holds the lease at two of three agents, nobody else gets it.
 #[test]
-fn many_agents_are_changed_under_one_lease_and_one_out_of_reach_is_said() {
+fn agents_are_changed_under_one_lease_and_an_unreachable_one_is_reported() {
     let mut machines: Vec<Machine> = (0..3).map(|n| machine(&format!("many{n}"), 1, "")).collect();
     let agents: Vec<String> = machines.iter().map(|m| m.socket().display().to_string()).collect();
     let agents = agents.join(",");
@@ -176,110 +187,116 @@
             .args(["fleet", "--who", "ada", "--agents", &agents])
             .args(arguments)
             .output()
-            .expect("it runs")
+            .expect("the process runs")
     };
     machines[2].kill_agent();
     let output = fleet(&["roll", "--to", "r2"]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(4), "{said}");
-    assert!(said.contains("many2"), "{said}");
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(4), "{output_text}");
+    assert!(output_text.contains("many2"), "{output_text}");
     machines[2].start_agent();
     let releases: Vec<Value> = machines.iter().map(|m| m.of("n0")["release"].clone()).collect();
     assert_eq!(releases, ["r2", "r2", "r1"]);
-    // Ben has two of three.
+    // Ben holds the lease at two of three agents.
     for machine in &machines[..2] {
-        let epoch = machine.status().expect("it answers")["epoch"].as_u64().map(|e| e + 1);
+        let epoch = machine.status().expect("the agent answers")["epoch"].as_u64().map(|e| e + 1);
         let (who, why) = ("ben".to_string(), "a look".to_string());
         let lease = glenwood_agent::talk::Ask::Lease { who, why, epoch, span_ms: 60_000.0 };
         let granted = glenwood_agent::talk::ask(&machine.socket(), &lease);
         assert!(matches!(granted, Ok(glenwood_agent::talk::Reply::Granted(_))), "{granted:?}");
     }
     let output = fleet(&["roll", "--to", "r2"]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.code() == Some(3) && said.contains("held by ben"), "{said}");
-    assert_eq!(machines[2].of("n0")["release"], "r1", "the third alone is not enough");
-    assert!(machines[2].status().expect("it answers")["lease"].is_null(), "what it granted was given back");
-    // Alone it is a majority of one.
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.code() == Some(3) && output_text.contains("held by ben"), "{output_text}");
+    assert_eq!(machines[2].of("n0")["release"], "r1", "the third agent alone is no majority");
+    assert!(
+        machines[2].status().expect("the agent answers")["lease"].is_null(),
+        "the lease that it granted was returned"
+    );
+    // As the only agent named, it is a majority of one.
     assert!(machines[2].fleet(&["roll", "--to", "r2"]).status.success());
     assert_eq!(machines[2].of("n0")["release"], "r2");
 }
 
-/// The disk is full: the agent does nothing that it can't write down, says so, answers, and goes on by itself once there is room.
-/// Its instances go on meanwhile, and an agent that is started anew finds them and what was written.
+/// When the disk is full the agent refuses actions that it can't record, logs the error, keeps answering, and recovers by
+/// itself once there is room. Its instances keep running, and a restarted agent finds them and its records.
 #[test]
-fn a_full_disk_holds_up_the_agent_and_not_the_instances() {
+fn a_full_disk_blocks_the_agents_actions_but_not_the_instances() {
     let mut machine = machine("full", 2, "");
     let pid = machine.of("n1")["pid"].clone();
     machine.kill_agent();
     machine.start_agent_with_room(8);
-    let full = || machine.agent_log().contains("File too large");
+    let disk_full = || machine.agent_log().contains("File too large");
     let mut rounds = 0;
-    while !full() {
-        // Each writes some facts; what is refused for want of room changes nothing.
+    while !disk_full() {
+        // Each command writes some records; one that is refused for lack of room changes nothing.
         machine.fleet(&["stop", "n0"]);
         machine.fleet(&["start", "n0"]);
         rounds += 1;
         assert!(rounds < 200, "{}", machine.agent_log());
     }
     for _ in 0..3 {
-        assert!(!machine.fleet(&["start", "n0"]).status.success(), "nothing is granted that is not written");
-        assert!(machine.status().is_some(), "it answers");
+        assert!(
+            !machine.fleet(&["start", "n0"]).status.success(),
+            "nothing that was not recorded is granted"
+        );
+        assert!(machine.status().is_some(), "the agent answers");
     }
-    assert!(wait("an answer", is_ready(machine.addresses[1])), "n1 goes on");
+    assert!(wait("an answer", is_ready(machine.addresses[1])), "n1 keeps running");
     machine.make_room();
-    // Whoever had the lease when the disk was full may have it still, for its time.
+    // The lease granted before the disk was full may still be held until it expires.
     until("n0 is started", || machine.fleet(&["start", "n0"]).status.success());
     machine.until_well();
     assert!(!machine.agent_ended(), "{}", machine.agent_log());
     machine.kill_agent();
     machine.start_agent();
     machine.until_well();
-    assert_eq!(machine.of("n1")["pid"], pid, "it was found, not started anew");
+    assert_eq!(machine.of("n1")["pid"], pid, "the running instance was found, not restarted");
 }
 
-/// Standard error is on a full disk: the agent answers all the same.
+/// The agent keeps answering when its log can't be written because standard error is on a full disk.
 #[test]
-fn an_agent_whose_log_takes_nothing_goes_on() {
+fn an_agent_whose_log_cannot_be_written_keeps_running() {
     let machine = machine("mute", 1, "");
     let folder = machine.folder.join("mute");
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("it is there");
+    let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("open /dev/full");
     let mut agent = Command::new(GLENCTL)
         .args(["agent", "--fleet"])
         .arg(machine.folder.join("fleet.toml"))
         .arg("--folder")
         .arg(&folder)
-        .stderr(full)
+        .stderr(full_device)
         .spawn()
-        .expect("it starts");
+        .expect("start glenctl");
     let status = || {
         let mut command = Command::new(GLENCTL);
         command.args(["fleet", "--agents"]).arg(folder.join("agent.sock")).arg("status");
         command.output().is_ok_and(|output| output.status.success())
     };
-    until("it answers or has ended", || status() || matches!(agent.try_wait(), Ok(Some(_))));
-    assert!(matches!(agent.try_wait(), Ok(None)), "it has ended");
-    agent.kill().expect("it runs");
-    agent.wait().expect("it has ended");
+    until("the agent answers or has exited", || status() || matches!(agent.try_wait(), Ok(Some(_))));
+    assert!(matches!(agent.try_wait(), Ok(None)), "the agent has exited");
+    agent.kill().expect("the process runs");
+    agent.wait().expect("wait for the process");
 }
 
-/// While an operator follows a change it is that operator's to undo; another one is told whose it is.
+/// While an operator follows a change only that operator can abort it; another one is told who holds the lease.
 #[test]
-fn a_change_is_undone_by_whoever_has_the_lease() {
+fn a_change_is_aborted_only_by_the_operator_with_the_lease() {
     let machine = machine("word", 2, "");
     let mut roll = machine.command(&["roll", "--to", "hangs"]);
-    let mut roll = roll.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
-    until("it is under way", || {
+    let mut roll = roll.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("start glenctl");
+    until("the change is in progress", || {
         machine.status().is_some_and(|s| !s["change"].is_null() && !s["lease"].is_null())
     });
     let mut other = Command::new(GLENCTL);
     let other = other.args(["fleet", "--who", "ben", "--agents"]).arg(machine.socket()).arg("abort").output();
-    let other = other.expect("it runs");
-    let said = String::from_utf8_lossy(&other.stderr).into_owned();
-    assert!(other.status.code() == Some(3) && said.contains("held by ada (uid "), "{said}");
+    let other = other.expect("the process runs");
+    let output_text = String::from_utf8_lossy(&other.stderr).into_owned();
+    assert!(other.status.code() == Some(3) && output_text.contains("held by ada (uid "), "{output_text}");
     assert!(machine.fleet(&["abort"]).status.success());
     until("the roll ends", || matches!(roll.try_wait(), Ok(Some(_))));
-    assert_eq!(roll.wait().expect("it has ended").code(), Some(1));
-    let outcome = machine.status().expect("it answers")["outcome"].clone();
+    assert_eq!(roll.wait().expect("wait for the process").code(), Some(1));
+    let outcome = machine.status().expect("the agent answers")["outcome"].clone();
     assert_eq!(outcome, serde_json::json!(["RolledBack", "an operator's word"]));
     machine.until_well();
 }
