--- a/crates/glenctl/benches/fleet.rs
+++ b/crates/glenctl/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! Measures the cost and the reaction times of the fleet's agent: `cargo bench -p glenctl --bench fleet`. Runs eight real
-//! instances on this machine over loopback.
+//! Measures the cost and the reaction times of the fleet's agent: `cargo bench -p glenctl --bench fleet`.
+//! Runs eight real instances on this machine over loopback.
 
 use std::path::Path;
 use std::process::Command;
--- a/crates/glenctl/src/configuration.rs
+++ b/crates/glenctl/src/configuration.rs
@@ -21,13 +21,15 @@
     Push {
         /// Address of the source
         source: SocketAddr,
-        /// File with a JSON array of operations: {"put": ENTRY} or {"remove": {"key": {"kind": K, "name": N}, "owner": O}}; - for standard input
+        /// File with a JSON array of operations: {"put": ENTRY} or {"remove": {"key": {"kind": K, "name": N},
+        /// "owner": O}}; - for standard input
         file: PathBuf,
         /// Version that the change is based on; it is rejected on any other
         #[arg(long)]
         on: Option<Version>,
     },
-    /// Shows a publisher's version, the versions in force at the nodes behind it, and those that they rejected
+    /// Shows a publisher's version, the versions in force at the nodes behind it, and those that they
+    /// rejected
     Status {
         /// Address of the source or a relay
         publisher: SocketAddr,
--- a/crates/glenctl/src/custody.rs
+++ b/crates/glenctl/src/custody.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// Merges the works of all keepers. Of each work this takes the record of the keeper that has had it longest. Works
-/// without a verdict come first, the oldest first.
+/// Merges the works of all keepers. Of each work this takes the record of the keeper that has had it longest.
+/// Works without a verdict come first, the oldest first.
 fn merged_works(nodes: &[(String, Value)]) -> Vec<&Value> {
     let mut by_name: BTreeMap<&str, &Value> = BTreeMap::new();
     for work in nodes.iter().flat_map(|(_, custody)| works(custody)) {
--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -1,5 +1,5 @@
-//! `glenctl demo`: two nodes with stand-in servers and clients of both protocols. A server crashes, another drains and
-//! a node restarts while traffic goes on.
+//! `glenctl demo`: two nodes with stand-in servers and clients of both protocols. A server crashes, another
+//! drains and a node restarts while traffic goes on.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -40,8 +40,8 @@
 const CLIENTS_PER_ENDPOINT: usize = 6;
 /// Time that a client allows for an answer.
 const CLIENT_TIMEOUT_MS: u64 = 1500;
-/// How long after the client's timeout an answer may still come: what the deployment allows, plus a margin for a busy
-/// machine.
+/// How long after the client's timeout an answer may still come: what the deployment allows, plus a margin
+/// for a busy machine.
 const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 /// How long a node may still send to a server after discovery reported that the server drains.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
--- a/crates/glenctl/src/demo_fleet.rs
+++ b/crates/glenctl/src/demo_fleet.rs
@@ -1,5 +1,5 @@
-//! `glenctl demo --fleet`: rolls eight instances under load, first to a good release, then to one that hangs and is
-//! rolled back. Servers and discovery are stand-ins.
+//! `glenctl demo --fleet`: rolls eight instances under load, first to a good release, then to one that hangs
+//! and is rolled back. Servers and discovery are stand-ins.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/glenctl/src/fleet.rs
+++ b/crates/glenctl/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `glenctl fleet`: shows and changes instances through the agents that run them.
 //!
-//! Exit codes: 0 success and no drift; 1 the command ran, but an instance has drifted or the change was rolled back;
-//! 2 bad arguments; 3 refused; 4 an agent can't be reached.
+//! Exit codes: 0 success and no drift; 1 the command ran, but an instance has drifted or the change was
+//! rolled back; 2 bad arguments; 3 refused; 4 an agent can't be reached.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,8 +12,8 @@
 use glenwood_fleet::lease::{Bid, Refused, Standing};
 use serde_json::json;
 
-/// Duration of the lease on the agents. It is renewed by asking again under the same epoch, and expires after this time
-/// when its holder has vanished.
+/// Duration of the lease on the agents. It is renewed by asking again under the same epoch, and expires after
+/// this time when its holder has vanished.
 const LEASE_MS: f64 = 5000.0;
 /// Interval at which the lease is renewed while a change is followed.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
@@ -167,7 +167,8 @@
 const MAX_BIDS: usize = 5;
 
 impl<'a> HeldLease<'a> {
-    /// Bids for the lease until a majority of the agents grants it, nobody else is bidding, or the bids are used up.
+    /// Bids for the lease until a majority of the agents grants it, nobody else is bidding, or the bids are
+    /// used up.
     fn acquire(arguments: &'a Arguments, why: &str) -> Result<Self, CommandError> {
         let agents: Vec<&Path> = arguments.agents.iter().map(PathBuf::as_path).collect();
         // An agent that can't be reached reports no epoch, and counts as a refusal.
@@ -214,7 +215,8 @@
     /// Renews the lease at each agent that granted it.
     fn renew(&self) {
         for agent in &self.granted {
-            // A restarted agent still knows the lease; if one can't be reached, the next request to it reports that.
+            // A restarted agent still knows the lease; if one can't be reached, the next request to it
+            // reports that.
             let _ = ask(agent, &self.lease_request());
         }
     }
@@ -238,7 +240,7 @@
 }
 
 /// Sends requests to each agent under one lease. Continues after a failure and reports which agents failed.
-fn at_each_agent(
+fn send_to_each_agent(
     arguments: &Arguments,
     why: &str,
     requests: impl Fn(u64, &Status) -> Vec<Ask>,
@@ -393,14 +395,14 @@
             .and_then(|()| print_lines(arguments, &Ask::Plan { names: names.clone(), release: to.clone() }))
             .map(|()| true),
         Action::Retire { names } => check_names(arguments, names).and_then(|()| {
-            at_each_agent(arguments, "retire", |epoch, status| {
+            send_to_each_agent(arguments, "retire", |epoch, status| {
                 let on_this_agent = names.iter().filter(|n| status.instances.contains_key(*n));
                 on_this_agent.map(|name| Ask::Retire { epoch, name: name.clone() }).collect()
             })
             .map(|()| true)
         }),
         Action::Apply => {
-            at_each_agent(arguments, "apply", |epoch, _| vec![Ask::Apply { epoch }]).map(|()| true)
+            send_to_each_agent(arguments, "apply", |epoch, _| vec![Ask::Apply { epoch }]).map(|()| true)
         }
         Action::Start { names } => set_wanted(arguments, names, true, None),
         Action::Stop { names, force } => set_wanted(arguments, names, false, force.as_ref()),
@@ -422,7 +424,8 @@
 
 /// Checks that each named instance exists at one of the agents.
 fn check_names(arguments: &Arguments, names: &[String]) -> Result<(), CommandError> {
-    // The instances of an agent that can't be reached are unknown; later requests to that agent report the error.
+    // The instances of an agent that can't be reached are unknown; later requests to that agent report the
+    // error.
     let reached = arguments.agents.iter().filter_map(|agent| status(agent).ok());
     let all: Vec<String> = reached.flat_map(|status| status.instances.into_keys()).collect();
     match names.iter().find(|n| !all.contains(n)) {
@@ -446,19 +449,19 @@
             .map(|name| Ask::Want { epoch, name: name.clone(), run, force: force.cloned() })
             .collect()
     };
-    at_each_agent(arguments, if run { "start" } else { "stop" }, asks).map(|()| true)
+    send_to_each_agent(arguments, if run { "start" } else { "stop" }, asks).map(|()| true)
 }
 
-/// Aborts, pauses or resumes the changes in progress, under the epoch of the operator who began them and so holds the
-/// lease.
+/// Aborts, pauses or resumes the changes in progress, under the epoch of the operator who began them and so
+/// holds the lease.
 fn control_change(arguments: &Arguments, request: impl Fn(u64) -> Ask) -> Result<bool, CommandError> {
     for agent in &arguments.agents {
         let now = status(agent)?;
         if now.change.is_none() {
             continue;
         }
-        // Only the operator who follows the change, and so holds the lease, may control it. When that operator has
-        // vanished the lease expires within seconds, and anyone may.
+        // Only the operator who follows the change, and so holds the lease, may control it. When that
+        // operator has vanished the lease expires within seconds, and anyone may.
         let held = match &now.lease {
             Some((who, _)) if who.starts_with(&format!("{} (", arguments.who)) => None,
             Some((who, why)) => return Err(CommandError::Refused(format!("held by {who} ({why})"))),
--- a/crates/glenctl/src/main.rs
+++ b/crates/glenctl/src/main.rs
@@ -31,7 +31,8 @@
     Configuration(configuration::Arguments),
     /// Shows requests in custody, which nodes hold them, and the verdicts on those of lost nodes
     Custody(custody::Arguments),
-    /// Runs two nodes against stand-ins with a crash, a drain and a restart, and checks what the node guarantees
+    /// Runs two nodes against stand-ins with a crash, a drain and a restart, and checks what the node
+    /// guarantees
     Demo(demo::Arguments),
     /// Shows or changes the instances on one or more machines through their agents
     Fleet(fleet::Arguments),
--- a/crates/glenctl/src/register.rs
+++ b/crates/glenctl/src/register.rs
@@ -1,4 +1,5 @@
-//! `glenctl register`: keeps a server's entry in the coordination service's tree for as long as its process runs.
+//! `glenctl register`: keeps a server's entry in the coordination service's tree for as long as its process
+//! runs.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -56,7 +57,8 @@
     /// Requested session timeout in milliseconds, within which the death of the server is noticed
     #[arg(long, default_value_t = 2000, value_parser = clap::value_parser!(u32).range(100..=60_000))]
     timeout_ms: u32,
-    /// Milliseconds the server keeps running after its drain is written; nodes send nothing new 500 ms after that
+    /// Milliseconds the server keeps running after its drain is written; nodes send nothing new 500 ms after
+    /// that
     #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u32).range(0..=600_000))]
     drain_ms: u32,
     /// Milliseconds the server has to exit after it was told to, before it is killed
@@ -96,7 +98,8 @@
     eprintln!("glenctl: {message}");
 }
 
-/// Keeps the server registered until it exits or this process is told to stop; returns the server's exit code.
+/// Keeps the server registered until it exits or this process is told to stop; returns the server's exit
+/// code.
 pub fn run(arguments: Arguments) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
@@ -260,8 +263,8 @@
             },
             _ = async { tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} } } => match phase {
                 Phase::Serving => {
-                    // If the coordination service can't be reached to write the drain, nodes learn of the shutdown
-                    // when the session ends.
+                    // If the coordination service can't be reached to write the drain, nodes learn of the
+                    // shutdown when the session ends.
                     phase = Phase::Draining(after(arguments.drain_ms.saturating_add(arguments.timeout_ms)));
                     let now = driver.now();
                     driver.machine_mut().drain(now);
--- a/crates/glenctl/src/stand_in.rs
+++ b/crates/glenctl/src/stand_in.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// A server in the list of a discovery stand-in: NAME=ADDRESS over HTTP, NAME=rpc:ADDRESS over MessagePack-RPC.
+/// A server in the list of a discovery stand-in: NAME=ADDRESS over HTTP, NAME=rpc:ADDRESS over
+/// MessagePack-RPC.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     name: String,
--- a/crates/glenctl/src/usage.rs
+++ b/crates/glenctl/src/usage.rs
@@ -1,5 +1,5 @@
-//! `glenctl usage`: shows how much tenants have used of their allowances, as the nodes report at their inspection
-//! sockets.
+//! `glenctl usage`: shows how much tenants have used of their allowances, as the nodes report at their
+//! inspection sockets.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,8 @@
         #[arg(required = true)]
         sockets: Vec<PathBuf>,
     },
-    /// Shows how much of a tenant's allowance each node has spent, holds and has passed on, as known to one node
+    /// Shows how much of a tenant's allowance each node has spent, holds and has passed on, as known to one
+    /// node
     Explain {
         /// Name of the tenant
         tenant: String,
@@ -58,8 +59,8 @@
     usage["tenants"].as_array().into_iter().flatten()
 }
 
-/// Sums the tenants over the nodes, sorted by most spent: name and allowance, spent in this window, spent in the
-/// previous window, and asked for in the previous window.
+/// Sums the tenants over the nodes, sorted by most spent: name and allowance, spent in this window, spent in
+/// the previous window, and asked for in the previous window.
 fn top(nodes: &[Value]) -> Vec<(String, [u64; 4])> {
     let mut all: BTreeMap<String, [u64; 4]> = BTreeMap::new();
     for tenant in nodes.iter().flat_map(tenants) {
--- a/crates/glenctl/tests/configuration.rs
+++ b/crates/glenctl/tests/configuration.rs
@@ -1,8 +1,8 @@
-//! Versioned configuration over real processes: a source, relays, and nodes under load, while publishers and nodes are
-//! killed, stopped and started.
+//! Versioned configuration over real processes: a source, relays, and nodes under load, while publishers and
+//! nodes are killed, stopped and started.
 //!
-//! The largest test runs 40 nodes, or the number in GLENWOOD_PROCESSES, which is set by hand on a machine with room for
-//! more.
+//! The largest test runs 40 nodes, or the number in GLENWOOD_PROCESSES, which is set by hand on a machine
+//! with room for more.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -369,8 +369,8 @@
         let started = cluster.node(*node);
         cluster.nodes[*node] = Some(started);
     }
-    // A process computes the digest of its executable when it is first inspected. For many processes that takes longer
-    // than the limit for a change, so this waits without the limit.
+    // A process computes the digest of its executable when it is first inspected. For many processes that
+    // takes longer than the limit for a change, so this waits without the limit.
     cluster.wait_until_in_force(&head);
     check(&cluster, "nodes are back", 13.0);
     // The source stops: all nodes keep their configuration and report its age.
@@ -387,8 +387,8 @@
     println!("{count} nodes, {RELAYS} relays: the slowest change was in force everywhere after {slowest:?}; {asked} requests, all served");
 }
 
-/// Nodes do not revert when the source comes back with an older log, and the source rejects changes until an operator
-/// begins a new epoch.
+/// Nodes do not revert when the source comes back with an older log, and the source rejects changes until an
+/// operator begins a new epoch.
 #[test]
 fn a_source_restarted_with_an_older_log_waits_for_an_operator() {
     let mut cluster = Cluster::new(3, "older");
--- a/crates/glenctl/tests/fleet.rs
+++ b/crates/glenctl/tests/fleet.rs
@@ -93,8 +93,8 @@
     machine.until_well();
 }
 
-/// The agent restarts a crashed instance but not a stopped one, stops a protected one only with a reason, tells a second
-/// operator who holds the lease, and records every action in the audit trail.
+/// The agent restarts a crashed instance but not a stopped one, stops a protected one only with a reason,
+/// tells a second operator who holds the lease, and records every action in the audit trail.
 #[test]
 fn instances_are_restarted_started_and_stopped() {
     let machine = machine("kept", 2, "[[protect]]\nnames = ['n1']");
@@ -118,8 +118,8 @@
         Some(0),
         "an instance stopped by an operator is no drift"
     );
-    // `plan` prints the steps of a change without taking them. `retire` refuses a running instance and removes a
-    // stopped one.
+    // `plan` prints the steps of a change without taking them. `retire` refuses a running instance and
+    // removes a stopped one.
     let plan = machine.fleet(&["plan", "--to", "r2"]);
     let plan = String::from_utf8_lossy(&plan.stdout).into_owned();
     assert!(plan.starts_with("1. n0: r1 -> r2: stop, start, wait until ready, compare\n2. n1: "), "{plan}");
@@ -174,8 +174,8 @@
     assert!(Path::new(&machine.folder).exists());
 }
 
-/// Of three machines one agent can't be reached: the other two grant the lease and are changed, and the third is
-/// reported. When another operator holds the lease at two of three agents, nobody else gets it.
+/// Of three machines one agent can't be reached: the other two grant the lease and are changed, and the third
+/// is reported. When another operator holds the lease at two of three agents, nobody else gets it.
 #[test]
 fn agents_are_changed_under_one_lease_and_an_unreachable_one_is_reported() {
     let mut machines: Vec<Machine> = (0..3).map(|n| machine(&format!("many{n}"), 1, "")).collect();
@@ -218,8 +218,9 @@
     assert_eq!(machines[2].of("n0")["release"], "r2");
 }
 
-/// When the disk is full the agent refuses actions that it can't record, logs the error, keeps answering, and recovers by
-/// itself once there is room. Its instances keep running, and a restarted agent finds them and its records.
+/// When the disk is full the agent refuses actions that it can't record, logs the error, keeps answering, and
+/// recovers by itself once there is room. Its instances keep running, and a restarted agent finds them and
+/// its records.
 #[test]
 fn a_full_disk_blocks_the_agents_actions_but_not_the_instances() {
     let mut machine = machine("full", 2, "");
@@ -279,7 +280,8 @@
     agent.wait().expect("wait for the process");
 }
 
-/// While an operator follows a change only that operator can abort it; another one is told who holds the lease.
+/// While an operator follows a change only that operator can abort it; another one is told who holds the
+/// lease.
 #[test]
 fn a_change_is_aborted_only_by_the_operator_with_the_lease() {
     let machine = machine("word", 2, "");
--- a/crates/glenctl/tests/register.rs
+++ b/crates/glenctl/tests/register.rs
@@ -1,4 +1,5 @@
-//! `glenctl register` against the stand-in coordination service: the entry exists as long as the server's process.
+//! `glenctl register` against the stand-in coordination service: the entry exists as long as the server's
+//! process.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Output, Stdio};
@@ -69,8 +70,8 @@
     let logged = collect_stderr(&mut child);
     let has_logged = |text: &str| logged.lock().expect("no panic").contains(text);
     until("the server is registered", || health(&service).as_deref() == Some("active"));
-    // The registration is confirmed by a member that is killed below. If the process had not received the confirmation
-    // by then, it would never log it.
+    // The registration is confirmed by a member that is killed below. If the process had not received the
+    // confirmation by then, it would never log it.
     until("it logs the registration", || has_logged("a is registered"));
     let entry = entry(&service).expect("the entry exists");
     assert_eq!(entry["dial"], format!("msgpack-rpc://{address}"));
