--- a/crates/list/src/start.rs
+++ b/crates/list/src/start.rs
@@ -7,7 +7,7 @@
 
 /// The longest delay until the list reports a new server: after it, the node counts as notified.
 const MAX_LIST_DELAY_MS: f64 = 6_000.0;
-/// The clock errors allowed for: some seconds, or an hour (as from a wrong time zone) plus some seconds.
+/// The clock errors allowed for: some seconds, or an hour plus some seconds.
 const CLOCK_ERROR_SECONDS_MS: f64 = 10_000.0;
 const CLOCK_ERROR_HOUR_MS: f64 = 3_600_000.0;
 /// Records kept before servers that are no longer listed are dropped: a base, plus a number per listed
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -112,7 +112,7 @@
     };
     let known = ["/ready", "/metrics"].contains(&call.uri().path());
     match (call.method(), call.uri().path()) {
-        (_, _) if !known => text_response(StatusCode::NOT_FOUND, "not found\n".into()),
+        (_, _) if !known => text_response(StatusCode::NOT_FOUND, "no such call\n".into()),
         (&Method::GET, "/ready") if figures.with(|f| f.ready) => {
             text_response(StatusCode::OK, "ready\n".into())
         }
@@ -123,7 +123,7 @@
             text_response(StatusCode::OK, figures.text())
         }
         _ => {
-            let mut answer = text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is allowed\n".into());
+            let mut answer = text_response(StatusCode::METHOD_NOT_ALLOWED, "GET alone\n".into());
             answer.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
             answer
         }
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -56,43 +56,23 @@
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
-            gauge("custody_mine", coordinator.counts().1 as u64, "Works that this node holds."),
-            gauge("custody_kept", kept.works, "Works that this node stores as a keeper."),
-            gauge("custody_bytes", kept.bytes, "Bytes that this node stores as a keeper."),
-            gauge(
-                "custody_votes",
-                u64::from(keeper.votes(self.now())),
-                "1 if this node votes as a keeper, else 0.",
-            ),
+            gauge("custody_mine", coordinator.counts().1 as u64, "Works that this node has in hand."),
+            gauge("custody_kept", kept.works, "Works that it keeps for others."),
+            gauge("custody_bytes", kept.bytes, "Bytes that it keeps for others."),
+            gauge("custody_votes", u64::from(keeper.votes(self.now())), "It gives votes as a keeper."),
             counter("custody_guarded", counts.guarded, "Requests of guarded classes."),
-            counter(
-                "custody_unguarded",
-                counts.unguarded,
-                "Guarded requests served without a majority of keepers.",
-            ),
-            counter(
-                "custody_refused",
-                counts.refused,
-                "Guarded requests refused without a majority of keepers.",
-            ),
-            counter(
-                "custody_shared",
-                counts.shared,
-                "Guarded requests answered with the verdict of another.",
-            ),
-            counter(
-                "custody_doubtful",
-                counts.doubtful,
-                "Guarded requests failed because another may be the same.",
-            ),
+            counter("custody_unguarded", counts.unguarded, "Those that went on without a majority."),
+            counter("custody_refused", counts.refused, "Those that were refused without one."),
+            counter("custody_shared", counts.shared, "Those that were answered with another's verdict."),
+            counter("custody_doubtful", counts.doubtful, "Those that failed, as another may be the same."),
             counter("custody_adopted", works.adopted, "Works taken over from another holder."),
-            counter("custody_orphans", works.orphans, "Works taken over with no client of them here."),
+            counter("custody_orphans", works.orphans, "Those of them for which nobody asked here."),
             counter("custody_bodiless", works.bodiless, "Works that could not be taken over."),
             counter("custody_intents", works.intents, "Attempts whose intent was written."),
             counter("custody_denied", works.denied, "Attempts that were not sent."),
-            counter("custody_unkept", works.unkept, "Verdicts that could not be stored in time."),
+            counter("custody_unkept", works.unkept, "Verdicts that could not be kept in time."),
             counter("custody_may_have_run", works.may_have_run, "Verdicts that a work may have run."),
-            counter("custody_sent_bytes", counts.sent_bytes, "Bytes of the datagrams sent."),
+            counter("custody_sent_bytes", counts.sent_bytes, "Bytes of datagrams."),
         ]
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -308,13 +308,13 @@
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
-            gauge("members_living", living, "Other nodes that are considered living."),
-            counter("members_declared", figures.declared, "Nodes that this one declared lost."),
+            gauge("members_living", living, "Other nodes that are taken for living."),
+            counter("members_declared", figures.declared, "Nodes that this one took for lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
-            counter("members_stalls", figures.stalls, "Times that this node was stalled."),
-            counter("members_refused", figures.refused, "Datagrams that were rejected."),
+            counter("members_stalls", figures.stalls, "Times that this node stood still."),
+            counter("members_refused", figures.refused, "Datagrams that were turned down."),
             counter("members_sent", figures.sent, "Datagrams sent."),
-            counter("members_sent_bytes", figures.sent_bytes, "Bytes of the datagrams sent."),
+            counter("members_sent_bytes", figures.sent_bytes, "Bytes of those."),
         ]
     }
 
