--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
 use glenwood_policy::{
-    Action, Balancer, DoubtfulSends, Earlier, Effect, Entry, Event, ListFailure, Millis, Outcome, Reason,
-    RequestId, ServerId, Settings, SettingsError, TenantChange, Trust,
+    Action, Balancer, DoubtfulSends, Effect, Entry, Event, ListFailure, Millis, Outcome, PriorAttempt,
+    Reason, RequestId, RotationStatus, ServerId, Settings, SettingsError, TenantChange,
 };
 
 use crate::incoming::{Incoming, Token, ANSWER_MARGIN, GUARD_MARGIN};
@@ -242,7 +242,7 @@
 
     /// Number of listed servers that the decision module currently avoids.
     pub fn avoided(&self) -> usize {
-        self.balancer.avoided()
+        self.balancer.ejected_count()
     }
 
     /// Number of open requests: those that await their answer and those whose attempts still occupy a slot at
@@ -332,7 +332,7 @@
         self.guards.insert((guard, request));
         // No result of these attempts is awaited here.
         let finished_attempt =
-            |e: &Earlier| Attempt { server: e.server, sent: e.sent, stage: Stage::Finished };
+            |e: &PriorAttempt| Attempt { server: e.server, sent: e.sent, stage: Stage::Finished };
         let open = OpenRequest {
             id: incoming.id,
             payload: incoming.payload,
@@ -343,11 +343,20 @@
             attempts: incoming.earlier.iter().flatten().map(finished_attempt).collect(),
         };
         self.requests.insert(request, open);
-        let within = if self.balancer.repeats(now, repeat_key) { None } else { count_usage() };
+        let within = if self.balancer.is_repeat(now, repeat_key) { None } else { count_usage() };
         let earlier = incoming.earlier;
         self.feed(
             now,
-            Event::Request { id: request, class, tenant, deadline, repeat_key, work, within, earlier },
+            Event::Request {
+                id: request,
+                class,
+                tenant,
+                deadline,
+                repeat_key,
+                work,
+                in_share: within,
+                prior_attempts: earlier,
+            },
         );
         Ok(request)
     }
@@ -355,7 +364,7 @@
     /// Advice of the decision module on how long a client should wait before it sends a request of this class
     /// again, for requests that are refused without passing through the module.
     pub fn stay_away(&self, class: usize) -> Millis {
-        self.balancer.stay_away(class)
+        self.balancer.retry_after(class)
     }
 
     /// The client has disconnected, so the request needs no answer.
@@ -386,7 +395,7 @@
             return;
         };
         // A server begins a request when its last byte arrives.
-        let (server, took) = (record.server, now - record.sent.max(open.completed_at));
+        let (server, duration) = (record.server, now - record.sent.max(open.completed_at));
         let runs_on = matches!(ended, Ended::RunsOn(_) | Ended::Flows(_));
         record.stage = if runs_on { Stage::RunsOn } else { Stage::Finished };
         let outcome = match ended {
@@ -405,15 +414,15 @@
         if runs_on {
             // Reported first, so that handling `Ended` does not reuse the slot that the attempt still
             // occupies.
-            self.feed(now, Event::RunsOn { id: request, attempt: number, server });
+            self.feed(now, Event::AttemptRunsOn { id: request, attempt: number, server });
         }
-        self.feed(now, Event::Ended { id: request, attempt: number, server, outcome, took, finished });
+        self.feed(now, Event::Ended { id: request, attempt: number, server, outcome, duration, finished });
         self.remove_if_finished(request);
     }
 
     /// The body of a request is being consumed from its client, so the request cannot be sent again.
     pub fn body_taken(&mut self, now: Millis, request: RequestId) {
-        self.feed(now, Event::Spent(request));
+        self.feed(now, Event::BodySent(request));
     }
 
     /// The last byte of a streamed body has been forwarded; the client's time counts from now.
@@ -435,13 +444,13 @@
         let Some(record) = open.attempts.get_mut(number).filter(|t| t.stage == Stage::RunsOn) else { return };
         record.stage = Stage::Finished;
         let server = record.server;
-        self.feed(now, Event::Left { id: request, attempt: number, server });
+        self.feed(now, Event::AttemptFinishedAtServer { id: request, attempt: number, server });
         self.remove_if_finished(request);
     }
 
     /// Records the result of a probe.
-    pub fn probed(&mut self, now: Millis, server: ServerId, outcome: Outcome, took: Millis) {
-        self.feed(now, Event::Probed { server, outcome, took });
+    pub fn probed(&mut self, now: Millis, server: ServerId, outcome: Outcome, duration: Millis) {
+        self.feed(now, Event::Probed { server, outcome, duration });
     }
 
     /// Whether the list of servers is currently not being followed.
@@ -450,14 +459,14 @@
     }
 
     /// How far the decision module trusts the servers that are listed as up.
-    pub fn trust(&self) -> Trust {
-        self.balancer.trust()
+    pub fn trust(&self) -> RotationStatus {
+        self.balancer.rotation_status()
     }
 
-    /// A server has answered on a connection that was opened at `opened`.
-    pub fn connection_answered(&mut self, now: Millis, server: ServerId, opened: Millis) {
+    /// A server has answered on a connection that was opened at `opened_at`.
+    pub fn connection_answered(&mut self, now: Millis, server: ServerId, opened_at: Millis) {
         if self.balancer.has_lost_list() {
-            self.feed(now, Event::ConnectionAnswered { server, opened });
+            self.feed(now, Event::ConnectionAnswered { server, opened_at });
         }
     }
 
@@ -476,7 +485,7 @@
     /// Limits the rotation to `max_servers` servers, if the node's subset of the list is no larger; applies
     /// from the next list on.
     pub fn bound_rotation(&mut self, max_servers: usize) {
-        self.balancer.bound_rotation(max_servers);
+        self.balancer.limit_rotation(max_servers);
     }
 
     /// Whether a server is ejected because of its observed behaviour.
@@ -492,7 +501,7 @@
     /// Whether new attempts may be sent to a server listed as up, including attempts that have waited for a
     /// connection.
     pub fn accepts(&self, server: ServerId) -> bool {
-        self.balancer.accepts(server)
+        self.balancer.accepts_new_attempts(server)
     }
 
     /// Whether a started attempt may still be written, including one that has waited for its connection.
@@ -502,12 +511,12 @@
 
     /// Handles changed entries from another source than discovery; they do not answer a call to discovery.
     pub fn list_news(&mut self, now: Millis, entries: Vec<Entry>) {
-        self.feed(now, Event::ListNews(entries));
+        self.feed(now, Event::ListChangeElsewhere(entries));
     }
 
     /// Discovery has begun to answer the current call.
     pub fn list_answering(&mut self, now: Millis) {
-        self.feed(now, Event::ListAnswering);
+        self.feed(now, Event::ListAnswerStarted);
     }
 
     /// The call to discovery failed, or the subscription was lost.
@@ -558,8 +567,8 @@
             Action::Explain { id, reason } => {
                 self.outputs.push_back(Output::Explain { request: id, reason });
             }
-            Action::Refuse { id, stay_away } => {
-                self.emit_answer(id, Final::Refused { stay_away });
+            Action::Refuse { id, retry_after } => {
+                self.emit_answer(id, Final::Refused { stay_away: retry_after });
                 self.remove_if_finished(id);
             }
             Action::Fail(id) => {
--- a/crates/core/src/incoming.rs
+++ b/crates/core/src/incoming.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use glenwood_policy::{Earlier, Millis};
+use glenwood_policy::{Millis, PriorAttempt};
 
 /// The decision module's deadline ends this long before the client's, as the answer still has to be written
 /// and delivered.
@@ -79,7 +79,7 @@
     pub coming: bool,
     /// For a request taken over from another node: the attempts that other nodes have made or intended.
     /// Attempts of this node are numbered after them.
-    pub earlier: Option<Vec<Earlier>>,
+    pub earlier: Option<Vec<PriorAttempt>>,
     /// What the backends send; opaque to the core and cloned for each attempt.
     pub payload: P,
 }
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -11,15 +11,15 @@
 
 fn settings() -> Settings {
     Settings {
-        number: 0,
+        node_index: 0,
         nodes: 1,
         classes: CLASSES
             .iter()
             .map(|effect| Class {
-                aim: 100.0,
+                target_latency: 100.0,
                 worth: 1.0,
                 late_worth: 0.2,
-                patience: f64::INFINITY,
+                client_timeout: f64::INFINITY,
                 effect: *effect,
             })
             .collect(),
@@ -36,21 +36,21 @@
             max_retry_after: 1000.0,
         },
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.2,
-            warm_within: 20_000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
+            max_call_interval: 10_000.0,
+            cold_capacity_share: 0.2,
+            warm_up_time: 20_000.0,
+            overload_factor: 3.0,
+            overload_window: 1000.0,
         },
         discovery: Discovery::Pushed,
         weights: Weights::None,
-        tick: 1.0,
+        min_event_interval: 1.0,
     }
 }
 
 fn entry(server: u64) -> Entry {
     let (state, weight) = (Listed::Up, 1.0);
-    Entry { server: ServerId(server), zone: 0, cell: server % 2, kind: 0, state, weight, started: None }
+    Entry { server: ServerId(server), zone: 0, cell: server % 2, kind: 0, state, weight, started_at: None }
 }
 
 type TestCore = Core<u32, &'static str>;
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -36,7 +36,13 @@
         ResourceEffect::Keyed { memory_ms } => Effect::Keyed { group: Group::All, memory: memory_ms },
         ResourceEffect::Unsafe => Effect::Unsafe,
     };
-    Class { aim: class.aim_ms, worth: class.worth, late_worth: 0.0, patience: class.deadline_ms, effect }
+    Class {
+        target_latency: class.aim_ms,
+        worth: class.worth,
+        late_worth: 0.0,
+        client_timeout: class.deadline_ms,
+        effect,
+    }
 }
 
 fn host_of(name: &str, server: &Server, health: Health) -> Host {
@@ -118,7 +124,7 @@
     let Some(custody) = &hub.config.operator.custody else { return Ok(()) };
     let limit = custody.life_ms as f64 / 2.0;
     let too_long =
-        change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.patience > limit));
+        change.classes.iter().find(|(_, class)| class.as_ref().is_some_and(|c| c.client_timeout > limit));
     match too_long {
         Some((name, _)) => {
             Err(format!("class {name}: a deadline of {limit} ms at most expected, by custody.life_ms"))
@@ -155,6 +161,6 @@
             Body::Service(_) | Body::Server(_) => {}
         }
     }
-    let deadlines = settings.policy.classes.iter().map(|class| class.patience);
+    let deadlines = settings.policy.classes.iter().map(|class| class.client_timeout);
     settings.longest_deadline = deadlines.fold(0.0, f64::max);
 }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -24,7 +24,7 @@
 };
 use glenwood_datagram::Secret;
 use glenwood_members as members;
-use glenwood_policy::{self as policy, Earlier, Millis, Outcome, RequestId, ServerId};
+use glenwood_policy::{self as policy, Millis, Outcome, PriorAttempt, RequestId, ServerId};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -300,9 +300,9 @@
         }
     }
 
-    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
+    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<PriorAttempt> {
         let now = self.hub.clock.now();
-        let to_earlier = |(sent, ago): &(Sent, u64)| Earlier {
+        let to_earlier = |(sent, ago): &(Sent, u64)| PriorAttempt {
             server: ServerId(sent.server),
             zone: sent.zone,
             cell: sent.cell,
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use glenwood_list::Source;
-use glenwood_policy::{ListFailure, Millis, Trust};
+use glenwood_policy::{ListFailure, Millis, RotationStatus};
 use glenwood_trace::Doing;
 
 use super::Hub;
@@ -97,16 +97,16 @@
     }
 
     /// Logs for how long the list was not followed, if it has just come back; `trust` is the state before.
-    fn log_list_followed_again(&self, trust: Option<Trust>) {
-        let Some(Trust { rotated, proved, seen, refuse }) = trust else { return };
+    fn log_list_followed_again(&self, trust: Option<RotationStatus>) {
+        let Some(RotationStatus { in_rotation, proved, seen, refusing }) = trust else { return };
         if self.core.borrow().has_lost_list() {
             return;
         }
         let Some(lost) = self.list_lost_since.take() else { return };
         let version = self.version.get().unwrap_or_default();
         log::line(format!(
-            "list followed again: version {version}, after {:.0} ms; of {rotated} servers {proved} proved, \
-             {seen} seen, {refuse} refused",
+            "list followed again: version {version}, after {:.0} ms; of {in_rotation} servers {proved} proved, \
+             {seen} seen, {refusing} refused",
             self.clock.now() - lost
         ));
     }
@@ -168,7 +168,7 @@
         let heard = Heard {
             clock: &self.clock,
             before: last_seen.get(),
-            warm_within: self.settings().policy.rules.warm_within,
+            warm_within: self.settings().policy.rules.warm_up_time,
         };
         let (entries, stale) = self.servers.borrow_mut().take(update, heard);
         if !saved {
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -113,7 +113,7 @@
                 (None, None) => {}
             }
         }
-        new.longest_deadline = classes.iter().map(|(_, class)| class.patience).fold(0.0, f64::max);
+        new.longest_deadline = classes.iter().map(|(_, class)| class.client_timeout).fold(0.0, f64::max);
         (new.classes, new.policy.classes) = classes.into_iter().unzip();
         new.policy.check()?;
         self.figures.with(|figures| figures.have_classes(new.classes.iter().map(String::as_str)));
@@ -136,10 +136,10 @@
                     places.remove(&name);
                     continue;
                 };
-                let (place, anew) = places.insert(&name);
-                known.splice(place..known.len().min(place + 1), [tenant.clone()]);
-                self.shares.iter().for_each(|shares| shares.allow(place, &name, &tenant));
-                applied.push(TenantChange { place, tenant, anew });
+                let (index, is_new) = places.insert(&name);
+                known.splice(index..known.len().min(index + 1), [tenant.clone()]);
+                self.shares.iter().for_each(|shares| shares.allow(index, &name, &tenant));
+                applied.push(TenantChange { index, tenant, is_new });
             }
             applied
         };
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -183,7 +183,7 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started: self.start_time(server, host.born_ms, heard),
+            started_at: self.start_time(server, host.born_ms, heard),
         })
     }
 
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -337,7 +337,7 @@
         hub.config.name,
         policy.nodes,
         policy.discovery,
-        policy.rules.ask_within,
+        policy.rules.max_call_interval,
         settings.longest_deadline,
         policy.limits.connect_timeout,
     )
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -5,13 +5,13 @@
 
 fn settings() -> Settings {
     Settings {
-        number: 0,
+        node_index: 0,
         nodes: 1,
         classes: vec![Class {
-            aim: 100.0,
+            target_latency: 100.0,
             worth: 1.0,
             late_worth: 0.0,
-            patience: f64::INFINITY,
+            client_timeout: f64::INFINITY,
             effect: Effect::Unsafe,
         }],
         tenants: Vec::new(),
@@ -27,20 +27,20 @@
             max_retry_after: 1000.0,
         },
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.2,
-            warm_within: 20_000.0,
-            fall_multiple: 3.0,
-            fall_window: 1_000.0,
+            max_call_interval: 10_000.0,
+            cold_capacity_share: 0.2,
+            warm_up_time: 20_000.0,
+            overload_factor: 3.0,
+            overload_window: 1_000.0,
         },
         discovery: Discovery::Pushed,
         weights: Weights::Listed,
-        tick: 1.0,
+        min_event_interval: 1.0,
     }
 }
 
 fn entry(id: u64, state: Listed) -> Entry {
-    Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
+    Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started_at: None }
 }
 
 /// Passes an event to the balancer and prints its actions; returns the server of a send.
@@ -54,7 +54,7 @@
 }
 
 fn ended(id: RequestId, attempt: usize, server: ServerId, outcome: Outcome) -> Event {
-    Event::Ended { id, attempt, server, outcome, took: 12.0, finished: outcome == Outcome::Done }
+    Event::Ended { id, attempt, server, outcome, duration: 12.0, finished: outcome == Outcome::Done }
 }
 
 fn main() -> Result<(), SettingsError> {
@@ -69,8 +69,8 @@
         deadline: now + 500.0,
         repeat_key: None,
         work: None,
-        within: None,
-        earlier: None,
+        in_share: None,
+        prior_attempts: None,
     };
     let first = RequestId(1);
     let server = handle_event(&mut balancer, 10.0, request(first, 10.0)).expect("three servers are ready");
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -45,13 +45,13 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time has its full worth.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// Worth of an answer in time.
     pub worth: f64,
     /// Share of the worth that a later answer still has, from 0 to 1.
     pub late_worth: f64,
     /// Total time that a client waits, over all its tries; infinite if unknown.
-    pub patience: Millis,
+    pub client_timeout: Millis,
     /// Whether a request may run more than once.
     pub effect: Effect,
 }
@@ -95,15 +95,15 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// If the list has to be requested: the longest time that a node may go without a request.
-    pub ask_within: Millis,
+    pub max_call_interval: Millis,
     /// Share of its capacity that a server has at least when it starts.
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// Time after its start by which it has its full capacity.
-    pub warm_within: Millis,
+    pub warm_up_time: Millis,
     /// A cold server fails when it is sent more than this many times its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... over a window of this length.
-    pub fall_window: Millis,
+    pub overload_window: Millis,
 }
 
 /// How a call to discovery failed, or a subscription ended.
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's own number, counted from 0.
-    pub number: usize,
+    pub node_index: usize,
     /// Number of nodes.
     pub nodes: usize,
     /// The request classes; events refer to them by index.
@@ -169,7 +169,7 @@
     /// What the listed weights mean.
     pub weights: Weights,
     /// Shortest interval between two events.
-    pub tick: Millis,
+    pub min_event_interval: Millis,
 }
 
 /// Says which setting is invalid and why.
@@ -195,7 +195,7 @@
         if self.classes.is_empty() {
             return invalid("classes: no classes, at least one is required".into());
         }
-        if self.number >= self.nodes {
+        if self.node_index >= self.nodes {
             return invalid("number: own number must be below the number of nodes".into());
         }
         if self.limits.attempts == 0 {
@@ -205,33 +205,33 @@
         let mut amounts = vec![
             ("limits.connect_timeout".to_string(), l.connect_timeout),
             ("limits.max_retry_after".into(), l.max_retry_after),
-            ("rules.ask_within".into(), r.ask_within),
-            ("rules.warm_within".into(), r.warm_within),
-            ("rules.fall_multiple".into(), r.fall_multiple),
-            ("rules.fall_window".into(), r.fall_window),
-            ("tick".into(), self.tick),
+            ("rules.ask_within".into(), r.max_call_interval),
+            ("rules.warm_within".into(), r.warm_up_time),
+            ("rules.fall_multiple".into(), r.overload_factor),
+            ("rules.fall_window".into(), r.overload_window),
+            ("tick".into(), self.min_event_interval),
             ("goal.worth".into(), g.worth),
             ("goal.worst_class".into(), g.worst_class),
             ("goal.worst_tenant".into(), g.worst_tenant),
         ];
         let mut shares = vec![
-            ("rules.cold_share".to_string(), r.cold_share),
+            ("rules.cold_share".to_string(), r.cold_capacity_share),
             ("over_share_worth".into(), self.over_share_worth),
         ];
         for (n, class) in self.classes.iter().enumerate() {
-            amounts.push((format!("classes[{n}].aim"), class.aim));
+            amounts.push((format!("classes[{n}].aim"), class.target_latency));
             amounts.push((format!("classes[{n}].worth"), class.worth));
             if let Effect::Keyed { memory, .. } = class.effect {
                 amounts.push((format!("classes[{n}].effect.memory"), memory));
             }
             shares.push((format!("classes[{n}].late_worth"), class.late_worth));
-            if class.patience.is_nan() || class.patience < 0.0 {
+            if class.client_timeout.is_nan() || class.client_timeout < 0.0 {
                 return invalid(format!(
                     "classes[{n}].patience: {} is negative or not a number",
-                    class.patience
+                    class.client_timeout
                 ));
             }
-            if class.aim <= 0.0 {
+            if class.target_latency <= 0.0 {
                 return invalid(format!("classes[{n}].aim: must be greater than 0"));
             }
         }
@@ -275,18 +275,18 @@
     /// Its weight relative to the other servers; see [`Weights`].
     pub weight: f64,
     /// When it last started; `None` if that is long ago.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// A tenant that is new or has another share.
 #[derive(Clone, Debug)]
 pub struct TenantChange {
     /// Its index: an existing one, or the next one.
-    pub place: usize,
+    pub index: usize,
     /// The tenant's new settings.
     pub tenant: Tenant,
     /// Whether it is a new tenant, so that the counts kept at that index are reset.
-    pub anew: bool,
+    pub is_new: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -325,7 +325,7 @@
 
 /// An attempt that another node made, or intended to make.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Earlier {
+pub struct PriorAttempt {
     /// The server it was sent to.
     pub server: ServerId,
     /// That server's zone.
@@ -352,9 +352,9 @@
     /// The entries that changed, from the source that was called.
     ListChange(Vec<Entry>),
     /// Changed entries from another source than the one that was called, so no answer to a call.
-    ListNews(Vec<Entry>),
+    ListChangeElsewhere(Vec<Entry>),
     /// The answer to a call has begun; its delay shows how busy discovery is.
-    ListAnswering,
+    ListAnswerStarted,
     /// A call failed, or the subscription ended.
     ListFailed(ListFailure),
     /// The address of discovery has changed: calls made so far are void.
@@ -389,13 +389,13 @@
         work: Option<Millis>,
         /// Whether it is within its tenant's share, if that is counted over all nodes; `None` if this node
         /// counts its own part. Ignored for a repeat.
-        within: Option<bool>,
+        in_share: Option<bool>,
         /// If it was taken over from another node: the attempts that others made or intended to make. They
         /// count as its own attempts, and the request counts as a retry.
-        earlier: Option<Vec<Earlier>>,
+        prior_attempts: Option<Vec<PriorAttempt>>,
     },
     /// The body of this request is being sent and can't be sent again, so no other attempt can be made.
-    Spent(RequestId),
+    BodySent(RequestId),
     /// A streamed answer has begun, so the client is bound to this attempt.
     Streaming {
         /// The request.
@@ -414,14 +414,14 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Millis,
+        duration: Millis,
         /// Whether the client has its final answer.
         finished: bool,
     },
     /// An attempt is about to end at the node while its server can't be stopped and keeps running it:
-    /// it counts as in flight there until [`Event::Left`]. Its [`Event::Ended`] follows, and rule 2 goes by
-    /// that.
-    RunsOn {
+    /// it counts as in flight there until [`Event::AttemptFinishedAtServer`]. Its [`Event::Ended`] follows,
+    /// and rule 2 goes by that.
+    AttemptRunsOn {
         /// The request.
         id: RequestId,
         /// The attempt's number, counted from 0.
@@ -430,7 +430,7 @@
         server: ServerId,
     },
     /// The server has finished, or lost, an attempt that ran on.
-    Left {
+    AttemptFinishedAtServer {
         /// The request, which may be over already.
         id: RequestId,
         /// The attempt's number, counted from 0.
@@ -445,15 +445,15 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Millis,
+        duration: Millis,
     },
-    /// A server has answered an attempt or a probe on a connection that was opened at `opened`, so it is
+    /// A server has answered an attempt or a probe on a connection that was opened at `opened_at`, so it is
     /// still the same process as then. Comes before the event of the answer itself.
     ConnectionAnswered {
         /// The server.
         server: ServerId,
         /// When the connection was opened.
-        opened: Millis,
+        opened_at: Millis,
     },
     /// The client disconnected and needs no answer any more.
     ClientGone(RequestId),
@@ -463,15 +463,15 @@
 
 /// What is known of the servers in a node's rotation while the list is not followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trust {
+pub struct RotationStatus {
     /// Number of servers in the rotation.
-    pub rotated: usize,
+    pub in_rotation: usize,
     /// Number of servers proved to be the processes that were listed.
     pub proved: usize,
     /// Number of servers proved to be the processes that ran shortly after the loss of the list.
     pub seen: usize,
     /// Number of servers that have refused or ended since the loss.
-    pub refuse: usize,
+    pub refusing: usize,
 }
 
 /// Attempts since the node's start that were sent despite doubtful knowledge of their servers.
@@ -530,8 +530,8 @@
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0 for no advice.
-        stay_away: Millis,
+        /// Time after which the client may try again; 0 for no advice.
+        retry_after: Millis,
     },
     /// Final answer: failed.
     Fail(RequestId),
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -42,16 +42,17 @@
 /// Number of steps in which the subset is recomputed while its servers warm up.
 const WARMTH_STEPS: f64 = 32.0;
 
-/// Target for the average response time, as a share of the aim; above it too many answers are late.
+/// Target for the average response time, as a share of the target latency; above it too many answers are
+/// late.
 const TARGET_TIME_SHARE: f64 = 0.35;
-/// Response time that is assumed for a late or missing answer, as a multiple of the aim.
+/// Response time that is assumed for a late or missing answer, as a multiple of the target latency.
 const LATE_TIME_SHARE: f64 = 1.25;
-/// Response time that is assumed for an attempt cut off at its aim, as a multiple of the aim: it would have
-/// taken about as long again.
+/// Response time that is assumed for an attempt cut off at its target latency, as a multiple of the target
+/// latency: it would have taken about as long again.
 const CUT_OFF_FACTOR: f64 = 2.0;
 /// How strongly one answer moves the concurrency limit of its server.
 const LIMIT_GAIN: f64 = 0.25;
-/// Response time, as a share of the aim, above which a server is taken to get too many turns.
+/// Response time, as a share of the target latency, above which a server is taken to get too many turns.
 const EXCESS_TIME_SHARE: f64 = 0.25;
 /// How strongly one answer moves the learned share of its server, and how much of the share decays with it.
 const LEARNED_SHARE_GAIN_AND_DECAY: (f64, f64) = (0.05, 0.005);
@@ -69,13 +70,14 @@
 const MIN_FLEET_FACTOR: f64 = 0.25;
 /// Maximum of the fleet factor; the reserve above 1 keeps a few late answers from lowering the limits.
 const MAX_FLEET_FACTOR: f64 = 2.0;
-/// An attempt that has been in flight for longer than this share of the longest aim no longer counts
-/// against its server's limit; all attempts together may reach this multiple of the limit.
+/// An attempt that has been in flight for longer than this share of the longest target latency no longer
+/// counts against its server's limit; all attempts together may reach this multiple of the limit.
 const STUCK_AFTER_SHARE: f64 = 0.6;
 const MAX_STUCK_FACTOR: f64 = 4.0;
 /// Added to the number of an attempt that runs on at its server; far above any limit on attempts.
 const RUNS_ON_OFFSET: usize = 1 << 20;
-/// How long a request may wait at the node, as a share of its aim: in a burst, and in a lasting overload.
+/// How long a request may wait at the node, as a share of its target latency: in a burst, and in a lasting
+/// overload.
 const MAX_WAIT_SHARES: (f64, f64) = (0.25, 0.1);
 /// From this number of servers on, the last free slot is reserved for the best classes. A class is not one
 /// of them if its gain is below this ratio of the best gain; a class below this share of the requested
@@ -84,8 +86,9 @@
 const LOW_GAIN_RATIO: f64 = 0.5;
 const RARE_CLASS_SHARE: f64 = 0.02;
 
-/// How long the client of a refused request should wait before it tries again, as a share of the aim.
-const STAY_AWAY_SHARE: f64 = 0.25;
+/// How long the client of a refused request should wait before it tries again, as a share of the target
+/// latency.
+const RETRY_AFTER_SHARE: f64 = 0.25;
 
 /// Upper bound of a client's estimate of the work, in aims of its class.
 const MAX_WORK_FACTOR: f64 = 8.0;
@@ -125,8 +128,8 @@
     seen: Queue<ServerId>,
     /// Servers of the subset that have refused or ended since the list was lost.
     refused: BTreeSet<ServerId>,
-    /// See [`Balancer::steps`].
-    steps: Cell<u64>,
+    /// See [`Balancer::visited_servers`].
+    visited_servers: Cell<u64>,
     /// Counts of sends that were made despite doubtful knowledge of their servers.
     sends: DoubtfulSends,
     /// All servers that are still warming up; may also contain some that are warm by now.
@@ -206,7 +209,7 @@
     limit: f64,
     last_sent: Millis,
     /// Response time of its last answer.
-    last_took: Millis,
+    last_duration: Millis,
     /// Consecutive failures.
     consecutive_failures: u32,
     /// When a connection last broke, if nothing has been served since.
@@ -276,7 +279,7 @@
     /// Mean response time.
     mean: Millis,
     seen: u32,
-    /// Average of how far response times exceed `EXCESS_TIME_SHARE`, as a share of the aim.
+    /// Average of how far response times exceed `EXCESS_TIME_SHARE`, as a share of the target latency.
     excess: f64,
     /// The most time that a request had left when it arrived.
     most_left: Millis,
@@ -286,7 +289,13 @@
 
 impl ClassStats {
     fn new(class: &Class) -> Self {
-        Self { mean: class.aim / 4.0, seen: 0, excess: 0.0, most_left: f64::NEG_INFINITY, work: None }
+        Self {
+            mean: class.target_latency / 4.0,
+            seen: 0,
+            excess: 0.0,
+            most_left: f64::NEG_INFINITY,
+            work: None,
+        }
     }
 }
 
@@ -310,12 +319,13 @@
 
     /// The share of its capacity that it has at least, by the time since its start.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
-        let start = self.entry.started.into_iter().chain(self.returned_at).fold(f64::NEG_INFINITY, f64::max);
+        let start =
+            self.entry.started_at.into_iter().chain(self.returned_at).fold(f64::NEG_INFINITY, f64::max);
         let age = (now - start).max(0.0);
-        if age >= rules.warm_within {
+        if age >= rules.warm_up_time {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within
+        rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * age / rules.warm_up_time
     }
 }
 
@@ -387,7 +397,7 @@
             proved: Queue::new(),
             seen: Queue::new(),
             refused: BTreeSet::new(),
-            steps: Cell::new(0),
+            visited_servers: Cell::new(0),
             sends: DoubtfulSends::default(),
             warming: BTreeSet::new(),
             cold: BTreeSet::new(),
@@ -429,28 +439,28 @@
         match event {
             Event::List { entries, saved } => self.on_list(entries, !saved, true),
             Event::ListChange(entries) => self.on_list(entries, true, false),
-            Event::ListNews(entries) => self.on_list(entries, false, false),
-            Event::ListAnswering => self.calls.on_answering(now, &self.config),
+            Event::ListChangeElsewhere(entries) => self.on_list(entries, false, false),
+            Event::ListAnswerStarted => self.calls.on_answering(now, &self.config),
             Event::ListFailed(failure) => self.on_list_failed(failure),
             Event::DiscoveryMoved if self.config.discovery == Discovery::Asked => self.calls.on_moved(now),
             event @ Event::Request { .. } => self.on_request(event, actions),
             Event::Settings { settings, classes, tenants } => self.on_settings(*settings, &classes, &tenants),
             Event::Tenants(changes) => changes.into_iter().for_each(|change| self.on_tenant(change)),
-            Event::Spent(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.bound = Bound::Body),
+            Event::BodySent(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.bound = Bound::Body),
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt, actions),
             event @ Event::Ended { .. } => self.on_ended(event, actions),
-            Event::RunsOn { id, attempt, server } => {
+            Event::AttemptRunsOn { id, attempt, server } => {
                 let out = self.servers.get_mut(&server).into_iter().flat_map(|s| &mut s.in_flight);
                 // Renumbered so that the end of the attempt does not remove it.
                 out.filter(|o| (o.0, o.1) == (id, attempt)).for_each(|o| o.1 = RUNS_ON_OFFSET + attempt);
             }
-            Event::Left { id, attempt, server } => {
+            Event::AttemptFinishedAtServer { id, attempt, server } => {
                 self.release(server, id, RUNS_ON_OFFSET + attempt);
                 self.drop_gone();
                 self.serve_waiting(actions);
             }
-            Event::Probed { server, outcome, took } => self.on_probed(server, outcome, took),
-            Event::ConnectionAnswered { server, opened } => self.on_connection_answered(server, opened),
+            Event::Probed { server, outcome, duration } => self.on_probed(server, outcome, duration),
+            Event::ConnectionAnswered { server, opened_at } => self.on_connection_answered(server, opened_at),
             Event::ClientGone(id) => {
                 self.remember_unserved(id);
                 self.forget(id, actions);
@@ -465,7 +475,7 @@
             self.sweep(actions);
         }
         // Timers cost CPU time, of which a node has little: one is set only if something will be due.
-        let due = self.next_due().max(now + self.config.tick.max(1.0));
+        let due = self.next_due().max(now + self.config.min_event_interval.max(1.0));
         if due < self.timer_due {
             self.timer_due = due;
             actions.push(Action::SetTimer(due - now));
@@ -487,27 +497,27 @@
     }
 
     /// Applies a change of one tenant; the cost does not depend on the number of tenants.
-    fn on_tenant(&mut self, TenantChange { place, tenant, anew }: TenantChange) {
-        set_at(&mut self.config.tenants, place, tenant);
-        if anew {
-            set_at(&mut self.tenant_served, place, Served::default());
-            set_at(&mut self.quotas, place, (0.0, f64::NEG_INFINITY));
+    fn on_tenant(&mut self, TenantChange { index, tenant, is_new }: TenantChange) {
+        set_at(&mut self.config.tenants, index, tenant);
+        if is_new {
+            set_at(&mut self.tenant_served, index, Served::default());
+            set_at(&mut self.quotas, index, (0.0, f64::NEG_INFINITY));
         }
     }
 
     /// How long the client of a refused request of this class should wait before it tries again.
-    pub fn stay_away(&self, class: usize) -> Millis {
-        let aim = self.config.classes.get(class).map_or(0.0, |c| c.aim);
-        (STAY_AWAY_SHARE * aim).min(self.config.limits.max_retry_after)
+    pub fn retry_after(&self, class: usize) -> Millis {
+        let target_latency = self.config.classes.get(class).map_or(0.0, |c| c.target_latency);
+        (RETRY_AFTER_SHARE * target_latency).min(self.config.limits.max_retry_after)
     }
 
     /// Whether a request with this key repeats one that is already counted.
-    pub fn repeats(&self, now: Millis, repeat_key: Option<u64>) -> bool {
+    pub fn is_repeat(&self, now: Millis, repeat_key: Option<u64>) -> bool {
         repeat_key.is_some_and(|repeat_key| self.unserved.contains(now, repeat_key))
     }
 
     /// Number of servers that are listed as up but ejected, because they seem to be down or to fail.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         let known = self.suspected.iter().filter_map(|id| self.servers.get(id));
         known.filter(|server| server.listed_up() && server.ejected_until.is_some()).count()
     }
@@ -546,14 +556,15 @@
 
     /// How often the subset is recomputed while servers warm up.
     fn warmth_step(&self) -> Millis {
-        self.config.rules.warm_within / WARMTH_STEPS
+        self.config.rules.warm_up_time / WARMTH_STEPS
     }
 
-    /// Interval at which waiting requests are examined: far below every aim, and within the slack of a
-    /// deadline.
+    /// Interval at which waiting requests are examined: far below every target latency, and within the slack
+    /// of a deadline.
     fn sweep_interval(&self) -> Millis {
-        let aim = self.config.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
-        (aim / 20.0).max(self.config.tick).max(1.0)
+        let target_latency =
+            self.config.classes.iter().map(|c| c.target_latency).fold(f64::INFINITY, f64::min);
+        (target_latency / 20.0).max(self.config.min_event_interval).max(1.0)
     }
 
     fn random(&mut self) -> f64 {
@@ -590,8 +601,9 @@
     fn has_room(&self, server: &Server) -> bool {
         let limit = server.max_in_flight(self.fleet_factor, self.min_limit());
         if limit >= 1.0 {
-            let stuck_from =
-                self.now - STUCK_AFTER_SHARE * self.config.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+            let stuck_from = self.now
+                - STUCK_AFTER_SHARE
+                    * self.config.classes.iter().map(|c| c.target_latency).fold(0.0, f64::max);
             let counted = server.in_flight.iter().filter(|(_, _, sent)| *sent > stuck_from).count();
             return (counted as f64) < limit.floor()
                 && (server.in_flight.len() as f64) < MAX_STUCK_FACTOR * self.initial_limit().max(limit);
@@ -602,8 +614,8 @@
     /// How long a server with a limit below one rests between two sends: long enough that the average
     /// number in flight stays within the limit, but never so long that its recovery would go unnoticed.
     fn rest_time(&self, server: &Server) -> Millis {
-        let max_rest = self.config.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
-        (server.last_took / server.max_in_flight(self.fleet_factor, self.min_limit()))
+        let max_rest = self.config.classes.iter().map(|c| 2.0 * c.target_latency).fold(0.0, f64::max);
+        (server.last_duration / server.max_in_flight(self.fleet_factor, self.min_limit()))
             .min(max_rest * self.sharing_factor)
     }
 
@@ -617,7 +629,7 @@
         if warmth >= 1.0 {
             return true;
         }
-        let load_factor = SLOW_START_BUDGET_SHARE * rules.fall_multiple * warmth;
+        let load_factor = SLOW_START_BUDGET_SHARE * rules.overload_factor * warmth;
         let rate_per_size =
             if self.answer_rate.per_s > 0.0 { self.answer_rate.per_s } else { self.arrival_rate.per_s };
         let interval = 1000.0 / (load_factor * rate_per_size * server.size);
@@ -627,7 +639,9 @@
     // ---- Requests ----
 
     fn on_request(&mut self, event: Event, actions: &mut Vec<Action>) {
-        let Event::Request { id, class, tenant, deadline, repeat_key, work, within, earlier } = event else {
+        let Event::Request { id, class, tenant, deadline, repeat_key, work, in_share, prior_attempts } =
+            event
+        else {
             return;
         };
         if self.requests.contains_key(&id) {
@@ -641,7 +655,7 @@
         let work = if self.config.by_work { self.estimated_work(class, work) } else { 1.0 };
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_SHARE).min(MAX_RETRY_BUDGET);
         let size = self.current_size();
-        self.arrival_rate.add(self.now, self.config.rules.fall_window, 1.0 / size.max(1.0));
+        self.arrival_rate.add(self.now, self.config.rules.overload_window, 1.0 / size.max(1.0));
         let tenant = tenant.filter(|t| *t < self.config.tenants.len());
         // A client's repeat is served by the time of its first try or not at all, and counts once:
         // otherwise, when more is refused than served, most work would be spent on answers that are too
@@ -649,13 +663,13 @@
         let original = repeat_key.and_then(|repeat_key| self.unserved.take(self.now, repeat_key));
         let in_share = match &original {
             Some(original) => original.in_share,
-            None => within.unwrap_or_else(|| tenant.is_none_or(|t| self.take_quota(t))),
+            None => in_share.unwrap_or_else(|| tenant.is_none_or(|t| self.take_quota(t))),
         };
-        let to_attempt = |e: &Earlier| {
-            let Earlier { server, zone, cell, sent, outcome } = *e;
+        let to_attempt = |e: &PriorAttempt| {
+            let PriorAttempt { server, zone, cell, sent, outcome } = *e;
             Attempt { server, zone, cell, sent, at_limit: false, alone: false, outcome: Some(outcome) }
         };
-        let attempts = earlier.iter().flatten().map(to_attempt).collect();
+        let attempts = prior_attempts.iter().flatten().map(to_attempt).collect();
         let (arrived, bound) = (self.now, Bound::Free);
         let asked =
             (arrived - self.client_age(class, deadline)).min(original.as_ref().map_or(arrived, |u| u.asked));
@@ -676,7 +690,7 @@
         if original.is_none() {
             self.tally(id, |counts| &mut counts.requested);
         }
-        if earlier.is_some() {
+        if prior_attempts.is_some() {
             // It counts as a retry, against the retry budget: the requests of a lost tenth of the fleet
             // must not all be sent at once.
             self.retry_or_conclude(id, Outcome::Reset, actions);
@@ -691,10 +705,10 @@
     /// their whole window.
     fn estimated_work(&mut self, class: usize, estimate: Option<f64>) -> f64 {
         let Some(class_settings) = self.config.classes.get(class) else { return 1.0 };
-        let max_work = class_settings.patience.min(MAX_WORK_FACTOR * class_settings.aim);
+        let max_work = class_settings.client_timeout.min(MAX_WORK_FACTOR * class_settings.target_latency);
         let usual = &mut self.classes[class].work;
         let Some(estimate) = estimate.filter(|w| w.is_finite() && *w > 0.0) else {
-            return usual.unwrap_or(class_settings.aim / 8.0);
+            return usual.unwrap_or(class_settings.target_latency / 8.0);
         };
         let work = estimate.min(max_work);
         *usual = Some(usual.map_or(work, |usual| usual + (work - usual) * USUAL_TIME_GAIN));
@@ -705,7 +719,7 @@
     fn remember_unserved(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(repeat_key) = request.repeat_key {
-            let until = request.asked + self.config.classes[request.class].patience.min(SERVED_WINDOW);
+            let until = request.asked + self.config.classes[request.class].client_timeout.min(SERVED_WINDOW);
             let original = Original { asked: request.asked, in_share: request.in_share };
             self.unserved.add(self.now, repeat_key, original, until);
         }
@@ -811,8 +825,8 @@
 
     /// Until when an answer has its full worth, less the time for its way back to the client.
     fn useful_until(&self, request: &Request) -> Millis {
-        let aim = self.config.classes[request.class].aim;
-        (request.asked + aim - self.config.tick).min(request.deadline)
+        let target_latency = self.config.classes[request.class].target_latency;
+        (request.asked + target_latency - self.config.min_event_interval).min(request.deadline)
     }
 
     fn on_streaming(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
@@ -828,11 +842,11 @@
     }
 
     fn on_ended(&mut self, event: Event, actions: &mut Vec<Action>) {
-        let Event::Ended { id, attempt, server, outcome, took, finished } = event else { return };
+        let Event::Ended { id, attempt, server, outcome, duration, finished } = event else { return };
         let now = self.now;
-        let took = if took.is_finite() { took.max(0.0) } else { 0.0 };
+        let duration = if duration.is_finite() { duration.max(0.0) } else { 0.0 };
         self.release(server, id, attempt);
-        self.record_outcome(server, outcome, took);
+        self.record_outcome(server, outcome, duration);
         self.drop_gone();
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(ended) = request.attempts.get_mut(attempt).filter(|a| a.outcome.is_none()) else { return };
@@ -844,13 +858,13 @@
         let lost = self.config.limits.second_copies && outcome == Outcome::Unheard;
         let gain = if lost { COPIES_PER_LOST_ANSWER } else { overtaken.map_or(-COPY_BUDGET_DECAY, |_| 1.0) };
         self.copy_budget = (self.copy_budget + gain).clamp(0.0, MAX_RETRY_BUDGET);
-        self.update_estimates(class, ended, outcome, took);
+        self.update_estimates(class, ended, outcome, duration);
         // Recorded now, as the attempt is cancelled with its request and would show nothing of a server
         // that hangs.
         let slow = |a: Attempt| self.record_outcome(a.server, Outcome::TimedOut, now - a.sent);
         overtaken.into_iter().for_each(slow);
         if finished {
-            if now - asked <= self.config.classes[class].aim {
+            if now - asked <= self.config.classes[class].target_latency {
                 self.tally(id, |counts| &mut counts.served);
             }
             self.forget(id, actions);
@@ -861,19 +875,20 @@
     }
 
     /// Updates the limit, the share and the usual response times from the end of an attempt.
-    fn update_estimates(&mut self, class: usize, attempt: Attempt, outcome: Outcome, took: Millis) {
+    fn update_estimates(&mut self, class: usize, attempt: Attempt, outcome: Outcome, duration: Millis) {
         let Attempt { server: id, at_limit, alone, .. } = attempt;
         let (now, rules, done) = (self.now, &self.config.rules, outcome == Outcome::Done);
         let (initial, min_limit) = (self.initial_limit(), self.min_limit());
         let late = self.config.classes[class].late_worth > 0.0;
         let time_share = match outcome {
-            Outcome::Done => (took / self.config.classes[class].aim).min(LATE_TIME_SHARE),
+            Outcome::Done => (duration / self.config.classes[class].target_latency).min(LATE_TIME_SHARE),
             // If answers get lost, a missing one shows nothing of its server's speed.
             Outcome::TimedOut if self.copy_budget >= 1.0 => return,
             // It was cut off at the end of its usefulness. An attempt that had little time shows little,
             // and nothing good.
             Outcome::TimedOut if !late => {
-                let time_share = CUT_OFF_FACTOR * (took / self.config.classes[class].aim).min(1.0).powi(2);
+                let time_share =
+                    CUT_OFF_FACTOR * (duration / self.config.classes[class].target_latency).min(1.0).powi(2);
                 time_share.max(TARGET_TIME_SHARE.next_up())
             }
             Outcome::TimedOut | Outcome::Full => LATE_TIME_SHARE,
@@ -884,13 +899,13 @@
             // Measured on warm servers only: if it included cold ones, a low slow-start budget would lower
             // itself further.
             let size = self.warm_size();
-            self.answer_rate.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
+            self.answer_rate.add(now, rules.overload_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
         let count = self.config.classes.len();
         let stats = &mut self.classes[class];
         if done {
             stats.seen = stats.seen.saturating_add(1);
-            stats.mean += (took - stats.mean) / f64::from(stats.seen.min(200));
+            stats.mean += (duration - stats.mean) / f64::from(stats.seen.min(200));
         }
         // When the whole fleet slows down at once, its answers together show it long before each server's
         // limit has had enough answers of its own. The factor falls when more than half as many answers are
@@ -903,10 +918,10 @@
             self.fleet_factor = (self.fleet_factor * step.exp()).min(MAX_FLEET_FACTOR);
         }
         let Some(s) = self.servers.get_mut(&id) else { return };
-        s.last_took = took;
+        s.last_duration = duration;
         if done && alone {
             let time = &mut self.usual_times.entry(s.entry.kind).or_insert_with(|| vec![0.0; count])[class];
-            *time += (took - *time) * if *time > 0.0 { USUAL_TIME_GAIN } else { 1.0 };
+            *time += (duration - *time) * if *time > 0.0 { USUAL_TIME_GAIN } else { 1.0 };
         }
         // Learns sizes that the list does not tell: a server whose answers exceed the threshold by more
         // than the average gets too many turns. At low load none exceeds it, and the turns stay even.
@@ -960,10 +975,10 @@
     fn conclude(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         self.remember_unserved(id);
         let Some(request) = self.requests.get(&id) else { return };
-        let stay_away = self.stay_away(request.class);
+        let retry_after = self.retry_after(request.class);
         let harmless = request.may_repeat(&self.config.limits, self.now, None);
         actions.push(Action::Explain { id, reason });
-        actions.push(if harmless { Action::Refuse { id, stay_away } } else { Action::Fail(id) });
+        actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
         self.forget(id, actions);
     }
 
@@ -975,8 +990,8 @@
     }
 
     /// Sends waiting requests in the order of their gain in the goal per unit of work, and concludes those
-    /// that have waited too long. First come, first served would shed by the length of the aims, not by
-    /// worth.
+    /// that have waited too long. First come, first served would shed by the length of the target latencies,
+    /// not by worth.
     fn serve_waiting(&mut self, actions: &mut Vec<Action>) {
         let last = 2.0 * self.sweep_interval();
         let mut waiting_ids = Vec::new();
@@ -994,11 +1009,12 @@
             } else if request.attempts.is_empty() {
                 // In a lasting overload a long wait helps nobody: every request that is served has lost
                 // that time.
-                let aim = self.config.classes[class].aim;
-                let lasting = self.waiting_since.is_some_and(|since| self.now - since > aim);
-                (request.arrived + aim * if lasting { MAX_WAIT_SHARES.1 } else { MAX_WAIT_SHARES.0 })
-                    .min(spare)
-                    .max(request.arrived)
+                let target_latency = self.config.classes[class].target_latency;
+                let lasting = self.waiting_since.is_some_and(|since| self.now - since > target_latency);
+                (request.arrived
+                    + target_latency * if lasting { MAX_WAIT_SHARES.1 } else { MAX_WAIT_SHARES.0 })
+                .min(spare)
+                .max(request.arrived)
             } else {
                 spare
             };
--- a/crates/policy/src/balance/checks.rs
+++ b/crates/policy/src/balance/checks.rs
@@ -139,10 +139,10 @@
     }
 
     /// Records the result of a health check. A check without an answer shows nothing.
-    pub(super) fn record_check(&mut self, id: ServerId, outcome: Outcome, took: Millis) -> CheckResult {
+    pub(super) fn record_check(&mut self, id: ServerId, outcome: Outcome, duration: Millis) -> CheckResult {
         let now = self.now;
         let again = now + MAX_RECHECK_DELAY * (1.0 + self.spread_fraction(id)) / 2.0;
-        let has_ended = is_process_down(outcome, took, &self.config.limits);
+        let has_ended = is_process_down(outcome, duration, &self.config.limits);
         let Some(server) = self.servers.get_mut(&id) else { return CheckResult::Unknown };
         // The check was not sent, or its connection broke.
         if matches!(outcome, Outcome::NotSent | Outcome::Reset) && server.ejected_until.is_none() {
@@ -157,7 +157,7 @@
             }
             Outcome::Done => {
                 // The answer holds as of the time when the check was sent.
-                server.known.note_accepting(now - took);
+                server.known.note_accepting(now - duration);
                 CheckResult::Accepting
             }
             _ if has_ended => {
@@ -170,6 +170,6 @@
 
     /// A value from 0 to 1 that differs from server to server.
     pub(super) fn spread_fraction(&self, id: ServerId) -> f64 {
-        (crate::table::mix(id.0 ^ self.config.number as u64) >> 11) as f64 / (1u64 << 53) as f64
+        (crate::table::mix(id.0 ^ self.config.node_index as u64) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/policy/src/balance/ejection.rs
+++ b/crates/policy/src/balance/ejection.rs
@@ -18,8 +18,8 @@
 
 /// Whether this outcome shows that the process is down. A refused connection fails quickly; if the network
 /// path is cut, the attempt takes the full timeout.
-pub(super) fn is_process_down(outcome: Outcome, took: Millis, limits: &Limits) -> bool {
-    outcome == Outcome::ConnectFailed && took < 0.9 * limits.connect_timeout
+pub(super) fn is_process_down(outcome: Outcome, duration: Millis, limits: &Limits) -> bool {
+    outcome == Outcome::ConnectFailed && duration < 0.9 * limits.connect_timeout
 }
 
 impl Balancer {
@@ -67,7 +67,7 @@
 
     /// Longest ejection of a server that does not refuse.
     fn longest_ejection(&self) -> Millis {
-        self.config.rules.ask_within / 4.0
+        self.config.rules.max_call_interval / 4.0
     }
 
     /// Once the list is followed again it shows which servers drain, so all that refused are probed soon,
@@ -86,9 +86,9 @@
     /// Ejects a server whose process may be down until an immediate probe has shown its state: closed
     /// connections must not cost a good server a second of its turns and a slow start. A cut network path
     /// needs no probe.
-    fn suspect(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
+    fn suspect(&mut self, id: ServerId, outcome: Outcome, duration: Millis) {
         let limits = &self.config.limits;
-        let refused = is_process_down(outcome, took, limits);
+        let refused = is_process_down(outcome, duration, limits);
         let cut = outcome == Outcome::ConnectFailed && !refused;
         let (probes, now) = (limits.probes, self.now);
         let Some(server) = self.servers.get_mut(&id) else { return };
@@ -105,19 +105,19 @@
         }
     }
 
-    pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
+    pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, duration: Millis) {
         self.probing.remove(&id);
-        self.record_probe(id, outcome, took);
+        self.record_probe(id, outcome, duration);
         self.schedule_probe(id);
     }
 
-    fn record_probe(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
+    fn record_probe(&mut self, id: ServerId, outcome: Outcome, duration: Millis) {
         let (now, stagger) = (self.now, self.random());
-        let result = self.record_check(id, outcome, took);
+        let result = self.record_check(id, outcome, duration);
         self.update_proofs(id);
         let Some(server) = self.servers.get_mut(&id) else { return };
         if server.ejected_until.is_none() {
-            server.down |= is_process_down(outcome, took, &self.config.limits);
+            server.down |= is_process_down(outcome, duration, &self.config.limits);
             if result == CheckResult::Refusing && self.calls.lost().is_some() {
                 self.eject(id, true);
             }
@@ -135,7 +135,7 @@
         } else {
             // A probe's connection may break like any other: after a single refused one, the server is
             // probed again.
-            let refused = is_process_down(outcome, took, &self.config.limits);
+            let refused = is_process_down(outcome, duration, &self.config.limits);
             if refused && server.ejections == 0 {
                 (server.ejections, server.ejected_until) = (1, Some(now));
                 return;
@@ -146,7 +146,7 @@
     }
 
     /// Updates a server's failure counts from the end of an attempt, and ejects it if it is an outlier.
-    pub(super) fn record_outcome(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
+    pub(super) fn record_outcome(&mut self, id: ServerId, outcome: Outcome, duration: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         match outcome {
             Outcome::Done => {
@@ -155,7 +155,7 @@
             }
             // A rejected request shows nothing of its server, nor does a dead connection.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected | Outcome::Unheard => {}
-            Outcome::ConnectFailed => self.suspect(id, outcome, took),
+            Outcome::ConnectFailed => self.suspect(id, outcome, duration),
             // Servers close connections on input that they can't read, and abort single answers; several
             // connections that break at once are a crash. A server that drains, or is full with the
             // requests of others, costs a turn each time.
@@ -167,7 +167,7 @@
                 let away = outcome == Outcome::Full && server.consecutive_failures >= OUTLIER_TURNED_AWAY;
                 if together || (away && server.ejections == 0) {
                     server.ejections += u32::from(away);
-                    self.suspect(id, outcome, took);
+                    self.suspect(id, outcome, duration);
                 } else if away || server.consecutive_failures >= OUTLIER_FAILURES {
                     server.consecutive_failures = 0;
                     self.eject(id, false);
--- a/crates/policy/src/balance/knowledge.rs
+++ b/crates/policy/src/balance/knowledge.rs
@@ -104,12 +104,12 @@
         self.is_unchecked = false;
     }
 
-    /// Records an answer on a connection that was opened at `opened`.
-    fn note_answer(&mut self, now: Millis, opened: Millis, lost: ListLoss) {
-        if opened <= lost.since || self.listed_at >= lost.since {
+    /// Records an answer on a connection that was opened at `opened_at`.
+    fn note_answer(&mut self, now: Millis, opened_at: Millis, lost: ListLoss) {
+        if opened_at <= lost.since || self.listed_at >= lost.since {
             self.same_process_at = now;
         }
-        if opened <= lost.stale_from {
+        if opened_at <= lost.stale_from {
             self.seen_process_at = now;
         }
     }
@@ -182,16 +182,16 @@
         self.checkable_loss().map_or(Doubt::Fresh, |lost| server.known.doubt(self.now, lost))
     }
 
-    /// Processes an answer of a server on a connection that was opened at `opened`.
-    pub(super) fn on_connection_answered(&mut self, id: ServerId, opened: Millis) {
+    /// Processes an answer of a server on a connection that was opened at `opened_at`.
+    pub(super) fn on_connection_answered(&mut self, id: ServerId, opened_at: Millis) {
         let (now, Some(lost)) = (self.now, self.checkable_loss()) else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
         // It was seen to restart, and the list has not confirmed that since: the connection may be to a
         // process that was never listed.
-        let warm_within = self.config.rules.warm_within;
-        let has_restarted = server.down || server.returned_at.is_some_and(|at| now - at < warm_within);
+        let warm_up_time = self.config.rules.warm_up_time;
+        let has_restarted = server.down || server.returned_at.is_some_and(|at| now - at < warm_up_time);
         if !has_restarted {
-            server.known.note_answer(now, opened, lost);
+            server.known.note_answer(now, opened_at, lost);
             self.update_proofs(id);
         }
     }
@@ -264,7 +264,7 @@
 
     /// Whether a new attempt, or one that has waited for its connection, may be sent to a server that is
     /// listed as up. It may not if a less doubtful server has room.
-    pub fn accepts(&self, id: ServerId) -> bool {
+    pub fn accepts_new_attempts(&self, id: ServerId) -> bool {
         let Some(server) = self.servers.get(&id) else { return true };
         let doubt = self.doubt_about(server);
         let is_better = |other: &Server| self.doubt_about(other) < doubt && self.is_ready(other);
@@ -281,13 +281,13 @@
     }
 
     /// What is known of the rotation's servers while the list is not followed.
-    pub fn trust(&self) -> Trust {
-        let refuse = |server: &&Server| self.doubt_about(server) >= Doubt::Restarted;
-        Trust {
-            rotated: self.turns.iter().count(),
+    pub fn rotation_status(&self) -> RotationStatus {
+        let refusing = |server: &&Server| self.doubt_about(server) >= Doubt::Restarted;
+        RotationStatus {
+            in_rotation: self.turns.iter().count(),
             proved: self.proved.len(),
             seen: self.seen.len(),
-            refuse: self.by_turn().filter(refuse).count(),
+            refusing: self.by_turn().filter(refusing).count(),
         }
     }
 
--- a/crates/policy/src/balance/listed.rs
+++ b/crates/policy/src/balance/listed.rs
@@ -18,7 +18,7 @@
             in_flight: Vec::new(),
             limit: f64::NAN,
             last_sent: f64::NEG_INFINITY,
-            last_took: 0.0,
+            last_duration: 0.0,
             consecutive_failures: 0,
             last_reset: f64::NEG_INFINITY,
             ejections: 0,
@@ -87,7 +87,7 @@
             Weights::None => 1.0,
         };
         let server = self.servers.entry(id).or_insert_with(|| Server::new(entry.clone(), size));
-        if entry.started != server.entry.started {
+        if entry.started_at != server.entry.started_at {
             // It restarted: what was observed of the previous process does not apply to this one.
             (server.consecutive_failures, server.ejections, server.down) = (0, 0, false);
             (server.ejected_until, server.returned_at, server.known) = (None, None, Knowledge::default());
@@ -98,11 +98,11 @@
             (server.consecutive_failures, server.ejections) = (0, 0);
             (server.ejected_until, server.known) = (None, Knowledge::default());
         }
-        let begins = !server.listed_up() || entry.started != server.entry.started;
+        let begins = !server.listed_up() || entry.started_at != server.entry.started_at;
         server.size = size;
         server.entry = entry;
         let (is_gone, is_ejected) = (server.entry.state == Listed::Gone, server.ejected_until.is_some());
-        if server.entry.started.is_some() {
+        if server.entry.started_at.is_some() {
             self.warming.insert(id);
         }
         if begins {
@@ -124,7 +124,7 @@
     fn has_news(&self, entries: &[Entry], full: bool) -> bool {
         let listed = self.servers.values().filter(|s| s.entry.state != Listed::Gone);
         let is_new = |entry: &Entry| match self.servers.get(&entry.server) {
-            Some(known) => (known.entry.state, known.entry.started) != (entry.state, entry.started),
+            Some(known) => (known.entry.state, known.entry.started_at) != (entry.state, entry.started_at),
             None => entry.state != Listed::Gone,
         };
         entries.iter().any(is_new) || (full && listed.count() > entries.len())
@@ -192,8 +192,8 @@
     const SERVERS: u64 = 12;
 
     fn settings(nodes: usize) -> Settings {
-        let (aim, patience, effect) = (100.0, f64::INFINITY, Effect::Safe);
-        let class = Class { aim, worth: 1.0, late_worth: 0.0, patience, effect };
+        let (target_latency, client_timeout, effect) = (100.0, f64::INFINITY, Effect::Safe);
+        let class = Class { target_latency, worth: 1.0, late_worth: 0.0, client_timeout, effect };
         Settings { classes: vec![class], discovery: Discovery::Pushed, ..fleet(nodes) }
     }
 
@@ -206,7 +206,7 @@
             kind: 0,
             state,
             weight: 1.0,
-            started: cold.then_some(900.0),
+            started_at: cold.then_some(900.0),
         });
         vec(entry, 0..6)
     }
@@ -246,12 +246,12 @@
         let cold: Vec<ServerId> =
             balancer.rotated().filter(|s| s.turn_warmth < 1.0).map(|s| s.entry.server).collect();
         assert!(cold.iter().all(|id| balancer.cold.contains(id)));
-        assert_eq!(balancer.avoided(), ids(&|s| s.listed_up() && s.ejected_until.is_some()).len());
+        assert_eq!(balancer.ejected_count(), ids(&|s| s.listed_up() && s.ejected_until.is_some()).len());
     }
 
     fn request(id: RequestId, deadline: Millis) -> Event {
-        let (tenant, repeat_key, work, within, earlier) = (None, None, None, None, None);
-        Event::Request { id, class: 0, tenant, deadline, repeat_key, work, within, earlier }
+        let (tenant, repeat_key, work, in_share, prior_attempts) = (None, None, None, None, None);
+        Event::Request { id, class: 0, tenant, deadline, repeat_key, work, in_share, prior_attempts }
     }
 
     fn run_steps(nodes: usize, steps: Vec<Step>) {
@@ -273,7 +273,7 @@
             // Some attempts stay in flight over several changes.
             if out.len() > 3 {
                 let (id, server) = out.remove(0);
-                let ended = Event::Ended { id, attempt: 0, server, outcome, took: 30.0, finished: true };
+                let ended = Event::Ended { id, attempt: 0, server, outcome, duration: 30.0, finished: true };
                 balancer.handle(now + 10.0, ended, &mut actions);
                 assert_consistent(&balancer);
             }
--- a/crates/policy/src/balance/rotation.rs
+++ b/crates/policy/src/balance/rotation.rs
@@ -19,7 +19,7 @@
         self.advance_warming_turns();
         loop {
             let (id, turn) = self.turns.first()?;
-            self.steps.set(self.steps.get() + 1);
+            self.visited_servers.set(self.visited_servers.get() + 1);
             let passes = self.servers.get(&id).is_some_and(|server| is_ready(self, server));
             (self.cursor, self.cursor_server) = (turn, Some(id));
             let server = self.servers.get_mut(&id)?;
--- a/crates/policy/src/balance/subset.rs
+++ b/crates/policy/src/balance/subset.rs
@@ -30,22 +30,22 @@
 impl Balancer {
     /// The servers of the subset.
     pub(super) fn rotated(&self) -> impl Iterator<Item = &Server> + Clone {
-        self.subset.iter().filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
+        self.subset.iter().filter_map(|id| self.servers.get(id)).inspect(|_| self.count_visit())
     }
 
     /// The servers of the subset in the order of their turns.
     pub(super) fn by_turn(&self) -> impl Iterator<Item = &Server> {
-        self.turns.iter().filter_map(|id| self.servers.get(&id)).inspect(|_| self.count_step())
+        self.turns.iter().filter_map(|id| self.servers.get(&id)).inspect(|_| self.count_visit())
     }
 
-    fn count_step(&self) {
-        self.steps.set(self.steps.get() + 1);
+    fn count_visit(&self) {
+        self.visited_servers.set(self.visited_servers.get() + 1);
     }
 
     /// Number of servers visited so far while walking over the rotation, to check that the cost of an event
     /// does not grow with the number of servers.
-    pub fn steps(&self) -> u64 {
-        self.steps.get()
+    pub fn visited_servers(&self) -> u64 {
+        self.visited_servers.get()
     }
 
     /// Whether a server is in the subset.
@@ -59,13 +59,13 @@
         ids: &'a BTreeSet<ServerId>,
     ) -> impl Iterator<Item = &'a Server> {
         let rotated = ids.iter().filter(|id| self.is_in_subset(**id));
-        rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_step())
+        rotated.filter_map(|id| self.servers.get(id)).inspect(|_| self.count_visit())
     }
 
     /// Limits the size of the rotation to the number of connections that the node can keep, unless the
     /// node's part of the fleet is larger. Applies from the next list on.
-    pub fn bound_rotation(&mut self, most: usize) {
-        self.max_rotation = most.clamp(MIN_SUBSET, MAX_ROTATION);
+    pub fn limit_rotation(&mut self, max_servers: usize) {
+        self.max_rotation = max_servers.clamp(MIN_SUBSET, MAX_ROTATION);
     }
 
     /// Number of warm servers that a node rotates over: all of them, unless that exceeds the number of
@@ -102,7 +102,7 @@
         if is_full && members.len() <= self.max_checked() {
             return members.to_vec();
         }
-        table::preference(members, self.config.number, self.config.nodes, MIN_SUBSET)
+        table::preference(members, self.config.node_index, self.config.nodes, MIN_SUBSET)
     }
 
     /// Chooses the subset: servers in order of preference until those not ejected add up to enough warm
@@ -232,7 +232,7 @@
     fn assign_first_turns(&mut self) {
         let count = self.subset.len().max(1);
         let after_cursor = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
-        let first = after_cursor.unwrap_or(self.config.number) % count;
+        let first = after_cursor.unwrap_or(self.config.node_index) % count;
         let mut newcomers = std::mem::take(&mut self.without_turn);
         newcomers.sort_unstable();
         newcomers.dedup();
--- a/crates/policy/src/discovery.rs
+++ b/crates/policy/src/discovery.rs
@@ -171,7 +171,7 @@
         match self.state {
             State::Idle => f64::INFINITY,
             State::Due(at, _) => at.max(0.0),
-            State::Called(at, _) => at + settings.rules.ask_within,
+            State::Called(at, _) => at + settings.rules.max_call_interval,
         }
     }
 
@@ -183,7 +183,7 @@
                 self.lost.get_or_insert(ListLoss::new(now, 0.0, LIST_VALID));
                 Sweep::Call
             }
-            State::Called(at, _) if now - at >= settings.rules.ask_within => Sweep::Overdue,
+            State::Called(at, _) if now - at >= settings.rules.max_call_interval => Sweep::Overdue,
             _ => Sweep::Nothing,
         }
     }
@@ -205,7 +205,7 @@
         }
         let span = self.span(now, failure, failures, settings);
         // A change also counts as notified to a node that has not called for this long.
-        let latest = called + 0.85 * settings.rules.ask_within;
+        let latest = called + 0.85 * settings.rules.max_call_interval;
         let pause = delay_after_failure(span, latest - now, failure, chance);
         self.draw = CallDraw { span: span.min((latest - now).max(0.0)), chance };
         self.state = State::Due(now + pause, failures);
@@ -229,7 +229,7 @@
 
     /// The span over which the next call is spread.
     fn span(&mut self, now: Millis, failure: ListFailure, failures: u32, settings: &Settings) -> Millis {
-        let (fleet_span, within) = (settings.nodes as f64 * CALL_SPACING, settings.rules.ask_within);
+        let (fleet_span, within) = (settings.nodes as f64 * CALL_SPACING, settings.rules.max_call_interval);
         // Backoff with jitter, so that nodes that were cut off together do not return together, over a span
         // that grows with the number of nodes.
         let backoff = within / 20.0 * f64::from(1u32 << (failures.min(MAX_BACKOFF_FAILURES) - 1));
@@ -268,7 +268,7 @@
     /// Settings of one node of `nodes`, with no class.
     pub(crate) fn fleet(nodes: usize) -> Settings {
         Settings {
-            number: 0,
+            node_index: 0,
             nodes,
             by_work: false,
             over_share_worth: 0.1,
@@ -284,15 +284,15 @@
                 max_retry_after: 0.0,
             },
             rules: Rules {
-                ask_within: 10_000.0,
-                cold_share: 0.2,
-                warm_within: 5000.0,
-                fall_multiple: 3.0,
-                fall_window: 2000.0,
+                max_call_interval: 10_000.0,
+                cold_capacity_share: 0.2,
+                warm_up_time: 5000.0,
+                overload_factor: 3.0,
+                overload_window: 2000.0,
             },
             discovery: Discovery::Asked,
             weights: Weights::None,
-            tick: 1.0,
+            min_event_interval: 1.0,
         }
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,10 +7,11 @@
 //! use glenwood_policy::*;
 //!
 //! let class = Class {
-//!     aim: 100.0, worth: 1.0, late_worth: 0.0, patience: f64::INFINITY, effect: Effect::Unsafe,
+//!     target_latency: 100.0, worth: 1.0, late_worth: 0.0, client_timeout: f64::INFINITY,
+//!     effect: Effect::Unsafe,
 //! };
 //! let settings = Settings {
-//!     number: 0,
+//!     node_index: 0,
 //!     nodes: 1,
 //!     classes: vec![class],
 //!     tenants: Vec::new(),
@@ -22,20 +23,20 @@
 //!         max_retry_after: 1_000.0,
 //!     },
 //!     rules: Rules {
-//!         ask_within: 10_000.0, cold_share: 0.2, warm_within: 20_000.0, fall_multiple: 3.0,
-//!         fall_window: 1_000.0,
+//!         max_call_interval: 10_000.0, cold_capacity_share: 0.2, warm_up_time: 20_000.0,
+//!         overload_factor: 3.0, overload_window: 1_000.0,
 //!     },
 //!     discovery: Discovery::Pushed,
 //!     weights: Weights::None,
-//!     tick: 1.0,
+//!     min_event_interval: 1.0,
 //! };
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let (mut actions, server) = (Vec::new(), ServerId(7));
-//! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: Listed::Up, weight: 1.0, started: None };
+//! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: Listed::Up, weight: 1.0, started_at: None };
 //! balancer.handle(0.0, Event::List { entries: vec![up], saved: false }, &mut actions);
 //! let request = Event::Request {
-//!     id: RequestId(1), class: 0, tenant: None, deadline: 500.0, repeat_key: None, work: None, within: None,
-//!     earlier: None,
+//!     id: RequestId(1), class: 0, tenant: None, deadline: 500.0, repeat_key: None, work: None,
+//!     in_share: None, prior_attempts: None,
 //! };
 //! balancer.handle(1.0, request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: to, .. } if *to == server)));
--- a/crates/policy/tests/adopted.rs
+++ b/crates/policy/tests/adopted.rs
@@ -7,7 +7,7 @@
 
 /// Adopts a request of a class with earlier attempts, each given by server, age in ms and outcome.
 fn adopt(node: &mut Node, n: u64, class: usize, earlier: &[(u64, f64, Outcome)]) -> Vec<Action> {
-    let before = |(server, ago, outcome): &(u64, f64, Outcome)| Earlier {
+    let before = |(server, ago, outcome): &(u64, f64, Outcome)| PriorAttempt {
         server: ServerId(*server),
         zone: server % 2,
         cell: server % 2,
@@ -18,7 +18,16 @@
     let deadline = node.now + CLIENT_TIMEOUT_MS;
     let (tenant, repeat_key, work, within) = (None, None, None, None);
     let id = RequestId(1000 + n);
-    node.event(Event::Request { id, class, tenant, deadline, repeat_key, work, within, earlier })
+    node.event(Event::Request {
+        id,
+        class,
+        tenant,
+        deadline,
+        repeat_key,
+        work,
+        in_share: within,
+        prior_attempts: earlier,
+    })
 }
 
 fn sent(actions: &[Action]) -> Option<ServerId> {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -18,9 +18,15 @@
 
 /// Settings with a safe, a keyed and an unsafe class.
 pub fn settings() -> Settings {
-    let class = |aim, worth, effect| Class { aim, worth, late_worth: 0.0, patience: f64::INFINITY, effect };
+    let class = |target_latency, worth, effect| Class {
+        target_latency,
+        worth,
+        late_worth: 0.0,
+        client_timeout: f64::INFINITY,
+        effect,
+    };
     Settings {
-        number: 0,
+        node_index: 0,
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
@@ -40,15 +46,15 @@
             max_retry_after: 1000.0,
         },
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.15,
-            warm_within: 20_000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
+            max_call_interval: 10_000.0,
+            cold_capacity_share: 0.15,
+            warm_up_time: 20_000.0,
+            overload_factor: 3.0,
+            overload_window: 1000.0,
         },
         discovery: Discovery::Pushed,
         weights: Weights::Listed,
-        tick: 2.0,
+        min_event_interval: 2.0,
     }
 }
 
@@ -62,7 +68,7 @@
         kind: 0,
         state,
         weight,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -133,8 +139,8 @@
                 deadline,
                 repeat_key: None,
                 work: None,
-                within: None,
-                earlier: None,
+                in_share: None,
+                prior_attempts: None,
             }),
         )
     }
@@ -144,29 +150,33 @@
         let sent = &self.attempts[&id];
         let attempt = sent.len() - 1;
         let (server, at) = sent[attempt];
-        let took = self.now - at;
+        let duration = self.now - at;
         let finished = outcome == Outcome::Done;
-        self.event(Event::Ended { id, attempt, server, outcome, took, finished })
+        self.event(Event::Ended { id, attempt, server, outcome, duration, finished })
     }
 
-    /// Submits a request and has it served after `took` ms if it is sent; returns its server.
-    pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
+    /// Submits a request and has it served after `duration` ms if it is sent; returns its server.
+    pub fn serve(&mut self, class: usize, duration: f64) -> Option<ServerId> {
         let submitted = self.submit(class);
-        self.finish_submitted(submitted, took)
+        self.finish_submitted(submitted, duration)
     }
 
     /// Like [`Node::serve`], but waits while the request is queued.
-    pub fn serve_queued(&mut self, class: usize, took: f64) -> Option<ServerId> {
+    pub fn serve_queued(&mut self, class: usize, duration: f64) -> Option<ServerId> {
         let (id, mut actions) = self.submit(class);
         while sent_to(&actions).is_none() && !refused(&actions, id) && !failed(&actions, id) {
             actions = self.wait(5.0);
         }
-        self.finish_submitted((id, actions), took)
+        self.finish_submitted((id, actions), duration)
     }
 
-    fn finish_submitted(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
+    fn finish_submitted(
+        &mut self,
+        (id, actions): (RequestId, Vec<Action>),
+        duration: f64,
+    ) -> Option<ServerId> {
         let server = sent_to(&actions);
-        self.now += took;
+        self.now += duration;
         if server.is_some() {
             self.end(id, Outcome::Done);
         }
@@ -291,8 +301,8 @@
                     report(format!("rule 2: {id:?} sent again"));
                 }
                 request_state.attempts.push((*server, entry.cell, now, None));
-                let age = entry.started.map_or(f64::INFINITY, |t| now - t);
-                let cold = age < settings.rules.warm_within;
+                let age = entry.started_at.map_or(f64::INFINITY, |t| now - t);
+                let cold = age < settings.rules.warm_up_time;
                 let sends = if cold { &mut self.sends_to_cold } else { &mut self.sends_to_warm };
                 sends.push((*server, now));
                 if cold {
@@ -329,7 +339,7 @@
         if request_state.over {
             violations.push(format!("rule 1: {id:?} answered twice"));
         }
-        if now > request_state.deadline + 2.0 * settings.tick {
+        if now > request_state.deadline + 2.0 * settings.min_event_interval {
             violations.push(format!("rule 1: {id:?} answered late"));
         }
         request_state.over = true;
@@ -339,11 +349,11 @@
     fn check_cold_budget(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
-            sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
+            sends.iter().filter(|x| x.0 == s && x.1 > now - rules.overload_window).count()
         };
         let warm = self.sends_to_warm.iter().map(|x| recent(&self.sends_to_warm, x.0)).max().unwrap_or(0);
-        let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
-        let budget = rules.fall_multiple * share * warm as f64;
+        let share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * age / rules.warm_up_time;
+        let budget = rules.overload_factor * share * warm as f64;
         if recent(&self.sends_to_cold, server) as f64 > budget.max(1.0) + 1.0 {
             self.violations.push(format!("rule 4: {server:?} overloaded while cold"));
         }
--- a/crates/policy/tests/copies.rs
+++ b/crates/policy/tests/copies.rs
@@ -113,8 +113,8 @@
                 deadline,
                 repeat_key,
                 work,
-                within,
-                earlier: None,
+                in_share: within,
+                prior_attempts: None,
             }),
         )
     };
@@ -123,7 +123,7 @@
         let server = sent_to(&actions).expect("it is sent");
         node.now += 10.0;
         let (attempt, outcome, finished) = (0, Outcome::Done, true);
-        node.event(Event::Ended { id, attempt, server, outcome, took: 10.0, finished });
+        node.event(Event::Ended { id, attempt, server, outcome, duration: 10.0, finished });
     }
     let (lost, _) = node.submit(UNSAFE);
     node.end(lost, Outcome::Unheard);
@@ -154,7 +154,7 @@
     // A request body that can only be sent once.
     let mut send_once = node(settings(), 2);
     let (id, _) = send_once.submit(SAFE);
-    send_once.event(Event::Spent(id));
+    send_once.event(Event::BodySent(id));
     assert_eq!(sent_to(&send_once.wait(80.0)), None);
 }
 
@@ -162,7 +162,7 @@
 fn a_hanging_server_is_ejected_although_copies_are_answered_first() {
     let mut node = node(settings(), 1);
     let mut hung = 0;
-    while node.balancer.avoided() == 0 {
+    while node.balancer.ejected_count() == 0 {
         let (id, actions) = node.submit(SAFE);
         if sent_to(&actions) == Some(ServerId(0)) {
             hung += 1;
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -133,9 +133,9 @@
         policy_settings.discovery = Discovery::Asked;
         policy_settings.limits.attempts = 3;
         policy_settings.limits.connect_timeout = 120.0;
-        let class = |aim: f64| Class {
-            aim,
-            patience: 4.0 * aim,
+        let class = |target_latency: f64| Class {
+            target_latency,
+            client_timeout: 4.0 * target_latency,
             late_worth: 0.3,
             ..policy_settings.classes[SAFE].clone()
         };
@@ -191,7 +191,7 @@
 
     /// Starts a node, with the initial list as its saved one.
     fn start(&mut self, node: usize) {
-        let policy_settings = Settings { number: node, ..self.policy_settings.clone() };
+        let policy_settings = Settings { node_index: node, ..self.policy_settings.clone() };
         self.nodes[node] = Some(Balancer::new(policy_settings, 7 + node as u64).expect("valid settings"));
         self.list_received_at[node] = None;
         let entries = (0..SERVERS).map(|id| entry(id, 1.0)).collect();
@@ -227,7 +227,7 @@
                     let outcome = if served { Outcome::Done } else { Outcome::Error };
                     self.handle_event(
                         node,
-                        Event::Probed { server, outcome, took: 2.0 * NETWORK_LATENCY_MS },
+                        Event::Probed { server, outcome, duration: 2.0 * NETWORK_LATENCY_MS },
                     );
                 }
                 Action::Cancel { .. } | Action::Explain { .. } => {}
@@ -284,7 +284,7 @@
                 let id = RequestId(self.last_id);
                 let class = usize::from(random(&mut self.random) < 0.4);
                 self.requests.insert((node, id), (self.now, Vec::new()));
-                let deadline = self.now + self.policy_settings.classes[class].patience;
+                let deadline = self.now + self.policy_settings.classes[class].client_timeout;
                 self.handle_event(
                     node,
                     Event::Request {
@@ -294,8 +294,8 @@
                         deadline,
                         repeat_key: None,
                         work: None,
-                        within: None,
-                        earlier: None,
+                        in_share: None,
+                        prior_attempts: None,
                     },
                 );
             }
@@ -345,11 +345,11 @@
                 }
                 let sent = self.requests.get(&(node, id)).and_then(|(_, sent)| sent.get(attempt).copied());
                 let finished = sent.is_none() || outcome == Outcome::Done;
-                let took = sent.map_or(0.0, |sent| self.now - sent);
+                let duration = sent.map_or(0.0, |sent| self.now - sent);
                 if outcome == Outcome::Done {
                     self.finish_request(node, id, SERVED);
                 }
-                self.handle_event(node, Event::Ended { id, attempt, server, outcome, took, finished });
+                self.handle_event(node, Event::Ended { id, attempt, server, outcome, duration, finished });
             }
             SimEvent::CallEnds { node, call, fails } => {
                 if self.calls[node] != Some(call) {
@@ -405,7 +405,7 @@
 
     /// Starts a server, which is cold, or restarts the one of that number.
     fn start_server(&mut self, id: u64) {
-        let entry = Entry { started: Some(self.now), ..entry(id, 1.0) };
+        let entry = Entry { started_at: Some(self.now), ..entry(id, 1.0) };
         let server = self.servers.entry(ServerId(id)).or_insert_with(|| server(id));
         (server.entry, server.state) = (entry, State::Serving);
     }
@@ -423,12 +423,14 @@
         let rules = &self.policy_settings.rules;
         let arrivals: Vec<f64> =
             self.servers[&ServerId(id)].accepted_at.iter().copied().filter(|at| *at >= start).collect();
-        let warm = CORES as f64 * rules.fall_window / MEAN_WORK_MS;
+        let warm = CORES as f64 * rules.overload_window / MEAN_WORK_MS;
         let used = (0..arrivals.len()).map(|n| {
-            let within = arrivals[n..].iter().take_while(|at| **at < arrivals[n] + rules.fall_window).count();
-            let age = (arrivals[n] - start) / rules.warm_within;
-            let capacity = (rules.cold_share + (1.0 - rules.cold_share) * age).min(1.0) * warm;
-            within as f64 / (rules.fall_multiple * capacity)
+            let within =
+                arrivals[n..].iter().take_while(|at| **at < arrivals[n] + rules.overload_window).count();
+            let age = (arrivals[n] - start) / rules.warm_up_time;
+            let capacity =
+                (rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * age).min(1.0) * warm;
+            within as f64 / (rules.overload_factor * capacity)
         });
         used.fold(0.0, f64::max)
     }
@@ -517,7 +519,7 @@
             let start = node.now;
             while !called.contains(&Action::Subscribe) {
                 called = node.wait(5.0);
-                assert!(node.now - start < policy_settings.rules.ask_within, "it does not call again");
+                assert!(node.now - start < policy_settings.rules.max_call_interval, "it does not call again");
             }
             let requests = node.now;
             node.now += waits;
@@ -604,7 +606,7 @@
     simulation.deliver_list_to_all(3000.0);
     let outcome_shares = simulation.outcome_shares(5000.0);
     assert!(outcome_shares[SERVED] > 0.9, "served, refused, failed: {outcome_shares:?}");
-    simulation.run(simulation.policy_settings.rules.warm_within);
+    simulation.run(simulation.policy_settings.rules.warm_up_time);
     let before: BTreeMap<ServerId, usize> = simulation.servers.iter().map(|(id, s)| (*id, s.sends)).collect();
     simulation.run(10_000.0);
     let live = |s: &&Server| s.state == State::Serving;
--- a/crates/policy/tests/growth.rs
+++ b/crates/policy/tests/growth.rs
@@ -29,9 +29,9 @@
 /// The largest number of lookups that one of 40 events took.
 fn lookups(node: &mut Node, mut event: impl FnMut(&mut Node, u64)) -> u64 {
     let lookups_of_event = |number| {
-        let before = node.balancer.steps();
+        let before = node.balancer.visited_servers();
         event(node, number);
-        node.balancer.steps() - before
+        node.balancer.visited_servers() - before
     };
     (0..40).map(lookups_of_event).max().expect("some events")
 }
@@ -67,7 +67,7 @@
     for outcome in [Outcome::Done, Outcome::TimedOut, Outcome::NotSent] {
         assert_constant_cost("a check and its answer", true, |node, number| {
             node.event(Event::Timer);
-            node.event(Event::Probed { server: ServerId(number), outcome, took: 1.0 });
+            node.event(Event::Probed { server: ServerId(number), outcome, duration: 1.0 });
         });
     }
 }
@@ -75,7 +75,7 @@
 #[test]
 fn the_cost_of_an_ejection_is_independent_of_the_number_of_servers() {
     assert_constant_cost("a server that refuses", true, |node, number| {
-        node.event(Event::Probed { server: ServerId(number), outcome: Outcome::Error, took: 1.0 });
+        node.event(Event::Probed { server: ServerId(number), outcome: Outcome::Error, duration: 1.0 });
     });
     assert_constant_cost("a server that is down", false, |node, _| {
         let (id, _) = node.submit(SAFE);
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -120,7 +120,7 @@
             attempt,
             server,
             outcome,
-            took: self.now - open_attempt.sent,
+            duration: self.now - open_attempt.sent,
             finished,
         });
     }
@@ -161,8 +161,8 @@
                     deadline,
                     repeat_key: None,
                     work: None,
-                    within: None,
-                    earlier: None,
+                    in_share: None,
+                    prior_attempts: None,
                 });
             }
             Step::End(i, outcome) => {
@@ -172,7 +172,7 @@
             }
             Step::List(server, state, cold) => {
                 let started = cold.then_some(scenario.now - 500.0);
-                let changed = Entry { state: *state, started, ..entry(*server as u64, 1.0) };
+                let changed = Entry { state: *state, started_at: started, ..entry(*server as u64, 1.0) };
                 scenario.event(Event::ListChange(vec![changed]));
             }
             Step::ListFailed(answering) => scenario.event(Event::ListFailed(if *answering {
@@ -191,15 +191,15 @@
             Step::Wait(span) => scenario.wait(*span),
             Step::Probe(server, up) => {
                 let outcome = if *up { Outcome::Done } else { Outcome::ConnectFailed };
-                scenario.event(Event::Probed { server: ServerId(*server as u64), outcome, took: 1.0 });
+                scenario.event(Event::Probed { server: ServerId(*server as u64), outcome, duration: 1.0 });
             }
             Step::Unknown(n) => {
                 let (id, server) = (RequestId(n | 1 << 40), ServerId(*n));
-                let (outcome, took) = (Outcome::TimedOut, 3.0);
-                scenario.event(Event::Ended { id, attempt: 9, server, outcome, took, finished: false });
+                let (outcome, duration) = (Outcome::TimedOut, 3.0);
+                scenario.event(Event::Ended { id, attempt: 9, server, outcome, duration, finished: false });
                 scenario.event(Event::Streaming { id, attempt: 0 });
                 scenario.event(Event::ClientGone(id));
-                scenario.event(Event::Probed { server, outcome, took });
+                scenario.event(Event::Probed { server, outcome, duration });
             }
         }
     }
@@ -269,7 +269,7 @@
 #[test]
 fn a_refusal_of_a_request_that_may_have_run_is_caught() {
     assert_caught("rule 2", |a| match a {
-        Action::Fail(id) => Some(Action::Refuse { id: *id, stay_away: 0.0 }),
+        Action::Fail(id) => Some(Action::Refuse { id: *id, retry_after: 0.0 }),
         a => Some(a.clone()),
     });
 }
--- a/crates/policy/tests/repeats.rs
+++ b/crates/policy/tests/repeats.rs
@@ -8,7 +8,7 @@
 /// A node with one server, whose settings give the time that clients wait.
 fn node(tenants: Vec<Tenant>) -> Node {
     let mut settings = Settings { tenants, ..settings() };
-    settings.classes.iter_mut().for_each(|c| c.patience = CLIENT_TIMEOUT_MS);
+    settings.classes.iter_mut().for_each(|c| c.client_timeout = CLIENT_TIMEOUT_MS);
     Node::fleet(settings, 1)
 }
 
@@ -21,8 +21,8 @@
         deadline,
         repeat_key: Some(repeat_key),
         work: None,
-        within: None,
-        earlier: None,
+        in_share: None,
+        prior_attempts: None,
     })
 }
 
@@ -45,8 +45,8 @@
     open
 }
 
-/// Guards against a repeat that is treated as a new request: it was served after the aim of the original
-/// request had passed, and the work was wasted.
+/// Guards against a repeat that is treated as a new request: it was served after the target latency of the
+/// original request had passed, and the work was wasted.
 #[test]
 fn the_time_of_a_repeat_counts_from_the_original_request() {
     let mut node = node(Vec::new());
@@ -55,15 +55,15 @@
         node.end(id, Outcome::Done);
     }
     let after = node.now - submitted;
-    let aim = settings().classes[SAFE].aim;
+    let target_latency = settings().classes[SAFE].target_latency;
     let repeat_timeout = timeout(&submit(&mut node, 100, None, 7)).expect("it is sent");
     assert!(
-        (repeat_timeout + after - (aim - settings().tick)).abs() < 0.01,
+        (repeat_timeout + after - (target_latency - settings().min_event_interval)).abs() < 0.01,
         "{repeat_timeout} ms, {after} ms after the original request"
     );
     let new_timeout = timeout(&submit(&mut node, 101, None, 8)).expect("it is sent");
     assert!(
-        (new_timeout - (aim - settings().tick)).abs() < 0.01,
+        (new_timeout - (target_latency - settings().min_event_interval)).abs() < 0.01,
         "an unknown key is a new request: {new_timeout}"
     );
 }
@@ -90,11 +90,11 @@
 #[test]
 fn a_served_or_already_repeated_request_does_not_mark_others_as_repeats() {
     let mut node = node(Vec::new());
-    let full = settings().classes[SAFE].aim - settings().tick;
+    let full = settings().classes[SAFE].target_latency - settings().min_event_interval;
     submit(&mut node, 1, None, 7);
     node.now += 50.0;
     let (id, attempt, server) = (RequestId(1_000_001), 0, ServerId(0));
-    node.event(Event::Ended { id, attempt, server, outcome: Outcome::Done, took: 50.0, finished: true });
+    node.event(Event::Ended { id, attempt, server, outcome: Outcome::Done, duration: 50.0, finished: true });
     assert_eq!(timeout(&submit(&mut node, 2, None, 7)), Some(full));
     node.event(Event::ClientGone(RequestId(1_000_002)));
     node.now += 10.0;
@@ -139,7 +139,7 @@
     let first = |by_work| {
         let mut settings = Settings { by_work, ..settings() };
         settings.goal.worst_class = 0.0;
-        settings.classes[KEYED].aim = 400.0;
+        settings.classes[KEYED].target_latency = 400.0;
         settings.classes[KEYED].worth = 2.0;
         let mut node = Node::fleet(settings, 1);
         for _ in 0..20 {
@@ -160,7 +160,7 @@
 #[test]
 fn a_class_that_became_slow_is_sent_again() {
     let mut node = node(Vec::new());
-    let slow = 2.0 * settings().classes[SAFE].aim;
+    let slow = 2.0 * settings().classes[SAFE].target_latency;
     for _ in 0..20 {
         assert!(node.serve(SAFE, slow).is_some(), "sent although answers take long");
         // Long enough for the server to be used again, however low its limit.
@@ -175,7 +175,7 @@
 fn huge_or_missing_work_estimates_do_not_change_priorities() {
     let keyed_goes_first = |works: &[Option<f64>]| {
         let mut settings = Settings { by_work: true, ..settings() };
-        settings.classes.iter_mut().for_each(|c| c.patience = CLIENT_TIMEOUT_MS);
+        settings.classes.iter_mut().for_each(|c| c.client_timeout = CLIENT_TIMEOUT_MS);
         settings.goal = Goal { worth: 0.0, worst_class: 1.0, worst_tenant: 0.0 };
         let mut node = Node::fleet(settings, 1);
         let submit = |node: &mut Node, id: u64, class, work| {
@@ -189,8 +189,8 @@
                     deadline,
                     repeat_key: None,
                     work,
-                    within: None,
-                    earlier: None,
+                    in_share: None,
+                    prior_attempts: None,
                 }),
             )
         };
@@ -198,7 +198,7 @@
             let (id, _) = submit(&mut node, n, SAFE, *work);
             node.now += 10.0;
             let (attempt, server, outcome) = (0, ServerId(0), Outcome::Done);
-            node.event(Event::Ended { id, attempt, server, outcome, took: 10.0, finished: true });
+            node.event(Event::Ended { id, attempt, server, outcome, duration: 10.0, finished: true });
         }
         // No keyed request has been served yet, so theirs is the worst class.
         let (lost, _) = submit(&mut node, 900, KEYED, Some(10.0));
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -21,9 +21,9 @@
 
 #[test]
 fn each_node_starts_at_its_own_number() {
-    let mut node = Node::fleet(Settings { number: 1, nodes: 7, ..settings() }, 4);
+    let mut node = Node::fleet(Settings { node_index: 1, nodes: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [1, 2, 3, 0, 1]);
-    let mut node = Node::fleet(Settings { number: 6, nodes: 7, ..settings() }, 4);
+    let mut node = Node::fleet(Settings { node_index: 6, nodes: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [2, 3, 0, 1, 2]);
 }
 
@@ -54,7 +54,7 @@
 /// all nodes to their offsets, the servers right after the offsets got all requests.
 #[test]
 fn a_change_of_members_keeps_the_position() {
-    let mut node = Node::fleet(Settings { number: 1, ..settings() }, 3);
+    let mut node = Node::fleet(Settings { node_index: 1, ..settings() }, 3);
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     assert_eq!(turns(&mut node, 8), [3, 0, 1, 2, 3, 0, 1, 2]);
@@ -89,7 +89,7 @@
     for round in 0..400 {
         let (id, actions) = node.submit(SAFE);
         let server = sent_to(&actions).expect("sent");
-        // All weights are equal, but the answers of server 0 take most of the aim.
+        // All weights are equal, but the answers of server 0 take most of the target latency.
         node.now += if server.0 == 0 { 90.0 } else { 10.0 };
         node.end(id, Outcome::Done);
         if round >= 300 {
@@ -102,7 +102,7 @@
 /// The servers that each node sends to in 12 turns.
 fn subsets(nodes: usize, servers: &[Entry]) -> Vec<Vec<u64>> {
     let subset_of = |number| {
-        let mut node = Node::new(Settings { number, nodes, ..settings() }, servers.to_vec());
+        let mut node = Node::new(Settings { node_index: number, nodes, ..settings() }, servers.to_vec());
         let mut used = turns(&mut node, 12);
         used.sort_unstable();
         used.dedup();
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -39,7 +39,7 @@
 #[test]
 fn a_keyed_request_is_not_resent_once_its_key_is_forgotten() {
     let mut slow = settings();
-    slow.classes[KEYED].aim = 2000.0;
+    slow.classes[KEYED].target_latency = 2000.0;
     slow.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: 5.0 };
     let mut node = Node::fleet(slow, 4);
     let (id, _) = node.submit(KEYED);
@@ -112,7 +112,7 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+    let cold = Entry { started_at: Some(node.now), ..entry(3, 1.0) };
     node.event(Event::ListChange(vec![cold]));
     let mut sent = [0; 4];
     for _ in 0..200 {
@@ -127,7 +127,7 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(1, 1.0) };
+    let cold = Entry { started_at: Some(node.now), ..entry(1, 1.0) };
     node.event(Event::ListChange(vec![Entry { state: Listed::Gone, ..entry(0, 1.0) }, cold]));
     let sent = (0..200).filter(|_| node.serve(SAFE, 5.0).is_some()).count();
     assert!(sent <= 50, "the budget for one second is 3 times 15 % of about 100, not {sent}");
@@ -142,20 +142,20 @@
     let mut sent = [0usize; 8];
     let set = settings();
     for number in 0..NODES {
-        let own = Settings { number, nodes: NODES, ..set.clone() };
+        let own = Settings { node_index: number, nodes: NODES, ..set.clone() };
         let mut node = Node::new_seeded(own, (0..8).map(|id| entry(id, 1.0)).collect(), number as u64);
         for _ in 0..40 {
             node.serve(SAFE, 5.0);
             node.wait(245.0);
         }
-        let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+        let cold = Entry { started_at: Some(node.now), ..entry(3, 1.0) };
         node.event(Event::ListChange(vec![cold]));
         for _ in 0..4 {
             sent[node.serve(SAFE, 5.0).expect("sent").0 as usize] += 1;
             node.wait(245.0);
         }
     }
-    let budget = set.rules.fall_multiple * set.rules.cold_share * sent[7] as f64;
+    let budget = set.rules.overload_factor * set.rules.cold_capacity_share * sent[7] as f64;
     assert!(sent[3] > 0 && (sent[3] as f64) < 0.7 * budget, "{sent:?}, budget {budget}");
 }
 
@@ -163,7 +163,7 @@
 /// budget.
 #[test]
 fn a_returning_server_is_cold_if_it_was_down_but_not_if_it_was_slow() {
-    for (outcome, took, cold) in [
+    for (outcome, duration, cold) in [
         (Outcome::TimedOut, 100.0, false),
         (Outcome::ConnectFailed, 50.0, false),
         (Outcome::ConnectFailed, 0.3, true),
@@ -179,12 +179,12 @@
             let (id, actions) = node.submit(SAFE);
             node.now += 5.0;
             if sent_to(&actions) == Some(ServerId(2)) && !probed {
-                node.now += took;
+                node.now += duration;
                 // Two probes with the same outcome confirm the failure at once.
                 let mut actions = node.end(id, outcome);
                 for _ in 0..2 {
                     if actions.contains(&Action::Probe(ServerId(2))) {
-                        actions = node.event(Event::Probed { server: ServerId(2), outcome, took });
+                        actions = node.event(Event::Probed { server: ServerId(2), outcome, duration });
                     }
                 }
                 node.end(id, Outcome::Done);
@@ -193,12 +193,12 @@
             }
             probed |= node.wait(5.0).contains(&Action::Probe(ServerId(2)));
         }
-        node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Done, took: 1.0 });
+        node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Done, duration: 1.0 });
         for _ in 0..60 {
             node.serve(SAFE, 5.0);
         }
         let sent = (0..100).filter(|_| node.serve(SAFE, 5.0) == Some(ServerId(2))).count();
-        assert_eq!(sent < 9, cold, "{outcome:?} after {took}: {sent} of 100");
+        assert_eq!(sent < 9, cold, "{outcome:?} after {duration}: {sent} of 100");
     }
 }
 
@@ -216,7 +216,7 @@
     }
     assert!(node.end(id, Outcome::ConnectFailed).contains(&Action::Probe(ServerId(2))), "probed at once");
     node.end(id, Outcome::Done);
-    node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Done, took: 1.0 });
+    node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Done, duration: 1.0 });
     let sent = (0..40).filter(|_| node.serve(SAFE, 5.0) == Some(ServerId(2))).count();
     assert!(sent >= 9, "{sent} of 40");
 }
@@ -410,8 +410,8 @@
                 deadline,
                 repeat_key: None,
                 work: None,
-                within,
-                earlier: None,
+                in_share: within,
+                prior_attempts: None,
             }),
         )
     };
@@ -431,7 +431,7 @@
 /// all attempts could time out (incident i5f50fa).
 #[test]
 fn a_timed_out_attempt_lowers_the_limit_more_than_a_late_answer() {
-    let open_slots_after = |outcome, took| {
+    let open_slots_after = |outcome, duration| {
         let mut node = Node::fleet(settings(), 8);
         for _ in 0..16 {
             node.serve(UNSAFE, 5.0);
@@ -441,7 +441,7 @@
         for id in &sent[..12] {
             node.end(*id, Outcome::Done);
         }
-        node.now += took - 5.0;
+        node.now += duration - 5.0;
         for id in &sent[12..] {
             node.end(*id, outcome);
         }
@@ -546,7 +546,7 @@
 #[test]
 fn every_node_reopens_a_silent_watch_in_time() {
     let pause = |number: usize, failure: ListFailure| {
-        let set = Settings { discovery: Discovery::Asked, nodes: 300, number, ..settings() };
+        let set = Settings { discovery: Discovery::Asked, nodes: 300, node_index: number, ..settings() };
         let entries = (0..2).map(|id| entry(id, 1.0)).collect();
         let mut node = Node::new_seeded(set, entries, number as u64);
         if failure != ListFailure::Unanswered {
@@ -578,9 +578,9 @@
     type Invalidate = fn(&mut Settings);
     let cases: [(&str, Invalidate); 5] = [
         ("no classes", |s| s.classes.clear()),
-        ("own number", |s| s.number = s.nodes),
-        ("negative", |s| s.rules.fall_window = -1.0),
-        ("share", |s| s.rules.cold_share = 1.5),
+        ("own number", |s| s.node_index = s.nodes),
+        ("negative", |s| s.rules.overload_window = -1.0),
+        ("share", |s| s.rules.cold_capacity_share = 1.5),
         ("attempts", |s| s.limits.attempts = 0),
     ];
     for (message, invalidate) in cases {
@@ -604,8 +604,8 @@
         deadline: node.now + CLIENT_TIMEOUT_MS,
         repeat_key: None,
         work: None,
-        within: None,
-        earlier: None,
+        in_share: None,
+        prior_attempts: None,
     };
     let actions = node.event(resubmitted.clone());
     assert!(!failed(&actions, id) && !refused(&actions, id), "{actions:?}");
@@ -692,7 +692,7 @@
         "a pushed list is not requested"
     );
     let (server, outcome) = (ServerId(1), Outcome::TimedOut);
-    let late = Event::Ended { id, attempt: 0, server, outcome, took: 1.0, finished: false };
+    let late = Event::Ended { id, attempt: 0, server, outcome, duration: 1.0, finished: false };
     assert!(only_timers(&node.event(late)), "an attempt ends only once");
     assert!(only_timers(&node.event(Event::List { entries: Vec::new(), saved: false })));
     let (id, _) = node.submit(SAFE);
@@ -710,8 +710,8 @@
     assert!(served >= 10 && each > 9.0, "{served} served, {each} ms from one to the next");
 }
 
-/// A refusal tells the client how long to wait: part of the aim of the class, and at most what clients
-/// respect.
+/// A refusal tells the client how long to wait: part of the target latency of the class, and at most what
+/// clients respect.
 #[test]
 fn a_refusal_tells_how_long_to_wait() {
     let span = |most: f64| {
@@ -720,8 +720,8 @@
         let mut node = Node::new(set, Vec::new());
         let (_, actions) = node.submit_with_timeout(SAFE, None, 1.0);
         actions.iter().find_map(|a| {
-            if let Action::Refuse { stay_away, .. } = a {
-                Some(*stay_away)
+            if let Action::Refuse { retry_after, .. } = a {
+                Some(*retry_after)
             } else {
                 None
             }
@@ -762,14 +762,14 @@
             let (id, actions) = node.submit_with_timeout(SAFE, None, 60.0);
             let Some(server) = sent_to(&actions) else { break };
             if runs_on {
-                node.event(Event::RunsOn { id, attempt: 0, server });
+                node.event(Event::AttemptRunsOn { id, attempt: 0, server });
             }
             let ended = Event::Ended {
                 id,
                 attempt: 0,
                 server,
                 outcome: Outcome::Cancelled,
-                took: 0.0,
+                duration: 0.0,
                 finished: true,
             };
             node.event(ended);
@@ -783,12 +783,12 @@
     let (waiting, actions) = node.submit(SAFE);
     assert!(sent_to(&actions).is_none(), "no slot is free");
     let (id, server) = given_up[0];
-    let freed = node.event(Event::Left { id, attempt: 0, server });
+    let freed = node.event(Event::AttemptFinishedAtServer { id, attempt: 0, server });
     assert_eq!(sends(&freed), [waiting], "the freed slot goes to the queued request");
     // A second report, one of another attempt, or one of an attempt that did not run on frees nothing.
-    node.event(Event::Left { id, attempt: 0, server });
-    node.event(Event::Left { id, attempt: 1, server });
-    node.event(Event::Left { id: waiting, attempt: 0, server });
+    node.event(Event::AttemptFinishedAtServer { id, attempt: 0, server });
+    node.event(Event::AttemptFinishedAtServer { id, attempt: 1, server });
+    node.event(Event::AttemptFinishedAtServer { id: waiting, attempt: 0, server });
     assert!(sent_to(&node.submit(SAFE).1).is_none());
 }
 
@@ -883,7 +883,7 @@
     let mut found: Vec<ServerId> = Vec::new();
     for server in &used {
         let outcome = if *server == drains { Outcome::Error } else { Outcome::Done };
-        found.extend(probes(&node.event(Event::Probed { server: *server, outcome, took: 1.0 })));
+        found.extend(probes(&node.event(Event::Probed { server: *server, outcome, duration: 1.0 })));
     }
     for _ in 0..10 {
         let (_, actions) = node.submit(SAFE);
@@ -893,7 +893,7 @@
     }
     let newcomer =
         *found.iter().find(|id| !used.contains(id)).expect("another server replaces it and is checked");
-    node.event(Event::Probed { server: newcomer, outcome: Outcome::Done, took: 1.0 });
+    node.event(Event::Probed { server: newcomer, outcome: Outcome::Done, duration: 1.0 });
     let reached: Vec<ServerId> = (0..40).filter_map(|_| node.serve(SAFE, 90.0)).collect();
     assert!(reached.contains(&newcomer) && !reached.contains(&drains), "{reached:?}");
 }
@@ -911,13 +911,14 @@
             checked.extend(probes(&node.wait(5.0)));
         }
         let checked_again = |node: &mut Node, server: ServerId| -> bool {
-            node.event(Event::Probed { server, outcome, took: 1.0 });
+            node.event(Event::Probed { server, outcome, duration: 1.0 });
             let mut soon: Vec<ServerId> = Vec::new();
             (0..30).for_each(|_| soon.extend(probes(&node.wait(5.0))));
             soon.contains(&server)
         };
         assert!(checked_again(&mut node, checked[0]), "{outcome:?}");
-        let actions = node.event(Event::Probed { server: checked[0], outcome: Outcome::Error, took: 1.0 });
+        let actions =
+            node.event(Event::Probed { server: checked[0], outcome: Outcome::Error, duration: 1.0 });
         let newcomer = probes(&actions).into_iter().chain(probes(&node.wait(5.0))).next();
         let newcomer = newcomer.expect("another server replaces it and is checked");
         assert!(checked_again(&mut node, newcomer), "{outcome:?}");
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -74,7 +74,7 @@
     }
     let (open, _) = node.submit(KEYED);
     let mut more = settings();
-    more.classes.push(Class { aim: 50.0, ..more.classes[SAFE].clone() });
+    more.classes.push(Class { target_latency: 50.0, ..more.classes[SAFE].clone() });
     apply(&mut node, more.clone(), &[SAFE, 3]);
     assert!(node.serve(3, 5.0).is_some() && node.serve(SAFE, 5.0).is_some());
     assert!(sent_to(&node.end(open, Outcome::Full)).is_some(), "the open request continues");
@@ -90,7 +90,7 @@
     for outcome in [Outcome::Full, Outcome::Error] {
         let mut node = Node::fleet(settings(), 3);
         let (id, _) = node.submit(SAFE);
-        node.event(Event::Spent(id));
+        node.event(Event::BodySent(id));
         let actions = node.end(id, outcome);
         assert!(sent_to(&actions).is_none() && refused(&actions, id), "{outcome:?}: {actions:?}");
     }
--- a/crates/policy/tests/unfollowed.rs
+++ b/crates/policy/tests/unfollowed.rs
@@ -17,7 +17,7 @@
 
 /// A node, one of `nodes`, whose watch of the list has just ended.
 fn unfollowed(nodes: usize, servers: u64) -> Node {
-    let set = Settings { discovery: Discovery::Asked, nodes, number: nodes / 2, ..settings() };
+    let set = Settings { discovery: Discovery::Asked, nodes, node_index: nodes / 2, ..settings() };
     let mut node = Node::new_seeded(set, (0..servers).map(|id| entry(id, 1.0)).collect(), 1);
     node.event(Event::ListChange(Vec::new()));
     node.wait(500.0);
@@ -30,8 +30,8 @@
 }
 
 /// Reports an answer of a server on a connection opened at the given time.
-fn answer_on(node: &mut Node, server: ServerId, opened: f64) {
-    node.event(Event::ConnectionAnswered { server, opened });
+fn answer_on(node: &mut Node, server: ServerId, opened_at: f64) {
+    node.event(Event::ConnectionAnswered { server, opened_at });
 }
 
 /// Advances the clock, and ends each check at once with the outcome that `result_of` returns, if any, on an
@@ -49,7 +49,7 @@
             made.push((node.now, server));
             if let Some(outcome) = result_of(server) {
                 answer_on(node, server, 0.0);
-                due.extend(probes(&node.event(Event::Probed { server, outcome, took: 0.5 })));
+                due.extend(probes(&node.event(Event::Probed { server, outcome, duration: 0.5 })));
             }
         }
     }
@@ -92,7 +92,7 @@
     let made = checks(&mut node, 9_000.0, |_| None);
     assert_eq!(made.len(), MAX_OPEN_CHECKS);
     let (_, server) = made[0];
-    let more = probes(&node.event(Event::Probed { server, outcome: Outcome::TimedOut, took: 100.0 }));
+    let more = probes(&node.event(Event::Probed { server, outcome: Outcome::TimedOut, duration: 100.0 }));
     assert_eq!(more.len(), 1, "the next check is made");
 }
 
@@ -101,7 +101,7 @@
 fn the_subsets_that_nodes_check_cover_the_fleet() {
     let mut used: BTreeSet<ServerId> = BTreeSet::new();
     for number in 0..4 {
-        let set = Settings { discovery: Discovery::Asked, nodes: 4, number, ..settings() };
+        let set = Settings { discovery: Discovery::Asked, nodes: 4, node_index: number, ..settings() };
         let mut node = Node::new_seeded(set, (0..3_200).map(|id| entry(id, 1.0)).collect(), 1);
         node.event(Event::ListFailed(ListFailure::Ended));
         used.extend(
@@ -131,13 +131,15 @@
     for _ in 0..40 {
         assert!(node.serve(SAFE, 1.0).is_some_and(|to| to.0 < 2));
     }
-    assert!(node.balancer.accepts(ServerId(0)) && !node.balancer.accepts(ServerId(2)));
+    assert!(
+        node.balancer.accepts_new_attempts(ServerId(0)) && !node.balancer.accepts_new_attempts(ServerId(2))
+    );
     assert_eq!(node.balancer.doubtful_sends(), DoubtfulSends::default());
     // No server has a recent result, so the node uses them all.
     checks(&mut node, 3_000.0, |_| None);
     assert!(node.serve(SAFE, 1.0).is_some());
     assert_eq!(node.balancer.doubtful_sends(), DoubtfulSends { stale: 1, refused: 0 });
-    assert!(node.balancer.accepts(ServerId(2)));
+    assert!(node.balancer.accepts_new_attempts(ServerId(2)));
 }
 
 /// How long the last list remains valid after the watch is lost, by the kind of failure.
@@ -188,11 +190,11 @@
     while node.now < ends {
         let mut due = probes(&node.wait(1.0));
         while let Some(server) = due.pop() {
-            let (outcome, opened) = result_of(node.now, server);
+            let (outcome, opened_at) = result_of(node.now, server);
             if outcome == Outcome::Done {
-                answer_on(node, server, opened);
+                answer_on(node, server, opened_at);
             }
-            due.extend(probes(&node.event(Event::Probed { server, outcome, took: 0.5 })));
+            due.extend(probes(&node.event(Event::Probed { server, outcome, duration: 0.5 })));
         }
     }
 }
@@ -213,10 +215,10 @@
         checks_with_connections(&mut node, 3_000.0, result_of);
         let reached: BTreeSet<ServerId> = (0..40).filter_map(|_| node.serve(SAFE, 1.0)).collect();
         assert_eq!(reached, (1..4).map(ServerId).collect(), "{down:?}");
-        assert!(!node.balancer.accepts(ServerId(0)), "{down:?}");
+        assert!(!node.balancer.accepts_new_attempts(ServerId(0)), "{down:?}");
         // Once the list is followed again, the server is used and no ejection remains.
         for server in probes(&node.event(Event::ListChange(Vec::new()))) {
-            node.event(Event::Probed { server, outcome: Outcome::Done, took: 0.5 });
+            node.event(Event::Probed { server, outcome: Outcome::Done, duration: 0.5 });
         }
         checks_with_connections(&mut node, 3_000.0, result_of);
         assert!(!node.balancer.is_ejected(ServerId(0)), "{down:?}");
@@ -306,11 +308,11 @@
     let answer = |node: &mut Node, actions: Vec<Action>| {
         let mut due = probes(&actions);
         while let Some(server) = due.pop() {
-            let (outcome, opened) = result_of(node.now, server);
+            let (outcome, opened_at) = result_of(node.now, server);
             if outcome == Outcome::Done {
-                answer_on(node, server, opened);
+                answer_on(node, server, opened_at);
             }
-            due.extend(probes(&node.event(Event::Probed { server, outcome, took: 0.5 })));
+            due.extend(probes(&node.event(Event::Probed { server, outcome, duration: 0.5 })));
         }
     };
     let submitted = 100;
@@ -334,7 +336,7 @@
         let (mut not_restarted, mut restarted) = (BTreeSet::new(), BTreeSet::new());
         for server in (0..8).map(ServerId) {
             match result_of(node.now, server) {
-                (Outcome::Done, opened) if opened > 0.0 && !node.balancer.is_ejected(server) => {
+                (Outcome::Done, opened_at) if opened_at > 0.0 && !node.balancer.is_ejected(server) => {
                     restarted.insert(server)
                 }
                 (Outcome::Done, 0.0) => not_restarted.insert(server),
@@ -370,9 +372,9 @@
     let mut node = unfollowed(1, 4);
     checks_with_connections(&mut node, 3_000.0, |_, _| (Outcome::Done, 0.0));
     let registered = ServerId(9);
-    for server in probes(&node.event(Event::ListNews(vec![entry(9, 1.0)]))) {
+    for server in probes(&node.event(Event::ListChangeElsewhere(vec![entry(9, 1.0)]))) {
         answer_on(&mut node, server, 3_500.0);
-        node.event(Event::Probed { server, outcome: Outcome::Done, took: 0.5 });
+        node.event(Event::Probed { server, outcome: Outcome::Done, duration: 0.5 });
     }
     checks_with_connections(&mut node, 100.0, |now, server| {
         (Outcome::Done, if server == registered { now } else { 0.0 })
--- a/crates/scale/src/scenario/decisions.rs
+++ b/crates/scale/src/scenario/decisions.rs
@@ -59,7 +59,7 @@
             kind: 1,
             state: Listed::Up,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         let entries = (0..servers).map(entry).collect();
         rotation.tell(Event::List { entries, saved: false });
@@ -84,8 +84,8 @@
             deadline: came + 450.0,
             repeat_key: None,
             work: None,
-            within: None,
-            earlier: None,
+            in_share: None,
+            prior_attempts: None,
         });
         loop {
             let (mut sent, mut timer) = (None, None);
@@ -102,7 +102,7 @@
                 self.now += SERVICE_TIME;
                 let outcome = Outcome::Done;
                 let ended =
-                    Event::Ended { id, attempt: 0, server, outcome, took: SERVICE_TIME, finished: true };
+                    Event::Ended { id, attempt: 0, server, outcome, duration: SERVICE_TIME, finished: true };
                 self.tell(ended);
                 return Some(waited);
             }
--- a/crates/scale/src/scenario/list.rs
+++ b/crates/scale/src/scenario/list.rs
@@ -60,7 +60,7 @@
         Self {
             clock: Clock::default(),
             servers: Servers::new(Marks::default()),
-            warm_within: settings.rules.warm_within,
+            warm_within: settings.rules.warm_up_time,
             balancer: Balancer::new(settings, 1).expect("good settings"),
             actions: Vec::new(),
         }
--- a/crates/scale/src/scenario/list_calls.rs
+++ b/crates/scale/src/scenario/list_calls.rs
@@ -111,7 +111,7 @@
 fn settings(nodes: usize, number: usize) -> Settings {
     let value = deployment::settings(nodes, 1);
     let mut settings = NodeSettings::from_value(&value).expect("good settings").policy;
-    (settings.number, settings.discovery) = (number, Discovery::Asked);
+    (settings.node_index, settings.discovery) = (number, Discovery::Asked);
     settings
 }
 
@@ -123,7 +123,7 @@
         kind: 0,
         state: Listed::Up,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -168,7 +168,7 @@
                 Action::Subscribe => self.call(node, now),
                 Action::Probe(server) => {
                     self.checks += 1;
-                    self.tell(node, now, Event::Probed { server, outcome: Outcome::Done, took: 1.0 });
+                    self.tell(node, now, Event::Probed { server, outcome: Outcome::Done, duration: 1.0 });
                 }
                 _ => {}
             }
@@ -194,7 +194,7 @@
             Trouble::Ended | Trouble::Down => ListFailure::Ended,
         };
         if what == Happens::Answered {
-            self.tell(node, at, Event::ListAnswering);
+            self.tell(node, at, Event::ListAnswerStarted);
         }
         let event = match what {
             Happens::Timer => Event::Timer,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -55,15 +55,15 @@
         other => return Err(format!("Idempotency: {other} is unknown")),
     };
     // If it is absent or null, the time that clients wait is unknown.
-    let patience = f.number_or("Deadline", f64::INFINITY)?;
-    if patience.is_nan() || patience <= 0.0 {
-        return Err(format!("Deadline: above 0 expected, not {patience}"));
+    let client_timeout = f.number_or("Deadline", f64::INFINITY)?;
+    if client_timeout.is_nan() || client_timeout <= 0.0 {
+        return Err(format!("Deadline: above 0 expected, not {client_timeout}"));
     }
     let class = Class {
-        aim: f.number("Slo")?,
+        target_latency: f.number("Slo")?,
         worth: f.number_or("Value", 1.0)?,
         late_worth: f.number_or("LateValue", 0.0)?,
-        patience,
+        client_timeout,
         effect,
     };
     Ok((text(f.required("Name")?, "Name")?.to_string(), class))
@@ -135,7 +135,7 @@
 fn read_settings(value: &Value, tenants: Tenants) -> Result<NodeSettings, FieldError> {
     let f = Fields::of(value, "Options")?;
     let classes = f.array("Classes")?.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
-    let longest_deadline = classes.iter().map(|c| c.1.patience).fold(0.0, f64::max);
+    let longest_deadline = classes.iter().map(|c| c.1.client_timeout).fold(0.0, f64::max);
     let (class_names, classes): (Vec<String>, _) = classes.into_iter().unzip();
     check_unique(&class_names, "Classes")?;
     if let Some(error) = tenants.error {
@@ -148,7 +148,7 @@
     let empty = Value::Object(Map::new());
     let g = Fields::of(f.get("Goal").unwrap_or(&empty), "Goal")?;
     let policy = Settings {
-        number: integer(f.required("Me")?, "Me")? as usize,
+        node_index: integer(f.required("Me")?, "Me")? as usize,
         nodes: integer(f.required("PeersTotal")?, "PeersTotal")? as usize,
         classes,
         tenants,
@@ -176,11 +176,11 @@
             },
         },
         rules: Rules {
-            ask_within: r.number_or("AskWithin", 10_000.0)?,
-            cold_share: r.number("ColdShare")?,
-            warm_within: r.number("WarmWithin")?,
-            fall_multiple: r.number("FallMultiple")?,
-            fall_window: r.number("Fall")?,
+            max_call_interval: r.number_or("AskWithin", 10_000.0)?,
+            cold_capacity_share: r.number("ColdShare")?,
+            warm_up_time: r.number("WarmWithin")?,
+            overload_factor: r.number("FallMultiple")?,
+            overload_window: r.number("Fall")?,
         },
         discovery: match f.get("Discovery").and_then(Value::as_str) {
             Some("subscribe") => Discovery::Asked,
@@ -193,7 +193,7 @@
             Some("silent") | None => Weights::None,
             Some(other) => return Err(format!("Weights: {other} is unknown")),
         },
-        tick: f.number_or("Tick", 1.0)?,
+        min_event_interval: f.number_or("Tick", 1.0)?,
     };
     Ok(NodeSettings {
         policy,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -65,7 +65,7 @@
         Action::Send { id, server, timeout } => json!(["SUBMIT_TO", id.0, server.0, timeout.unwrap_or(0.0)]),
         Action::Cancel { id, attempt } => json!(["ABORT_ATTEMPT", id.0, attempt]),
         Action::Explain { .. } => return None,
-        Action::Refuse { id, stay_away } => json!(["NOT_NOW", id.0, stay_away]),
+        Action::Refuse { id, retry_after } => json!(["NOT_NOW", id.0, retry_after]),
         Action::Fail(id) => json!(["GIVE_UP", id.0]),
         Action::SetTimer(after) => json!(["WAKE_AT", after, 0]),
         Action::Subscribe => json!(["LISTEN", true]),
@@ -158,7 +158,7 @@
                 other => return Err(format!("Condition: {other} is unknown")),
             },
             weight: optional_number(at(5), "Weight")?.unwrap_or(1.0),
-            started: optional_number(at(6), "LastStart")?.filter(|t| *t != 0.0),
+            started_at: optional_number(at(6), "LastStart")?.filter(|t| *t != 0.0),
         })
     }
 }
@@ -193,8 +193,8 @@
                 deadline: number(at(5), "DropDead")?,
                 repeat_key: hint.map(|hint| repeat_key(input, hint)),
                 work: hint,
-                within: None,
-                earlier: None,
+                in_share: None,
+                prior_attempts: None,
             },
             "STREAMING" => Event::Streaming { id: id()?, attempt: attempt()? },
             "RESPONSE" => Event::Ended {
@@ -202,13 +202,13 @@
                 attempt: attempt()?,
                 server: ServerId(integer(at(3), "Server")?),
                 outcome: read_outcome(text(at(4), "Outcome")?)?,
-                took: number(at(5), "Rtt")?,
+                duration: number(at(5), "Rtt")?,
                 finished: at(6).as_bool().ok_or("Terminal: true or false expected")?,
             },
             "STATUS_BACK" => Event::Probed {
                 server: ServerId(integer(at(1), "Server")?),
                 outcome: read_outcome(text(at(2), "Outcome")?)?,
-                took: number(at(3), "Rtt")?,
+                duration: number(at(3), "Rtt")?,
             },
             "GONE" => Event::ClientGone(id()?),
             "WAKE" => Event::Timer,
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -24,9 +24,15 @@
 const GRACE: f64 = 500.0;
 
 fn settings() -> Settings {
-    let class = |effect| Class { aim: 100.0, worth: 1.0, late_worth: 0.2, patience: f64::INFINITY, effect };
+    let class = |effect| Class {
+        target_latency: 100.0,
+        worth: 1.0,
+        late_worth: 0.2,
+        client_timeout: f64::INFINITY,
+        effect,
+    };
     Settings {
-        number: 0,
+        node_index: 0,
         nodes: 1,
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
         tenants: Vec::new(),
@@ -42,15 +48,15 @@
             max_retry_after: 1000.0,
         },
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.2,
-            warm_within: 5000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
+            max_call_interval: 10_000.0,
+            cold_capacity_share: 0.2,
+            warm_up_time: 5000.0,
+            overload_factor: 3.0,
+            overload_window: 1000.0,
         },
         discovery: Discovery::Pushed,
         weights: Weights::None,
-        tick: 1.0,
+        min_event_interval: 1.0,
     }
 }
 
@@ -145,7 +151,7 @@
                     kind: 0,
                     state: listed(host.health),
                     weight: 1.0,
-                    started: (host.born_ms > 0.0).then_some(host.born_ms),
+                    started_at: (host.born_ms > 0.0).then_some(host.born_ms),
                 }
             });
             let entries = entries.collect();
