--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -20,16 +20,16 @@
 pub enum Final<R> {
     /// The response of a server.
     Served(R),
-    /// Refused: the request had no effect and may be sent again after `stay_away` (0: no advice).
+    /// Refused: the request had no effect and may be sent again after `retry_after` (0: no advice).
     Refused {
         /// Time to wait before the request is sent again.
-        stay_away: Millis,
+        retry_after: Millis,
     },
     /// Failed; the request may have run.
     Failed,
     /// Failed because the deadline was near and the decision module had not answered; the request may have
     /// run.
-    Overdue,
+    DeadlineNear,
     /// A server rejected the request itself as invalid.
     Rejected,
 }
@@ -45,17 +45,17 @@
 
 /// How an attempt ended, as reported by its backend.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended<R> {
+pub enum AttemptResult<R> {
     /// The server sent its complete response.
     Served(R),
     /// The response has begun and its body is still streaming: the attempt occupies a slot at the server
-    /// until [`Core::attempt_left`].
-    Flows(R),
+    /// until [`Core::attempt_finished_at_server`].
+    Streaming(R),
     /// No response that can be returned to the client. [`Outcome::Done`] is invalid here and is treated as an
     /// error.
-    Without(Outcome),
+    NoResponse(Outcome),
     /// The attempt was given up, but the server cannot be notified and keeps working: the attempt occupies a
-    /// slot there until [`Core::attempt_left`].
+    /// slot there until [`Core::attempt_finished_at_server`].
     RunsOn(Outcome),
 }
 
@@ -77,7 +77,7 @@
         /// Why the request is not served.
         reason: Reason,
     },
-    /// Start an attempt. The backend must report exactly one [`Ended`] for it.
+    /// Start an attempt. The backend must report exactly one [`AttemptResult`] for it.
     Start {
         /// The attempt.
         attempt: AttemptId,
@@ -102,16 +102,16 @@
 
 /// Why a request was not accepted. Nothing was sent for it, and the core will emit no answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum Rejection {
     /// A request with the same id is open; sending this one could execute that request twice.
-    IdOpen,
+    DuplicateId,
     /// The maximum number of open requests is reached.
-    NoRoom {
+    TooManyOpen {
         /// Time to wait before the request is sent again, as computed by the decision module.
-        stay_away: Millis,
+        retry_after: Millis,
     },
     /// The settings have no such class.
-    NoSuchClass,
+    UnknownClass,
     /// The class is keyed and the request has no key.
     KeyMissing,
 }
@@ -229,25 +229,25 @@
             }
             // Whatever the state of the module's timers and attempts, the client does not wait longer than
             // this.
-            self.emit_answer(request, Final::Overdue);
+            self.emit_answer(request, Final::DeadlineNear);
             self.feed(now, Event::ClientGone(request));
             self.remove_if_finished(request);
         }
     }
 
     /// Number of requests that await their final answer.
-    pub fn awaiting(&self) -> usize {
+    pub fn awaiting_count(&self) -> usize {
         self.ids.len()
     }
 
     /// Number of listed servers that the decision module currently avoids.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.balancer.ejected_count()
     }
 
     /// Number of open requests: those that await their answer and those whose attempts still occupy a slot at
     /// a server.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.requests.len()
     }
 
@@ -275,7 +275,7 @@
 
     /// Fails all requests that await an answer and cancels their attempts. Used at shutdown, where an answer
     /// is better for clients than a connection reset.
-    pub fn fail_all(&mut self, now: Millis) {
+    pub fn fail_open_requests(&mut self, now: Millis) {
         let mut open: Vec<RequestId> = self.requests.keys().copied().collect();
         open.sort_unstable();
         for request in open {
@@ -287,43 +287,44 @@
 
     // ---- Front interface ----
 
-    /// Accepts a request. Exactly one final answer follows, unless [`Core::client_gone`] is called first.
+    /// Accepts a request. Exactly one final answer follows, unless [`Core::client_disconnected`] is called
+    /// first.
     ///
     /// # Errors
     /// Returns why the request was not accepted; the front then answers it.
-    pub fn take(&mut self, now: Millis, incoming: Incoming<P>) -> Result<RequestId, NotTaken> {
-        self.take_within(now, incoming, || None)
+    pub fn accept(&mut self, now: Millis, incoming: Incoming<P>) -> Result<RequestId, Rejection> {
+        self.accept_with_usage(now, incoming, || None)
     }
 
-    /// Like [`Core::take`], for a tenant whose usage is counted over all nodes: `count_usage` counts the
+    /// Like [`Core::accept`], for a tenant whose usage is counted over all nodes: `count_usage` counts the
     /// request and returns whether the tenant is within its share. It is called once per accepted request
     /// that is not a client's repeat.
     ///
     /// # Errors
     /// Returns why the request was not accepted; the front then answers it.
-    pub fn take_within(
+    pub fn accept_with_usage(
         &mut self,
         now: Millis,
         incoming: Incoming<P>,
         count_usage: impl FnOnce() -> Option<bool>,
-    ) -> Result<RequestId, NotTaken> {
+    ) -> Result<RequestId, Rejection> {
         let class = incoming.class;
-        let effect = self.effects.get(class).ok_or(NotTaken::NoSuchClass)?;
+        let effect = self.effects.get(class).ok_or(Rejection::UnknownClass)?;
         if matches!(effect, Effect::Keyed { .. }) && incoming.key.is_none() {
-            return Err(NotTaken::KeyMissing);
+            return Err(Rejection::KeyMissing);
         }
         if self.requests.len() >= self.max_open {
-            return Err(NotTaken::NoRoom { stay_away: self.stay_away(class) });
+            return Err(Rejection::TooManyOpen { retry_after: self.retry_after(class) });
         }
         if !self.ids.insert(incoming.id.clone()) {
-            return Err(NotTaken::IdOpen);
+            return Err(Rejection::DuplicateId);
         }
         self.last_id += 1;
         let request = RequestId(self.last_id);
         let (tenant, deadline) = (incoming.tenant, incoming.before_deadline(ANSWER_MARGIN));
         let (repeat_key, work) = (incoming.repeat_key, incoming.work);
-        let wait_after_body = incoming.coming.then_some(incoming.deadline - incoming.began);
-        let guard = if incoming.coming {
+        let wait_after_body = incoming.body_pending.then_some(incoming.deadline - incoming.began);
+        let guard = if incoming.body_pending {
             // Until the last byte arrives, the front detects a body that has stalled.
             Timestamp::at(now + MAX_ATTEMPT_DURATION)
         } else {
@@ -340,11 +341,11 @@
             guard,
             wait_after_body,
             completed_at: now,
-            attempts: incoming.earlier.iter().flatten().map(finished_attempt).collect(),
+            attempts: incoming.prior_attempts.iter().flatten().map(finished_attempt).collect(),
         };
         self.requests.insert(request, open);
-        let within = if self.balancer.is_repeat(now, repeat_key) { None } else { count_usage() };
-        let earlier = incoming.earlier;
+        let in_share = if self.balancer.is_repeat(now, repeat_key) { None } else { count_usage() };
+        let prior_attempts = incoming.prior_attempts;
         self.feed(
             now,
             Event::Request {
@@ -354,8 +355,8 @@
                 deadline,
                 repeat_key,
                 work,
-                in_share: within,
-                prior_attempts: earlier,
+                in_share,
+                prior_attempts,
             },
         );
         Ok(request)
@@ -363,12 +364,12 @@
 
     /// Advice of the decision module on how long a client should wait before it sends a request of this class
     /// again, for requests that are refused without passing through the module.
-    pub fn stay_away(&self, class: usize) -> Millis {
+    pub fn retry_after(&self, class: usize) -> Millis {
         self.balancer.retry_after(class)
     }
 
     /// The client has disconnected, so the request needs no answer.
-    pub fn client_gone(&mut self, now: Millis, request: RequestId) {
+    pub fn client_disconnected(&mut self, now: Millis, request: RequestId) {
         if !self.requests.contains_key(&request) {
             return;
         }
@@ -382,13 +383,13 @@
     // ---- Backend interface ----
 
     /// Returns the server of an attempt and when the attempt was sent, while its end is awaited.
-    pub fn attempt(&self, attempt: AttemptId) -> Option<(ServerId, Millis)> {
+    pub fn pending_attempt(&self, attempt: AttemptId) -> Option<(ServerId, Millis)> {
         let record = self.requests.get(&attempt.request)?.attempts.get(attempt.number)?;
         (record.stage == Stage::Pending).then_some((record.server, record.sent))
     }
 
     /// Records the end of an attempt. Only the first report for each attempt counts.
-    pub fn attempt_ended(&mut self, now: Millis, attempt: AttemptId, ended: Ended<R>) {
+    pub fn attempt_ended(&mut self, now: Millis, attempt: AttemptId, ended: AttemptResult<R>) {
         let AttemptId { request, number } = attempt;
         let Some(open) = self.requests.get_mut(&request) else { return };
         let Some(record) = open.attempts.get_mut(number).filter(|t| t.stage == Stage::Pending) else {
@@ -396,16 +397,16 @@
         };
         // A server begins a request when its last byte arrives.
         let (server, duration) = (record.server, now - record.sent.max(open.completed_at));
-        let runs_on = matches!(ended, Ended::RunsOn(_) | Ended::Flows(_));
+        let runs_on = matches!(ended, AttemptResult::RunsOn(_) | AttemptResult::Streaming(_));
         record.stage = if runs_on { Stage::RunsOn } else { Stage::Finished };
         let outcome = match ended {
-            Ended::Served(reply) | Ended::Flows(reply) => {
+            AttemptResult::Served(reply) | AttemptResult::Streaming(reply) => {
                 self.emit_answer(request, Final::Served(reply));
                 Outcome::Done
             }
             // `Done` without a response cannot be a success.
-            Ended::Without(Outcome::Done) | Ended::RunsOn(Outcome::Done) => Outcome::Error,
-            Ended::Without(outcome) | Ended::RunsOn(outcome) => outcome,
+            AttemptResult::NoResponse(Outcome::Done) | AttemptResult::RunsOn(Outcome::Done) => Outcome::Error,
+            AttemptResult::NoResponse(outcome) | AttemptResult::RunsOn(outcome) => outcome,
         };
         if outcome == Outcome::Rejected {
             self.emit_answer(request, Final::Rejected);
@@ -421,7 +422,7 @@
     }
 
     /// The body of a request is being consumed from its client, so the request cannot be sent again.
-    pub fn body_taken(&mut self, now: Millis, request: RequestId) {
+    pub fn body_consumed(&mut self, now: Millis, request: RequestId) {
         self.feed(now, Event::BodySent(request));
     }
 
@@ -437,8 +438,9 @@
         }
     }
 
-    /// The server has finished, or lost, an attempt that ended as [`Ended::RunsOn`] or [`Ended::Flows`].
-    pub fn attempt_left(&mut self, now: Millis, attempt: AttemptId) {
+    /// The server has finished, or lost, an attempt that ended as [`AttemptResult::RunsOn`] or
+    /// [`AttemptResult::Streaming`].
+    pub fn attempt_finished_at_server(&mut self, now: Millis, attempt: AttemptId) {
         let AttemptId { request, number } = attempt;
         let Some(open) = self.requests.get_mut(&request) else { return };
         let Some(record) = open.attempts.get_mut(number).filter(|t| t.stage == Stage::RunsOn) else { return };
@@ -459,7 +461,7 @@
     }
 
     /// How far the decision module trusts the servers that are listed as up.
-    pub fn trust(&self) -> RotationStatus {
+    pub fn rotation_status(&self) -> RotationStatus {
         self.balancer.rotation_status()
     }
 
@@ -473,7 +475,7 @@
     // ---- Discovery interface ----
 
     /// Handles a complete list; `saved` is set for a list stored before the node's start.
-    pub fn list(&mut self, now: Millis, entries: Vec<Entry>, saved: bool) {
+    pub fn handle_list(&mut self, now: Millis, entries: Vec<Entry>, saved: bool) {
         self.feed(now, Event::List { entries, saved });
     }
 
@@ -484,7 +486,7 @@
 
     /// Limits the rotation to `max_servers` servers, if the node's subset of the list is no larger; applies
     /// from the next list on.
-    pub fn bound_rotation(&mut self, max_servers: usize) {
+    pub fn limit_rotation(&mut self, max_servers: usize) {
         self.balancer.limit_rotation(max_servers);
     }
 
@@ -500,7 +502,7 @@
 
     /// Whether new attempts may be sent to a server listed as up, including attempts that have waited for a
     /// connection.
-    pub fn accepts(&self, server: ServerId) -> bool {
+    pub fn accepts_new_attempts(&self, server: ServerId) -> bool {
         self.balancer.accepts_new_attempts(server)
     }
 
@@ -510,12 +512,12 @@
     }
 
     /// Handles changed entries from another source than discovery; they do not answer a call to discovery.
-    pub fn list_news(&mut self, now: Millis, entries: Vec<Entry>) {
+    pub fn list_changed_elsewhere(&mut self, now: Millis, entries: Vec<Entry>) {
         self.feed(now, Event::ListChangeElsewhere(entries));
     }
 
     /// Discovery has begun to answer the current call.
-    pub fn list_answering(&mut self, now: Millis) {
+    pub fn list_answer_started(&mut self, now: Millis) {
         self.feed(now, Event::ListAnswerStarted);
     }
 
@@ -568,7 +570,7 @@
                 self.outputs.push_back(Output::Explain { request: id, reason });
             }
             Action::Refuse { id, retry_after } => {
-                self.emit_answer(id, Final::Refused { stay_away: retry_after });
+                self.emit_answer(id, Final::Refused { retry_after });
                 self.remove_if_finished(id);
             }
             Action::Fail(id) => {
--- a/crates/core/src/incoming.rs
+++ b/crates/core/src/incoming.rs
@@ -11,7 +11,7 @@
 /// The core answers in place of the decision module this long before the client's deadline.
 pub const GUARD_MARGIN: Millis = 9.0;
 /// Maximum wait of a client; longer waits are cut to it.
-pub const LONGEST_WAIT: Millis = 600_000.0;
+pub const MAX_CLIENT_WAIT: Millis = 600_000.0;
 
 /// The id or the key of a request: 1 to 256 visible ASCII characters.
 ///
@@ -34,14 +34,14 @@
 
 impl Token {
     /// Maximum length in characters.
-    pub const LONGEST: usize = 256;
+    pub const MAX_LENGTH: usize = 256;
 
     /// Validates `text` and creates a token.
     ///
     /// # Errors
     /// When it is not 1 to 256 visible ASCII characters.
     pub fn new(text: &str) -> Result<Self, BadToken> {
-        let fits = (1..=Self::LONGEST).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+        let fits = (1..=Self::MAX_LENGTH).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         if fits {
             Ok(Self(text.into()))
         } else {
@@ -76,10 +76,10 @@
     pub work: Option<Millis>,
     /// The body is still arriving: the client's time counts from when [`crate::Core::body_sent`] reports that
     /// the last byte was forwarded.
-    pub coming: bool,
+    pub body_pending: bool,
     /// For a request taken over from another node: the attempts that other nodes have made or intended.
     /// Attempts of this node are numbered after them.
-    pub earlier: Option<Vec<PriorAttempt>>,
+    pub prior_attempts: Option<Vec<PriorAttempt>>,
     /// What the backends send; opaque to the core and cloned for each attempt.
     pub payload: P,
 }
@@ -87,7 +87,7 @@
 impl<P> Incoming<P> {
     /// The deadline less a margin, which is at most half of the wait.
     pub(crate) fn before_deadline(&self, margin: Millis) -> Millis {
-        let wait = (self.deadline - self.began).clamp(0.0, LONGEST_WAIT);
+        let wait = (self.deadline - self.began).clamp(0.0, MAX_CLIENT_WAIT);
         self.began + wait - margin.min(wait / 2.0)
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,5 +15,5 @@
 mod core;
 mod incoming;
 
-pub use crate::core::{AttemptId, Core, Ended, Final, NotTaken, Output};
-pub use crate::incoming::{BadToken, Incoming, Token, ANSWER_MARGIN, GUARD_MARGIN, LONGEST_WAIT};
+pub use crate::core::{AttemptId, AttemptResult, Core, Final, Output, Rejection};
+pub use crate::incoming::{BadToken, Incoming, Token, ANSWER_MARGIN, GUARD_MARGIN, MAX_CLIENT_WAIT};
--- a/crates/core/tests/core.rs
+++ b/crates/core/tests/core.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, NotTaken, Output, Token};
+use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Rejection, Token};
 use glenwood_policy::*;
 use proptest::prelude::*;
 
@@ -57,7 +57,7 @@
 
 fn core(servers: u64, max_open: usize) -> TestCore {
     let mut core = Core::new(settings(), 7, max_open).expect("good settings");
-    core.list(0.0, (0..servers).map(entry).collect(), false);
+    core.handle_list(0.0, (0..servers).map(entry).collect(), false);
     core
 }
 
@@ -73,8 +73,8 @@
         deadline: began + wait,
         repeat_key: None,
         work: None,
-        coming: false,
-        earlier: None,
+        body_pending: false,
+        prior_attempts: None,
         payload: 9,
     }
 }
@@ -97,29 +97,29 @@
 #[test]
 fn an_answered_request_leaves_no_state() {
     let mut core = core(2, 10);
-    assert!(core.take(1.0, incoming(0, "a", 1.0, 500.0)).is_ok());
+    assert!(core.accept(1.0, incoming(0, "a", 1.0, 500.0)).is_ok());
     let first = started(&outputs(&mut core));
-    core.attempt_ended(9.0, first[0], Ended::Served("yes"));
+    core.attempt_ended(9.0, first[0], AttemptResult::Served("yes"));
     assert_eq!(answers(outputs(&mut core)), [Final::Served("yes")]);
-    assert_eq!((core.open(), core.awaiting()), (0, 0));
+    assert_eq!((core.open_count(), core.awaiting_count()), (0, 0));
     // A second report for the same attempt is ignored.
-    core.attempt_ended(9.0, first[0], Ended::Served("again"));
+    core.attempt_ended(9.0, first[0], AttemptResult::Served("again"));
     assert!(answers(outputs(&mut core)).is_empty());
 }
 
 #[test]
 fn each_cause_of_rejection_is_reported() {
     let mut core = core(1, 1);
-    assert_eq!(core.take(1.0, incoming(7, "a", 1.0, 500.0)), Err(NotTaken::NoSuchClass));
+    assert_eq!(core.accept(1.0, incoming(7, "a", 1.0, 500.0)), Err(Rejection::UnknownClass));
     let keyless = Incoming { key: None, ..incoming(1, "a", 1.0, 500.0) };
-    assert_eq!(core.take(1.0, keyless), Err(NotTaken::KeyMissing));
-    assert!(core.take(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
+    assert_eq!(core.accept(1.0, keyless), Err(Rejection::KeyMissing));
+    assert!(core.accept(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
     assert!(
-        matches!(core.take(1.0, incoming(0, "b", 1.0, 500.0)), Err(NotTaken::NoRoom { stay_away }) if stay_away > 0.0)
+        matches!(core.accept(1.0, incoming(0, "b", 1.0, 500.0)), Err(Rejection::TooManyOpen { retry_after }) if retry_after > 0.0)
     );
     let mut larger = self::core(1, 5);
-    assert!(larger.take(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
-    assert_eq!(larger.take(1.0, incoming(2, "a", 1.0, 500.0)), Err(NotTaken::IdOpen));
+    assert!(larger.accept(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
+    assert_eq!(larger.accept(1.0, incoming(2, "a", 1.0, 500.0)), Err(Rejection::DuplicateId));
 }
 
 /// Guards against a backend that never reports: the client must still be answered in time, and a late report
@@ -127,7 +127,7 @@
 #[test]
 fn the_guard_answers_when_a_backend_never_reports() {
     let mut core = core(2, 10);
-    assert!(core.take(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
+    assert!(core.accept(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
     let first = started(&outputs(&mut core));
     let mut given = Vec::new();
     while let Some(due) = core.poll_timeout().filter(|due| *due < 2000.0) {
@@ -135,41 +135,41 @@
         core.handle_timeout(due);
         given.extend(answers(outputs(&mut core)));
     }
-    assert_eq!(given, [Final::Overdue]);
-    core.attempt_ended(2500.0, first[0], Ended::Served("late"));
+    assert_eq!(given, [Final::DeadlineNear]);
+    core.attempt_ended(2500.0, first[0], AttemptResult::Served("late"));
     assert!(answers(outputs(&mut core)).is_empty());
-    assert_eq!((core.open(), core.awaiting()), (0, 0));
+    assert_eq!((core.open_count(), core.awaiting_count()), (0, 0));
 }
 
 /// An attempt that runs on keeps its answered request in the table until the server has finished.
 #[test]
 fn an_attempt_that_runs_on_is_kept_until_the_server_finishes() {
     let mut core = core(1, 10);
-    assert!(core.take(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
+    assert!(core.accept(1.0, incoming(2, "a", 1.0, 500.0)).is_ok());
     let first = started(&outputs(&mut core));
-    core.attempt_ended(100.0, first[0], Ended::RunsOn(Outcome::TimedOut));
+    core.attempt_ended(100.0, first[0], AttemptResult::RunsOn(Outcome::TimedOut));
     assert_eq!(answers(outputs(&mut core)), [Final::Failed]);
-    assert_eq!((core.open(), core.awaiting()), (1, 0));
-    core.attempt_left(200.0, AttemptId { number: 1, ..first[0] });
-    assert_eq!(core.open(), 1, "another attempt has left, not this one");
-    core.attempt_left(200.0, first[0]);
-    assert_eq!(core.open(), 0);
+    assert_eq!((core.open_count(), core.awaiting_count()), (1, 0));
+    core.attempt_finished_at_server(200.0, AttemptId { number: 1, ..first[0] });
+    assert_eq!(core.open_count(), 1, "another attempt has left, not this one");
+    core.attempt_finished_at_server(200.0, first[0]);
+    assert_eq!(core.open_count(), 0);
 }
 
 /// A response that arrives after its attempt was given up is ignored, even while a later attempt is in
 /// progress.
 #[test]
 fn a_response_to_an_abandoned_attempt_is_ignored() {
-    for first in [Ended::RunsOn(Outcome::TimedOut), Ended::Without(Outcome::TimedOut)] {
+    for first in [AttemptResult::RunsOn(Outcome::TimedOut), AttemptResult::NoResponse(Outcome::TimedOut)] {
         let mut core = core(2, 10);
-        assert!(core.take(1.0, incoming(0, "a", 1.0, 500.0)).is_ok());
+        assert!(core.accept(1.0, incoming(0, "a", 1.0, 500.0)).is_ok());
         let first_started = started(&outputs(&mut core));
         core.attempt_ended(30.0, first_started[0], first);
         let second_started = started(&outputs(&mut core));
         assert_eq!((first_started.len(), second_started.len()), (1, 1));
-        core.attempt_ended(40.0, first_started[0], Ended::Served("late"));
+        core.attempt_ended(40.0, first_started[0], AttemptResult::Served("late"));
         assert!(answers(outputs(&mut core)).is_empty());
-        core.attempt_ended(50.0, second_started[0], Ended::Served("yes"));
+        core.attempt_ended(50.0, second_started[0], AttemptResult::Served("yes"));
         assert_eq!(answers(outputs(&mut core)), [Final::Served("yes")]);
     }
 }
@@ -178,10 +178,10 @@
 fn fail_all_fails_every_open_request() {
     let mut core = core(2, 10);
     for id in ["a", "b", "c"] {
-        assert!(core.take(1.0, incoming(2, id, 1.0, 500.0)).is_ok());
+        assert!(core.accept(1.0, incoming(2, id, 1.0, 500.0)).is_ok());
     }
     outputs(&mut core);
-    core.fail_all(2.0);
+    core.fail_open_requests(2.0);
     let all = outputs(&mut core);
     let abandoned = all.iter().filter(|o| matches!(o, Output::Abandon(_))).count();
     assert_eq!((abandoned, answers(all)), (3, vec![Final::Failed; 3]));
@@ -195,29 +195,29 @@
     custom.limits.cancel = false;
     let started_request = || {
         let mut core: TestCore = Core::new(custom.clone(), 7, 10).expect("good settings");
-        core.list(0.0, (0..2).map(entry).collect(), false);
-        let request = core.take(1.0, incoming(0, "a", 1.0, 500.0)).expect("accepted");
+        core.handle_list(0.0, (0..2).map(entry).collect(), false);
+        let request = core.accept(1.0, incoming(0, "a", 1.0, 500.0)).expect("accepted");
         let first = started(&outputs(&mut core))[0];
         (core, request, first)
     };
     let (mut core, request, first) = started_request();
-    core.client_gone(2.0, request);
+    core.client_disconnected(2.0, request);
     assert_eq!(outputs(&mut core), [Output::Recall(first)]);
     // The backend has dropped it; the request is not retried and no state remains.
-    core.attempt_ended(2.0, first, Ended::Without(Outcome::NotSent));
-    assert_eq!((outputs(&mut core), core.open()), (vec![], 0));
+    core.attempt_ended(2.0, first, AttemptResult::NoResponse(Outcome::NotSent));
+    assert_eq!((outputs(&mut core), core.open_count()), (vec![], 0));
     // A second disconnect does not recall the attempt again.
-    core.client_gone(3.0, request);
+    core.client_disconnected(3.0, request);
     assert_eq!(outputs(&mut core), []);
 
     let (mut core, _, first) = started_request();
     core.handle_timeout(500.0);
     let all = outputs(&mut core);
     assert!(all.contains(&Output::Recall(first)), "{all:?}");
-    assert_eq!(answers(all), [Final::Overdue]);
+    assert_eq!(answers(all), [Final::DeadlineNear]);
 
     let (mut core, _, first) = started_request();
-    core.fail_all(3.0);
+    core.fail_open_requests(3.0);
     let all = outputs(&mut core);
     assert!(all.contains(&Output::Recall(first)), "{all:?}");
     assert_eq!(answers(all), [Final::Failed]);
@@ -246,18 +246,18 @@
     ]
 }
 
-fn ended(how: usize) -> Ended<&'static str> {
+fn ended(how: usize) -> AttemptResult<&'static str> {
     match how {
-        0 | 1 => Ended::Served("yes"),
-        2 => Ended::Without(Outcome::Error),
-        3 => Ended::Without(Outcome::Full),
-        4 => Ended::Without(Outcome::TimedOut),
-        5 => Ended::Without(Outcome::ConnectFailed),
-        6 => Ended::Without(Outcome::Reset),
-        7 => Ended::Without(Outcome::NotSent),
-        8 => Ended::Without(Outcome::Rejected),
-        9 => Ended::RunsOn(Outcome::TimedOut),
-        _ => Ended::RunsOn(Outcome::Cancelled),
+        0 | 1 => AttemptResult::Served("yes"),
+        2 => AttemptResult::NoResponse(Outcome::Error),
+        3 => AttemptResult::NoResponse(Outcome::Full),
+        4 => AttemptResult::NoResponse(Outcome::TimedOut),
+        5 => AttemptResult::NoResponse(Outcome::ConnectFailed),
+        6 => AttemptResult::NoResponse(Outcome::Reset),
+        7 => AttemptResult::NoResponse(Outcome::NotSent),
+        8 => AttemptResult::NoResponse(Outcome::Rejected),
+        9 => AttemptResult::RunsOn(Outcome::TimedOut),
+        _ => AttemptResult::RunsOn(Outcome::Cancelled),
     }
 }
 
@@ -295,7 +295,7 @@
                     let guard = now + 400.0 - glenwood_core::GUARD_MARGIN;
                     let next = RequestId(expected.len() as u64 + 1);
                     expected.insert(next, Expected { class, guard, answers: 0, gone: false, attempts_made: Vec::new() });
-                    let id = core.take(now, incoming(class, &format!("r{}", next.0), now, 400.0));
+                    let id = core.accept(now, incoming(class, &format!("r{}", next.0), now, 400.0));
                     prop_assert_eq!(id, Ok(next));
                 }
                 Step::End(n, how) if !pending.is_empty() => {
@@ -303,17 +303,17 @@
                     let ended = ended(how);
                     let record = &mut expected.get_mut(&attempt.request).expect("known").attempts_made[attempt.number];
                     record.2 = false;
-                    record.3 = !matches!(&ended, Ended::Without(o) if o.never_ran());
-                    if matches!(ended, Ended::RunsOn(_)) {
+                    record.3 = !matches!(&ended, AttemptResult::NoResponse(o) if o.never_ran());
+                    if matches!(ended, AttemptResult::RunsOn(_)) {
                         running_on.push(attempt);
                     }
                     core.attempt_ended(now, attempt, ended);
                 }
-                Step::AttemptLeft(n) if !running_on.is_empty() => core.attempt_left(now, running_on.remove(n % running_on.len())),
+                Step::AttemptLeft(n) if !running_on.is_empty() => core.attempt_finished_at_server(now, running_on.remove(n % running_on.len())),
                 Step::ClientGone(n) if !expected.is_empty() => {
                     let id = RequestId((n % expected.len()) as u64 + 1);
                     expected.get_mut(&id).expect("known").gone = true;
-                    core.client_gone(now, id);
+                    core.client_disconnected(now, id);
                 }
                 Step::Wait(ms) => {
                     let until = now + ms;
@@ -374,7 +374,7 @@
                             running_on.push(attempt);
                         }
                         let how = Outcome::Cancelled;
-                        core.attempt_ended(now, attempt, if runs_on { Ended::RunsOn(how) } else { Ended::Without(how) });
+                        core.attempt_ended(now, attempt, if runs_on { AttemptResult::RunsOn(how) } else { AttemptResult::NoResponse(how) });
                     }
                     Output::Recall(attempt) => {
                         let request_state = expected.get_mut(&attempt.request).expect("known");
@@ -383,7 +383,7 @@
                         if attempt.request.0 % 3 == 0 {
                             pending.retain(|a| *a != attempt);
                             (request_state.attempts_made[attempt.number].2, request_state.attempts_made[attempt.number].3) = (false, false);
-                            core.attempt_ended(now, attempt, Ended::Without(Outcome::NotSent));
+                            core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::NotSent));
                         }
                     }
                     Output::Probe(server) => core.probed(now, server, Outcome::Done, 1.0),
@@ -395,12 +395,12 @@
             prop_assert!(request_state.answers == 1 || request_state.gone, "{:?} has no answer", id);
         }
         for attempt in pending {
-            core.attempt_ended(now, attempt, Ended::Without(Outcome::Reset));
+            core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::Reset));
         }
         for attempt in running_on {
-            core.attempt_left(now, attempt);
+            core.attempt_finished_at_server(now, attempt);
         }
-        prop_assert_eq!((core.open(), core.awaiting(), answers(outputs(&mut core)).len()), (0, 0, 0));
+        prop_assert_eq!((core.open_count(), core.awaiting_count(), answers(outputs(&mut core)).len()), (0, 0, 0));
     }
 }
 
@@ -412,26 +412,26 @@
     // as fast.
     loop {
         let id = format!("t{}", flowing.len());
-        assert!(core.take(now, incoming(0, &id, now, 500.0)).is_ok());
+        assert!(core.accept(now, incoming(0, &id, now, 500.0)).is_ok());
         let Some(attempt) = started(&outputs(&mut core)).first().copied() else { break };
         now += 60.0;
-        core.attempt_ended(now, attempt, Ended::Flows("begins"));
+        core.attempt_ended(now, attempt, AttemptResult::Streaming("begins"));
         assert_eq!(answers(outputs(&mut core)), [Final::Served("begins")]);
         flowing.push(attempt);
         assert!(flowing.len() < 50, "each streamed response occupies a slot");
     }
-    assert_eq!((core.awaiting(), core.open()), (1, flowing.len() + 1));
+    assert_eq!((core.awaiting_count(), core.open_count()), (1, flowing.len() + 1));
     // A response that has been streamed completely frees a slot for the waiting request.
-    core.attempt_left(now, flowing[0]);
+    core.attempt_finished_at_server(now, flowing[0]);
     assert_eq!(started(&outputs(&mut core)).len(), 1);
-    assert_eq!(core.open(), flowing.len());
+    assert_eq!(core.open_count(), flowing.len());
 }
 
 #[test]
 fn the_deadline_of_a_streamed_request_counts_from_its_last_byte() {
     let mut core = core(1, 10);
-    let streamed = Incoming { coming: true, ..incoming(0, "a", 1.0, 500.0) };
-    let request = core.take(1.0, streamed).expect("room");
+    let streamed = Incoming { body_pending: true, ..incoming(0, "a", 1.0, 500.0) };
+    let request = core.accept(1.0, streamed).expect("room");
     let attempt = started(&outputs(&mut core))[0];
     core.handle_timeout(5_000.0);
     assert!(answers(outputs(&mut core)).is_empty(), "nothing is due before the last byte");
@@ -439,9 +439,9 @@
     core.handle_timeout(5_400.0);
     assert!(answers(outputs(&mut core)).is_empty());
     core.handle_timeout(5_500.0);
-    assert_eq!(answers(outputs(&mut core)), [Final::Overdue]);
-    core.attempt_ended(5_600.0, attempt, Ended::Without(Outcome::TimedOut));
-    assert_eq!(core.open(), 0);
+    assert_eq!(answers(outputs(&mut core)), [Final::DeadlineNear]);
+    core.attempt_ended(5_600.0, attempt, AttemptResult::NoResponse(Outcome::TimedOut));
+    assert_eq!(core.open_count(), 0);
 }
 
 #[test]
@@ -453,9 +453,9 @@
     };
     let mut core = core(0, 100);
     let first = Incoming { repeat_key: Some(7), ..incoming(0, "a", 0.0, 500.0) };
-    core.take_within(0.0, first.clone(), count_usage).expect("accepted");
+    core.accept_with_usage(0.0, first.clone(), count_usage).expect("accepted");
     assert_eq!(times_counted.get(), 1);
-    assert!(core.take_within(0.0, first.clone(), count_usage).is_err(), "the id is already open");
+    assert!(core.accept_with_usage(0.0, first.clone(), count_usage).is_err(), "the id is already open");
     assert_eq!(times_counted.get(), 1, "rejected requests are not counted");
     // No server is known: the request is refused, and its client repeats it.
     for now in 1..200 {
@@ -463,9 +463,9 @@
         while core.poll_output().is_some() {}
     }
     let again = Incoming { repeat_key: Some(7), ..incoming(0, "b", 200.0, 300.0) };
-    core.take_within(200.0, again, count_usage).expect("accepted");
+    core.accept_with_usage(200.0, again, count_usage).expect("accepted");
     assert_eq!(times_counted.get(), 1, "a repeat is counted with the original request");
     let other = Incoming { repeat_key: Some(8), ..incoming(0, "c", 200.0, 300.0) };
-    core.take_within(200.0, other, count_usage).expect("accepted");
+    core.accept_with_usage(200.0, other, count_usage).expect("accepted");
     assert_eq!(times_counted.get(), 2);
 }
--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use glenwood_core::{AttemptId, Ended};
+use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_exchange::Said;
 use glenwood_policy::{Outcome, ServerId};
 use http_body_util::BodyExt;
@@ -103,7 +103,7 @@
         server: ServerId,
         link: Link,
         attempt: Option<AttemptId>,
-    ) -> Ended<Reply> {
+    ) -> AttemptResult<Reply> {
         let outcome = self.outcome();
         let Some(rest) = self.rest else {
             return_to_pool(
@@ -115,9 +115,9 @@
             );
             return match outcome {
                 Outcome::Done => {
-                    Ended::Served(Reply { headers: self.headers, body: Content::Whole(self.read) })
+                    AttemptResult::Served(Reply { headers: self.headers, body: Content::Whole(self.read) })
                 }
-                outcome => Ended::Without(outcome),
+                outcome => AttemptResult::NoResponse(outcome),
             };
         };
         match (outcome, attempt) {
@@ -134,11 +134,14 @@
                     servers: servers.clone(),
                     stall_timer: Box::pin(tokio::time::sleep(STALL_TIMEOUT)),
                 };
-                Ended::Flows(Reply { headers: self.headers, body: Content::Streamed(Box::pin(streamed)) })
+                AttemptResult::Streaming(Reply {
+                    headers: self.headers,
+                    body: Content::Streamed(Box::pin(streamed)),
+                })
             }
             // A probe expects no long body.
-            (Outcome::Done, None) => Ended::Without(Outcome::Error),
-            (outcome, _) => Ended::Without(outcome),
+            (Outcome::Done, None) => AttemptResult::NoResponse(Outcome::Error),
+            (outcome, _) => AttemptResult::NoResponse(outcome),
         }
     }
 }
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Ended};
+use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_exchange::{Answer, Proof, Verdict, Why};
 use glenwood_policy::{Outcome, ServerId};
 use hyper::header::{HeaderValue, HOST};
@@ -126,7 +126,7 @@
         in_flight.task.abort();
         let outcome =
             if in_flight.written_at.get().is_some() { Outcome::Cancelled } else { Outcome::NotSent };
-        self.hub.attempt_ended(attempt, Ended::Without(outcome));
+        self.hub.attempt_ended(attempt, AttemptResult::NoResponse(outcome));
         true
     }
 
@@ -144,8 +144,8 @@
             let deadline = sent + 2 * servers.pool.max_connect_time;
             let message = if is_in_use { Message::Check } else { Message::Probe };
             let outcome = match exchange(&servers, server, deadline, &message, None).await {
-                Ended::Served(_) | Ended::Flows(_) => Outcome::Done,
-                Ended::Without(outcome) | Ended::RunsOn(outcome) => outcome,
+                AttemptResult::Served(_) | AttemptResult::Streaming(_) => Outcome::Done,
+                AttemptResult::NoResponse(outcome) | AttemptResult::RunsOn(outcome) => outcome,
             };
             servers.hub.probed(server, outcome, sent.elapsed());
         });
@@ -228,7 +228,7 @@
     deadline: Instant,
     message: &Message,
     tracked: Option<(AttemptId, WrittenAt)>,
-) -> Ended<Reply> {
+) -> AttemptResult<Reply> {
     let (attempt, written_at) = tracked.unzip();
     let written_at = written_at.unwrap_or_default();
     let (hub, pool) = (&servers.hub, &servers.pool);
@@ -240,7 +240,7 @@
         let Acquired { mut link, reused } =
             match acquire_connection(servers, server, deadline, message, attempt, may_reuse).await {
                 Ok(acquired) => acquired,
-                Err(outcome) => return Ended::Without(outcome),
+                Err(outcome) => return AttemptResult::NoResponse(outcome),
             };
         may_reuse = false;
         let sent = Instant::now();
@@ -270,7 +270,7 @@
                 hub.body_taken(attempt.request);
             } else if message.rest().is_some() {
                 // The rest of the body was consumed by an earlier attempt; nothing of this one is sent.
-                return Ended::Without(Outcome::NotSent);
+                return AttemptResult::NoResponse(Outcome::NotSent);
             }
         }
         let request = message.request(deadline);
@@ -298,7 +298,7 @@
         if may_continue && !matches!(ended, Some(Ok(_))) {
             continue;
         }
-        return Ended::Without(match ended {
+        return AttemptResult::NoResponse(match ended {
             // The server closed a pooled connection before the first byte was written: nothing was sent, so
             // the attempt continues on another connection.
             Some(Err(_))
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -11,7 +11,7 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Ended};
+use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_msgpack_rpc::client::{Connection, Event, GivenUp, Ran};
 use glenwood_msgpack_rpc::frame::Bounds;
 use glenwood_msgpack_rpc::message::{self, Answer, Code};
@@ -233,23 +233,29 @@
 
     /// Ends an attempt in flight with `unsent` if no byte of it was written; otherwise it continues to run
     /// and is reported as `sent`.
-    fn give_up(&self, conn: &Conn, attempt: AttemptId, unsent: Outcome, sent: Outcome) -> Ended<Reply> {
+    fn give_up(
+        &self,
+        conn: &Conn,
+        attempt: AttemptId,
+        unsent: Outcome,
+        sent: Outcome,
+    ) -> AttemptResult<Reply> {
         let mut state = conn.state.borrow_mut();
         state.deadlines.retain(|(_, other)| *other != attempt);
         if let Some(at) = state.waiting.iter().position(|w| w.attempt == attempt) {
             state.waiting.remove(at);
         } else if state.protocol.give_up(&attempt) == GivenUp::RunsOn {
             // The attempt stays registered until its reply has arrived.
-            return Ended::RunsOn(sent);
+            return AttemptResult::RunsOn(sent);
         }
         state.sent.remove(&attempt);
         self.in_flight.borrow_mut().remove(&attempt);
-        Ended::Without(unsent)
+        AttemptResult::NoResponse(unsent)
     }
 
     /// Reports an attempt that ended without an answer and has nothing left running.
     fn report_ended(&self, attempt: AttemptId, outcome: Outcome) {
-        self.hub.attempt_ended(attempt, Ended::Without(outcome));
+        self.hub.attempt_ended(attempt, AttemptResult::NoResponse(outcome));
     }
 
     /// Retires the connections to a server that moved, restarted or is gone.
@@ -461,7 +467,7 @@
                 silent && sent.is_some_and(|sent| self.has_answered_later(conn.server, sent));
             let outcome = if has_answered_later { Outcome::Unheard } else { Outcome::TimedOut };
             let ended = self.give_up(conn, attempt, Outcome::NotSent, outcome);
-            if silent && matches!(ended, Ended::RunsOn(_)) {
+            if silent && matches!(ended, AttemptResult::RunsOn(_)) {
                 conn.state.borrow_mut().silent = true;
             }
             self.hub.attempt_ended(attempt, ended);
@@ -511,10 +517,12 @@
                 }
                 Event::Garbled(attempt) if conn.state.borrow().protocol.broken().is_none() => {
                     self.record_answer(conn, attempt);
-                    (attempt, Ended::Without(Outcome::Error))
+                    (attempt, AttemptResult::NoResponse(Outcome::Error))
+                }
+                Event::Garbled(attempt) => (attempt, AttemptResult::NoResponse(first_only(Outcome::Error))),
+                Event::Broken(attempt, Ran::Maybe) => {
+                    (attempt, AttemptResult::NoResponse(first_only(Outcome::Reset)))
                 }
-                Event::Garbled(attempt) => (attempt, Ended::Without(first_only(Outcome::Error))),
-                Event::Broken(attempt, Ran::Maybe) => (attempt, Ended::Without(first_only(Outcome::Reset))),
                 Event::Broken(attempt, Ran::Never) => {
                     let first = if conn.state.borrow().last_received.is_some() {
                         Outcome::NotSent
@@ -523,7 +531,7 @@
                     };
                     let outcome = if is_reported { Outcome::NotSent } else { first };
                     is_reported = true;
-                    (attempt, Ended::Without(outcome))
+                    (attempt, AttemptResult::NoResponse(outcome))
                 }
                 Event::Left(attempt) => {
                     self.forget_attempt(conn, attempt);
@@ -652,13 +660,13 @@
 }
 
 /// Converts a server's answer into the result of its attempt.
-fn ended_with(answer: Answer) -> Ended<Reply> {
+fn ended_with(answer: Answer) -> AttemptResult<Reply> {
     match answer {
         Ok(body) if body.len() <= BODY_MOST => {
-            Ended::Served(Reply { headers: HeaderMap::new(), body: Content::Whole(body) })
+            AttemptResult::Served(Reply { headers: HeaderMap::new(), body: Content::Whole(body) })
         }
-        Ok(_) => Ended::Without(Outcome::Error),
-        Err(error) => Ended::Without(match error.code {
+        Ok(_) => AttemptResult::NoResponse(Outcome::Error),
+        Err(error) => AttemptResult::NoResponse(match error.code {
             Code::TurnedAway => Outcome::Full,
             // No other server would accept it either.
             Code::BadRequest => Outcome::Rejected,
--- a/crates/node/src/custody/attempts.rs
+++ b/crates/node/src/custody/attempts.rs
@@ -87,7 +87,7 @@
             found
         };
         if found.is_some() {
-            self.hub.attempt_ended(attempt, glenwood_core::Ended::Without(Outcome::NotSent));
+            self.hub.attempt_ended(attempt, glenwood_core::AttemptResult::NoResponse(Outcome::NotSent));
         }
         found.is_some()
     }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -247,7 +247,7 @@
                 match incoming {
                     Some(incoming) => {
                         let earlier = adopted.then(|| self.earlier_attempts(&earlier));
-                        self.submit_to_core(ticket, Incoming { earlier, ..incoming });
+                        self.submit_to_core(ticket, Incoming { prior_attempts: earlier, ..incoming });
                     }
                     // The request was submitted before: the clients have been answered, or get the answer
                     // that comes now.
@@ -261,7 +261,7 @@
                         let name = about.class.clone();
                         let local = LocalWork { adopted: true, ..LocalWork::new(incoming.class, name, None) };
                         self.local_works.borrow_mut().insert(ticket, local);
-                        self.submit_to_core(ticket, Incoming { earlier: Some(earlier), ..incoming });
+                        self.submit_to_core(ticket, Incoming { prior_attempts: Some(earlier), ..incoming });
                     }
                     None => self.release_work(ticket),
                 }
@@ -276,12 +276,15 @@
             }
             Event::Denied(ticket) => {
                 if let Some(pending) = self.take_pending(ticket) {
-                    self.hub.attempt_ended(pending.attempt, glenwood_core::Ended::Without(Outcome::NotSent));
+                    self.hub.attempt_ended(
+                        pending.attempt,
+                        glenwood_core::AttemptResult::NoResponse(Outcome::NotSent),
+                    );
                 }
                 self.request_next_intent(ticket);
             }
             Event::Verdict(ticket, verdict, bytes) => self.on_verdict(ticket, verdict, bytes.as_ref()),
-            Event::Unkept(ticket) => self.answer(ticket, &|| Final::Overdue),
+            Event::Unkept(ticket) => self.answer(ticket, &|| Final::DeadlineNear),
             Event::Unknown(ticket) => self.on_no_majority(ticket),
             Event::Twin(ticket) | Event::Ambiguous(ticket) => {
                 self.count(|counts| counts.doubtful += 1);
@@ -293,7 +296,7 @@
                 let open =
                     self.local_works.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
                 if !open {
-                    self.answer(ticket, &|| Final::Overdue);
+                    self.answer(ticket, &|| Final::DeadlineNear);
                     self.drop_local(ticket);
                 }
             }
@@ -341,8 +344,8 @@
             deadline: began + remaining_ms as Millis,
             repeat_key: Some(call.repeat_key(self.hub.config.seed)),
             work: call.work(),
-            coming: false,
-            earlier: None,
+            body_pending: false,
+            prior_attempts: None,
             payload: Rc::new(call),
         })
     }
@@ -366,10 +369,16 @@
             }
             Err(rejection) => {
                 self.calls.borrow_mut().remove(&at);
-                let stay_away = self.hub.stay_away(class);
-                let refused = matches!(rejection, glenwood_core::NotTaken::NoRoom { .. });
+                let retry_after = self.hub.retry_after(class);
+                let refused = matches!(rejection, glenwood_core::Rejection::TooManyOpen { .. });
                 self.release_work(ticket);
-                self.answer(ticket, &|| if refused { Final::Refused { stay_away } } else { Final::Rejected });
+                self.answer(ticket, &|| {
+                    if refused {
+                        Final::Refused { retry_after }
+                    } else {
+                        Final::Rejected
+                    }
+                });
             }
         }
     }
@@ -416,17 +425,17 @@
                 self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Rejected);
             }
             Final::Rejected => self.answer(ticket, &|| Final::Rejected),
-            Final::Refused { stay_away } => {
+            Final::Refused { retry_after } => {
                 self.release_work(ticket);
-                self.answer(ticket, &|| Final::Refused { stay_away });
+                self.answer(ticket, &|| Final::Refused { retry_after });
             }
             Final::Failed => {
                 self.release_work(ticket);
                 self.answer(ticket, &|| Final::Failed);
             }
-            Final::Overdue => {
+            Final::DeadlineNear => {
                 self.release_work(ticket);
-                self.answer(ticket, &|| Final::Overdue);
+                self.answer(ticket, &|| Final::DeadlineNear);
             }
         }
         if !guarded {
@@ -471,8 +480,8 @@
             }
             _ => {
                 self.count(|counts| counts.refused += 1);
-                let stay_away = self.hub.stay_away(class);
-                self.answer(ticket, &|| Final::Refused { stay_away });
+                let retry_after = self.hub.retry_after(class);
+                self.answer(ticket, &|| Final::Refused { retry_after });
                 self.drop_local(ticket);
             }
         }
@@ -545,7 +554,7 @@
                 return Err((incoming, waiter));
             }
             self.count(|counts| counts.refused += 1);
-            waiter(Final::Refused { stay_away: self.hub.stay_away(class) });
+            waiter(Final::Refused { retry_after: self.hub.retry_after(class) });
             return Ok(0);
         };
         let number = self.last_number.get() + 1;
@@ -591,7 +600,7 @@
 
     fn fail_all(&self) {
         let tickets: Vec<Ticket> = self.local_works.borrow().keys().copied().collect();
-        tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::Overdue));
+        tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::DeadlineNear));
     }
 }
 
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -92,7 +92,7 @@
         }
         for (ticket, waiting) in late {
             self.numbers.borrow_mut().remove(&waiting.number);
-            (waiting.waiter)(Final::Overdue);
+            (waiting.waiter)(Final::DeadlineNear);
             self.on_waiters_changed(ticket);
         }
     }
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -45,7 +45,7 @@
                 drop(all);
                 for waiting in local.waiting {
                     self.numbers.borrow_mut().remove(&waiting.number);
-                    (waiting.waiter)(Final::Overdue);
+                    (waiting.waiter)(Final::DeadlineNear);
                 }
             }
         }
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_core::{Final, Incoming as CoreRequest, NotTaken, Token, LONGEST_WAIT};
+use glenwood_core::{Final, Incoming as CoreRequest, Rejection, Token, MAX_CLIENT_WAIT};
 use glenwood_operation::budget::Share;
 use glenwood_operation::figures::{End, Ticket};
 use glenwood_operation::places::Place;
@@ -149,7 +149,7 @@
         let ticket = class.map(|class| hub.ticket(&class));
         let (mut answer, end) = match read {
             Ok((parsed, _)) if clients.must_refuse() => {
-                (refusal(hub.stay_away(parsed.call.of.0.number)), End::Deferred)
+                (refusal(hub.retry_after(parsed.call.of.0.number)), End::Deferred)
             }
             Ok((parsed, remaining)) => {
                 sock.detect_pipelined(length);
@@ -254,8 +254,8 @@
         deadline: began + remaining.as_secs_f64() * 1000.0,
         repeat_key: Some(parsed.call.repeat_key(hub.config.seed)),
         work: parsed.call.work(),
-        coming: parsed.call.rest.is_some(),
-        earlier: None,
+        body_pending: parsed.call.rest.is_some(),
+        prior_attempts: None,
         payload: Rc::new(parsed.call),
     };
     let (answer, answered) = oneshot::channel();
@@ -263,10 +263,10 @@
     let waiter = move |final_answer| drop(answer.send(final_answer));
     let asked = match hub.ask(incoming, waiter) {
         Ok(asked) => asked,
-        Err(NotTaken::NoRoom { stay_away }) => return (refusal(stay_away), End::Deferred),
-        Err(NotTaken::IdOpen) => return (plain(StatusCode::CONFLICT), End::Errored),
-        Err(NotTaken::NoSuchClass) => return (plain(StatusCode::NOT_FOUND), End::Errored),
-        Err(NotTaken::KeyMissing) => return (plain(StatusCode::BAD_REQUEST), End::Errored),
+        Err(Rejection::TooManyOpen { retry_after }) => return (refusal(retry_after), End::Deferred),
+        Err(Rejection::DuplicateId) => return (plain(StatusCode::CONFLICT), End::Errored),
+        Err(Rejection::UnknownClass) => return (plain(StatusCode::NOT_FOUND), End::Errored),
+        Err(Rejection::KeyMissing) => return (plain(StatusCode::BAD_REQUEST), End::Errored),
     };
     let mut pending = PendingAnswer::new(hub, sock, asked);
     let Ok(answer) = answered.await else { return (plain(StatusCode::GATEWAY_TIMEOUT), End::Errored) };
@@ -274,9 +274,9 @@
     let end = end_of(&answer);
     let answer = match answer {
         Final::Served(reply) => served(reply),
-        Final::Refused { stay_away } => refusal(stay_away),
+        Final::Refused { retry_after } => refusal(retry_after),
         Final::Failed => plain(StatusCode::BAD_GATEWAY),
-        Final::Overdue => plain(StatusCode::GATEWAY_TIMEOUT),
+        Final::DeadlineNear => plain(StatusCode::GATEWAY_TIMEOUT),
         Final::Rejected => plain(StatusCode::BAD_REQUEST),
     };
     (answer, end)
@@ -289,10 +289,10 @@
 }
 
 /// A refusal, with the core's `Retry-After` in decimal seconds if there is one.
-fn refusal(stay_away: Millis) -> Response<AnswerBody> {
+fn refusal(retry_after: Millis) -> Response<AnswerBody> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > 0.0 {
-        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
+    if retry_after > 0.0 {
+        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after / 1000.0)) {
             answer.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
@@ -460,14 +460,14 @@
     }
     let keyed = matches!(effect, Effect::Keyed { .. });
     let key = if keyed { Some(token(single_header(headers, &KEY)?)?) } else { None };
-    Ok((id, key, Duration::from_millis(remaining.min(LONGEST_WAIT as u64))))
+    Ok((id, key, Duration::from_millis(remaining.min(MAX_CLIENT_WAIT as u64))))
 }
 
 #[cfg(test)]
 mod tests {
     use std::cell::{Cell, OnceCell};
 
-    use glenwood_core::{AttemptId, Ended};
+    use glenwood_core::{AttemptId, AttemptResult};
     use glenwood_policy::ServerId;
     use serde_json::json;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -490,7 +490,7 @@
             self.starts.set(self.starts.get() + 1);
             let reply =
                 Reply { headers: HeaderMap::new(), body: Content::Whole(Bytes::from_static(b"served")) };
-            self.hub.get().expect("set").attempt_ended(attempt, Ended::Served(reply));
+            self.hub.get().expect("set").attempt_ended(attempt, AttemptResult::Served(reply));
         }
         fn abandon(&self, _: AttemptId) {}
         fn unsent(&self, _: AttemptId) -> bool {
--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_core::{Final, Incoming, NotTaken, Token, LONGEST_WAIT};
+use glenwood_core::{Final, Incoming, Rejection, Token, MAX_CLIENT_WAIT};
 use glenwood_msgpack_rpc::message::{Answer, Call as RpcCall, Code, ErrorReply};
 use glenwood_msgpack_rpc::server::{self, Connection, Event, Limits};
 use glenwood_operation::figures::End;
@@ -204,7 +204,7 @@
                     let class = self.class(&class);
                     let ticket = class.as_ref().map(|class| self.hub.ticket(class));
                     let class = class.map_or(0, |class| class.number);
-                    let refusal = server::surplus(retry_after(self.hub.stay_away(class)));
+                    let refusal = server::surplus(retry_after_ms(self.hub.retry_after(class)));
                     conn.protocol.borrow_mut().answer(id, &Err(refusal));
                     ticket.into_iter().for_each(|ticket| ticket.end(End::Deferred));
                 }
@@ -245,7 +245,7 @@
         let answer = match self.validate(request, began) {
             Err(invalid) => Err(invalid),
             Ok(incoming) if self.clients.must_refuse() || !self.has_memory(incoming.payload.body.len()) => {
-                Err(refused_reply("no room", self.hub.stay_away(incoming.class)))
+                Err(refused_reply("no room", self.hub.retry_after(incoming.class)))
             }
             Ok(incoming) => {
                 conn.open.borrow_mut().insert(id, None);
@@ -271,7 +271,7 @@
                     Err(reason) => {
                         conn.open.borrow_mut().remove(&id);
                         ticket = ticket_cell.take();
-                        Err(not_taken_reply(reason))
+                        Err(rejection_reply(reason))
                     }
                 }
             }
@@ -327,7 +327,7 @@
             .map_err(|_| invalid("path: not a path and query"))?;
         let tenant = org.as_deref().and_then(|org| self.hub.tenant(org));
         let began = self.hub.clock.at(began);
-        let deadline = began + remaining.min(LONGEST_WAIT as u64) as f64;
+        let deadline = began + remaining.min(MAX_CLIENT_WAIT as u64) as f64;
         // A small body is copied so that it does not keep the buffer of the complete message alive.
         let body =
             if request.body.len() < 1024 { Bytes::copy_from_slice(&request.body) } else { request.body };
@@ -352,8 +352,8 @@
             deadline,
             repeat_key,
             work: call.work(),
-            coming: false,
-            earlier: None,
+            body_pending: false,
+            prior_attempts: None,
             payload: Rc::new(call),
         })
     }
@@ -395,13 +395,13 @@
 }
 
 /// The core's retry delay, rounded up to milliseconds, if there is one.
-fn retry_after(stay_away: Millis) -> Option<u64> {
-    (stay_away > 0.0).then_some(stay_away.ceil() as u64)
+fn retry_after_ms(retry_after: Millis) -> Option<u64> {
+    (retry_after > 0.0).then_some(retry_after.ceil() as u64)
 }
 
-fn refused_reply(message: &str, stay_away: Millis) -> ErrorReply {
+fn refused_reply(message: &str, retry_after: Millis) -> ErrorReply {
     let message = message.to_string();
-    ErrorReply { code: Code::Refused, message, retry_after_ms: retry_after(stay_away) }
+    ErrorReply { code: Code::Refused, message, retry_after_ms: retry_after_ms(retry_after) }
 }
 
 fn answer_of(final_answer: Final<Reply>) -> Answer {
@@ -413,18 +413,18 @@
                 Err(ErrorReply::new(Code::TooLarge, "the answer is longer than 65536 bytes"))
             }
         },
-        Final::Refused { stay_away } => Err(refused_reply("refused", stay_away)),
+        Final::Refused { retry_after } => Err(refused_reply("refused", retry_after)),
         Final::Failed => Err(ErrorReply::new(Code::Failed, "failed; it may have run")),
-        Final::Overdue => Err(ErrorReply::new(Code::Failed, "no answer in time; it may have run")),
+        Final::DeadlineNear => Err(ErrorReply::new(Code::Failed, "no answer in time; it may have run")),
         Final::Rejected => Err(ErrorReply::new(Code::BadRequest, "turned down by the server")),
     }
 }
 
-fn not_taken_reply(reason: NotTaken) -> ErrorReply {
+fn rejection_reply(reason: Rejection) -> ErrorReply {
     match reason {
-        NotTaken::IdOpen => ErrorReply::new(Code::BadRequest, "txn: a request with this id is open"),
-        NotTaken::NoRoom { stay_away } => refused_reply("too many open requests", stay_away),
-        NotTaken::NoSuchClass => ErrorReply::new(Code::UnknownClass, "method: no such class"),
-        NotTaken::KeyMissing => ErrorReply::new(Code::BadRequest, "key: missing"),
+        Rejection::DuplicateId => ErrorReply::new(Code::BadRequest, "txn: a request with this id is open"),
+        Rejection::TooManyOpen { retry_after } => refused_reply("too many open requests", retry_after),
+        Rejection::UnknownClass => ErrorReply::new(Code::UnknownClass, "method: no such class"),
+        Rejection::KeyMissing => ErrorReply::new(Code::BadRequest, "key: missing"),
     }
 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, NotTaken, Output};
+use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Rejection};
 use glenwood_list::{Merge, Source, Succession};
 use glenwood_operation::budget::Budget;
 use glenwood_operation::figures::{End, Shared, Ticket};
@@ -106,7 +106,7 @@
     match answer {
         Final::Served(_) => Answer::Served,
         Final::Refused { .. } => Answer::Refused,
-        Final::Failed | Final::Overdue | Final::Rejected => Answer::Failed,
+        Final::Failed | Final::DeadlineNear | Final::Rejected => Answer::Failed,
     }
 }
 
@@ -185,7 +185,7 @@
             settings.policy.discovery = Discovery::Pushed;
         }
         let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
-        core.bound_rotation(config.max_rotation());
+        core.limit_rotation(config.max_rotation());
         let (mut classes, mut tenants) = (Places::default(), Places::default());
         // All are new and take the slots in their order.
         classes.follow(&settings.classes);
@@ -281,7 +281,7 @@
     fn report_finished_attempts(&self) {
         loop {
             let Some(attempt) = self.finished_attempts.borrow_mut().pop() else { return };
-            self.core.borrow_mut().attempt_left(self.clock.now(), attempt);
+            self.core.borrow_mut().attempt_finished_at_server(self.clock.now(), attempt);
         }
     }
 
@@ -349,7 +349,7 @@
         let mut counts = self.counts.get();
         match answer {
             Final::Served(_) | Final::Rejected => counts.answered += 1,
-            Final::Failed | Final::Overdue => {
+            Final::Failed | Final::DeadlineNear => {
                 counts.answered += 1;
                 counts.failed += 1;
             }
@@ -385,7 +385,7 @@
         if !self.config.operator.trace.is_on() {
             return;
         }
-        let Some((server, sent)) = self.core.borrow().attempt(attempt) else { return };
+        let Some((server, sent)) = self.core.borrow().pending_attempt(attempt) else { return };
         self.trace(|name| Doing::End {
             request: attempt.request.0,
             attempt: attempt.number,
@@ -412,7 +412,7 @@
         let (ready, listed) = (self.ready() && self.listening.get(), self.listed_servers() as u64);
         let (avoided, send_counts) = {
             let core = self.core.borrow();
-            (core.avoided() as u64, core.doubtful_sends())
+            (core.ejected_count() as u64, core.doubtful_sends())
         };
         self.figures.with(|f| {
             (f.ready, f.listed, f.avoided) = (ready, listed, avoided);
@@ -463,7 +463,7 @@
         &self,
         incoming: Incoming<Rc<Call>>,
         waiter: impl FnOnce(Final<Reply>) + 'static,
-    ) -> Result<Asked, NotTaken> {
+    ) -> Result<Asked, Rejection> {
         let Some(gate) = self.gate.get() else {
             return self.request(incoming, Box::new(waiter)).map(Asked::Core);
         };
@@ -486,11 +486,11 @@
     ///
     /// # Errors
     /// The reason why it was not taken; `waiter` is not called then.
-    pub fn request(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter) -> Result<RequestId, NotTaken> {
+    pub fn request(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter) -> Result<RequestId, Rejection> {
         let (class, tenant) = (incoming.class, incoming.tenant);
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
         let allowed_by_share = || self.shares.as_ref()?.count_request(tenant?);
-        let id = self.core.borrow_mut().take_within(self.clock.now(), incoming, allowed_by_share)?;
+        let id = self.core.borrow_mut().accept_with_usage(self.clock.now(), incoming, allowed_by_share)?;
         self.trace(|_| Doing::Ask { request: id.0, class });
         if let Some(call) = payload {
             self.trace(|_| Doing::Id { request: id.0, id: call.id.as_str().to_string() });
@@ -503,39 +503,39 @@
     /// The client left: its request needs no answer any more.
     pub fn client_gone(&self, id: RequestId) {
         self.waiters.borrow_mut().remove(&id);
-        self.update_core(|core, now| core.client_gone(now, id));
+        self.update_core(|core, now| core.client_disconnected(now, id));
     }
 
     /// The number of requests that await their final answer.
     pub fn awaiting(&self) -> usize {
-        self.core.borrow().awaiting() + self.gate.get().map_or(0, |gate| gate.awaiting())
+        self.core.borrow().awaiting_count() + self.gate.get().map_or(0, |gate| gate.awaiting())
     }
 
     /// Fails all open requests: the node ends, and an answer is better than a connection reset.
     pub fn fail_all(&self) {
         self.failing.set(true);
-        self.update_core(|core, now| core.fail_all(now));
+        self.update_core(|core, now| core.fail_open_requests(now));
         self.gate.get().into_iter().for_each(|gate| gate.fail_all());
     }
 
     /// The time that the client of a refused request of this class should stay away, for a request that the
     /// core does not get to see.
-    pub fn stay_away(&self, class: usize) -> Millis {
-        self.core.borrow().stay_away(class)
+    pub fn retry_after(&self, class: usize) -> Millis {
+        self.core.borrow().retry_after(class)
     }
 
     // ---- Backends ----
 
     /// An attempt has ended.
-    pub fn attempt_ended(&self, attempt: AttemptId, ended: Ended<Reply>) {
+    pub fn attempt_ended(&self, attempt: AttemptId, ended: AttemptResult<Reply>) {
         let outcome = match &ended {
-            Ended::Served(_) | Ended::Flows(_) => Outcome::Done,
-            Ended::Without(outcome) | Ended::RunsOn(outcome) => *outcome,
+            AttemptResult::Served(_) | AttemptResult::Streaming(_) => Outcome::Done,
+            AttemptResult::NoResponse(outcome) | AttemptResult::RunsOn(outcome) => *outcome,
         };
         self.trace_end(attempt, outcome);
         self.gate.get().into_iter().for_each(|gate| gate.on_attempt_ended(attempt, outcome));
         if self.merge.is_some() {
-            let server = self.core.borrow().attempt(attempt).map(|(server, _)| server);
+            let server = self.core.borrow().pending_attempt(attempt).map(|(server, _)| server);
             let now = self.clock.now();
             server
                 .into_iter()
@@ -546,7 +546,7 @@
 
     /// The body of a request is being read from its client, and can't be sent again.
     pub fn body_taken(&self, request: RequestId) {
-        self.update_core(|core, now| core.body_taken(now, request));
+        self.update_core(|core, now| core.body_consumed(now, request));
     }
 
     /// The last byte of a request with a streamed body was sent.
@@ -556,7 +556,7 @@
 
     /// A server has finished an attempt that had run on after its end here.
     pub fn attempt_left(&self, attempt: AttemptId) {
-        self.update_core(|core, now| core.attempt_left(now, attempt));
+        self.update_core(|core, now| core.attempt_finished_at_server(now, attempt));
     }
 
     /// A probe has ended.
@@ -589,7 +589,7 @@
     /// May a request be sent to this incarnation of a server now? It may have begun to drain while the
     /// request waited for a connection.
     pub fn accepts(&self, server: ServerId, place: Place) -> bool {
-        self.place(server) == Some(place) && self.core.borrow().accepts(server)
+        self.place(server) == Some(place) && self.core.borrow().accepts_new_attempts(server)
     }
 
     /// May an attempt that was started still be written? A keyed request may be repeated only for as long
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -79,7 +79,7 @@
     /// The answer to a call to discovery has begun.
     pub fn discovery_answering(&self) {
         self.trace(|_| Doing::Answering);
-        self.update_core(|core, now| core.list_answering(now));
+        self.update_core(|core, now| core.list_answer_started(now));
     }
 
     /// A watch reported that it is alive, without a change. The first such message also answers the call:
@@ -89,16 +89,17 @@
         self.list_last_seen.of(Source::Discovery).set(Some(self.clock.now()));
         let list_received = self.list_received.replace(true);
         if first || !list_received {
-            let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
+            let rotation_status = self.list_lost_since.get().map(|_| self.core.borrow().rotation_status());
             self.update_core(|core, now| core.list_changed(now, Vec::new()));
-            self.log_list_followed_again(trust);
+            self.log_list_followed_again(rotation_status);
             self.update_figures();
         }
     }
 
-    /// Logs for how long the list was not followed, if it has just come back; `trust` is the state before.
-    fn log_list_followed_again(&self, trust: Option<RotationStatus>) {
-        let Some(RotationStatus { in_rotation, proved, seen, refusing }) = trust else { return };
+    /// Logs for how long the list was not followed, if it has just come back; `rotation_status` is the state
+    /// before.
+    fn log_list_followed_again(&self, rotation_status: Option<RotationStatus>) {
+        let Some(RotationStatus { in_rotation, proved, seen, refusing }) = rotation_status else { return };
         if self.core.borrow().has_lost_list() {
             return;
         }
@@ -126,9 +127,9 @@
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
             self.trace(|_| Doing::Entry { server: host.host.clone(), health: format!("{:?}", host.health) });
         }
-        let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
+        let rotation_status = self.list_lost_since.get().map(|_| self.core.borrow().rotation_status());
         self.take_list(Source::Discovery, update, false);
-        self.log_list_followed_again(trust);
+        self.log_list_followed_again(rotation_status);
         Ok(())
     }
 
@@ -179,11 +180,11 @@
         }
         self.update_core(|core, now| {
             if whole {
-                core.list(now, entries, saved);
+                core.handle_list(now, entries, saved);
             } else if source == Source::Discovery {
                 core.list_changed(now, entries);
             } else {
-                core.list_news(now, entries);
+                core.list_changed_elsewhere(now, entries);
             }
         });
         self.update_figures();
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Ended};
+use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_operation::upgrade::Incumbent;
 use glenwood_policy::{Discovery, Outcome, ServerId};
 use glenwood_signals::{Asks, Signals};
@@ -82,11 +82,11 @@
             // A MessagePack message is sent as one piece, and no server takes one this long: the attempt
             // was never sent.
             Some(Protocol::Msgpack) if call.rest.is_some() || call.body.len() > BODY_MOST => {
-                self.hub.attempt_ended(attempt, Ended::Without(Outcome::NotSent));
+                self.hub.attempt_ended(attempt, AttemptResult::NoResponse(Outcome::NotSent));
             }
             Some(Protocol::Msgpack) => self.msgpack.start(attempt, server, end, call),
             // The server has begun to drain since the decision.
-            None => self.hub.attempt_ended(attempt, Ended::Without(Outcome::NotSent)),
+            None => self.hub.attempt_ended(attempt, AttemptResult::NoResponse(Outcome::NotSent)),
         }
     }
 
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -8,7 +8,7 @@
 
 use glenwood_coordination::guard;
 use glenwood_coordination::view::Said;
-use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, Output, Token};
+use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Token};
 use glenwood_list::{Dial, Health, Host, Merge, Protocol, Source, Update};
 use glenwood_policy::{
     Class, Discovery, Effect, Entry, Goal, Limits, Listed, Outcome, Rules, ServerId, Settings, Weights,
@@ -155,7 +155,7 @@
                 }
             });
             let entries = entries.collect();
-            self.core.list_news(now, entries);
+            self.core.list_changed_elsewhere(now, entries);
         }
     }
 
@@ -203,19 +203,20 @@
                 deadline,
                 repeat_key: None,
                 work: None,
-                coming: false,
-                earlier: None,
+                body_pending: false,
+                prior_attempts: None,
                 payload: (),
             };
             self.counts.asked += 1;
-            self.core.take(now, incoming).expect("there is room");
+            self.core.accept(now, incoming).expect("there is room");
             self.next += 10.0;
         }
         let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(|(at, _, _)| *at <= now);
         self.under_way = rest;
         for (_, attempt, server) in due {
             let well = alive.contains(&server);
-            let ended = if well { Ended::Served(()) } else { Ended::Without(Outcome::Reset) };
+            let ended =
+                if well { AttemptResult::Served(()) } else { AttemptResult::NoResponse(Outcome::Reset) };
             self.heard(now, server, well);
             self.core.attempt_ended(now, attempt, ended);
         }
@@ -232,12 +233,16 @@
                         self.under_way.push((now + WORK, attempt, server));
                     } else {
                         self.heard(now, server, false);
-                        self.core.attempt_ended(now, attempt, Ended::Without(Outcome::ConnectFailed));
+                        self.core.attempt_ended(
+                            now,
+                            attempt,
+                            AttemptResult::NoResponse(Outcome::ConnectFailed),
+                        );
                     }
                 }
                 Output::Abandon(attempt) => {
                     self.under_way.retain(|(_, other, _)| *other != attempt);
-                    self.core.attempt_ended(now, attempt, Ended::Without(Outcome::Cancelled));
+                    self.core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::Cancelled));
                 }
                 // A server here begins with the first byte.
                 Output::Recall(_) => {}
