--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -16,11 +16,11 @@
 
 /// The meaning of a response, by its status and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ResponseMeaning {
     /// The request was carried out.
     Served,
     /// The server refused the request without processing it.
-    TurnedAway,
+    RefusedUnprocessed,
     /// The request itself is invalid.
     Rejected,
     /// Any other response.
@@ -31,16 +31,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The meaning of the response.
-    pub said: Said,
+    pub meaning: ResponseMeaning,
     /// When its first byte arrived.
     pub began: Instant,
     /// The response itself names another request as the one it answers.
-    pub names_another: bool,
+    pub names_other_request: bool,
 }
 
 /// The reason for a [`Proof`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ProofReason {
     /// A response arrived in its turn, and its meaning decides.
     Answered,
     /// The response began before the request was written completely.
@@ -58,7 +58,7 @@
     EndedWritten,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for ProofReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Answered => "answered",
@@ -78,12 +78,12 @@
     /// What it proves.
     pub proof: Proof,
     /// The reason.
-    pub why: Why,
+    pub reason: ProofReason,
 }
 
 /// The state of a connection when unsolicited bytes arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Position {
+pub enum ConnectionPhase {
     /// Nothing had been written to it yet.
     New,
     /// Its last response was complete.
@@ -94,7 +94,7 @@
     Writing,
 }
 
-impl fmt::Display for Position {
+impl fmt::Display for ConnectionPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::New => "new",
@@ -107,9 +107,9 @@
 
 /// Unsolicited bytes: data that arrived while no response was due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OutOfTurn {
+pub struct UnsolicitedBytes {
     /// The state of the connection.
-    pub position: Position,
+    pub phase: ConnectionPhase,
     /// Time since the last response was complete, or since the connection was established if it has had none.
     pub after: Duration,
     /// Age of the connection.
@@ -120,7 +120,7 @@
 
 /// How long a connection must be idle before a request is written to it or a response on it is trusted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Need {
+pub struct RequiredIdle {
     /// For a connection without a response so far: time since it was established.
     pub new: Duration,
     /// For any other connection: time since its last response.
@@ -147,7 +147,7 @@
 pub struct Connection {
     opened: Instant,
     /// When the connection was established or its last response was complete.
-    quiet_since: Instant,
+    idle_since: Instant,
     answers: u32,
     state: State,
 }
@@ -155,7 +155,7 @@
 impl Connection {
     /// Creates the state of a connection that has just been established.
     pub fn new(now: Instant) -> Self {
-        Self { opened: now, quiet_since: now, answers: 0, state: State::Idle }
+        Self { opened: now, idle_since: now, answers: 0, state: State::Idle }
     }
 
     /// When the connection was established.
@@ -164,20 +164,20 @@
     }
 
     /// When the connection was established or its last response was complete.
-    pub fn quiet_since(&self) -> Instant {
-        self.quiet_since
+    pub fn idle_since(&self) -> Instant {
+        self.idle_since
     }
 
     /// When a request may be written to the connection at the earliest; `None` if none may be.
-    pub fn usable_from(&self, need: Need) -> Option<Instant> {
-        (self.state == State::Idle).then(|| self.quiet_since + self.min_idle(need))
+    pub fn usable_from(&self, required_idle: RequiredIdle) -> Option<Instant> {
+        (self.state == State::Idle).then(|| self.idle_since + self.min_idle(required_idle))
     }
 
-    fn min_idle(&self, need: Need) -> Duration {
+    fn min_idle(&self, required_idle: RequiredIdle) -> Duration {
         if self.answers == 0 {
-            need.new
+            required_idle.new
         } else {
-            need.used
+            required_idle.used
         }
     }
 
@@ -199,65 +199,72 @@
     }
 
     /// Handles received bytes; returns a description of them if they are unsolicited.
-    pub fn received(&mut self, now: Instant) -> Option<OutOfTurn> {
-        let position = match self.state {
+    pub fn received(&mut self, now: Instant) -> Option<UnsolicitedBytes> {
+        let phase = match self.state {
             State::Written | State::ResponseEarly { .. } | State::Poisoned => return None,
-            State::Writing => Position::Writing,
-            State::Idle if self.answers == 0 => Position::New,
-            State::Idle => Position::Idle,
+            State::Writing => ConnectionPhase::Writing,
+            State::Idle if self.answers == 0 => ConnectionPhase::New,
+            State::Idle => ConnectionPhase::Idle,
         };
-        self.state = match position {
-            Position::Writing => State::ResponseEarly { is_written: false },
+        self.state = match phase {
+            ConnectionPhase::Writing => State::ResponseEarly { is_written: false },
             _ => State::Poisoned,
         };
-        Some(self.out_of_turn(position, now))
+        Some(self.unsolicited_bytes(phase, now))
     }
 
     /// Handles bytes that directly follow a response.
-    pub fn received_behind_answer(&mut self, now: Instant) -> OutOfTurn {
+    pub fn received_behind_answer(&mut self, now: Instant) -> UnsolicitedBytes {
         self.state = State::Poisoned;
-        self.out_of_turn(Position::BehindAnswer, now)
+        self.unsolicited_bytes(ConnectionPhase::BehindAnswer, now)
     }
 
-    fn out_of_turn(&self, position: Position, now: Instant) -> OutOfTurn {
+    fn unsolicited_bytes(&self, phase: ConnectionPhase, now: Instant) -> UnsolicitedBytes {
         let since = |then: Instant| now.saturating_duration_since(then);
-        OutOfTurn { position, after: since(self.quiet_since), age: since(self.opened), answers: self.answers }
+        UnsolicitedBytes {
+            phase,
+            after: since(self.idle_since),
+            age: since(self.opened),
+            answers: self.answers,
+        }
     }
 
     /// Handles a response: returns what it proves about the last request on the connection.
-    pub fn answered(&mut self, now: Instant, answer: Answer, need: Need) -> Verdict {
+    pub fn judge_response(&mut self, now: Instant, answer: Answer, required_idle: RequiredIdle) -> Verdict {
         let state = std::mem::replace(&mut self.state, State::Poisoned);
         match state {
             State::Written => {}
             // The last byte of the request is never sent, as the connection is closed.
             State::Writing | State::ResponseEarly { is_written: false } => {
-                return Verdict { proof: Proof::NeverRan, why: Why::AheadOfRequest }
+                return Verdict { proof: Proof::NeverRan, reason: ProofReason::AheadOfRequest }
             }
             State::ResponseEarly { is_written: true } => {
-                return Verdict { proof: Proof::MayHaveRun, why: Why::AheadOfRequest }
+                return Verdict { proof: Proof::MayHaveRun, reason: ProofReason::AheadOfRequest }
+            }
+            State::Idle | State::Poisoned => {
+                return Verdict { proof: Proof::MayHaveRun, reason: ProofReason::Poisoned }
             }
-            State::Idle | State::Poisoned => return Verdict { proof: Proof::MayHaveRun, why: Why::Poisoned },
         }
-        if answer.names_another {
-            return Verdict { proof: Proof::MayHaveRun, why: Why::NamesAnother };
+        if answer.names_other_request {
+            return Verdict { proof: Proof::MayHaveRun, reason: ProofReason::NamesAnother };
         }
-        if answer.began < self.quiet_since + self.min_idle(need) {
-            return Verdict { proof: Proof::MayHaveRun, why: Why::TooSoon };
+        if answer.began < self.idle_since + self.min_idle(required_idle) {
+            return Verdict { proof: Proof::MayHaveRun, reason: ProofReason::TooSoon };
         }
         self.state = State::Idle;
         self.answers += 1;
-        self.quiet_since = now;
-        let proof = match answer.said {
-            Said::Served => Proof::Served,
-            Said::TurnedAway | Said::Rejected => Proof::NeverRan,
-            Said::Failed => Proof::MayHaveRun,
+        self.idle_since = now;
+        let proof = match answer.meaning {
+            ResponseMeaning::Served => Proof::Served,
+            ResponseMeaning::RefusedUnprocessed | ResponseMeaning::Rejected => Proof::NeverRan,
+            ResponseMeaning::Failed => Proof::MayHaveRun,
         };
-        Verdict { proof, why: Why::Answered }
+        Verdict { proof, reason: ProofReason::Answered }
     }
 
     /// The rest of a response has arrived, after [`Connection::answered`] was called for its head.
     pub fn finished(&mut self, now: Instant) {
-        self.quiet_since = now;
+        self.idle_since = now;
     }
 
     /// The connection ended without a response, or the attempt was given up.
@@ -265,10 +272,10 @@
         let state = std::mem::replace(&mut self.state, State::Poisoned);
         match state {
             State::Idle | State::Writing | State::ResponseEarly { is_written: false } => {
-                Verdict { proof: Proof::NeverRan, why: Why::EndedUnwritten }
+                Verdict { proof: Proof::NeverRan, reason: ProofReason::EndedUnwritten }
             }
             State::Written | State::ResponseEarly { is_written: true } | State::Poisoned => {
-                Verdict { proof: Proof::MayHaveRun, why: Why::EndedWritten }
+                Verdict { proof: Proof::MayHaveRun, reason: ProofReason::EndedWritten }
             }
         }
     }
--- a/crates/exchange/src/doubt.rs
+++ b/crates/exchange/src/doubt.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-use crate::connection::{Need, OutOfTurn, Position};
+use crate::connection::{ConnectionPhase, RequiredIdle, UnsolicitedBytes};
 
 /// How long a server is distrusted after its last unsolicited bytes.
 const DOUBT_DURATION: Duration = Duration::from_secs(10);
@@ -75,16 +75,19 @@
 }
 
 impl ConnectionDelays {
-    fn note(&mut self, bytes: OutOfTurn) {
-        match bytes.position {
-            Position::New => self.new.note(bytes.after),
-            Position::Idle => self.used.note(bytes.after),
-            Position::BehindAnswer | Position::Writing => {}
+    fn note(&mut self, bytes: UnsolicitedBytes) {
+        match bytes.phase {
+            ConnectionPhase::New => self.new.note(bytes.after),
+            ConnectionPhase::Idle => self.used.note(bytes.after),
+            ConnectionPhase::BehindAnswer | ConnectionPhase::Writing => {}
         }
     }
 
-    fn need(&self) -> Need {
-        Need { new: self.new.required_idle(IDLE_LIMITS_NEW), used: self.used.required_idle(IDLE_LIMITS_USED) }
+    fn required_idle(&self) -> RequiredIdle {
+        RequiredIdle {
+            new: self.new.required_idle(IDLE_LIMITS_NEW),
+            used: self.used.required_idle(IDLE_LIMITS_USED),
+        }
     }
 }
 
@@ -102,7 +105,7 @@
 
 /// Tracks servers that send unsolicited bytes. `K` identifies a server.
 #[derive(Clone, Debug)]
-pub struct Doubt<K> {
+pub struct DistrustTracker<K> {
     servers: HashMap<K, Observation>,
     /// The observations of all servers together, while several servers are distrusted.
     global: Option<Observation>,
@@ -112,13 +115,13 @@
     known: HashSet<K>,
 }
 
-impl<K> Default for Doubt<K> {
+impl<K> Default for DistrustTracker<K> {
     fn default() -> Self {
         Self { servers: HashMap::new(), global: None, began: None, known: HashSet::new() }
     }
 }
 
-impl<K: Copy + Eq + Hash> Doubt<K> {
+impl<K: Copy + Eq + Hash> DistrustTracker<K> {
     /// Records that an exchange is about to begin; only the first call counts.
     pub fn begin(&mut self, now: Instant) {
         self.began.get_or_insert(now);
@@ -127,8 +130,8 @@
     /// Records unsolicited bytes of a server; returns the scope of the doubt that starts with them, if any.
     /// Bytes directly after a response start none except during probation: they arrived before the connection
     /// could be used again.
-    pub fn note(&mut self, now: Instant, server: K, bytes: OutOfTurn) -> Option<Scope> {
-        let is_harmless = bytes.position == Position::BehindAnswer && !self.is_on_probation(now);
+    pub fn record_unsolicited(&mut self, now: Instant, server: K, bytes: UnsolicitedBytes) -> Option<Scope> {
+        let is_harmless = bytes.phase == ConnectionPhase::BehindAnswer && !self.is_on_probation(now);
         if bytes.after > MAX_RESPONSE_DELAY || is_harmless {
             return None;
         }
@@ -165,19 +168,20 @@
     }
 
     /// How long connections to a server must be idle before a response on them is trusted.
-    pub fn need(&self, now: Instant, server: K) -> Need {
+    pub fn required_idle(&self, now: Instant, server: K) -> RequiredIdle {
         let of_server = || self.servers.get(&server).filter(|observation| observation.is_current(now));
         let observation =
             self.global.as_ref().filter(|observation| observation.is_current(now)).or_else(of_server);
-        let mut need = observation.map_or(Need::default(), |observation| observation.delays.need());
+        let mut required_idle =
+            observation.map_or(RequiredIdle::default(), |observation| observation.delays.required_idle());
         let is_on_probation = self.is_on_probation(now);
         if is_on_probation {
-            need.used = need.used.max(IDLE_LIMITS_USED.0);
+            required_idle.used = required_idle.used.max(IDLE_LIMITS_USED.0);
         }
         if is_on_probation || !self.known.contains(&server) {
-            need.new = need.new.max(IDLE_LIMITS_NEW.0);
+            required_idle.new = required_idle.new.max(IDLE_LIMITS_NEW.0);
         }
-        need
+        required_idle
     }
 
     /// Records that a server has sent a response in its turn.
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -2,7 +2,8 @@
 //! answers (HTTP/1.1).
 //!
 //! - [`Connection`] tracks one connection to a server. It alone decides what the end of an attempt proves.
-//! - [`Doubt`] tracks which servers have sent unsolicited bytes, and how long their connections must be idle
+//! - [`DistrustTracker`] tracks which servers have sent unsolicited bytes, and how long their connections
+//! must be idle
 //!   before each use.
 //!
 //! Neither does I/O or reads a clock: every call passes the time.
@@ -11,5 +12,8 @@
 mod connection;
 mod doubt;
 
-pub use connection::{Answer, Connection, Need, OutOfTurn, Position, Proof, Said, Verdict, Why};
-pub use doubt::{Doubt, Scope};
+pub use connection::{
+    Answer, Connection, ConnectionPhase, Proof, ProofReason, RequiredIdle, ResponseMeaning, UnsolicitedBytes,
+    Verdict,
+};
+pub use doubt::{DistrustTracker, Scope};
--- a/crates/exchange/tests/doubt.rs
+++ b/crates/exchange/tests/doubt.rs
@@ -2,20 +2,25 @@
 
 use std::time::{Duration, Instant};
 
-use glenwood_exchange::{Doubt, Need, OutOfTurn, Position, Scope};
+use glenwood_exchange::{ConnectionPhase, DistrustTracker, RequiredIdle, Scope, UnsolicitedBytes};
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
 /// Long enough after the first exchange for the probation to be over.
 const AFTER_PROBATION: Duration = Duration::from_secs(60);
 
-fn bytes(position: Position, after: Duration) -> OutOfTurn {
-    OutOfTurn { position, after, age: after, answers: u32::from(position == Position::Idle) }
+fn bytes(position: ConnectionPhase, after: Duration) -> UnsolicitedBytes {
+    UnsolicitedBytes {
+        phase: position,
+        after,
+        age: after,
+        answers: u32::from(position == ConnectionPhase::Idle),
+    }
 }
 
 /// A state long after the first exchange, with two servers that have responded.
-fn after_probation() -> (Doubt<u8>, Instant) {
-    let (mut doubt, start) = (Doubt::default(), Instant::now());
+fn after_probation() -> (DistrustTracker<u8>, Instant) {
+    let (mut doubt, start) = (DistrustTracker::default(), Instant::now());
     doubt.begin(start);
     doubt.note_answer(0);
     doubt.note_answer(1);
@@ -26,7 +31,7 @@
 #[test]
 fn no_idle_time_is_required_without_an_observation() {
     let (doubt, now) = after_probation();
-    assert_eq!(doubt.need(now, 0), Need::default());
+    assert_eq!(doubt.required_idle(now, 0), RequiredIdle::default());
 }
 
 /// Guards against use of the first connection to a server while unsolicited bytes of the server may still be
@@ -34,34 +39,34 @@
 #[test]
 fn the_first_connection_to_a_server_must_be_idle() {
     let (mut doubt, now) = after_probation();
-    assert!(doubt.need(now, 7).new > Duration::ZERO);
+    assert!(doubt.required_idle(now, 7).new > Duration::ZERO);
     doubt.note_answer(7);
-    assert_eq!(doubt.need(now, 7).new, Duration::ZERO);
+    assert_eq!(doubt.required_idle(now, 7).new, Duration::ZERO);
     doubt.forget(7);
-    assert!(doubt.need(now, 7).new > Duration::ZERO, "another process");
+    assert!(doubt.required_idle(now, 7).new > Duration::ZERO, "another process");
 }
 
 /// Guards against a doubt that applies to too many or too few servers.
 #[test]
 fn a_doubt_applies_to_one_server_until_several_send_unsolicited_bytes() {
     let (mut doubt, now) = after_probation();
-    assert_eq!(doubt.note(now, 0, bytes(Position::Idle, 5 * MS)), Some(Scope::Server));
-    assert_eq!(doubt.need(now, 1), Need::default());
-    assert_eq!(doubt.note(now, 0, bytes(Position::Idle, 5 * MS)), None);
-    assert_eq!(doubt.note(now, 1, bytes(Position::Idle, 5 * MS)), Some(Scope::All));
+    assert_eq!(doubt.record_unsolicited(now, 0, bytes(ConnectionPhase::Idle, 5 * MS)), Some(Scope::Server));
+    assert_eq!(doubt.required_idle(now, 1), RequiredIdle::default());
+    assert_eq!(doubt.record_unsolicited(now, 0, bytes(ConnectionPhase::Idle, 5 * MS)), None);
+    assert_eq!(doubt.record_unsolicited(now, 1, bytes(ConnectionPhase::Idle, 5 * MS)), Some(Scope::All));
     doubt.note_answer(2);
-    assert!(doubt.need(now, 2).used > Duration::ZERO);
+    assert!(doubt.required_idle(now, 2).used > Duration::ZERO);
 }
 
 /// Guards against a doubt that never ends.
 #[test]
 fn a_doubt_ends_without_further_observations() {
     let (mut doubt, now) = after_probation();
-    doubt.note(now, 0, bytes(Position::Idle, 5 * MS));
-    doubt.note(now, 1, bytes(Position::Idle, 5 * MS));
+    doubt.record_unsolicited(now, 0, bytes(ConnectionPhase::Idle, 5 * MS));
+    doubt.record_unsolicited(now, 1, bytes(ConnectionPhase::Idle, 5 * MS));
     assert!(doubt.is_doubted(now + 9_000 * MS, 0));
     assert!(!doubt.is_doubted(now + 10_000 * MS, 0));
-    assert_eq!(doubt.need(now + 10_000 * MS, 0), Need::default());
+    assert_eq!(doubt.required_idle(now + 10_000 * MS, 0), RequiredIdle::default());
 }
 
 /// Guards against idle times where they would not help: for bytes directly after a response, and for a notice
@@ -69,9 +74,9 @@
 #[test]
 fn bytes_that_idle_time_cannot_prevent_start_no_doubt() {
     let (mut doubt, now) = after_probation();
-    assert_eq!(doubt.note(now, 0, bytes(Position::BehindAnswer, Duration::ZERO)), None);
-    assert_eq!(doubt.note(now, 1, bytes(Position::Idle, Duration::from_secs(15))), None);
-    assert_eq!(doubt.need(now, 0), Need::default());
+    assert_eq!(doubt.record_unsolicited(now, 0, bytes(ConnectionPhase::BehindAnswer, Duration::ZERO)), None);
+    assert_eq!(doubt.record_unsolicited(now, 1, bytes(ConnectionPhase::Idle, Duration::from_secs(15))), None);
+    assert_eq!(doubt.required_idle(now, 0), RequiredIdle::default());
 }
 
 proptest! {
@@ -82,8 +87,8 @@
         let mut longest = Duration::ZERO;
         for delay in delays {
             let delay = delay * MS;
-            doubt.note(now, 0, bytes(Position::Idle, delay));
-            let idle = doubt.need(now, 0).used;
+            doubt.record_unsolicited(now, 0, bytes(ConnectionPhase::Idle, delay));
+            let idle = doubt.required_idle(now, 0).used;
             longest = longest.max(delay);
             prop_assert!(idle >= longest && idle <= 350 * MS, "{idle:?} after {longest:?}");
         }
--- a/crates/exchange/tests/explored.rs
+++ b/crates/exchange/tests/explored.rs
@@ -3,11 +3,11 @@
 
 use std::time::{Duration, Instant};
 
-use glenwood_exchange::{Answer, Connection, Need, Proof, Said, Verdict};
+use glenwood_exchange::{Answer, Connection, Proof, RequiredIdle, ResponseMeaning, Verdict};
 
 /// Maximum number of events in a sequence.
 const DEPTH: usize = 8;
-const NEED: Need = Need { new: Duration::from_millis(10), used: Duration::from_millis(20) };
+const NEED: RequiredIdle = RequiredIdle { new: Duration::from_millis(10), used: Duration::from_millis(20) };
 /// Durations of the two pause events.
 const SHORT_PAUSE: Duration = Duration::from_millis(5);
 const LONG_PAUSE: Duration = Duration::from_millis(30);
@@ -17,7 +17,7 @@
     RequestBegins,
     WrittenCompletely,
     Bytes,
-    Answered { said: Said, names_another: bool },
+    Answered { said: ResponseMeaning, names_another: bool },
     BytesBehindAnswer,
     ConnectionEnds,
     ShortPause,
@@ -28,9 +28,9 @@
     EventKind::RequestBegins,
     EventKind::WrittenCompletely,
     EventKind::Bytes,
-    EventKind::Answered { said: Said::Served, names_another: false },
-    EventKind::Answered { said: Said::TurnedAway, names_another: false },
-    EventKind::Answered { said: Said::Served, names_another: true },
+    EventKind::Answered { said: ResponseMeaning::Served, names_another: false },
+    EventKind::Answered { said: ResponseMeaning::RefusedUnprocessed, names_another: false },
+    EventKind::Answered { said: ResponseMeaning::Served, names_another: true },
     EventKind::BytesBehindAnswer,
     EventKind::ConnectionEnds,
     EventKind::ShortPause,
@@ -112,10 +112,11 @@
         (Proof::MayHaveRun, EventKind::Answered { names_another, .. }) => !is_attributable || names_another,
         (Proof::MayHaveRun, _) => true,
         (Proof::Served, EventKind::Answered { said, names_another }) => {
-            is_attributable && said == Said::Served && !names_another
+            is_attributable && said == ResponseMeaning::Served && !names_another
         }
         (Proof::NeverRan, EventKind::Answered { said, names_another }) => {
-            !history.is_written() || (is_attributable && said == Said::TurnedAway && !names_another)
+            !history.is_written()
+                || (is_attributable && said == ResponseMeaning::RefusedUnprocessed && !names_another)
         }
         (Proof::NeverRan, _) => {
             !history.is_written() || history.split().is_none_or(|(_, since)| has_response(since))
@@ -157,8 +158,8 @@
                     let _ = connection.received(at);
                 }
                 EventKind::Answered { said, names_another } => {
-                    let answer = Answer { said, began: at, names_another };
-                    let verdict = connection.answered(at, answer, NEED);
+                    let answer = Answer { meaning: said, began: at, names_other_request: names_another };
+                    let verdict = connection.judge_response(at, answer, NEED);
                     check(&history, now, kind, verdict);
                     self.verdicts += 1;
                 }
--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Bytes, BytesMut};
 use glenwood_core::{AttemptId, AttemptResult};
-use glenwood_exchange::Said;
+use glenwood_exchange::ResponseMeaning;
 use glenwood_policy::{Outcome, ServerId};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -65,27 +65,27 @@
 
 impl ReceivedAnswer {
     /// Classifies the answer by its status and headers.
-    pub fn classify(&self) -> Said {
+    pub fn classify(&self) -> ResponseMeaning {
         let is_turned_away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         match self.status {
-            StatusCode::OK => Said::Served,
+            StatusCode::OK => ResponseMeaning::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_turned_away => {
-                Said::TurnedAway
+                ResponseMeaning::RefusedUnprocessed
             }
             // Misbehaving clients send much that only a server can recognise as invalid; no other server
             // would accept it either.
-            StatusCode::BAD_REQUEST => Said::Rejected,
-            _ => Said::Failed,
+            StatusCode::BAD_REQUEST => ResponseMeaning::Rejected,
+            _ => ResponseMeaning::Failed,
         }
     }
 
     /// The outcome of the attempt that this answers.
     pub fn outcome(&self) -> Outcome {
         match self.classify() {
-            Said::Served => Outcome::Done,
-            Said::TurnedAway => Outcome::Full,
-            Said::Rejected => Outcome::Rejected,
-            Said::Failed => Outcome::Error,
+            ResponseMeaning::Served => Outcome::Done,
+            ResponseMeaning::RefusedUnprocessed => Outcome::Full,
+            ResponseMeaning::Rejected => Outcome::Rejected,
+            ResponseMeaning::Failed => Outcome::Error,
         }
     }
 
@@ -170,7 +170,7 @@
     let pending = link.sock.pending();
     if !is_exact || pending == Pending::Bytes {
         let seen = link.exchange.received_behind_answer(Instant::now());
-        servers.pool.note_out_of_turn(server, seen);
+        servers.pool.record_unsolicited(server, seen);
         return;
     }
     // If the server moved or restarted while the connection was in use, `Pool::forget` did not
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use glenwood_core::{AttemptId, AttemptResult};
-use glenwood_exchange::{Answer, Proof, Verdict, Why};
+use glenwood_exchange::{Answer, Proof, ProofReason, Verdict};
 use glenwood_policy::{Outcome, ServerId};
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, Uri};
@@ -344,7 +344,7 @@
         let seen = link.exchange.received(Instant::now());
         // A request body that is still being streamed may legitimately be answered before its end.
         if let Some(seen) = seen.filter(|_| message.rest().is_none()) {
-            pool.note_out_of_turn(server, seen);
+            pool.record_unsolicited(server, seen);
         }
     }
     if link.sock.is_written() {
@@ -366,17 +366,17 @@
     };
     let now = Instant::now();
     let answer = Answer {
-        said: received.classify(),
+        meaning: received.classify(),
         began: link.sock.answer_began_at().unwrap_or(now),
-        names_another: received.names_another_request(id),
+        names_other_request: received.names_another_request(id),
     };
-    link.exchange.answered(now, answer, pool.need(server))
+    link.exchange.judge_response(now, answer, pool.required_idle(server))
 }
 
 /// The outcome of an attempt whose answer is not accepted as it stands; `Ok` if it is.
 fn outcome_of(verdict: Verdict, received: &ReceivedAnswer) -> Result<(), Outcome> {
-    match (verdict.why, verdict.proof) {
-        (Why::Answered, _) => Ok(()),
+    match (verdict.reason, verdict.proof) {
+        (ProofReason::Answered, _) => Ok(()),
         // A server starts with the last byte, so a success before that answers some other request.
         (_, Proof::NeverRan) if received.outcome() == Outcome::Done => Err(Outcome::NotSent),
         (_, Proof::NeverRan) => Ok(()),
--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -8,7 +8,7 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-use glenwood_exchange::{Connection as Exchange, Doubt, Need, OutOfTurn};
+use glenwood_exchange::{Connection as Exchange, DistrustTracker, RequiredIdle, UnsolicitedBytes};
 use glenwood_policy::{Outcome, ServerId};
 use glenwood_settings::NodeSettings;
 use hyper::client::conn::http1::{self, Connection, SendRequest};
@@ -104,7 +104,7 @@
 pub struct Pool {
     hub: Rc<Hub>,
     idle: RefCell<HashMap<ServerId, Vec<IdleLink>>>,
-    doubt: RefCell<Doubt<ServerId>>,
+    doubt: RefCell<DistrustTracker<ServerId>>,
     /// The attempts for which no byte was received, by number and time of sending.
     unanswered: RefCell<HashMap<ServerId, Vec<(u64, Instant)>>>,
     /// The latest time of sending among the attempts that each server has answered.
@@ -155,7 +155,7 @@
     }
 
     fn is_stale(&self, link: &Link) -> bool {
-        link.exchange.quiet_since().elapsed() >= self.max_idle
+        link.exchange.idle_since().elapsed() >= self.max_idle
     }
 
     // ---- Matching answers to requests ----
@@ -166,8 +166,8 @@
     }
 
     /// How long connections to a server must be silent before an answer on them is trusted.
-    pub fn need(&self, server: ServerId) -> Need {
-        self.doubt.borrow().need(Instant::now(), server)
+    pub fn required_idle(&self, server: ServerId) -> RequiredIdle {
+        self.doubt.borrow().required_idle(Instant::now(), server)
     }
 
     /// Records the start of the first exchange of all; later calls have no effect.
@@ -176,9 +176,9 @@
     }
 
     /// Records unexpected bytes from a server.
-    pub fn note_out_of_turn(&self, server: ServerId, seen: OutOfTurn) {
-        let scope = self.doubt.borrow_mut().note(Instant::now(), server, seen);
-        self.hub.answer_out_of_turn(server, seen, scope, self.need(server));
+    pub fn record_unsolicited(&self, server: ServerId, seen: UnsolicitedBytes) {
+        let scope = self.doubt.borrow_mut().record_unsolicited(Instant::now(), server, seen);
+        self.hub.report_unsolicited_bytes(server, seen, scope, self.required_idle(server));
     }
 
     /// Removes an idle connection on which bytes arrived or that ended.
@@ -199,7 +199,7 @@
     /// Records bytes that were received on a connection.
     pub fn note_received(&self, server: ServerId, link: &mut Link) {
         if let Some(seen) = link.exchange.received(Instant::now()) {
-            self.note_out_of_turn(server, seen);
+            self.record_unsolicited(server, seen);
         }
     }
 
@@ -215,7 +215,7 @@
                 Pending::End => return Readiness::Closed,
             }
             // The required time may have grown meanwhile.
-            let Some(from) = link.exchange.usable_from(self.need(server)) else {
+            let Some(from) = link.exchange.usable_from(self.required_idle(server)) else {
                 return Readiness::Closed;
             };
             if from <= Instant::now() {
@@ -231,18 +231,18 @@
     /// at once while new ones work; so while an attempt has been unanswered for long, connections last used
     /// before it are skipped.
     pub fn take(&self, server: ServerId) -> Option<Link> {
-        self.take_by(server, |links, need| {
+        self.take_by(server, |links, required_idle| {
             let now = Instant::now();
             // Connections are ordered by their last use.
             let longest_quiet = if links.is_empty() { None } else { Some(0) };
-            if need.used.is_zero() {
-                let is_quiet = |link: &&Link| now - link.exchange.quiet_since() >= PREFERRED_IDLE_TIME;
+            if required_idle.used.is_zero() {
+                let is_quiet = |link: &&Link| now - link.exchange.idle_since() >= PREFERRED_IDLE_TIME;
                 return links.iter().rposition(is_quiet).or(longest_quiet);
             }
             // Late answers show up on connections that have been open for long.
-            let from = links.iter().map(|link| link.exchange.usable_from(need));
+            let from = links.iter().map(|link| link.exchange.usable_from(required_idle));
             let (soonest, from) = from.enumerate().min_by_key(|(_, from)| *from)?;
-            let is_worth_it = from.is_some_and(|from| from <= now + need.new + MAX_WAIT_FOR_POOLED);
+            let is_worth_it = from.is_some_and(|from| from <= now + required_idle.new + MAX_WAIT_FOR_POOLED);
             is_worth_it.then_some(soonest)
         })
     }
@@ -253,11 +253,15 @@
     }
 
     /// Takes the idle connection that `choose` selects, given the usable ones.
-    fn take_by(&self, server: ServerId, choose: impl Fn(&[&Link], Need) -> Option<usize>) -> Option<Link> {
+    fn take_by(
+        &self,
+        server: ServerId,
+        choose: impl Fn(&[&Link], RequiredIdle) -> Option<usize>,
+    ) -> Option<Link> {
         let unanswered_since = self.long_unanswered_since(server);
-        let need = self.need(server);
+        let required_idle = self.required_idle(server);
         let is_trusted =
-            |link: &Link| unanswered_since.is_none_or(|since| link.exchange.quiet_since() >= since);
+            |link: &Link| unanswered_since.is_none_or(|since| link.exchange.idle_since() >= since);
         loop {
             let mut link = {
                 let mut idle = self.idle.borrow_mut();
@@ -266,7 +270,7 @@
                 let trusted: Vec<usize> =
                     (0..links.len()).filter(|index| is_trusted(&links[*index].link)).collect();
                 let candidates: Vec<&Link> = trusted.iter().map(|index| &links[*index].link).collect();
-                let chosen = trusted[choose(&candidates, need)?];
+                let chosen = trusted[choose(&candidates, required_idle)?];
                 links.remove(chosen).link
             };
             match link.sock.pending() {
@@ -307,7 +311,7 @@
     /// without any answer.
     pub fn close_last_used_before(&self, server: ServerId, sent: Instant) {
         if let Some(links) = self.idle.borrow_mut().get_mut(&server) {
-            links.retain(|idle_link| idle_link.link.exchange.quiet_since() >= sent);
+            links.retain(|idle_link| idle_link.link.exchange.idle_since() >= sent);
         }
     }
 
@@ -330,7 +334,7 @@
     fn evict_longest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let since =
-            |links: &&mut Vec<IdleLink>| links.first().map(|idle_link| idle_link.link.exchange.quiet_since());
+            |links: &&mut Vec<IdleLink>| links.first().map(|idle_link| idle_link.link.exchange.idle_since());
         let Some(links) = idle.values_mut().filter(|links| !links.is_empty()).min_by_key(since) else {
             return false;
         };
--- a/crates/node/src/hub/answers.rs
+++ b/crates/node/src/hub/answers.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use glenwood_core::AttemptId;
-use glenwood_exchange::{Need, OutOfTurn, Scope, Verdict};
+use glenwood_exchange::{RequiredIdle, Scope, UnsolicitedBytes, Verdict};
 use glenwood_policy::ServerId;
 use glenwood_trace::Doing;
 
@@ -36,14 +36,20 @@
 
 impl Hub {
     /// A server sent bytes that no request was waiting for. `scope` is set where this makes a server, or
-    /// all, doubted; `need` is how long connections must be idle before they are used then.
-    pub fn answer_out_of_turn(&self, server: ServerId, seen: OutOfTurn, scope: Option<Scope>, need: Need) {
+    /// all, doubted; `required_idle` is how long connections must be idle before they are used then.
+    pub fn report_unsolicited_bytes(
+        &self,
+        server: ServerId,
+        seen: UnsolicitedBytes,
+        scope: Option<Scope>,
+        required_idle: RequiredIdle,
+    ) {
         self.figures.with(|figures| figures.out_of_turn += 1);
-        let OutOfTurn { position, after, age, answers } = seen;
+        let UnsolicitedBytes { phase, after, age, answers } = seen;
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
         self.trace(|name| Doing::OutOfTurn {
             server: name(server),
-            position: position.to_string(),
+            position: phase.to_string(),
             after: ms(after),
             age: ms(age),
             answers,
@@ -53,7 +59,7 @@
         }
         let (node, name) = (&self.config.name, self.server_name(server));
         log::line(format!(
-            "{node} answer out of turn: server {name}, {position}, {:.1} ms after, connection {:.1} ms old, {answers} answers",
+            "{node} answer out of turn: server {name}, {phase}, {:.1} ms after, connection {:.1} ms old, {answers} answers",
             ms(after),
             ms(age)
         ));
@@ -64,8 +70,8 @@
             };
             log::line(format!(
                 "{node} doubts answers of {whom}: connections stay idle for {:.0} ms when new and {:.0} ms after an answer",
-                ms(need.new),
-                ms(need.used)
+                ms(required_idle.new),
+                ms(required_idle.used)
             ));
         }
     }
@@ -74,18 +80,20 @@
     pub fn answer_doubted(&self, server: ServerId, attempt: Option<AttemptId>, verdict: Verdict) {
         self.figures.with(|figures| figures.doubted_answers += 1);
         let Some(attempt) = attempt else { return };
-        let (proof, why) = (verdict.proof, verdict.why);
+        let (proof, reason) = (verdict.proof, verdict.reason);
         self.trace(|name| Doing::Doubted {
             request: attempt.request.0,
             attempt: attempt.number,
             server: name(server),
             proof: format!("{proof:?}"),
-            why: why.to_string(),
+            why: reason.to_string(),
         });
         if self.answer_log_budget.take(Instant::now()) {
             let (node, name) = (&self.config.name, self.server_name(server));
             let request = attempt.request.0;
-            log::line(format!("{node} answer doubted: server {name}, request {request}, {why}, {proof:?}"));
+            log::line(format!(
+                "{node} answer doubted: server {name}, request {request}, {reason}, {proof:?}"
+            ));
         }
     }
 }
