--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -327,7 +327,7 @@
                 }
                 let active = |h: Option<&Host>| usize::from(h.is_some_and(|h| h.health == Health::Active));
                 self.in_service = self.in_service + active(wanted.as_ref()) - active(before);
-                hosts.extend(wanted.clone().or_else(|| before.map(Host::left)));
+                hosts.extend(wanted.clone().or_else(|| before.map(Host::as_removed)));
                 match wanted {
                     Some(host) => drop(self.said.insert(name, host)),
                     None => drop(self.said.remove(&name)),
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -3,8 +3,7 @@
 //!
 //! - [`Connection`] tracks one connection to a server. It alone decides what the end of an attempt proves.
 //! - [`DistrustTracker`] tracks which servers have sent unsolicited bytes, and how long their connections
-//! must be idle
-//!   before each use.
+//!   must be idle before each use.
 //!
 //! Neither does I/O or reads a clock: every call passes the time.
 #![warn(missing_docs)]
--- a/crates/list/src/entry.rs
+++ b/crates/list/src/entry.rs
@@ -129,7 +129,7 @@
     }
 
     /// A copy of this entry that marks the server as gone.
-    pub fn left(&self) -> Self {
+    pub fn as_removed(&self) -> Self {
         Self { health: Health::Left, ..self.clone() }
     }
 }
@@ -151,10 +151,10 @@
 ///
 /// # Errors
 /// Names the field that is missing or malformed.
-pub fn read(text: &[u8]) -> Result<Update, String> {
+pub fn parse_update(text: &[u8]) -> Result<Update, String> {
     match serde_json::from_slice(text) {
         Ok(update) => validate(update),
-        Err(_) => update(serde_json::from_slice(text).map_err(|e| e.to_string())?),
+        Err(_) => update_from_value(serde_json::from_slice(text).map_err(|e| e.to_string())?),
     }
 }
 
@@ -162,7 +162,7 @@
 ///
 /// # Errors
 /// Names the field that is missing or malformed.
-pub fn update(value: Value) -> Result<Update, String> {
+pub fn update_from_value(value: Value) -> Result<Update, String> {
     validate(serde_json::from_value(value).map_err(|e| e.to_string())?)
 }
 
--- a/crates/list/src/lines.rs
+++ b/crates/list/src/lines.rs
@@ -6,7 +6,7 @@
 use crate::entry;
 
 /// The longest message accepted, in bytes.
-pub const MOST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// A message of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,25 +19,25 @@
 
 /// Why the stream cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum StreamError {
     /// A message is longer than [`MOST`].
     TooLong,
     /// An object was truncated: what follows it is not its end.
-    BrokenOff,
+    Truncated,
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for StreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLong => "message too long",
-            Self::BrokenOff => "JSON object truncated",
+            Self::Truncated => "JSON object truncated",
         })
     }
 }
 
 /// Buffers the stream up to the next complete message.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct MessageReader {
     buffer: Vec<u8>,
     /// The number of bytes scanned.
     scanned: usize,
@@ -49,21 +49,21 @@
     escaped: bool,
 }
 
-impl Lines {
+impl MessageReader {
     /// Appends received data.
     ///
     /// # Errors
     /// If the buffered message exceeds [`MOST`] bytes.
-    pub fn push(&mut self, data: &[u8]) -> Result<(), Spoilt> {
-        if self.buffer.len() + data.len() > MOST {
-            return Err(Spoilt::TooLong);
+    pub fn push(&mut self, data: &[u8]) -> Result<(), StreamError> {
+        if self.buffer.len() + data.len() > MAX_MESSAGE_BYTES {
+            return Err(StreamError::TooLong);
         }
         self.buffer.extend_from_slice(data);
         Ok(())
     }
 
     /// Whether a message has been received in part.
-    pub fn amid(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -71,12 +71,12 @@
     ///
     /// # Errors
     /// If the current object was truncated.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Spoilt> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, StreamError> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
             match byte {
                 // A JSON string contains no raw line break: it is escaped as \n.
-                b'\n' if self.in_string => return Err(Spoilt::BrokenOff),
+                b'\n' if self.in_string => return Err(StreamError::Truncated),
                 b'\n' if self.depth == 0 => return Ok(Some(self.take_message())),
                 b'\n' => self.check_inner_line()?,
                 _ if self.escaped => self.escaped = false,
@@ -93,13 +93,13 @@
 
     /// Checks a line that ended inside an object. Keep-alives and new objects come only between objects, so
     /// either of them here means that the rest of the current object was never received.
-    fn check_inner_line(&mut self) -> Result<(), Spoilt> {
+    fn check_inner_line(&mut self) -> Result<(), StreamError> {
         let (is_first, line) = (self.line_start == 0, &self.buffer[self.line_start..self.scanned]);
         let blank = line.trim_ascii().is_empty();
         let next_update = !is_first && line.starts_with(b"{") && is_update(line);
         self.line_start = self.scanned;
         if blank || next_update {
-            return Err(Spoilt::BrokenOff);
+            return Err(StreamError::Truncated);
         }
         Ok(())
     }
@@ -117,7 +117,7 @@
 }
 
 fn is_update(line: &[u8]) -> bool {
-    serde_json::from_slice(line).is_ok_and(|value| entry::update(value).is_ok())
+    serde_json::from_slice(line).is_ok_and(|value| entry::update_from_value(value).is_ok())
 }
 
 #[cfg(test)]
@@ -132,15 +132,15 @@
     }
 
     /// Reads all messages of a text that arrives in chunks of the given size.
-    fn read_all(text: &str, chunk_bytes: usize) -> Result<Vec<Message>, Spoilt> {
-        let (mut lines, mut messages) = (Lines::default(), Vec::new());
+    fn read_all(text: &str, chunk_bytes: usize) -> Result<Vec<Message>, StreamError> {
+        let (mut lines, mut messages) = (MessageReader::default(), Vec::new());
         for data in text.as_bytes().chunks(chunk_bytes) {
             lines.push(data)?;
             while let Some(message) = lines.next_message()? {
                 messages.push(message);
             }
         }
-        assert_eq!(lines.amid(), !text.ends_with('\n'));
+        assert_eq!(lines.has_partial_message(), !text.ends_with('\n'));
         Ok(messages)
     }
 
@@ -174,7 +174,7 @@
             for cut in 1..form.len() - 1 {
                 for next in ["\n\n", "\n{\"seq\":5,\"whole\":false,\"hosts\":[]}\n"] {
                     let text = format!("{}{next}", &form[..cut]);
-                    assert_eq!(read_all(&text, 64), Err(Spoilt::BrokenOff), "{text}");
+                    assert_eq!(read_all(&text, 64), Err(StreamError::Truncated), "{text}");
                 }
             }
         }
@@ -182,9 +182,9 @@
 
     #[test]
     fn no_more_than_the_longest_message_is_buffered() {
-        let mut lines = Lines::default();
-        assert_eq!(lines.push(&vec![b' '; MOST]), Ok(()));
+        let mut lines = MessageReader::default();
+        assert_eq!(lines.push(&vec![b' '; MAX_MESSAGE_BYTES]), Ok(()));
         assert_eq!(lines.next_message(), Ok(None));
-        assert_eq!(lines.push(b" "), Err(Spoilt::TooLong));
+        assert_eq!(lines.push(b" "), Err(StreamError::TooLong));
     }
 }
--- a/crates/list/src/merge.rs
+++ b/crates/list/src/merge.rs
@@ -65,11 +65,11 @@
 
 /// The merged list of both sources.
 #[derive(Debug, Default)]
-pub struct Merge {
+pub struct MergedList {
     known: BTreeMap<String, ServerRecord>,
 }
 
-impl Merge {
+impl MergedList {
     /// The number of servers in the merged list.
     pub fn len(&self) -> usize {
         self.known.values().filter(|k| k.published.is_some()).count()
@@ -82,7 +82,7 @@
 
     /// Applies an update of one source and returns the resulting update of the merged list: the full list
     /// after a full update from discovery, otherwise only the entries that changed.
-    pub fn take(&mut self, source: Source, update: Update) -> Update {
+    pub fn apply(&mut self, source: Source, update: Update) -> Update {
         let slot = source as usize;
         let mut affected: Vec<String> = update.hosts.iter().map(|h| h.host.clone()).collect();
         if update.whole {
@@ -106,7 +106,7 @@
             let Some(known) = self.known.get_mut(&name) else { continue };
             let entry = known.entry();
             if entry != known.published {
-                changed.extend(entry.clone().or_else(|| known.published.as_ref().map(Host::left)));
+                changed.extend(entry.clone().or_else(|| known.published.as_ref().map(Host::as_removed)));
                 known.published = entry;
             }
             if known.by_source.iter().all(Option::is_none) {
--- a/crates/list/src/start.rs
+++ b/crates/list/src/start.rs
@@ -26,24 +26,24 @@
 
 /// A start time claimed by the list, and what the node knows to check it.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ClaimedStart {
     /// The start time in the list, converted to the node's clock.
-    pub claimed: f64,
+    pub claimed_start: f64,
     /// The current time.
     pub now: f64,
     /// When the previous list was received; `None` before the first.
-    pub heard: Option<f64>,
+    pub previous_list_at: Option<f64>,
     /// How long a server takes to warm up.
-    pub warm_within: f64,
+    pub warm_up_time: f64,
 }
 
-impl Told {
+impl ClaimedStart {
     /// The latest time at which the server may have started.
     fn latest(&self) -> f64 {
-        let claimed = match self.heard {
+        let claimed = match self.previous_list_at {
             // The previous list did not have the server, so it started shortly before that list at the
             // earliest.
-            Some(heard) => self.claimed.max(heard - MAX_LIST_DELAY_MS),
+            Some(heard) => self.claimed_start.max(heard - MAX_LIST_DELAY_MS),
             None => self.latest_by_clock(),
         };
         // A listed server has already started.
@@ -52,37 +52,37 @@
 
     /// The latest start within the allowed clock error, where that error decides whether the server is warm.
     fn latest_by_clock(&self) -> f64 {
-        let warm = |clock_error: f64| self.now - (self.claimed + clock_error) >= self.warm_within;
+        let warm = |clock_error: f64| self.now - (self.claimed_start + clock_error) >= self.warm_up_time;
         let cold = |clock_error: f64| {
-            !warm(clock_error) && self.claimed + clock_error - CLOCK_ERROR_SECONDS_MS <= self.now
+            !warm(clock_error) && self.claimed_start + clock_error - CLOCK_ERROR_SECONDS_MS <= self.now
         };
         let clock_errors = [CLOCK_ERROR_HOUR_MS + CLOCK_ERROR_SECONDS_MS, CLOCK_ERROR_SECONDS_MS];
         let clock_error = clock_errors.into_iter().find(|clock_error| cold(*clock_error)).unwrap_or(0.0);
-        self.claimed + clock_error
+        self.claimed_start + clock_error
     }
 }
 
 /// The estimated starts of all servers that are or were listed.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct StartTimes {
     known: HashMap<u64, Start>,
 }
 
-impl Starts {
+impl StartTimes {
     /// When a server started; `None` for long ago. The first estimate for a given start time is kept.
-    pub fn start(&mut self, server: u64, born_ms: f64, told: Told) -> Option<f64> {
+    pub fn estimate(&mut self, server: u64, born_ms: f64, claim: ClaimedStart) -> Option<f64> {
         if born_ms <= 0.0 {
             return None;
         }
         let known = self.known.get(&server).filter(|start| start.born_ms == born_ms);
-        let start = known.copied().unwrap_or(Start { born_ms, estimate: told.latest() });
+        let start = known.copied().unwrap_or(Start { born_ms, estimate: claim.latest() });
         self.known.insert(server, start);
         Some(start.estimate)
     }
 
     /// Drops servers that are no longer listed once there are many records. Until then they are kept, so that
     /// a server that is listed again does not count as cold.
-    pub fn forget(&mut self, listed: usize, is_listed: impl Fn(u64) -> bool) {
+    pub fn drop_unlisted(&mut self, listed: usize, is_listed: impl Fn(u64) -> bool) {
         if self.known.len() > MIN_RECORDS + MAX_RECORDS_PER_LISTED * listed {
             self.known.retain(|server, _| is_listed(*server));
         }
@@ -98,8 +98,13 @@
 
     /// The estimated age of a server whose listed start time claims the given age.
     fn estimated_age(claimed_age: f64, heard: Option<f64>) -> f64 {
-        let told = Told { claimed: NOW - claimed_age, now: NOW, heard, warm_within: WARM_WITHIN };
-        NOW - Starts::default().start(1, 1.0, told).expect("not long ago")
+        let claim = ClaimedStart {
+            claimed_start: NOW - claimed_age,
+            now: NOW,
+            previous_list_at: heard,
+            warm_up_time: WARM_WITHIN,
+        };
+        NOW - StartTimes::default().estimate(1, 1.0, claim).expect("not long ago")
     }
 
     #[test]
@@ -139,21 +144,27 @@
 
     #[test]
     fn an_estimate_is_kept_until_the_server_restarts() {
-        let mut starts = Starts::default();
-        let told = |now: f64| Told { claimed: 0.0, now, heard: Some(now - 1.0), warm_within: WARM_WITHIN };
-        let first = starts.start(1, 7.0, told(1_000.0));
-        assert_eq!(starts.start(1, 7.0, told(90_000.0)), first);
-        assert_ne!(starts.start(1, 8.0, told(90_000.0)), first);
-        assert_eq!(starts.start(2, 0.0, told(1_000.0)), None);
+        let mut starts = StartTimes::default();
+        let claim = |now: f64| ClaimedStart {
+            claimed_start: 0.0,
+            now,
+            previous_list_at: Some(now - 1.0),
+            warm_up_time: WARM_WITHIN,
+        };
+        let first = starts.estimate(1, 7.0, claim(1_000.0));
+        assert_eq!(starts.estimate(1, 7.0, claim(90_000.0)), first);
+        assert_ne!(starts.estimate(1, 8.0, claim(90_000.0)), first);
+        assert_eq!(starts.estimate(2, 0.0, claim(1_000.0)), None);
     }
 
     #[test]
     fn servers_no_longer_listed_are_eventually_dropped() {
-        let mut starts = Starts::default();
-        let told = Told { claimed: 0.0, now: 1.0, heard: None, warm_within: WARM_WITHIN };
+        let mut starts = StartTimes::default();
+        let claim =
+            ClaimedStart { claimed_start: 0.0, now: 1.0, previous_list_at: None, warm_up_time: WARM_WITHIN };
         for server in 0..1_000 {
-            starts.start(server, 7.0, told);
-            starts.forget(1, |listed| listed == 0);
+            starts.estimate(server, 7.0, claim);
+            starts.drop_unlisted(1, |listed| listed == 0);
         }
         assert!(starts.known.len() <= MIN_RECORDS + MAX_RECORDS_PER_LISTED, "{}", starts.known.len());
         assert!(starts.known.contains_key(&0));
--- a/crates/list/src/succession.rs
+++ b/crates/list/src/succession.rs
@@ -5,19 +5,19 @@
 
 /// The versions last accepted and last rejected.
 #[derive(Clone, Debug, Default)]
-pub struct Succession {
+pub struct VersionCheck {
     accepted: Option<u64>,
     rejected: Option<u64>,
 }
 
-impl Succession {
+impl VersionCheck {
     /// Checks an update; `known` is the number of known servers. An older full list is rejected once: if the
     /// next full list is older than the accepted one too, but not older than the rejected one, discovery has
     /// restarted its version numbers, and further rejection would leave the node with its old list forever.
     ///
     /// # Errors
     /// The reason why the update is rejected.
-    pub fn take(&mut self, update: &Update, known: usize) -> Result<(), String> {
+    pub fn accept(&mut self, update: &Update, known: usize) -> Result<(), String> {
         if update.whole && update.hosts.is_empty() && known > 0 {
             return Err(format!("empty list received while {known} servers are known"));
         }
@@ -35,7 +35,7 @@
     }
 
     /// Resets the state for another discovery service, whose versions are unrelated to those seen so far.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/crates/list/tests/merge.rs
+++ b/crates/list/tests/merge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use glenwood_list::Source::{Discovery, Registrations};
-use glenwood_list::{Dial, Health, Host, Merge, Protocol, Source, Update};
+use glenwood_list::{Dial, Health, Host, MergedList, Protocol, Source, Update};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
 }
 
 fn left(name: &str) -> Host {
-    up(name, 0.0).left()
+    up(name, 0.0).as_removed()
 }
 
 fn line(whole: bool, hosts: &[Host]) -> Update {
@@ -25,8 +25,8 @@
 }
 
 /// Applies an update and returns the changes as name, health and start time.
-fn apply(merge: &mut Merge, source: Source, whole: bool, hosts: &[Host]) -> Vec<(String, Health, f64)> {
-    let update = merge.take(source, line(whole, hosts));
+fn apply(merge: &mut MergedList, source: Source, whole: bool, hosts: &[Host]) -> Vec<(String, Health, f64)> {
+    let update = merge.apply(source, line(whole, hosts));
     assert_eq!(update.whole, whole && source == Discovery);
     update.hosts.into_iter().map(|h| (h.host, h.health, h.born_ms)).collect()
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn servers_of_one_source_alone_stay_when_the_other_gives_its_whole_list() {
-    let mut merge = Merge::default();
+    let mut merge = MergedList::default();
     assert_eq!(apply(&mut merge, Registrations, true, &[up("r", 5.0)]), change("r", Health::Active, 5.0));
     let both = [("d".to_string(), Health::Active, 0.0), ("r".to_string(), Health::Active, 5.0)];
     assert_eq!(apply(&mut merge, Discovery, true, &[up("d", 0.0)]), both);
@@ -48,7 +48,7 @@
 /// A server whose registration has ended stays removed while the slower source, discovery, still lists it.
 #[test]
 fn a_removal_applies_although_the_slower_source_still_lists_the_server() {
-    let mut merge = Merge::default();
+    let mut merge = MergedList::default();
     apply(&mut merge, Discovery, true, &[up("a", 5.0)]);
     assert_eq!(apply(&mut merge, Registrations, true, &[up("a", 5.0)]), []);
     assert_eq!(apply(&mut merge, Registrations, false, &[left("a")]), change("a", Health::Left, 5.0));
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_later_start_in_the_other_source_brings_a_server_back() {
-    let mut merge = Merge::default();
+    let mut merge = MergedList::default();
     apply(&mut merge, Discovery, true, &[up("a", 5.0)]);
     apply(&mut merge, Registrations, true, &[up("a", 5.0)]);
     apply(&mut merge, Registrations, false, &[left("a")]);
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_removal_by_discovery_applies_although_the_registration_remains() {
-    let mut merge = Merge::default();
+    let mut merge = MergedList::default();
     apply(&mut merge, Discovery, true, &[up("a", 5.0)]);
     apply(&mut merge, Registrations, true, &[up("a", 5.0)]);
     assert_eq!(apply(&mut merge, Discovery, true, &[]), []);
@@ -81,9 +81,9 @@
 
 #[test]
 fn a_drain_of_either_source_applies_and_the_registration_gives_the_other_fields() {
-    let mut merge = Merge::default();
+    let mut merge = MergedList::default();
     apply(&mut merge, Discovery, true, &[host("a", 1, 5.0, Health::Active)]);
-    let moved = merge.take(Registrations, line(false, &[host("a", 2, 5.0, Health::Active)]));
+    let moved = merge.apply(Registrations, line(false, &[host("a", 2, 5.0, Health::Active)]));
     assert_eq!(moved.hosts[0].dial.expect("it has one").address.port(), 2);
     let drained = apply(&mut merge, Discovery, false, &[host("a", 1, 5.0, Health::Leaving)]);
     assert_eq!(drained, change("a", Health::Leaving, 5.0));
@@ -93,7 +93,7 @@
     let back = apply(&mut merge, Discovery, false, &[host("a", 1, 5.0, Health::Active)]);
     assert_eq!(back, change("a", Health::Active, 6.0));
     // A registration older than the process that discovery lists does not give the address of that process.
-    let older = merge.take(Discovery, line(false, &[host("a", 1, 7.0, Health::Active)]));
+    let older = merge.apply(Discovery, line(false, &[host("a", 1, 7.0, Health::Active)]));
     assert_eq!(older.hosts[0].dial.expect("it has one").address.port(), 1);
 }
 
@@ -116,7 +116,7 @@
     /// active that a source drains.
     #[test]
     fn updates_add_up_to_the_merged_list(steps in vec((0..2usize, any::<bool>(), vec((0..5u8, 0..3u8, 0..3u8), 0..4)), 1..40)) {
-        let mut merge = Merge::default();
+        let mut merge = MergedList::default();
         let mut followed: BTreeMap<String, Host> = BTreeMap::new();
         let mut sources: [BTreeMap<String, Host>; 2] = Default::default();
         // Servers that have been in both sources at once, since they were last in neither.
@@ -141,7 +141,7 @@
                     _ => drop(sources[slot].insert(h.host.clone(), h.clone())),
                 }
             }
-            let update = merge.take(source, line(whole, &hosts));
+            let update = merge.apply(source, line(whole, &hosts));
             if update.whole {
                 followed.clear();
             }
--- a/crates/list/tests/read.rs
+++ b/crates/list/tests/read.rs
@@ -1,6 +1,6 @@
 //! Parsing an update directly from text gives the same result as parsing it by way of a JSON value.
 
-use glenwood_list::{read, update};
+use glenwood_list::{parse_update, update_from_value};
 
 /// Valid and invalid updates in various forms.
 const LINES: [&str; 9] = [
@@ -19,8 +19,8 @@
 #[test]
 fn parsing_from_text_and_from_a_json_value_agree() {
     for line in LINES {
-        let by_value = serde_json::from_str(line).map_err(|e| e.to_string()).and_then(update);
-        assert_eq!(read(line.as_bytes()), by_value, "{line}");
+        let by_value = serde_json::from_str(line).map_err(|e| e.to_string()).and_then(update_from_value);
+        assert_eq!(parse_update(line.as_bytes()), by_value, "{line}");
     }
-    assert_eq!(LINES.iter().filter(|line| read(line.as_bytes()).is_ok()).count(), 5);
+    assert_eq!(LINES.iter().filter(|line| parse_update(line.as_bytes()).is_ok()).count(), 5);
 }
--- a/crates/msgpack-rpc/src/client.rs
+++ b/crates/msgpack-rpc/src/client.rs
@@ -12,7 +12,7 @@
 use bytes::{Buf, BytesMut};
 
 use crate::frame::{Bounds, Frames};
-use crate::message::{self, Answer, Call, Message, Spoilt};
+use crate::message::{self, Answer, Call, DecodeError, Message};
 
 /// Whether a call without a reply may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// The reply.
     Answered(T, Answer),
     /// A reply that cannot be decoded; the call may have run.
-    Garbled(T),
+    UndecodableReply(T),
     /// A call that had been given up no longer occupies a slot: its reply has arrived, or the connection has
     /// ended.
     Left(T),
@@ -242,7 +242,7 @@
             };
             match message::read(&frame) {
                 Ok(Message::Reply(id, answer)) => self.handle_reply(id, Some(answer)),
-                Err(Spoilt::Reply(id, _)) => self.handle_reply(id, None),
+                Err(DecodeError::Reply(id, _)) => self.handle_reply(id, None),
                 Ok(_) => self.report_stray("a message that is not a reply".into()),
                 Err(spoilt) => self.report_stray(spoilt.to_string()),
             }
@@ -265,7 +265,7 @@
         self.events.push_back(match answer {
             _ if open.given_up => Event::Left(open.call),
             Some(answer) => Event::Answered(open.call, answer),
-            None => Event::Garbled(open.call),
+            None => Event::UndecodableReply(open.call),
         });
     }
 
@@ -278,7 +278,7 @@
         self.broken.get_or_insert_with(|| "ended".into());
         self.events.extend(open.into_iter().map(|(_, o)| match (o.given_up, o.written) {
             (true, _) => Event::Left(o.call),
-            (false, true) if is_broken => Event::Garbled(o.call),
+            (false, true) if is_broken => Event::UndecodableReply(o.call),
             (false, true) => Event::Broken(o.call, Ran::Maybe),
             (false, false) => Event::Broken(o.call, Ran::Never),
         }));
@@ -290,7 +290,7 @@
     }
 
     /// Whether part of a reply has been received.
-    pub fn amid(&self) -> bool {
-        self.frames.amid()
+    pub fn has_partial_message(&self) -> bool {
+        self.frames.has_partial_message()
     }
 }
--- a/crates/msgpack-rpc/src/frame.rs
+++ b/crates/msgpack-rpc/src/frame.rs
@@ -231,7 +231,7 @@
     }
 
     /// Whether part of a message has been received.
-    pub fn amid(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.length > 0 || !self.buffer.is_empty()
     }
 
--- a/crates/msgpack-rpc/src/message.rs
+++ b/crates/msgpack-rpc/src/message.rs
@@ -95,7 +95,7 @@
 
 /// A framed message that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum DecodeError {
     /// A call that can be answered: its msgid and the error reply to send.
     Call(u32, ErrorReply),
     /// A reply to a known msgid, and what is wrong with it.
@@ -104,7 +104,7 @@
     Unknown(String),
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Call(id, error) => write!(f, "call {id}: {}", error.message),
@@ -133,12 +133,12 @@
 ///
 /// # Errors
 /// Returns what is wrong, with the msgid of the call if it can be determined.
-pub fn read(frame: &Frame) -> Result<Message, Spoilt> {
+pub fn read(frame: &Frame) -> Result<Message, DecodeError> {
     let bytes = match frame {
         Frame::Whole(bytes) => bytes,
         Frame::TooLong(prefix) => return Err(oversized_message(prefix)),
     };
-    let unattributed = |reason: &str| Spoilt::Unknown(reason.to_string());
+    let unattributed = |reason: &str| DecodeError::Unknown(reason.to_string());
     let value =
         rmpv::decode::read_value_ref(&mut &bytes[..]).map_err(|_| unattributed("not a MessagePack value"))?;
     let ValueRef::Array(parts) = value else { return Err(unattributed("the message is not an array")) };
@@ -149,13 +149,13 @@
         // If the msgid is in its position, the call can still be determined.
         (Some(REPLY), _) => {
             return Err(match parts.get(1).and_then(read_msgid) {
-                Some(id) => Spoilt::Reply(id, "four parts expected".into()),
+                Some(id) => DecodeError::Reply(id, "four parts expected".into()),
                 None => unattributed("four parts expected"),
             })
         }
         (Some(CALL), _) => {
             return Err(match parts.get(1).and_then(read_msgid) {
-                Some(id) => Spoilt::Call(id, bad_request("four parts expected")),
+                Some(id) => DecodeError::Call(id, bad_request("four parts expected")),
                 None => unattributed("four parts expected"),
             })
         }
@@ -164,12 +164,12 @@
     let id = read_msgid(&parts[1]).ok_or_else(|| unattributed("msgid: a number of 32 bits expected"))?;
     if kind == Some(REPLY) {
         let answer =
-            decode_answer(&parts[2], &parts[3], bytes).map_err(|reason| Spoilt::Reply(id, reason))?;
+            decode_answer(&parts[2], &parts[3], bytes).map_err(|reason| DecodeError::Reply(id, reason))?;
         return Ok(Message::Reply(id, answer));
     }
     decode_call(&parts[2], &parts[3], bytes)
         .map(|call| Message::Call(id, call))
-        .map_err(|e| Spoilt::Call(id, e))
+        .map_err(|e| DecodeError::Call(id, e))
 }
 
 fn read_msgid(value: &ValueRef<'_>) -> Option<u32> {
@@ -181,7 +181,7 @@
 }
 
 /// Determines the call of an oversized message from its first bytes.
-fn oversized_message(prefix: &[u8]) -> Spoilt {
+fn oversized_message(prefix: &[u8]) -> DecodeError {
     let mut rest = prefix;
     let mut read_header = || -> Option<(u64, u32)> {
         rmp::decode::read_array_len(&mut rest).ok()?;
@@ -189,9 +189,11 @@
         Some((kind, rmp::decode::read_int::<u32, _>(&mut rest).ok()?))
     };
     match read_header() {
-        Some((CALL, id)) => Spoilt::Call(id, ErrorReply::new(Code::TooLarge, "longer than a call may be")),
-        Some((REPLY, id)) => Spoilt::Reply(id, "longer than a reply may be".into()),
-        _ => Spoilt::Unknown("longer than a message may be".into()),
+        Some((CALL, id)) => {
+            DecodeError::Call(id, ErrorReply::new(Code::TooLarge, "longer than a call may be"))
+        }
+        Some((REPLY, id)) => DecodeError::Reply(id, "longer than a reply may be".into()),
+        _ => DecodeError::Unknown("longer than a message may be".into()),
     }
 }
 
--- a/crates/msgpack-rpc/src/server.rs
+++ b/crates/msgpack-rpc/src/server.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, BytesMut};
 
 use crate::frame::{Bounds, Frames};
-use crate::message::{self, Answer, Call, Code, ErrorReply, Message, Spoilt};
+use crate::message::{self, Answer, Call, Code, DecodeError, ErrorReply, Message};
 
 /// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
@@ -111,16 +111,16 @@
                 }
             }
             Ok(Message::Notification) => Event::Notification,
-            Ok(Message::Reply(..)) | Err(Spoilt::Reply(..)) => {
+            Ok(Message::Reply(..)) | Err(DecodeError::Reply(..)) => {
                 self.end("a reply where only calls and notifications are expected".into())
             }
-            Err(Spoilt::Call(id, error)) if !self.open.contains(&id) => {
+            Err(DecodeError::Call(id, error)) if !self.open.contains(&id) => {
                 let code = error.code;
                 message::write_answer(&mut self.out, id, &Err(error));
                 Event::Bad { code }
             }
-            Err(Spoilt::Call(id, _)) => self.end(format!("msgid {id} is already used by an open call")),
-            Err(Spoilt::Unknown(reason)) => self.end(reason),
+            Err(DecodeError::Call(id, _)) => self.end(format!("msgid {id} is already used by an open call")),
+            Err(DecodeError::Unknown(reason)) => self.end(reason),
         })
     }
 
@@ -148,8 +148,8 @@
     }
 
     /// Whether part of a message has been received.
-    pub fn amid(&self) -> bool {
-        self.frames.amid()
+    pub fn has_partial_message(&self) -> bool {
+        self.frames.has_partial_message()
     }
 
     /// Number of received bytes that are buffered.
--- a/crates/msgpack-rpc/tests/properties.rs
+++ b/crates/msgpack-rpc/tests/properties.rs
@@ -125,7 +125,7 @@
         let mut seen = [0; 10];
         for event in run_client(&split(&bytes, &cuts)) {
             match event {
-                client::Event::Answered(n, _) | client::Event::Garbled(n) | client::Event::Broken(n, _) => {
+                client::Event::Answered(n, _) | client::Event::UndecodableReply(n) | client::Event::Broken(n, _) => {
                     prop_assert_ne!(n, 3, "a reply that nobody awaits reached its caller");
                     seen[n as usize] += 1;
                 }
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -515,11 +515,13 @@
                     self.record_answer(conn, attempt);
                     (attempt, ended_with(answer))
                 }
-                Event::Garbled(attempt) if conn.state.borrow().protocol.broken().is_none() => {
+                Event::UndecodableReply(attempt) if conn.state.borrow().protocol.broken().is_none() => {
                     self.record_answer(conn, attempt);
                     (attempt, AttemptResult::NoResponse(Outcome::Error))
                 }
-                Event::Garbled(attempt) => (attempt, AttemptResult::NoResponse(first_only(Outcome::Error))),
+                Event::UndecodableReply(attempt) => {
+                    (attempt, AttemptResult::NoResponse(first_only(Outcome::Error)))
+                }
                 Event::Broken(attempt, Ran::Maybe) => {
                     (attempt, AttemptResult::NoResponse(first_only(Outcome::Reset)))
                 }
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -8,7 +8,7 @@
 use glenwood_core::Token;
 use glenwood_msgpack_rpc::message;
 use glenwood_operation::budget::Share;
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::Millis;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderName, HeaderValue, COOKIE, HOST};
@@ -51,7 +51,7 @@
 /// A request as forwarded to a server.
 pub struct Call {
     /// Its class and tenant. Holding them keeps their indices valid across changes of the settings.
-    pub of: (Place, Option<Place>),
+    pub of: (Slot, Option<Slot>),
     /// The client's id for it.
     pub id: Token,
     /// Its key, if it has one.
@@ -236,9 +236,9 @@
 
     use super::*;
 
-    fn tenant_of(headers: &[(HeaderName, &str)]) -> Option<Place> {
+    fn tenant_of(headers: &[(HeaderName, &str)]) -> Option<Slot> {
         let name = headers.iter().find(|(name, _)| *name == ORG)?.1;
-        Some(Place { number: 0, name: name.into() })
+        Some(Slot { number: 0, name: name.into() })
     }
 
     fn call(id: &str, key: Option<&str>, target: &str, headers: &[(HeaderName, &str)]) -> Call {
@@ -248,7 +248,7 @@
             map.insert(name.clone(), HeaderValue::from_str(value).expect("a value"));
         }
         let (key, target) = (key.map(token), target.parse().expect("a target"));
-        let of = (Place { number: 0, name: "look".into() }, tenant_of(headers));
+        let of = (Slot { number: 0, name: "look".into() }, tenant_of(headers));
         Call {
             of,
             id: token(id),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -237,7 +237,7 @@
     let seed = value.get("seed").and_then(Value::as_str).ok_or("seed: text expected")?;
     let known = match value.get("known") {
         None | Some(Value::Null) => None,
-        Some(known) => Some(list::update(known.clone()).map_err(|e| format!("known: {e}"))?),
+        Some(known) => Some(list::update_from_value(known.clone()).map_err(|e| format!("known: {e}"))?),
     };
     let settings = NodeSettings::from_object(file.field.unwrap_or_default());
     let settings = settings.map_err(|e| format!("settings: {e}"))?;
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -205,7 +205,7 @@
         let in_force = replica.in_force().unwrap_or_default();
         let age = replica.age(self.now()).unwrap_or(0);
         let rejected = u64::from(replica.rejected().is_some());
-        let gauge = |name, value, help| Figure { name, counts: false, help, value };
+        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
         vec![
             gauge("configuration_epoch", in_force.epoch, "Epoch of the version in force."),
             gauge("configuration_number", in_force.number, "Number of the version in force."),
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -5,7 +5,7 @@
 use glenwood_core::Token;
 use glenwood_datagram::{number_of, Reader};
 use glenwood_operation::budget::Share;
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::Effect;
 use hyper::header::{HeaderName, HeaderValue, COOKIE};
 use hyper::{HeaderMap, Method, Uri};
@@ -115,9 +115,9 @@
 /// settings; `class` is the class in these settings.
 pub fn read_call(
     bytes: &[u8],
-    class: Place,
+    class: Slot,
     effect: Effect,
-    tenant: impl Fn(&str) -> Option<Place>,
+    tenant: impl Fn(&str) -> Option<Slot>,
     held: Share,
 ) -> Option<Call> {
     let mut r = Reader::new(bytes);
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -53,8 +53,8 @@
     fn figures(&self) -> Vec<Figure> {
         let (coordinator, keeper) = (self.coordinator.borrow(), self.keeper.borrow());
         let (counts, works, kept) = (*self.counts.borrow(), coordinator.figures(), keeper.figures());
-        let gauge = |name, value, help| Figure { name, counts: false, help, value };
-        let counter = |name, value, help| Figure { name, counts: true, help, value };
+        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
+        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
         vec![
             gauge("custody_mine", coordinator.counts().1 as u64, "Works that this node has in hand."),
             gauge("custody_kept", kept.works, "Works that it keeps for others."),
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_list::lines::{self, Lines, Message, Spoilt};
+use glenwood_list::lines::{self, Message, MessageReader, StreamError};
 use glenwood_policy::{ListFailure, Millis};
 use glenwood_trace::Doing;
 use http_body_util::{BodyExt, Empty};
@@ -49,9 +49,9 @@
     Unreadable(String),
 }
 
-impl From<Spoilt> for Ended {
-    fn from(spoilt: Spoilt) -> Self {
-        Self::Unreadable(spoilt.to_string())
+impl From<StreamError> for Ended {
+    fn from(error: StreamError) -> Self {
+        Self::Unreadable(error.to_string())
     }
 }
 
@@ -99,7 +99,7 @@
     hub.trace(|_| Doing::Asking { from: Some(version) });
     let mut body = call(service, &format!("/v1/endpoints?watch=1&from={version}")).await?;
     hub.discovery_answering();
-    let mut lines = Lines::default();
+    let mut lines = MessageReader::default();
     let (mut due, mut answered) = (body.due, false);
     loop {
         // Only complete messages count as a sign of life: a trickle of bytes that never makes a message is
@@ -109,7 +109,7 @@
         let frame = frame.map_err(|_| silent())?.transpose();
         // Between two messages a watch may end at any time. Within a message it was cut off, and a change
         // may be lost.
-        let between_messages = answered && !lines.amid();
+        let between_messages = answered && !lines.has_partial_message();
         if answered && !matches!(frame, Ok(Some(_))) {
             hub.trace(|_| watch_ended_event(&body, &lines));
         }
@@ -135,9 +135,9 @@
     }
 }
 
-fn watch_ended_event(call: &Call, lines: &Lines) -> Doing {
+fn watch_ended_event(call: &Call, lines: &MessageReader) -> Doing {
     let last = call.sock.last_heard().iter().map(|byte| format!("{byte:02x}")).collect();
-    Doing::WatchEnded { amid: lines.amid(), last }
+    Doing::WatchEnded { amid: lines.has_partial_message(), last }
 }
 
 /// Requests the complete list once.
@@ -153,8 +153,8 @@
             break;
         };
         if let Ok(data) = frame.map_err(|e| Ended::Cut(with_causes(&e)))?.into_data() {
-            if text.len() + data.len() > lines::MOST {
-                return Err(Spoilt::TooLong.into());
+            if text.len() + data.len() > lines::MAX_MESSAGE_BYTES {
+                return Err(StreamError::TooLong.into());
             }
             text.extend_from_slice(&data);
         }
@@ -166,7 +166,7 @@
 }
 
 fn read(text: &[u8]) -> Result<Update, Ended> {
-    list::read(text).map_err(|reason| Ended::Unreadable(format!("unreadable: {reason}")))
+    list::parse_update(text).map_err(|reason| Ended::Unreadable(format!("unreadable: {reason}")))
 }
 
 /// The answer to a call; the connection is closed with it.
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -11,7 +11,7 @@
 use glenwood_core::{Final, Incoming as CoreRequest, Rejection, Token, MAX_CLIENT_WAIT};
 use glenwood_operation::budget::Share;
 use glenwood_operation::figures::{End, Ticket};
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::{Effect, Millis};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -355,7 +355,7 @@
 }
 
 /// The class that a request's path names, if it exists.
-fn class_of(hub: &Hub, uri: &Uri) -> Option<Place> {
+fn class_of(hub: &Hub, uri: &Uri) -> Option<Slot> {
     let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     hub.class(name)
 }
@@ -363,7 +363,7 @@
 async fn read(
     hub: &Hub,
     sock: &Sock,
-    class: Option<Place>,
+    class: Option<Slot>,
     request: Request<Incoming>,
 ) -> Result<(ParsedRequest, Duration), RequestError> {
     // The settings in force when the head arrived apply to all of it.
--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -11,7 +11,7 @@
 use glenwood_msgpack_rpc::message::{Answer, Call as RpcCall, Code, ErrorReply};
 use glenwood_msgpack_rpc::server::{self, Connection, Event, Limits};
 use glenwood_operation::figures::End;
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::{Effect, Millis};
 use hyper::{Method, Uri};
 use tokio::sync::Notify;
@@ -122,14 +122,14 @@
                     protocol.finish();
                 }
                 let has_output = !protocol.output().is_empty();
-                let idle = protocol.open() == 0 && !has_output && !protocol.amid();
+                let idle = protocol.open() == 0 && !has_output && !protocol.has_partial_message();
                 let has_open_calls = protocol.open() > 0;
                 (
                     protocol.wants_bytes(),
                     has_output,
                     idle,
                     protocol.is_over(),
-                    protocol.amid(),
+                    protocol.has_partial_message(),
                     has_open_calls,
                 )
             };
@@ -229,7 +229,7 @@
         }
     }
 
-    fn class(&self, name: &str) -> Option<Place> {
+    fn class(&self, name: &str) -> Option<Slot> {
         self.hub.class(name)
     }
 
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Rejection};
-use glenwood_list::{Merge, Source, Succession};
+use glenwood_list::{MergedList, Source, VersionCheck};
 use glenwood_operation::budget::Budget;
 use glenwood_operation::figures::{End, Shared, Ticket};
-use glenwood_operation::places::{Place as Slot, Places};
+use glenwood_operation::places::{Slot, Slots};
 use glenwood_policy::{Discovery, Millis, Outcome, RequestId, ServerId, SettingsError};
 use glenwood_settings::NodeSettings;
 use glenwood_trace::{Answer, Doing, Record};
@@ -136,15 +136,15 @@
     /// The settings in force, with classes and tenants by their slots. The tenants' names are left out, as
     /// `tenants` has them.
     settings: RefCell<Rc<NodeSettings>>,
-    classes: RefCell<Places>,
-    tenants: RefCell<Places>,
+    classes: RefCell<Slots>,
+    tenants: RefCell<Slots>,
     core: RefCell<Core<Rc<Call>, Reply>>,
     waiters: RefCell<HashMap<RequestId, Waiter>>,
     servers: RefCell<Servers>,
     /// Merges the lists of discovery and registrations, where there are both.
-    merge: Option<RefCell<Merge>>,
+    merge: Option<RefCell<MergedList>>,
     /// Checks which list of discovery may follow on which.
-    succession: RefCell<Succession>,
+    succession: RefCell<VersionCheck>,
     /// The version of the list; `None` requests the complete list.
     version: Cell<Option<u64>>,
     /// A source of the list has answered.
@@ -186,10 +186,10 @@
         }
         let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
         core.limit_rotation(config.max_rotation());
-        let (mut classes, mut tenants) = (Places::default(), Places::default());
+        let (mut classes, mut tenants) = (Slots::default(), Slots::default());
         // All are new and take the slots in their order.
-        classes.follow(&settings.classes);
-        tenants.follow(&tenant_names);
+        classes.replace_names(&settings.classes);
+        tenants.replace_names(&tenant_names);
         shares.iter().for_each(|shares| shares.follow(&tenant_names, &settings));
         let hub = Rc::new(Self {
             clock: Clock::default(),
@@ -226,7 +226,7 @@
             config,
         });
         let names = hub.settings().classes.clone();
-        hub.figures.with(|figures| figures.have_classes(names.iter().map(String::as_str)));
+        hub.figures.with(|figures| figures.set_classes(names.iter().map(String::as_str)));
         Ok(hub)
     }
 
@@ -236,7 +236,7 @@
         let _ = self.outside.set(outside);
         let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
         // No server is known yet and no list was taken before, so this one is accepted.
-        let _ = self.succession.borrow_mut().take(&saved, 0);
+        let _ = self.succession.borrow_mut().accept(&saved, 0);
         self.take_list(Source::Discovery, saved, true);
     }
 
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -38,7 +38,7 @@
     /// the complete list is requested at once. The old call is ended first, so that none of its late lines
     /// is read.
     pub fn discovery_moved(&self) {
-        self.succession.borrow_mut().restart();
+        self.succession.borrow_mut().reset();
         self.version.set(None);
         if let Some(outside) = self.outside.get() {
             outside.unsubscribe();
@@ -119,7 +119,7 @@
     pub fn apply_discovery_update(&self, update: Update) -> Result<(), String> {
         // Where servers register as well, discovery may have no servers left.
         let known = if self.merge.is_some() { 0 } else { self.servers.borrow().len() };
-        self.succession.borrow_mut().take(&update, known)?;
+        self.succession.borrow_mut().accept(&update, known)?;
         self.last_discovery_error.borrow_mut().clear();
         self.list_received.set(true);
         self.trace(|_| Doing::List { whole: update.whole, entries: update.hosts.len() });
@@ -161,7 +161,7 @@
             self.version.set(Some(update.version));
         }
         let update = match &self.merge {
-            Some(merge) => merge.borrow_mut().take(source, update),
+            Some(merge) => merge.borrow_mut().apply(source, update),
             None => update,
         };
         let whole = update.whole;
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use glenwood_operation::places::{Place as Slot, Turn};
+use glenwood_operation::places::{Slot, SlotChange};
 use glenwood_policy::{Class, SettingsError, Tenant, TenantChange};
 use glenwood_settings::NodeSettings;
 
@@ -24,12 +24,12 @@
 }
 
 /// The value in each slot; a slot whose entry vanished keeps its old value.
-fn values_by_slot<T: Clone>(turns: &[Turn], old: &[T], new: &[T]) -> Vec<T> {
-    let value_of = |(slot, turn): (usize, &Turn)| match turn {
-        Turn::Stays(n) | Turn::Begins(n) => new[*n].clone(),
-        Turn::Vanished => old[slot].clone(),
+fn values_by_slot<T: Clone>(slot_changes: &[SlotChange], old: &[T], new: &[T]) -> Vec<T> {
+    let value_of = |(slot, change): (usize, &SlotChange)| match change {
+        SlotChange::Stays(n) | SlotChange::Reassigned(n) => new[*n].clone(),
+        SlotChange::Vanished => old[slot].clone(),
     };
-    turns.iter().enumerate().map(value_of).collect()
+    slot_changes.iter().enumerate().map(value_of).collect()
 }
 
 impl Hub {
@@ -61,12 +61,14 @@
         let tenant_names = std::mem::take(&mut new.tenants);
         // How the list is obtained can't change while the node runs; that waits for the next start.
         new.policy.discovery = old.policy.discovery;
-        self.figures.with(|figures| figures.have_classes(new.classes.iter().map(String::as_str)));
-        let classes = self.classes.borrow_mut().follow(&new.classes);
-        let tenants = self.tenants.borrow_mut().follow(&tenant_names);
+        self.figures.with(|figures| figures.set_classes(new.classes.iter().map(String::as_str)));
+        let classes = self.classes.borrow_mut().replace_names(&new.classes);
+        let tenants = self.tenants.borrow_mut().replace_names(&tenant_names);
         new.policy.classes = values_by_slot(&classes, &old.policy.classes, &new.policy.classes);
         new.policy.tenants = values_by_slot(&tenants, &old.policy.tenants, &new.policy.tenants);
-        let are_new = |turns: &[Turn]| turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
+        let are_new = |slot_changes: &[SlotChange]| {
+            slot_changes.iter().map(|change| !matches!(change, SlotChange::Stays(_))).collect()
+        };
         if let Some(shares) = &self.shares {
             let places = self.tenants.borrow();
             let name = |slot: usize| places.name(slot).map_or_else(String::new, |name| name.to_string());
@@ -116,10 +118,10 @@
         new.longest_deadline = classes.iter().map(|(_, class)| class.client_timeout).fold(0.0, f64::max);
         (new.classes, new.policy.classes) = classes.into_iter().unzip();
         new.policy.check()?;
-        self.figures.with(|figures| figures.have_classes(new.classes.iter().map(String::as_str)));
-        let turns = self.classes.borrow_mut().follow(&new.classes);
-        new.policy.classes = values_by_slot(&turns, &old.policy.classes, &new.policy.classes);
-        let is_new = turns.iter().map(|turn| !matches!(turn, Turn::Stays(_))).collect();
+        self.figures.with(|figures| figures.set_classes(new.classes.iter().map(String::as_str)));
+        let slot_changes = self.classes.borrow_mut().replace_names(&new.classes);
+        new.policy.classes = values_by_slot(&slot_changes, &old.policy.classes, &new.policy.classes);
+        let is_new = slot_changes.iter().map(|change| !matches!(change, SlotChange::Stays(_))).collect();
         let (policy, tenants) = (new.policy.clone(), vec![false; new.policy.tenants.len()]);
         self.settings.replace(Rc::new(new));
         self.update_core(|core, now| core.new_settings(now, policy, is_new, tenants))
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use glenwood_list::start::{Starts, Told};
-pub use glenwood_list::{read, update, Dial, Health, Host, Protocol, Update};
+use glenwood_list::start::{ClaimedStart, StartTimes};
+pub use glenwood_list::{parse_update, update_from_value, Dial, Health, Host, Protocol, Update};
 use glenwood_policy::{Entry, Listed, Millis, Outcome, ServerId};
 
 use crate::clock::Clock;
@@ -60,7 +60,7 @@
 pub struct Servers {
     marks: Marks,
     known: HashMap<ServerId, KnownServer>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 /// The times that apply to an update of the list.
@@ -77,7 +77,7 @@
 impl Servers {
     /// Creates an empty list.
     pub fn new(marks: Marks) -> Self {
-        Self { marks, known: HashMap::new(), starts: Starts::default() }
+        Self { marks, known: HashMap::new(), starts: StartTimes::default() }
     }
 
     /// The number of servers.
@@ -144,7 +144,7 @@
             }
         }
         let known = &self.known;
-        self.starts.forget(known.len(), |server| known.contains_key(&ServerId(server)));
+        self.starts.drop_unlisted(known.len(), |server| known.contains_key(&ServerId(server)));
         (entries, stale)
     }
 
@@ -190,7 +190,12 @@
     /// When a server started; `None` if that is long ago.
     fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: Heard<'_>) -> Option<Millis> {
         let Heard { clock, before, warm_within } = heard;
-        let claim = Told { claimed: clock.at_unix(born_ms), now: clock.now(), heard: before, warm_within };
-        self.starts.start(server.0, born_ms, claim)
+        let claim = ClaimedStart {
+            claimed_start: clock.at_unix(born_ms),
+            now: clock.now(),
+            previous_list_at: before,
+            warm_up_time: warm_within,
+        };
+        self.starts.estimate(server.0, born_ms, claim)
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -305,8 +305,8 @@
         let machine = self.machine.borrow();
         let figures = machine.as_ref().map(Members::figures).unwrap_or_default();
         let living = machine.as_ref().map_or(0, |machine| machine.living().count() as u64);
-        let gauge = |name, value, help| Figure { name, counts: false, help, value };
-        let counter = |name, value, help| Figure { name, counts: true, help, value };
+        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
+        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
         vec![
             gauge("members_living", living, "Other nodes that are taken for living."),
             counter("members_declared", figures.declared, "Nodes that this one took for lost."),
--- a/crates/node/src/upgrade.rs
+++ b/crates/node/src/upgrade.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenwood_operation::upgrade::{left, Incumbent};
+use glenwood_operation::upgrade::{descriptors_left, Incumbent};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -78,12 +78,12 @@
             let mut lines = BufReader::new(link.take(u64::MAX)).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 let Some((stage, holds)) = line.split_once(' ') else { break };
-                let stage = if stage == "ends" { Incumbent::Succeeded } else { Incumbent::Beside };
+                let stage = if stage == "ends" { Incumbent::Succeeded } else { Incumbent::SharingSockets };
                 let Ok(holds) = holds.parse() else { break };
-                set_limit(left(all, Some((holds, stage))));
+                set_limit(descriptors_left(all, Some((holds, stage))));
             }
         }
-        set_limit(left(all, None));
+        set_limit(descriptors_left(all, None));
     }
 }
 
@@ -155,7 +155,7 @@
             };
             let mut buffer = [0; ASK.len()];
             let asked = timeout(MESSAGE_TIMEOUT, link.read_exact(&mut buffer)).await;
-            if !matches!(asked, Ok(Ok(_))) || &buffer != ASK || !self.change(Incumbent::came) {
+            if !matches!(asked, Ok(Ok(_))) || &buffer != ASK || !self.change(Incumbent::add_successor) {
                 continue;
             }
             set_limit(self.stage().part(all));
@@ -174,7 +174,7 @@
                 }
                 log::line("upgrade: the other process is gone".to_string());
             }
-            self.change(Incumbent::gone);
+            self.change(Incumbent::remove_successor);
             set_limit(self.stage().part(all));
         }
     }
--- a/crates/operation/src/figures.rs
+++ b/crates/operation/src/figures.rs
@@ -39,7 +39,7 @@
     /// Metric name without the prefix `node_`.
     pub name: &'static str,
     /// Whether the metric is a counter; otherwise it is a gauge.
-    pub counts: bool,
+    pub is_counter: bool,
     /// Help text.
     pub help: &'static str,
     /// Current value.
@@ -85,7 +85,7 @@
 
 impl Figures {
     /// Sets the classes of the current settings.
-    pub fn have_classes<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
+    pub fn set_classes<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         let names: Vec<&str> = names.into_iter().collect();
         for name in self.classes.keys() {
             if !names.contains(&name.as_str()) && !self.removed.contains(name) {
@@ -177,8 +177,8 @@
             write_header(&mut text, name, kind, help);
             let _ = writeln!(text, "node_{name} {value}");
         }
-        for Figure { name, counts, help, value } in &self.parts {
-            write_header(&mut text, name, if *counts { "counter" } else { "gauge" }, help);
+        for Figure { name, is_counter, help, value } in &self.parts {
+            write_header(&mut text, name, if *is_counter { "counter" } else { "gauge" }, help);
             let _ = writeln!(text, "node_{name} {value}");
         }
         text
--- a/crates/operation/src/places.rs
+++ b/crates/operation/src/places.rs
@@ -6,7 +6,7 @@
 
 /// A reference to a slot; the slot is not reused while it exists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Slot {
     /// The number of the slot.
     pub number: usize,
     /// The name that the slot belongs to.
@@ -15,11 +15,11 @@
 
 /// What happens to a slot when the names change. Names are identified by their index in the new list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum SlotChange {
     /// The slot stays with its name.
     Stays(usize),
     /// The slot now belongs to another name, whose state starts afresh.
-    Begins(usize),
+    Reassigned(usize),
     /// The name of the slot was removed; requests may still refer to the slot.
     Vanished,
 }
@@ -32,7 +32,7 @@
 
 /// All slots.
 #[derive(Debug, Default)]
-pub struct Places {
+pub struct Slots {
     /// The name of each slot, and whether the name is currently present.
     slots: Vec<(Rc<str>, bool)>,
     /// The slot of each name, including removed ones.
@@ -41,12 +41,12 @@
     removed: VecDeque<usize>,
 }
 
-impl Places {
+impl Slots {
     /// The slot of a name that is currently present.
-    pub fn find(&self, name: &str) -> Option<Place> {
+    pub fn find(&self, name: &str) -> Option<Slot> {
         let number = *self.index.get(name)?;
         let (owner, is_present) = &self.slots[number];
-        is_present.then(|| Place { number, name: owner.clone() })
+        is_present.then(|| Slot { number, name: owner.clone() })
     }
 
     /// The name of a slot, even if it was removed.
@@ -56,22 +56,22 @@
 
     /// Replaces the set of names, which must not have duplicates. Returns the change of each slot, in slot
     /// order.
-    pub fn follow<S: AsRef<str>>(&mut self, names: &[S]) -> Vec<Turn> {
-        let mut changes = vec![Turn::Vanished; self.slots.len()];
+    pub fn replace_names<S: AsRef<str>>(&mut self, names: &[S]) -> Vec<SlotChange> {
+        let mut changes = vec![SlotChange::Vanished; self.slots.len()];
         let mut new = Vec::new();
         for (n, name) in names.iter().map(AsRef::as_ref).enumerate() {
             // A name that returns while its slot is still referenced gets the same slot.
             match self.slot_of(name, n) {
-                Some(slot) => changes[slot] = Turn::Stays(n),
+                Some(slot) => changes[slot] = SlotChange::Stays(n),
                 None => new.push((n, name)),
             }
         }
         let mut new = new.into_iter();
         for (slot, change) in changes.iter_mut().enumerate() {
-            let is_free =
-                *change == Turn::Vanished && Rc::strong_count(&self.slots[slot].0) == UNREFERENCED_COUNT;
+            let is_free = *change == SlotChange::Vanished
+                && Rc::strong_count(&self.slots[slot].0) == UNREFERENCED_COUNT;
             if let Some((n, name)) = is_free.then(|| new.next()).flatten() {
-                *change = Turn::Begins(n);
+                *change = SlotChange::Reassigned(n);
                 self.index.remove(&self.slots[slot].0);
                 self.slots[slot].0 = name.into();
                 self.index.insert(self.slots[slot].0.clone(), slot);
@@ -81,10 +81,10 @@
             let name: Rc<str> = name.into();
             self.index.insert(name.clone(), self.slots.len());
             self.slots.push((name, true));
-            changes.push(Turn::Begins(n));
+            changes.push(SlotChange::Reassigned(n));
         }
         for ((_, is_present), change) in self.slots.iter_mut().zip(&changes) {
-            *is_present = *change != Turn::Vanished;
+            *is_present = *change != SlotChange::Vanished;
         }
         changes
     }
--- a/crates/operation/src/upgrade.rs
+++ b/crates/operation/src/upgrade.rs
@@ -8,7 +8,7 @@
     #[default]
     Alone,
     /// A successor shares the listening sockets.
-    Beside,
+    SharingSockets,
     /// The incumbent was asked to stop, and the successor accepts new connections.
     Succeeded,
     /// The incumbent was asked to stop, and there is no successor.
@@ -17,18 +17,18 @@
 
 impl Incumbent {
     /// A successor asks to start. Returns false if there is one already, or if the incumbent is stopping.
-    pub fn came(&mut self) -> bool {
+    pub fn add_successor(&mut self) -> bool {
         let is_alone = *self == Self::Alone;
         if is_alone {
-            *self = Self::Beside;
+            *self = Self::SharingSockets;
         }
         is_alone
     }
 
     /// The successor is gone.
-    pub fn gone(&mut self) {
+    pub fn remove_successor(&mut self) {
         *self = match *self {
-            Self::Beside => Self::Alone,
+            Self::SharingSockets => Self::Alone,
             Self::Succeeded => Self::Ending,
             unchanged => unchanged,
         };
@@ -38,7 +38,7 @@
     pub fn stop(&mut self) {
         *self = match *self {
             Self::Alone => Self::Ending,
-            Self::Beside => Self::Succeeded,
+            Self::SharingSockets => Self::Succeeded,
             unchanged => unchanged,
         };
     }
@@ -47,14 +47,14 @@
     pub fn part(self, all: usize) -> usize {
         match self {
             Self::Alone | Self::Ending => all,
-            Self::Beside | Self::Succeeded => all / 2,
+            Self::SharingSockets | Self::Succeeded => all / 2,
         }
     }
 }
 
 /// Number of file descriptors left for the successor while the incumbent holds the given number, or is gone
 /// (`None`). Until the incumbent is asked to stop, it may use up to its half at any time.
-pub fn left(all: usize, other: Option<(usize, Incumbent)>) -> usize {
+pub fn descriptors_left(all: usize, other: Option<(usize, Incumbent)>) -> usize {
     match other {
         None => all,
         Some((holds, Incumbent::Succeeded | Incumbent::Ending)) => all.saturating_sub(holds),
@@ -82,12 +82,12 @@
             for step in 0..6 {
                 match events[order / 3usize.pow(step) % 3] {
                     Event::Came => {
-                        let accepted = incumbent.came();
+                        let accepted = incumbent.add_successor();
                         assert_eq!(accepted, !has_successor && !stopped, "{order} {step}");
                         has_successor |= accepted;
                     }
                     Event::Gone => {
-                        incumbent.gone();
+                        incumbent.remove_successor();
                         has_successor = false;
                     }
                     Event::Stop => {
@@ -97,21 +97,25 @@
                 }
                 let expected = match (has_successor, stopped) {
                     (false, false) => Incumbent::Alone,
-                    (true, false) => Incumbent::Beside,
+                    (true, false) => Incumbent::SharingSockets,
                     (true, true) => Incumbent::Succeeded,
                     (false, true) => Incumbent::Ending,
                 };
                 assert_eq!(incumbent, expected, "{order} {step}");
                 if has_successor {
                     for holds in [0, 10, 192, 300, 384, 500] {
-                        let sum = left(384, Some((holds, incumbent))) + holds;
+                        let sum = descriptors_left(384, Some((holds, incumbent))) + holds;
                         assert!(sum <= 384.max(holds), "{incumbent:?}: {sum} with {holds}");
                     }
                 }
             }
         }
-        assert_eq!((left(384, None), Incumbent::Beside.part(384)), (384, 192));
-        assert_eq!(left(384, Some((50, Incumbent::Beside))), 192, "the incumbent may still use its half");
-        assert_eq!(left(384, Some((50, Incumbent::Succeeded))), 334);
+        assert_eq!((descriptors_left(384, None), Incumbent::SharingSockets.part(384)), (384, 192));
+        assert_eq!(
+            descriptors_left(384, Some((50, Incumbent::SharingSockets))),
+            192,
+            "the incumbent may still use its half"
+        );
+        assert_eq!(descriptors_left(384, Some((50, Incumbent::Succeeded))), 334);
     }
 }
--- a/crates/operation/tests/figures.rs
+++ b/crates/operation/tests/figures.rs
@@ -30,7 +30,7 @@
     #[test]
     fn accepted_requests_equal_ended_and_open_ones(steps in prop::collection::vec(step(), 1..200)) {
         let shared = Shared::default();
-        shared.with(|f| f.have_classes(CLASSES));
+        shared.with(|f| f.set_classes(CLASSES));
         let mut open: Vec<(usize, Ticket)> = Vec::new();
         let mut counted = [Ends::default(); CLASSES.len()];
         let mut gone = 0;
@@ -53,7 +53,7 @@
                 }
                 Step::End(..) => {}
                 // A removed class keeps its counts, and a request in progress keeps its class.
-                Step::SetClasses(which) => shared.with(|f| f.have_classes(which.iter().map(|n| CLASSES[*n]))),
+                Step::SetClasses(which) => shared.with(|f| f.set_classes(which.iter().map(|n| CLASSES[*n]))),
             }
             let now = shared.with(|f| f.clone());
             let sum: u64 = CLASSES.iter().filter_map(|c| now.of(c)).map(|e| e.answered + e.deferred + e.errored).sum();
@@ -71,7 +71,7 @@
     let shared = Shared::default();
     for n in 0..10_000 {
         let name = format!("class-{n}");
-        shared.with(|f| f.have_classes(["look", name.as_str()]));
+        shared.with(|f| f.set_classes(["look", name.as_str()]));
         shared.take(&name).end(End::Answered);
     }
     let text = shared.with(|f| f.text());
@@ -84,7 +84,7 @@
 #[test]
 fn the_exported_text_has_all_metrics_and_escaped_labels() {
     let shared = Shared::default();
-    shared.with(|f| f.have_classes(["a\"b\\c\nd"]));
+    shared.with(|f| f.set_classes(["a\"b\\c\nd"]));
     shared.take("a\"b\\c\nd").end(End::Deferred);
     let _open = shared.take("a\"b\\c\nd");
     shared.with(|f| (f.sends, f.listed, f.avoided, f.conf_loaded, f.conf_invalid) = (7, 12, 2, 3, 1));
--- a/crates/operation/tests/places.rs
+++ b/crates/operation/tests/places.rs
@@ -2,35 +2,41 @@
 
 use std::collections::HashMap;
 
-use glenwood_operation::places::{Place, Places, Turn};
+use glenwood_operation::places::{Slot, SlotChange, Slots};
 use proptest::prelude::*;
 
 #[test]
 fn a_kept_name_keeps_its_slot_and_a_new_name_reuses_a_free_one() {
-    let mut slots = Places::default();
-    assert_eq!(slots.follow(&["a", "b"]), [Turn::Begins(0), Turn::Begins(1)]);
+    let mut slots = Slots::default();
+    assert_eq!(slots.replace_names(&["a", "b"]), [SlotChange::Reassigned(0), SlotChange::Reassigned(1)]);
     let references = slots.find("a").expect("present");
-    assert_eq!(slots.follow(&["c", "b"]), [Turn::Vanished, Turn::Stays(1), Turn::Begins(0)]);
+    assert_eq!(
+        slots.replace_names(&["c", "b"]),
+        [SlotChange::Vanished, SlotChange::Stays(1), SlotChange::Reassigned(0)]
+    );
     assert_eq!((slots.find("a"), references.number), (None, 0));
     assert_eq!(slots.name(0).map(|n| &**n), Some("a"), "a request refers to the slot");
     drop(references);
-    assert_eq!(slots.follow(&["b", "c", "d"]), [Turn::Begins(2), Turn::Stays(0), Turn::Stays(1)]);
+    assert_eq!(
+        slots.replace_names(&["b", "c", "d"]),
+        [SlotChange::Reassigned(2), SlotChange::Stays(0), SlotChange::Stays(1)]
+    );
 }
 
 #[test]
 fn a_name_that_returns_while_its_slot_is_referenced_gets_it_again() {
-    let mut slots = Places::default();
-    slots.follow(&["a"]);
+    let mut slots = Slots::default();
+    slots.replace_names(&["a"]);
     let _reference = slots.find("a");
-    slots.follow(&["b"]);
-    assert_eq!(slots.follow(&["a", "b"]), [Turn::Stays(0), Turn::Stays(1)]);
+    slots.replace_names(&["b"]);
+    assert_eq!(slots.replace_names(&["a", "b"]), [SlotChange::Stays(0), SlotChange::Stays(1)]);
 }
 
 #[test]
 fn ten_thousand_changes_reuse_the_free_slots() {
-    let mut slots = Places::default();
+    let mut slots = Slots::default();
     for n in 0..10_000 {
-        let changes = slots.follow(&["look".to_string(), format!("class-{n}")]);
+        let changes = slots.replace_names(&["look".to_string(), format!("class-{n}")]);
         assert!(changes.len() <= 3, "{n}: {changes:?}");
     }
 }
@@ -40,22 +46,22 @@
     fn a_slot_keeps_its_name_while_it_is_referenced(
         steps in prop::collection::vec((prop::collection::hash_set(0..6usize, 1..5), 0..6usize, any::<bool>()), 1..60)
     ) {
-        let mut slots = Places::default();
-        let mut references: Vec<Place> = Vec::new();
+        let mut slots = Slots::default();
+        let mut references: Vec<Slot> = Vec::new();
         for (names, index, acquires) in steps {
             let names: Vec<String> = names.into_iter().map(|n| format!("n{n}")).collect();
             let before: HashMap<String, usize> =
                 names.iter().filter_map(|n| Some((n.clone(), slots.find(n)?.number))).collect();
-            let changes = slots.follow(&names);
+            let changes = slots.replace_names(&names);
             for slot in &references {
                 prop_assert_eq!(slots.name(slot.number), Some(&slot.name));
             }
             for (n, name) in names.iter().enumerate() {
                 let slot = slots.find(name).expect("listed");
                 let change = changes[slot.number];
-                prop_assert!(change == Turn::Stays(n) || change == Turn::Begins(n));
+                prop_assert!(change == SlotChange::Stays(n) || change == SlotChange::Reassigned(n));
                 if let Some(number) = before.get(name) {
-                    prop_assert_eq!((slot.number, change), (*number, Turn::Stays(n)));
+                    prop_assert_eq!((slot.number, change), (*number, SlotChange::Stays(n)));
                 }
             }
             if acquires {
@@ -73,18 +79,18 @@
 fn many_names_are_found_and_reordered() {
     const MANY: usize = 47_000;
     let names: Vec<String> = (0..MANY).map(|n| format!("tenant-{n}")).collect();
-    let mut slots = Places::default();
-    slots.follow(&names);
+    let mut slots = Slots::default();
+    slots.replace_names(&names);
     let reversed: Vec<&String> = names.iter().rev().collect();
-    let changes = slots.follow(&reversed);
-    assert!((0..MANY).all(|n| changes[n] == Turn::Stays(MANY - 1 - n)));
+    let changes = slots.replace_names(&reversed);
+    assert!((0..MANY).all(|n| changes[n] == SlotChange::Stays(MANY - 1 - n)));
     assert!((0..MANY).all(|n| slots.find(&names[n]).is_some_and(|slot| slot.number == n)));
 }
 
 #[test]
 fn one_name_is_added_and_removed_without_affecting_others() {
-    let mut slots = Places::default();
-    slots.follow(&["a", "b"]);
+    let mut slots = Slots::default();
+    slots.replace_names(&["a", "b"]);
     assert_eq!(slots.insert("a"), (0, false));
     assert_eq!(slots.insert("c"), (2, true));
     let references = slots.find("a").expect("present");
@@ -95,7 +101,7 @@
     assert_eq!(slots.remove("e"), Some(0));
     assert_eq!(slots.insert("e"), (0, false), "a returning name gets its slot again");
     assert_eq!(slots.insert("f"), (4, true), "that slot is not given to another name");
-    assert_eq!(slots.follow(&["f", "b"]).len(), 5);
+    assert_eq!(slots.replace_names(&["f", "b"]).len(), 5);
 }
 
 proptest! {
@@ -103,9 +109,9 @@
     fn every_present_name_has_a_slot_of_its_own(
         steps in prop::collection::vec((0..8usize, any::<bool>(), any::<bool>()), 1..200)
     ) {
-        let mut slots = Places::default();
+        let mut slots = Slots::default();
         let mut present = std::collections::BTreeSet::new();
-        let mut references: Vec<Place> = Vec::new();
+        let mut references: Vec<Slot> = Vec::new();
         for (index, is_added, adds_reference) in steps {
             let name = format!("n{index}");
             if is_added {
@@ -120,7 +126,7 @@
             } else if !references.is_empty() {
                 references.swap_remove(index % references.len());
             }
-            let found: Vec<Place> = present.iter().filter_map(|name| slots.find(name)).collect();
+            let found: Vec<Slot> = present.iter().filter_map(|name| slots.find(name)).collect();
             let distinct: std::collections::BTreeSet<usize> = found.iter().map(|slot| slot.number).collect();
             prop_assert_eq!((found.len(), distinct.len()), (present.len(), present.len()));
             for slot in &references {
--- a/crates/scale/src/scenario/list.rs
+++ b/crates/scale/src/scenario/list.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use glenwood_list::{read, Health, Update};
+use glenwood_list::{parse_update, Health, Update};
 use glenwood_node::clock::Clock;
 use glenwood_node::list::{Heard, Marks, Servers};
 use glenwood_policy::{Action, Balancer, Event, Millis};
@@ -67,7 +67,7 @@
     }
 
     fn read(text: &[u8]) -> Update {
-        read(text).expect("a list")
+        parse_update(text).expect("a list")
     }
 
     fn take(&mut self, text: &[u8]) {
--- a/crates/scale/src/scenario/settings.rs
+++ b/crates/scale/src/scenario/settings.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 
 use glenwood_node::config;
-use glenwood_operation::places::Places;
+use glenwood_operation::places::Slots;
 
 use crate::deployment;
 use crate::measure::{measure, median, Cost};
@@ -44,11 +44,11 @@
     let text = deployment::file(target::size("nodes") as usize, tenants);
     let environment = |_: &str| None;
     let (running, reading) = measure(|| config::first(&text, environment).expect("good"));
-    let mut places = Places::default();
-    let (_, taking) = measure(|| black_box(places.follow(&running.settings.tenants)));
+    let mut slots = Slots::default();
+    let (_, taking) = measure(|| black_box(slots.replace_names(&running.settings.tenants)));
     let (_, following) = measure(|| {
         let next = config::following(&text, &running.fields, environment).expect("good");
-        black_box(places.follow(&next.settings.tenants));
+        black_box(slots.replace_names(&next.settings.tenants));
     });
     [reading, taking, following]
 }
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -9,7 +9,7 @@
 use glenwood_coordination::guard;
 use glenwood_coordination::view::Said;
 use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Token};
-use glenwood_list::{Dial, Health, Host, Merge, Protocol, Source, Update};
+use glenwood_list::{Dial, Health, Host, MergedList, Protocol, Source, Update};
 use glenwood_policy::{
     Class, Discovery, Effect, Entry, Goal, Limits, Listed, Outcome, Rules, ServerId, Settings, Weights,
 };
@@ -81,7 +81,7 @@
 
 struct Node {
     core: Core<(), ()>,
-    merge: Merge,
+    merge: MergedList,
     list: BTreeMap<u64, Health>,
     /// Since when each server is out of the list.
     told: BTreeMap<u64, f64>,
@@ -113,7 +113,7 @@
     fn new(answered: Arc<Mutex<BTreeMap<String, f64>>>) -> Self {
         Self {
             core: Core::new(settings(), 5, 10_000).expect("good settings"),
-            merge: Merge::default(),
+            merge: MergedList::default(),
             list: BTreeMap::new(),
             told: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -132,7 +132,7 @@
         for said in world.views[0].take_said() {
             let Said::List { whole, hosts } = said else { continue };
             let update = Update { version: 0, whole, hosts };
-            let update = self.merge.take(Source::Registrations, update);
+            let update = self.merge.apply(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
                 let id = id_of(&host.host);
                 match host.health {
