--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -21,8 +21,8 @@
 use tokio::task::{spawn_local, AbortHandle, LocalSet};
 use tokio::time::timeout;
 
-use crate::errno::at_start;
-use crate::sock::{Io, Sock};
+use crate::errno::retry_at_start;
+use crate::sock::{Io, TrackedSocket};
 
 /// How long a call may take until its answer was read; then its connection is closed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -44,7 +44,7 @@
 pub fn open(at: SocketAddr, max_callers: usize, figures: Shared) -> Result<SocketAddr, String> {
     let describe = |e: std::io::Error| format!("mgmt: {at}: {e}");
     let open_socket = || Socket::new(Domain::for_address(at), Type::STREAM, None);
-    let listener = at_start(open_socket).map_err(describe)?;
+    let listener = retry_at_start(open_socket).map_err(describe)?;
     listener.set_reuse_address(true).map_err(describe)?;
     listener.bind(&at.into()).map_err(describe)?;
     listener.listen(BACKLOG).map_err(describe)?;
@@ -86,7 +86,7 @@
 
 /// Reads one call, answers it, and closes the connection.
 async fn answer(stream: TcpStream, figures: Shared) {
-    let Ok(sock) = Sock::new(stream) else { return };
+    let Ok(sock) = TrackedSocket::new(stream) else { return };
     let service = service_fn(|call| {
         let answer = answer_of(&call, &figures);
         async { Ok::<_, Infallible>(answer) }
--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -21,7 +21,7 @@
 use super::pool::Link;
 use super::Servers;
 use crate::blocks::OutgoingBody;
-use crate::call::{Content, Reply, Truncated, BODY_MOST, MAX_BODY_BYTES};
+use crate::call::{Content, Reply, Truncated, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::headers::end_to_end;
 use crate::sock::{Io, Pending};
 
@@ -46,7 +46,7 @@
 impl Framing {
     /// Returns whether the declared length is too long to buffer.
     fn is_long(self) -> bool {
-        matches!(self, Self::Length(length) if length > BODY_MOST as u64)
+        matches!(self, Self::Length(length) if length > MAX_BUFFERED_BODY_BYTES as u64)
     }
 }
 
@@ -115,7 +115,7 @@
             );
             return match outcome {
                 Outcome::Done => {
-                    AttemptResult::Served(Reply { headers: self.headers, body: Content::Whole(self.read) })
+                    AttemptResult::Served(Reply { headers: self.headers, body: Content::Buffered(self.read) })
                 }
                 outcome => AttemptResult::NoResponse(outcome),
             };
@@ -218,7 +218,7 @@
         let Some(link) = self.link.take() else { return };
         let complete = CompleteAnswer { body_bytes: self.passed_bytes, framing: self.framing };
         return_to_pool(&self.servers, self.server, link, complete, self.may_reuse);
-        self.servers.hub.flowed(self.attempt);
+        self.servers.hub.answer_finished(self.attempt);
     }
 }
 
@@ -226,7 +226,7 @@
     fn drop(&mut self) {
         // An unfinished connection can't be reused; closing it tells the server that nobody waits.
         if self.link.take().is_some() {
-            self.servers.hub.flowed(self.attempt);
+            self.servers.hub.answer_finished(self.attempt);
         }
     }
 }
@@ -320,7 +320,7 @@
         let (mut read, mut is_complete) = (BytesMut::new(), false);
         // For an answer with a long declared length the head is enough; its first body bytes are not waited
         // for.
-        while !is_complete && !framing.is_long() && read.len() <= BODY_MOST {
+        while !is_complete && !framing.is_long() && read.len() <= MAX_BUFFERED_BODY_BYTES {
             match body.frame().await.transpose()? {
                 Some(frame) => read.extend_from_slice(&frame.into_data().unwrap_or_default()),
                 None => is_complete = true,
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -212,7 +212,7 @@
             Readiness::ReceivedBytes | Readiness::Closed => return Err(Outcome::ConnectFailed),
         }
         let accepts = match message {
-            Message::Call(_) => hub.accepts(server, place),
+            Message::Call(_) => hub.may_send_to(server, place),
             Message::Probe | Message::Check => hub.place(server) == Some(place),
         };
         let accepts = accepts && attempt.is_none_or(|attempt| hub.may_write(attempt));
--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -21,7 +21,7 @@
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::Place;
-use crate::sock::{Io, Pending, Sock};
+use crate::sock::{Io, Pending, TrackedSocket};
 
 /// The largest accepted head of an answer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -39,7 +39,7 @@
 /// A connection to a server.
 pub struct Link {
     /// Its socket.
-    pub sock: Rc<Sock>,
+    pub sock: Rc<TrackedSocket>,
     /// hyper's handle for sending requests.
     pub send: SendRequest<OutgoingBody>,
     /// hyper's connection, which must be polled for requests to make progress.
@@ -358,7 +358,7 @@
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         let failed = Outcome::ConnectFailed;
-        let sock = Sock::new(stream).map_err(|_| failed)?;
+        let sock = TrackedSocket::new(stream).map_err(|_| failed)?;
         let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(Io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         let (exchange, number) = (Exchange::new(Instant::now()), self.next_number());
@@ -374,7 +374,7 @@
 
 /// Waits for activity on an idle connection. Holds only a weak reference, so that the descriptor is released
 /// as soon as the connection is dropped.
-async fn watch(pool: Weak<Pool>, server: ServerId, number: u64, sock: Weak<Sock>) {
+async fn watch(pool: Weak<Pool>, server: ServerId, number: u64, sock: Weak<TrackedSocket>) {
     let activity = poll_fn(|cx| match sock.upgrade() {
         Some(sock) => sock.poll_readable_or_closed(cx),
         None => Poll::Ready(Pending::End),
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -22,12 +22,12 @@
 use tokio::time::{timeout, timeout_at};
 
 use super::{Descriptor, Descriptors, EvictIdle};
-use crate::call::{Call, Content, Reply, BODY_MOST};
+use crate::call::{Call, Content, Reply, MAX_BUFFERED_BODY_BYTES};
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::Place;
 use crate::log;
-use crate::sock::Sock;
+use crate::sock::TrackedSocket;
 
 /// The largest single read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
@@ -309,13 +309,13 @@
         }
     }
 
-    async fn establish(&self, conn: &Conn) -> Result<Rc<Sock>, Outcome> {
+    async fn establish(&self, conn: &Conn) -> Result<Rc<TrackedSocket>, Outcome> {
         let mut connecting = pin!(timeout(self.connect_limit, TcpStream::connect(conn.place.dial.address)));
         loop {
             let deadline = self.expire(conn);
             tokio::select! {
                 stream = &mut connecting => return match stream {
-                    Ok(Ok(stream)) => Sock::new(stream).map_err(|_| Outcome::ConnectFailed),
+                    Ok(Ok(stream)) => TrackedSocket::new(stream).map_err(|_| Outcome::ConnectFailed),
                     Ok(Err(error)) if is_own_connect_failure(&error) => {
                         self.descriptors.evict();
                         Err(Outcome::NotSent)
@@ -329,7 +329,7 @@
     }
 
     /// Serves a connection until it ends; returns whether anything was received.
-    async fn serve(&self, conn: &Conn, sock: &Sock) -> bool {
+    async fn serve(&self, conn: &Conn, sock: &TrackedSocket) -> bool {
         conn.opened.set(Some(Instant::now()));
         let mut reads = 0;
         loop {
@@ -395,8 +395,8 @@
 
     /// Hands waiting calls to the protocol state, a limited number at a time. A drain applies from the moment
     /// the node is notified, also to calls that were waiting.
-    fn submit_waiting(&self, conn: &Conn, sock: &Sock) {
-        if !self.hub.accepts(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
+    fn submit_waiting(&self, conn: &Conn, sock: &TrackedSocket) {
+        if !self.hub.may_send_to(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
             let withdrawn = conn.state.borrow_mut().protocol.withdraw();
             for attempt in withdrawn {
                 self.forget_attempt(conn, attempt);
@@ -480,7 +480,7 @@
 
     /// Reads available bytes and processes them. Returns how many, 0 if the server closed, and `usize::MAX`
     /// if nothing was available.
-    fn read(&self, conn: &Conn, sock: &Sock) -> std::io::Result<usize> {
+    fn read(&self, conn: &Conn, sock: &TrackedSocket) -> std::io::Result<usize> {
         let read = {
             let mut chunk = self.chunk.borrow_mut();
             match sock.try_read(&mut chunk) {
@@ -598,7 +598,7 @@
             Ok(Err(error)) if is_own_connect_failure(&error) => return Outcome::NotSent,
             Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed,
         };
-        let Ok(sock) = Sock::new(stream) else { return Outcome::ConnectFailed };
+        let Ok(sock) = TrackedSocket::new(stream) else { return Outcome::ConnectFailed };
         let mut protocol = Connection::new(1, Bounds::default());
         let call = message::Call { class: HEALTH_METHOD.to_string(), ..message::Call::default() };
         if protocol.call((), &call).is_err() {
@@ -642,7 +642,7 @@
 }
 
 /// Writes as much as the kernel accepts.
-fn write(conn: &Conn, sock: &Sock, hub: &Hub) -> std::io::Result<()> {
+fn write(conn: &Conn, sock: &TrackedSocket, hub: &Hub) -> std::io::Result<()> {
     let mut state = conn.state.borrow_mut();
     while state.protocol.unwritten() > 0 {
         let wrote = {
@@ -664,8 +664,8 @@
 /// Converts a server's answer into the result of its attempt.
 fn ended_with(answer: Answer) -> AttemptResult<Reply> {
     match answer {
-        Ok(body) if body.len() <= BODY_MOST => {
-            AttemptResult::Served(Reply { headers: HeaderMap::new(), body: Content::Whole(body) })
+        Ok(body) if body.len() <= MAX_BUFFERED_BODY_BYTES => {
+            AttemptResult::Served(Reply { headers: HeaderMap::new(), body: Content::Buffered(body) })
         }
         Ok(_) => AttemptResult::NoResponse(Outcome::Error),
         Err(error) => AttemptResult::NoResponse(match error.code {
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -17,9 +17,9 @@
 use crate::blocks::{Blocks, RemainingBody};
 
 /// The largest body that is always buffered in full, in either direction.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The largest body that is forwarded at all, in either direction.
-pub const MAX_BODY_BYTES: usize = (32 << 20) + BODY_MOST;
+pub const MAX_BODY_BYTES: usize = (32 << 20) + MAX_BUFFERED_BODY_BYTES;
 
 /// How many blocks of a body are hashed to recognise a repeated request.
 const HASHED_BLOCKS: usize = 4;
@@ -36,7 +36,7 @@
 pub const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
 
 /// The protocol over which a request arrived, with the fields specific to it.
-pub enum Via {
+pub enum Origin {
     /// HTTP, with the end-to-end headers, including id, tenant and key.
     Http(HeaderMap),
     /// MessagePack-RPC.
@@ -51,7 +51,7 @@
 /// A request as forwarded to a server.
 pub struct Call {
     /// Its class and tenant. Holding them keeps their indices valid across changes of the settings.
-    pub of: (Slot, Option<Slot>),
+    pub class_and_tenant: (Slot, Option<Slot>),
     /// The client's id for it.
     pub id: Token,
     /// Its key, if it has one.
@@ -61,13 +61,13 @@
     /// Path and query; the first path segment is the class.
     pub target: Uri,
     /// The protocol over which it arrived.
-    pub via: Via,
+    pub origin: Origin,
     /// The body, as far as it has been read.
     pub body: Blocks,
     /// The rest of a body too long to buffer.
     pub rest: Option<RemainingBody>,
     /// Its share of the body budget.
-    pub held: Share,
+    pub body_budget_share: Share,
 }
 
 /// A server's answer.
@@ -96,14 +96,14 @@
 /// The body of an answer.
 pub enum Content {
     /// A body that was read in full.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A body of which more is to come.
     Streamed(BodyStream),
 }
 
 impl Default for Content {
     fn default() -> Self {
-        Self::Whole(Bytes::new())
+        Self::Buffered(Bytes::new())
     }
 }
 
@@ -116,22 +116,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Self::Streamed(stream) => stream.as_mut().poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             Self::Streamed(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Streamed(stream) => stream.size_hint(),
         }
     }
@@ -161,19 +161,19 @@
     /// out. `seed` keeps clients from constructing collisions.
     pub fn repeat_key(&self, seed: u64) -> u64 {
         let mut hash = DefaultHasher::new();
-        let tenant = self.of.1.as_ref().map(|tenant| &*tenant.name);
+        let tenant = self.class_and_tenant.1.as_ref().map(|tenant| &*tenant.name);
         (seed, tenant, self.method.as_str()).hash(&mut hash);
         if let Some(key) = &self.key {
             key.hash(&mut hash);
             return hash.finish();
         }
         self.target.path_and_query().map(|p| p.as_str()).hash(&mut hash);
-        match &self.via {
-            Via::Http(headers) => {
+        match &self.origin {
+            Origin::Http(headers) => {
                 cookie_user(headers).hash(&mut hash);
                 headers.get(ESTIMATE).hash(&mut hash);
             }
-            Via::Rpc { user, .. } => user.as_deref().hash(&mut hash),
+            Origin::Rpc { user, .. } => user.as_deref().hash(&mut hash),
         }
         // Long bodies are hashed only at their start; their lengths distinguish most of the others.
         self.body.len().hash(&mut hash);
@@ -183,16 +183,16 @@
 
     /// The client's estimate of the work, if there is a valid one.
     pub fn work(&self) -> Option<Millis> {
-        let Via::Http(headers) = &self.via else { return None };
+        let Origin::Http(headers) = &self.origin else { return None };
         let microseconds: f64 = headers.get(ESTIMATE)?.to_str().ok()?.parse().ok()?;
         (microseconds.is_finite() && microseconds > 0.0).then_some(microseconds / 1000.0)
     }
 
     /// The request's headers for an HTTP server.
     pub fn headers(&self) -> HeaderMap {
-        let (org, user) = match &self.via {
-            Via::Http(headers) => return headers.clone(),
-            Via::Rpc { org, user } => (org, user),
+        let (org, user) = match &self.origin {
+            Origin::Http(headers) => return headers.clone(),
+            Origin::Rpc { org, user } => (org, user),
         };
         let mut headers = HeaderMap::with_capacity(8);
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
@@ -213,9 +213,9 @@
     pub fn message(&self, remaining_ms: u64) -> message::Call {
         let target_path = self.target.path_and_query().map_or("", |p| p.as_str()).trim_start_matches('/');
         let class_end = target_path.find(['/', '?']).unwrap_or(target_path.len());
-        let (org, user) = match &self.via {
-            Via::Http(headers) => (headers.get(ORG).and_then(|v| v.to_str().ok()), cookie_user(headers)),
-            Via::Rpc { org, user } => (org.as_deref(), user.as_deref()),
+        let (org, user) = match &self.origin {
+            Origin::Http(headers) => (headers.get(ORG).and_then(|v| v.to_str().ok()), cookie_user(headers)),
+            Origin::Rpc { org, user } => (org.as_deref(), user.as_deref()),
         };
         message::Call {
             class: target_path[..class_end].to_string(),
@@ -248,17 +248,17 @@
             map.insert(name.clone(), HeaderValue::from_str(value).expect("a value"));
         }
         let (key, target) = (key.map(token), target.parse().expect("a target"));
-        let of = (Slot { number: 0, name: "look".into() }, tenant_of(headers));
+        let class_and_tenant = (Slot { number: 0, name: "look".into() }, tenant_of(headers));
         Call {
-            of,
+            class_and_tenant,
             id: token(id),
             key,
             method: Method::GET,
             target,
-            via: Via::Http(map),
+            origin: Origin::Http(map),
             body: Blocks::default(),
             rest: None,
-            held: Budget::new(0).share(),
+            body_budget_share: Budget::new(0).share(),
         }
     }
 
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderName, HeaderValue, COOKIE};
 use hyper::{HeaderMap, Method, Uri};
 
-use crate::call::{Call, Content, Reply, Via, ESTIMATE};
+use crate::call::{Call, Content, Origin, Reply, ESTIMATE};
 
 /// The header that marks a client's repeat.
 pub const RESENT: HeaderName = HeaderName::from_static("x-resent");
@@ -18,19 +18,19 @@
 
 /// Is the request marked as a client's repeat?
 pub fn is_marked(call: &Call) -> bool {
-    matches!(&call.via, Via::Http(headers) if headers.get(RESENT).is_some_and(|v| v.as_bytes() == b"1"))
+    matches!(&call.origin, Origin::Http(headers) if headers.get(RESENT).is_some_and(|v| v.as_bytes() == b"1"))
 }
 
 /// A digest of what is requested and by whom. With a key: tenant, class and key. Without one: everything
 /// that the node can see, except the id and the fields that the protocol changes with each try.
 pub fn slot(call: &Call) -> (u64, u64) {
-    let tenant = call.of.1.as_ref().map_or("", |tenant| &*tenant.name);
-    let class = &*call.of.0.name;
+    let tenant = call.class_and_tenant.1.as_ref().map_or("", |tenant| &*tenant.name);
+    let class = &*call.class_and_tenant.0.name;
     let body: Vec<u8>;
     let empty: &[u8] = &[];
-    let header = |name: &HeaderName| match &call.via {
-        Via::Http(headers) => headers.get(name).map_or(empty, |value| value.as_bytes()),
-        Via::Rpc { .. } => empty,
+    let header = |name: &HeaderName| match &call.origin {
+        Origin::Http(headers) => headers.get(name).map_or(empty, |value| value.as_bytes()),
+        Origin::Rpc { .. } => empty,
     };
     let mut parts: Vec<&[u8]> = vec![tenant.as_bytes(), class.as_bytes()];
     if let Some(key) = &call.key {
@@ -38,9 +38,9 @@
         parts.push(key.as_str().as_bytes());
     } else {
         let target = call.target.path_and_query().map_or("", |p| p.as_str());
-        let user = match &call.via {
-            Via::Http(_) => header(&COOKIE),
-            Via::Rpc { user, .. } => user.as_deref().unwrap_or_default().as_bytes(),
+        let user = match &call.origin {
+            Origin::Http(_) => header(&COOKIE),
+            Origin::Rpc { user, .. } => user.as_deref().unwrap_or_default().as_bytes(),
         };
         body = call.body.whole().to_vec();
         parts.extend([&b"all"[..], target.as_bytes(), user, header(&ESTIMATE), header(&LABELS), &body]);
@@ -94,14 +94,14 @@
     let mut out = Vec::with_capacity(512 + call.body.len());
     write_bytes(&mut out, call.id.as_str().as_bytes());
     write_bytes(&mut out, call.key.as_ref().map_or("", |key| key.as_str()).as_bytes());
-    write_bytes(&mut out, call.of.1.as_ref().map_or("", |tenant| &*tenant.name).as_bytes());
+    write_bytes(&mut out, call.class_and_tenant.1.as_ref().map_or("", |tenant| &*tenant.name).as_bytes());
     write_bytes(&mut out, call.target.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
-    match &call.via {
-        Via::Http(headers) => {
+    match &call.origin {
+        Origin::Http(headers) => {
             out.push(0);
             write_headers(&mut out, headers);
         }
-        Via::Rpc { org, user } => {
+        Origin::Rpc { org, user } => {
             out.push(1);
             write_bytes(&mut out, org.as_deref().unwrap_or_default().as_bytes());
             write_bytes(&mut out, user.as_deref().unwrap_or_default().as_bytes());
@@ -127,34 +127,34 @@
     let key = key.map(Token::new).transpose().ok()?;
     let tenant = Some(text(read_bytes(&mut r)?)?).filter(|name| !name.is_empty()).and_then(tenant);
     let target: Uri = std::str::from_utf8(read_bytes(&mut r)?).ok()?.parse().ok()?;
-    let via = match r.u8()? {
-        0 => Via::Http(read_headers(&mut r)?),
+    let origin = match r.u8()? {
+        0 => Origin::Http(read_headers(&mut r)?),
         _ => {
             let mut optional_text = || {
                 let text = std::str::from_utf8(read_bytes(&mut r)?).ok()?;
                 Some(Some(text).filter(|text| !text.is_empty()).map(Box::from))
             };
-            Via::Rpc { org: optional_text()?, user: optional_text()? }
+            Origin::Rpc { org: optional_text()?, user: optional_text()? }
         }
     };
     let body = Bytes::copy_from_slice(read_bytes(&mut r)?);
     let method = if effect == Effect::Safe { Method::GET } else { Method::POST };
     r.is_empty().then_some(Call {
-        of: (class, tenant),
+        class_and_tenant: (class, tenant),
         id,
         key,
         method,
         target,
-        via,
+        origin,
         body: body.into(),
         rest: None,
-        held,
+        body_budget_share: held,
     })
 }
 
 /// Serializes an answer; `None` where more of its body is to come.
 pub fn write_reply(reply: &Reply) -> Option<Bytes> {
-    let Content::Whole(body) = &reply.body else { return None };
+    let Content::Buffered(body) = &reply.body else { return None };
     let mut out = Vec::with_capacity(256 + body.len());
     write_headers(&mut out, &reply.headers);
     write_bytes(&mut out, body);
@@ -166,5 +166,5 @@
     let mut r = Reader::new(bytes);
     let headers = read_headers(&mut r)?;
     let body = Bytes::copy_from_slice(read_bytes(&mut r)?);
-    r.is_empty().then_some(Reply { headers, body: Content::Whole(body) })
+    r.is_empty().then_some(Reply { headers, body: Content::Buffered(body) })
 }
--- a/crates/node/src/custody/guard.rs
+++ b/crates/node/src/custody/guard.rs
@@ -8,23 +8,23 @@
 
 use super::Custody;
 use crate::call::Call;
-use crate::hub::Outside;
+use crate::hub::HubActions;
 
 /// Passes the hub's actions on to `inner`, except the attempts that custody delays.
 pub struct Guarded {
     custody: Rc<Custody>,
-    inner: Rc<dyn Outside>,
+    inner: Rc<dyn HubActions>,
 }
 
 impl Guarded {
     /// Wraps `inner`.
-    pub fn new(custody: Rc<Custody>, inner: Rc<dyn Outside>) -> Rc<Self> {
+    pub fn new(custody: Rc<Custody>, inner: Rc<dyn HubActions>) -> Rc<Self> {
         let _ = custody.inner.set(inner.clone());
         Rc::new(Self { custody, inner })
     }
 }
 
-impl Outside for Guarded {
+impl HubActions for Guarded {
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
         self.custody.start(attempt, server, end, call);
     }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -33,7 +33,7 @@
 
 use crate::call::{Call, Reply};
 use crate::config::Config;
-use crate::hub::{Gate, Hub, Outside, Waiter};
+use crate::hub::{Gate, Hub, HubActions, Waiter};
 use crate::identity;
 use crate::members::{Membership, MembershipObserver};
 
@@ -126,7 +126,7 @@
     orphans: RefCell<HashMap<Work, u64>>,
     next_orphans: Cell<u64>,
     socket: OnceCell<UdpSocket>,
-    inner: OnceCell<Rc<dyn Outside>>,
+    inner: OnceCell<Rc<dyn HubActions>>,
     /// Reference to itself, for callbacks.
     weak_self: Weak<Self>,
     counts: RefCell<Counts>,
@@ -337,7 +337,7 @@
         let began = self.hub.clock.now();
         Some(Incoming {
             class: class.number,
-            tenant: call.of.1.as_ref().map(|tenant| tenant.number),
+            tenant: call.class_and_tenant.1.as_ref().map(|tenant| tenant.number),
             key: call.key.clone(),
             id: call.id.clone(),
             began,
@@ -356,8 +356,9 @@
         self.local_works.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
         self.calls.borrow_mut().insert(at, ticket);
         let Some(this) = self.weak_self.upgrade() else { return };
-        let submission =
-            self.hub.request(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
+        let submission = self
+            .hub
+            .submit_to_core(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
         match submission {
             Ok(request) => {
                 if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
@@ -524,7 +525,7 @@
         let settings = self.hub.settings();
         let effect = settings.policy.classes.get(incoming.class).map(|class| class.effect);
         let call = &incoming.payload;
-        let name = call.of.0.name.to_string();
+        let name = call.class_and_tenant.0.name.to_string();
         let kind = match effect {
             Some(policy::Effect::Unsafe) => {
                 Kind::Unsafe { nonce: form::nonce(call), marked: form::is_marked(call) }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -19,7 +19,7 @@
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::{self, Update};
-use crate::sock::{Io, Sock};
+use crate::sock::{Io, TrackedSocket};
 
 /// Timeout for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -175,7 +175,7 @@
     /// When the complete list, or a watch's first message, is due.
     due: Instant,
     driver: tokio::task::JoinHandle<()>,
-    sock: Rc<Sock>,
+    sock: Rc<TrackedSocket>,
 }
 
 impl Drop for Call {
@@ -198,7 +198,7 @@
 async fn call(to: SocketAddr, path: &str) -> Result<Call, Ended> {
     let unanswered = |reason: &str| Ended::Unanswered(reason.to_string());
     let stream = timeout(CONNECT_TIMEOUT, connect(to)).await.map_err(|_| unanswered("no connection"))?;
-    let sock = stream.and_then(Sock::new).map_err(|e| unanswered(&e.to_string()))?;
+    let sock = stream.and_then(TrackedSocket::new).map_err(|e| unanswered(&e.to_string()))?;
     let (mut send, conn) = http1::handshake(Io(sock.clone())).await?;
     let driver = tokio::task::spawn_local(async move {
         // An error of the connection fails the call too, and is handled there.
--- a/crates/node/src/errno.rs
+++ b/crates/node/src/errno.rs
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// The last failure.
-pub fn at_start<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_at_start<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
     loop {
         match attempt() {
@@ -98,9 +98,12 @@
     #[test]
     fn start_retries_transient_failures_and_returns_permanent_ones_at_once() {
         let mut failures = vec![Errno::NOBUFS, Errno::NFILE, Errno::INTR];
-        assert_eq!(at_start(|| failures.pop().map_or(Ok(1), |errno| Err(error_of(errno)))).ok(), Some(1));
+        assert_eq!(
+            retry_at_start(|| failures.pop().map_or(Ok(1), |errno| Err(error_of(errno)))).ok(),
+            Some(1)
+        );
         let mut tries = 0;
-        let refused = at_start(|| {
+        let refused = retry_at_start(|| {
             tries += 1;
             Err::<(), _>(error_of(Errno::ADDRINUSE))
         });
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -27,11 +27,12 @@
 use super::table::{Client, Clients, Ending};
 use crate::blocks::{Blocks, BlocksBuilder, RemainingBody};
 use crate::call::{
-    Call, Content, Reply, Truncated, Via, BODY_MOST, KEY, MAX_BODY_BYTES, ORG, REMAINING, TXN,
+    Call, Content, Origin, Reply, Truncated, KEY, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ORG, REMAINING,
+    TXN,
 };
 use crate::headers::end_to_end;
 use crate::hub::{self, end_of, Hub};
-use crate::sock::{Io, Phase, Sock};
+use crate::sock::{Io, Phase, TrackedSocket};
 
 /// How long a connection is still read after its last answer. Closing it with unread bytes would send a
 /// reset, which can overtake the answer.
@@ -133,7 +134,11 @@
 }
 
 /// Answers one request.
-async fn respond(front: Rc<Front>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond(
+    front: Rc<Front>,
+    sock: Rc<TrackedSocket>,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
     let (hub, clients) = (&front.hub, &front.clients);
     let is_head = *request.method() == Method::HEAD;
     let length = declared_body_length(request.headers());
@@ -149,7 +154,7 @@
         let ticket = class.map(|class| hub.ticket(&class));
         let (mut answer, end) = match read {
             Ok((parsed, _)) if clients.must_refuse() => {
-                (refusal(hub.retry_after(parsed.call.of.0.number)), End::Deferred)
+                (refusal(hub.retry_after(parsed.call.class_and_tenant.0.number)), End::Deferred)
             }
             Ok((parsed, remaining)) => {
                 sock.detect_pipelined(length);
@@ -168,7 +173,7 @@
         match (ticket, &answer.body().content) {
             // A streamed answer ends the ticket with its last byte.
             (ticket, Content::Streamed(_)) => answer.body_mut().ticket = ticket,
-            (ticket, Content::Whole(_)) => ticket.into_iter().for_each(|ticket| ticket.end(end)),
+            (ticket, Content::Buffered(_)) => ticket.into_iter().for_each(|ticket| ticket.end(end)),
         }
         answer
     };
@@ -215,13 +220,13 @@
 /// Cancels the request if the client's connection ends before it is answered.
 struct PendingAnswer {
     hub: Rc<Hub>,
-    sock: Rc<Sock>,
-    asked: hub::Asked,
+    sock: Rc<TrackedSocket>,
+    asked: hub::RequestHandle,
     answered: bool,
 }
 
 impl PendingAnswer {
-    fn new(hub: &Rc<Hub>, sock: &Rc<Sock>, asked: hub::Asked) -> Self {
+    fn new(hub: &Rc<Hub>, sock: &Rc<TrackedSocket>, asked: hub::RequestHandle) -> Self {
         sock.set_answer_pending(true);
         Self { hub: hub.clone(), sock: sock.clone(), asked, answered: false }
     }
@@ -231,7 +236,7 @@
     fn drop(&mut self) {
         self.sock.set_answer_pending(false);
         if !self.answered {
-            self.hub.gone(self.asked);
+            self.hub.client_left(self.asked);
         }
     }
 }
@@ -239,15 +244,15 @@
 /// Hands the request to the core and waits for its final answer.
 async fn process(
     hub: &Rc<Hub>,
-    sock: &Rc<Sock>,
+    sock: &Rc<TrackedSocket>,
     parsed: ParsedRequest,
     arrived: Instant,
     remaining: Duration,
 ) -> (Response<AnswerBody>, End) {
     let began = hub.clock.at(arrived);
     let incoming = CoreRequest {
-        class: parsed.call.of.0.number,
-        tenant: parsed.call.of.1.as_ref().map(|tenant| tenant.number),
+        class: parsed.call.class_and_tenant.0.number,
+        tenant: parsed.call.class_and_tenant.1.as_ref().map(|tenant| tenant.number),
         key: parsed.call.key.clone(),
         id: parsed.call.id.clone(),
         began,
@@ -261,7 +266,7 @@
     let (answer, answered) = oneshot::channel();
     // A client that has just disconnected needs no answer.
     let waiter = move |final_answer| drop(answer.send(final_answer));
-    let asked = match hub.ask(incoming, waiter) {
+    let asked = match hub.submit(incoming, waiter) {
         Ok(asked) => asked,
         Err(Rejection::TooManyOpen { retry_after }) => return (refusal(retry_after), End::Deferred),
         Err(Rejection::DuplicateId) => return (plain(StatusCode::CONFLICT), End::Errored),
@@ -342,7 +347,7 @@
 
 /// Returns whether the end of the request is unambiguous. A request with both a length and a transfer coding
 /// can smuggle a second request: what is body by one of them is the next request by the other.
-fn has_unambiguous_framing(sock: &Sock, headers: &HeaderMap) -> bool {
+fn has_unambiguous_framing(sock: &TrackedSocket, headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let chunked = |v: &HeaderValue| v.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (codings.next(), codings.next()) {
@@ -362,7 +367,7 @@
 
 async fn read(
     hub: &Hub,
-    sock: &Sock,
+    sock: &TrackedSocket,
     class: Option<Slot>,
     request: Request<Incoming>,
 ) -> Result<(ParsedRequest, Duration), RequestError> {
@@ -403,15 +408,15 @@
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
     }
     let call = Call {
-        of: (class, tenant),
+        class_and_tenant: (class, tenant),
         id,
         key,
         method: parts.method,
         target: uri,
-        via: Via::Http(headers),
+        origin: Origin::Http(headers),
         body,
         rest,
-        held: budget_share,
+        body_budget_share: budget_share,
     };
     Ok((ParsedRequest { call }, remaining))
 }
@@ -423,12 +428,12 @@
     budget_share: Share,
 }
 
-/// Reads a body in full if it fits. The part beyond [`BODY_MOST`] needs room in the budget that all bodies
-/// share; when there is none, the rest is left to be streamed.
+/// Reads a body in full if it fits. The part beyond [`MAX_BUFFERED_BODY_BYTES`] needs room in the budget that
+/// all bodies share; when there is none, the rest is left to be streamed.
 async fn read_body(hub: &Hub, mut body: Incoming, declared: usize) -> Result<CollectedBody, RequestError> {
     let closing_error = |status| RequestError { status, must_close: true };
     let (mut read, mut budget_share) = (BlocksBuilder::default(), hub.bodies.share());
-    let mut fits = budget_share.grow(declared.saturating_sub(BODY_MOST));
+    let mut fits = budget_share.grow(declared.saturating_sub(MAX_BUFFERED_BODY_BYTES));
     while fits {
         let Some(frame) = body.frame().await else {
             return Ok(CollectedBody { body: read.finish(), rest: None, budget_share });
@@ -439,7 +444,7 @@
             return Err(closing_error(StatusCode::PAYLOAD_TOO_LARGE));
         }
         read.push(&data);
-        let missing = read.len().saturating_sub(BODY_MOST).saturating_sub(budget_share.size());
+        let missing = read.len().saturating_sub(MAX_BUFFERED_BODY_BYTES).saturating_sub(budget_share.size());
         fits = budget_share.grow(missing);
     }
     Ok(CollectedBody { body: read.finish(), rest: Some(body), budget_share })
@@ -476,7 +481,7 @@
 
     use super::*;
     use crate::config;
-    use crate::hub::Outside;
+    use crate::hub::HubActions;
 
     /// A backend that answers every attempt at once.
     #[derive(Default)]
@@ -485,11 +490,11 @@
         starts: Cell<usize>,
     }
 
-    impl Outside for Server {
+    impl HubActions for Server {
         fn start(&self, attempt: AttemptId, _: ServerId, _: Instant, _: Rc<Call>) {
             self.starts.set(self.starts.get() + 1);
             let reply =
-                Reply { headers: HeaderMap::new(), body: Content::Whole(Bytes::from_static(b"served")) };
+                Reply { headers: HeaderMap::new(), body: Content::Buffered(Bytes::from_static(b"served")) };
             self.hub.get().expect("set").attempt_ended(attempt, AttemptResult::Served(reply));
         }
         fn abandon(&self, _: AttemptId) {}
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -16,7 +16,7 @@
 use crate::errno::{accept_failure, AcceptFailure};
 use crate::hub::Hub;
 use crate::log;
-use crate::sock::Sock;
+use crate::sock::TrackedSocket;
 use table::{Client, Clients};
 
 /// How long a closing listener goes on accepting from its backlog.
@@ -31,7 +31,7 @@
 
 /// The protocols that a listener accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaks {
+pub enum ListenerProtocol {
     /// HTTP/1.1.
     Http1,
     /// MessagePack-RPC.
@@ -62,14 +62,14 @@
     }
 
     /// Accepts connections; never returns.
-    pub async fn accept(self: &Rc<Self>, listener: &TcpListener, speaks: Speaks) {
+    pub async fn accept(self: &Rc<Self>, listener: &TcpListener, protocol: ListenerProtocol) {
         let mut errors = AcceptErrors::default();
         loop {
             self.clients.wait_for_room().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
                     errors.reset();
-                    self.serve(stream, speaks);
+                    self.serve(stream, protocol);
                 }
                 Err(error) => {
                     let exhausted = errors.record(&error) == AcceptFailure::Descriptors
@@ -90,13 +90,13 @@
 
     /// Accepts what the backlog still holds, for a bounded time: under load new connections keep being added
     /// to it.
-    pub async fn empty_backlog(self: &Rc<Self>, listener: &TcpListener, speaks: Speaks) {
+    pub async fn empty_backlog(self: &Rc<Self>, listener: &TcpListener, protocol: ListenerProtocol) {
         let (began, mut errors) = (Instant::now(), AcceptErrors::default());
         while began.elapsed() < BACKLOG_DRAIN_TIMEOUT {
             match timeout(EMPTY_BACKLOG_WAIT, listener.accept()).await {
                 Ok(Ok((stream, _))) => {
                     errors.reset();
-                    self.serve(stream, speaks);
+                    self.serve(stream, protocol);
                 }
                 // A connection that can't be accepted blocks those queued behind it, which still must be
                 // answered.
@@ -109,14 +109,14 @@
         }
     }
 
-    fn serve(self: &Rc<Self>, stream: TcpStream, speaks: Speaks) {
+    fn serve(self: &Rc<Self>, stream: TcpStream, protocol: ListenerProtocol) {
         let Some((number, client)) = self.clients.add(stream) else { return };
         let fronts = self.clone();
         tokio::task::spawn_local(async move {
-            match speaks {
-                Speaks::Http1 => fronts.http1.serve_client(client).await,
-                Speaks::Msgpack => fronts.msgpack.serve_client(client).await,
-                Speaks::Either => match first_byte(&client).await {
+            match protocol {
+                ListenerProtocol::Http1 => fronts.http1.serve_client(client).await,
+                ListenerProtocol::Msgpack => fronts.msgpack.serve_client(client).await,
+                ListenerProtocol::Either => match first_byte(&client).await {
                     // Every MessagePack array starts with a byte in this range, and no HTTP method does.
                     Some(0x80..) => fronts.msgpack.serve_client(client).await,
                     Some(_) => fronts.http1.serve_client(client).await,
@@ -176,7 +176,7 @@
 
 /// Peeks at the first byte of a connection without consuming it; `None` if the connection ends without one.
 async fn first_byte(client: &Client) -> Option<u8> {
-    let sock: &Sock = &client.sock;
+    let sock: &TrackedSocket = &client.sock;
     tokio::select! {
         first = sock.peek() => first,
         () = client.close.notified() => None,
--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -19,17 +19,17 @@
 
 use super::http1::LINGER_TIMEOUT;
 use super::table::{Client, Clients, Ending, ANSWER_STALL_TIMEOUT};
-use crate::call::{Call, Content, Reply, Via, BODY_MOST};
+use crate::call::{Call, Content, Origin, Reply, MAX_BUFFERED_BODY_BYTES};
 use crate::hub::{self, end_of, Hub};
 use crate::log;
-use crate::sock::{Phase, Sock, REQUEST_TIMEOUT};
+use crate::sock::{Phase, TrackedSocket, REQUEST_TIMEOUT};
 
 /// The largest single read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// How many messages of one connection are handled before other tasks run.
 const MAX_MESSAGES_PER_POLL: usize = 16;
 /// The memory reserved for an open call's answer: the longest body and its framing.
-const MAX_ANSWER_BYTES: usize = BODY_MOST + 256;
+const MAX_ANSWER_BYTES: usize = MAX_BUFFERED_BODY_BYTES + 256;
 /// Open calls and their answers may take one part in so many of the node's memory.
 const MEMORY_DIVISOR: usize = 4;
 /// The longest path and query.
@@ -57,7 +57,7 @@
 struct Conn {
     protocol: RefCell<Connection>,
     /// The open calls by the client's message id; `None` while a call is being handed to the hub.
-    open: RefCell<HashMap<u32, Option<hub::Asked>>>,
+    open: RefCell<HashMap<u32, Option<hub::RequestHandle>>>,
     /// This connection's part of the reserved bytes.
     reserved: Cell<usize>,
     changed: Notify,
@@ -73,7 +73,7 @@
     fn drop(&mut self) {
         let open = std::mem::take(&mut *self.conn.open.borrow_mut());
         for request in open.into_values().flatten() {
-            self.front.hub.gone(request);
+            self.front.hub.client_left(request);
         }
         self.front.set_reserved(&self.conn, 0);
     }
@@ -181,7 +181,7 @@
     }
 
     /// Reads available bytes; false if the client has disconnected.
-    fn read(&self, sock: &Sock, conn: &Conn) -> bool {
+    fn read(&self, sock: &TrackedSocket, conn: &Conn) -> bool {
         let mut chunk = self.chunk.borrow_mut();
         match sock.try_read(&mut chunk) {
             Ok(0) => false,
@@ -253,7 +253,7 @@
                 // If the hub does not take the call, the ticket is recovered from this cell.
                 let ticket_cell = Rc::new(Cell::new(ticket.take()));
                 let shared_ticket = ticket_cell.clone();
-                let taken = self.hub.ask(incoming, move |final_answer| {
+                let taken = self.hub.submit(incoming, move |final_answer| {
                     shared_ticket.take().into_iter().for_each(|ticket| ticket.end(end_of(&final_answer)));
                     answering_conn.open.borrow_mut().remove(&id);
                     answering_conn.protocol.borrow_mut().answer(id, &answer_of(final_answer));
@@ -288,7 +288,7 @@
         let Some(class) = self.class(&request.class) else {
             return Err(ErrorReply::new(Code::UnknownClass, "method: no such class"));
         };
-        if request.body.len() > BODY_MOST {
+        if request.body.len() > MAX_BUFFERED_BODY_BYTES {
             return Err(ErrorReply::new(Code::TooLarge, "body: longer than 65536 bytes"));
         }
         if request.path.len() > MAX_PATH_BYTES {
@@ -332,15 +332,15 @@
         let body =
             if request.body.len() < 1024 { Bytes::copy_from_slice(&request.body) } else { request.body };
         let call = Call {
-            of: (class.clone(), tenant.clone()),
+            class_and_tenant: (class.clone(), tenant.clone()),
             id: id.clone(),
             key: key.clone(),
             method,
             target,
-            via: Via::Rpc { org, user },
+            origin: Origin::Rpc { org, user },
             body: body.into(),
             rest: None,
-            held: self.hub.bodies.share(),
+            body_budget_share: self.hub.bodies.share(),
         };
         let repeat_key = Some(call.repeat_key(self.hub.config.seed));
         Ok(Incoming {
@@ -377,7 +377,7 @@
 }
 
 /// Writes as much as the kernel accepts; returns whether anything was written.
-fn write(sock: &Sock, conn: &Conn) -> std::io::Result<bool> {
+fn write(sock: &TrackedSocket, conn: &Conn) -> std::io::Result<bool> {
     let mut protocol = conn.protocol.borrow_mut();
     let mut any = false;
     while !protocol.output().is_empty() {
@@ -407,7 +407,7 @@
 fn answer_of(final_answer: Final<Reply>) -> Answer {
     match final_answer {
         Final::Served(reply) => match reply.body {
-            Content::Whole(body) => Ok(body),
+            Content::Buffered(body) => Ok(body),
             // An answer must be one message, and one this long would delay all others on the connection.
             Content::Streamed(_) => {
                 Err(ErrorReply::new(Code::TooLarge, "the answer is longer than 65536 bytes"))
--- a/crates/node/src/front/table.rs
+++ b/crates/node/src/front/table.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 use crate::hub::Hub;
-use crate::sock::{Phase, Sock};
+use crate::sock::{Phase, TrackedSocket};
 
 /// How long a client may go without reading any of its answer.
 pub const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -58,7 +58,7 @@
 /// A client's connection.
 pub struct Client {
     /// The connection's socket.
-    pub sock: Rc<Sock>,
+    pub sock: Rc<TrackedSocket>,
     /// Notified when the connection is to be closed, which [`Clients::confirm_close`] must still confirm.
     pub close: Notify,
     /// The client's address; recorded only if tracing is on.
@@ -137,7 +137,7 @@
     /// Adds a connection to the table; it stays until [`Clients::remove`] is called with its number.
     pub fn add(&self, stream: TcpStream) -> Option<(u64, Rc<Client>)> {
         let peer = if self.hub.config.operator.trace.is_on() { stream.peer_addr().ok() } else { None };
-        let sock = Sock::of_client(stream).ok()?;
+        let sock = TrackedSocket::of_client(stream).ok()?;
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         let (close, ending, evicted) = (Notify::new(), Cell::new(Ending::Over), Cell::new(false));
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -1,5 +1,5 @@
 //! The hub owns the core. It passes the core's outputs to fronts, backends and discovery, and their reports
-//! back to the core. It calls none of them directly; see [`Outside`].
+//! back to the core. It calls none of them directly; see [`HubActions`].
 
 mod answers;
 mod servers;
@@ -34,7 +34,7 @@
 use crate::usage::Shares;
 
 /// The actions that the hub has others carry out. None of these calls may block.
-pub trait Outside {
+pub trait HubActions {
     /// Starts an attempt; [`Hub::attempt_ended`] must be called when it ends.
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>);
     /// Abandons an attempt, and reports its end before returning.
@@ -56,7 +56,7 @@
 
 /// Identifies a request that a front has submitted, so that it can report that the client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum RequestHandle {
     /// The request is in the core.
     Core(RequestId),
     /// The request is with the gate, under this number.
@@ -158,7 +158,7 @@
     counts: Cell<Counts>,
     /// Limits the log lines about answers out of turn.
     answer_log_budget: LineBudget,
-    outside: OnceCell<Rc<dyn Outside>>,
+    outside: OnceCell<Rc<dyn HubActions>>,
     gate: OnceCell<Rc<dyn Gate>>,
     /// Applies changes on top of the settings of a file.
     overlay: OnceCell<Rc<dyn Overlay>>,
@@ -232,7 +232,7 @@
 
     /// Sets who carries out the core's actions, and takes the saved list. To be called once, before
     /// anything else.
-    pub fn start(&self, outside: Rc<dyn Outside>, known: Option<Update>) {
+    pub fn start(&self, outside: Rc<dyn HubActions>, known: Option<Update>) {
         let _ = self.outside.set(outside);
         let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
         // No server is known yet and no list was taken before, so this one is accepted.
@@ -287,7 +287,7 @@
 
     /// The rest of an answer has come, or nobody wants it any more. This may be called while the core is
     /// borrowed, as it drops an answer that came too late.
-    pub fn flowed(&self, attempt: AttemptId) {
+    pub fn answer_finished(&self, attempt: AttemptId) {
         self.finished_attempts.borrow_mut().push(attempt);
         if self.core.try_borrow_mut().is_ok() {
             self.report_finished_attempts();
@@ -455,29 +455,31 @@
 
     // ---- Fronts ----
 
-    /// Takes a request; `waiter` gets its one final answer, unless [`Hub::gone`] is called first.
+    /// Takes a request; `waiter` gets its one final answer, unless [`Hub::client_left`] is called first.
     ///
     /// # Errors
     /// The reason why it was not taken; `waiter` is not called then.
-    pub fn ask(
+    pub fn submit(
         &self,
         incoming: Incoming<Rc<Call>>,
         waiter: impl FnOnce(Final<Reply>) + 'static,
-    ) -> Result<Asked, Rejection> {
+    ) -> Result<RequestHandle, Rejection> {
         let Some(gate) = self.gate.get() else {
-            return self.request(incoming, Box::new(waiter)).map(Asked::Core);
+            return self.submit_to_core(incoming, Box::new(waiter)).map(RequestHandle::Core);
         };
         match gate.take(incoming, Box::new(waiter)) {
-            Ok(number) => Ok(Asked::Gate(number)),
-            Err((incoming, waiter)) => self.request(incoming, waiter).map(Asked::Core),
+            Ok(number) => Ok(RequestHandle::Gate(number)),
+            Err((incoming, waiter)) => self.submit_to_core(incoming, waiter).map(RequestHandle::Core),
         }
     }
 
     /// The client left: its request needs no answer any more.
-    pub fn gone(&self, asked: Asked) {
-        match asked {
-            Asked::Core(id) => self.client_gone(id),
-            Asked::Gate(number) => self.gate.get().into_iter().for_each(|gate| gate.on_client_gone(number)),
+    pub fn client_left(&self, request: RequestHandle) {
+        match request {
+            RequestHandle::Core(id) => self.client_gone(id),
+            RequestHandle::Gate(number) => {
+                self.gate.get().into_iter().for_each(|gate| gate.on_client_gone(number))
+            }
         }
     }
 
@@ -486,7 +488,11 @@
     ///
     /// # Errors
     /// The reason why it was not taken; `waiter` is not called then.
-    pub fn request(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter) -> Result<RequestId, Rejection> {
+    pub fn submit_to_core(
+        &self,
+        incoming: Incoming<Rc<Call>>,
+        waiter: Waiter,
+    ) -> Result<RequestId, Rejection> {
         let (class, tenant) = (incoming.class, incoming.tenant);
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
         let allowed_by_share = || self.shares.as_ref()?.count_request(tenant?);
@@ -588,7 +594,7 @@
 
     /// May a request be sent to this incarnation of a server now? It may have begun to drain while the
     /// request waited for a connection.
-    pub fn accepts(&self, server: ServerId, place: Place) -> bool {
+    pub fn may_send_to(&self, server: ServerId, place: Place) -> bool {
         self.place(server) == Some(place) && self.core.borrow().accepts_new_attempts(server)
     }
 
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -7,7 +7,7 @@
 use glenwood_trace::Doing;
 
 use super::Hub;
-use crate::list::{Health, Heard, Host, Update};
+use crate::list::{Health, Host, Update, UpdateTimes};
 use crate::log;
 
 /// When each source of the list was last seen, in the core's time.
@@ -166,7 +166,7 @@
         };
         let whole = update.whole;
         let last_seen = self.list_last_seen.of(source);
-        let heard = Heard {
+        let heard = UpdateTimes {
             clock: &self.clock,
             before: last_seen.get(),
             warm_within: self.settings().policy.rules.warm_up_time,
--- a/crates/node/src/inspect.rs
+++ b/crates/node/src/inspect.rs
@@ -14,7 +14,7 @@
 use tokio::net::UnixListener;
 use tokio::sync::OnceCell;
 
-use crate::errno::at_start;
+use crate::errno::retry_at_start;
 use crate::hub::Hub;
 use crate::log;
 
@@ -113,7 +113,7 @@
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(describe(e)),
         _ => {}
     }
-    let listener = at_start(|| UnixListener::bind(path)).map_err(describe)?;
+    let listener = retry_at_start(|| UnixListener::bind(path)).map_err(describe)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(describe)?;
     Ok(listener)
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -64,7 +64,7 @@
     }));
     log::start();
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = match errno::at_start(build) {
+    let runtime = match errno::retry_at_start(build) {
         Ok(runtime) => runtime,
         Err(error) => return fail(&format!("runtime: {error}")),
     };
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -37,7 +37,7 @@
 
 /// The servers that speak MessagePack-RPC by the operator's file, whatever the list says.
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
+pub struct MsgpackServers {
     /// Kinds of machine.
     pub kinds: HashSet<String>,
     /// Names of servers.
@@ -58,14 +58,14 @@
 /// All listed servers that are not gone.
 #[derive(Default)]
 pub struct Servers {
-    marks: Marks,
+    marks: MsgpackServers,
     known: HashMap<ServerId, KnownServer>,
     starts: StartTimes,
 }
 
 /// The times that apply to an update of the list.
 #[derive(Clone, Copy)]
-pub struct Heard<'a> {
+pub struct UpdateTimes<'a> {
     /// The node's clock, with the time of the update.
     pub clock: &'a Clock,
     /// When the source was last seen before this update.
@@ -76,7 +76,7 @@
 
 impl Servers {
     /// Creates an empty list.
-    pub fn new(marks: Marks) -> Self {
+    pub fn new(marks: MsgpackServers) -> Self {
         Self { marks, known: HashMap::new(), starts: StartTimes::default() }
     }
 
@@ -122,7 +122,7 @@
 
     /// Applies an update. Returns the entries for the core, and the servers whose connections are of no
     /// more use.
-    pub fn take(&mut self, update: Update, heard: Heard<'_>) -> (Vec<Entry>, Vec<ServerId>) {
+    pub fn take(&mut self, update: Update, heard: UpdateTimes<'_>) -> (Vec<Entry>, Vec<ServerId>) {
         if update.whole {
             for host in self.known.values_mut() {
                 host.state = Listed::Gone;
@@ -150,7 +150,12 @@
 
     /// Applies an update's entry of a server. It counts from now on, also for attempts that were decided on
     /// but not sent.
-    fn apply_entry(&mut self, host: Host, heard: Heard<'_>, stale: &mut Vec<ServerId>) -> Option<Entry> {
+    fn apply_entry(
+        &mut self,
+        host: Host,
+        heard: UpdateTimes<'_>,
+        stale: &mut Vec<ServerId>,
+    ) -> Option<Entry> {
         let server = ServerId(number_of(&host.host));
         let state = listed_state(host.health);
         let before = self.known.get(&server);
@@ -188,8 +193,8 @@
     }
 
     /// When a server started; `None` if that is long ago.
-    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: Heard<'_>) -> Option<Millis> {
-        let Heard { clock, before, warm_within } = heard;
+    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: UpdateTimes<'_>) -> Option<Millis> {
+        let UpdateTimes { clock, before, warm_within } = heard;
         let claim = ClaimedStart {
             claimed_start: clock.at_unix(born_ms),
             now: clock.now(),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -10,7 +10,7 @@
 
 use crate::configuration;
 use crate::custody;
-use crate::list::Marks;
+use crate::list::MsgpackServers;
 use crate::members;
 
 /// The contents of the operator's file.
@@ -288,9 +288,9 @@
     }
 
     /// The servers marked as speaking MessagePack-RPC.
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> MsgpackServers {
         let set = |names: &[String]| names.iter().cloned().collect::<HashSet<String>>();
-        Marks { kinds: set(&self.server_kinds), hosts: set(&self.server_hosts) }
+        MsgpackServers { kinds: set(&self.server_kinds), hosts: set(&self.server_hosts) }
     }
 }
 
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -17,15 +17,15 @@
 
 use crate::admin;
 use crate::backend::{http1, msgpack, Descriptors};
-use crate::call::{Call, BODY_MOST};
+use crate::call::{Call, MAX_BUFFERED_BODY_BYTES};
 use crate::clock::Clock;
 use crate::config::{self, Config, FileFields};
 use crate::configuration::Configuration;
 use crate::custody::{Custody, Guarded};
 use crate::discovery;
-use crate::errno::at_start;
-use crate::front::{Fronts, Speaks};
-use crate::hub::{Hub, Outside};
+use crate::errno::retry_at_start;
+use crate::front::{Fronts, ListenerProtocol};
+use crate::hub::{Hub, HubActions};
 use crate::inspect::{self, Part};
 use crate::list::Protocol;
 use crate::log;
@@ -75,13 +75,13 @@
     call: RefCell<Option<AbortHandle>>,
 }
 
-impl Outside for Actions {
+impl HubActions for Actions {
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
         match self.hub.place(server).map(|place| place.dial.protocol) {
             Some(Protocol::Http1) => self.http1.start(attempt, server, end, call),
             // A MessagePack message is sent as one piece, and no server takes one this long: the attempt
             // was never sent.
-            Some(Protocol::Msgpack) if call.rest.is_some() || call.body.len() > BODY_MOST => {
+            Some(Protocol::Msgpack) if call.rest.is_some() || call.body.len() > MAX_BUFFERED_BODY_BYTES => {
                 self.hub.attempt_ended(attempt, AttemptResult::NoResponse(Outcome::NotSent));
             }
             Some(Protocol::Msgpack) => self.msgpack.start(attempt, server, end, call),
@@ -159,11 +159,11 @@
 
 /// Does another process listen at this address? A bind without sharing the port fails then.
 fn is_taken(at: SocketAddr) -> bool {
-    matches!(at_start(|| bind(at, false)), Err(e) if e.kind() == std::io::ErrorKind::AddrInUse)
+    matches!(retry_at_start(|| bind(at, false)), Err(e) if e.kind() == std::io::ErrorKind::AddrInUse)
 }
 
 fn listen(at: SocketAddr) -> Result<TcpListener, String> {
-    at_start(|| bind(at, true)?.listen(BACKLOG)).map_err(|e| format!("listen: {at}: {e}"))
+    retry_at_start(|| bind(at, true)?.listen(BACKLOG)).map_err(|e| format!("listen: {at}: {e}"))
 }
 
 /// Runs a node until it is told to stop, and finishes the requests that it has taken.
@@ -171,22 +171,23 @@
 /// # Errors
 /// One line with the reason, where it can't start.
 pub async fn serve(mut config: Config, operator: Option<PathBuf>) -> Result<(), String> {
-    let signals = |asks| at_start(|| Signals::new(asks)).map_err(|e| format!("signals: {e}"));
+    let signals = |asks| retry_at_start(|| Signals::new(asks)).map_err(|e| format!("signals: {e}"));
     let mut stops = signals(Asks::Stop)?;
     // Without a handler, SIGHUP would end the process with all its open requests.
     let reloads = signals(Asks::Reload)?;
-    let speaks = if config.operator.msgpack_shared { Speaks::Either } else { Speaks::Http1 };
-    let mut addresses = vec![(config.listen, speaks)];
-    addresses.extend(config.operator.msgpack_listen.map(|at| (at, Speaks::Msgpack)));
+    let protocol =
+        if config.operator.msgpack_shared { ListenerProtocol::Either } else { ListenerProtocol::Http1 };
+    let mut addresses = vec![(config.listen, protocol)];
+    addresses.extend(config.operator.msgpack_listen.map(|at| (at, ListenerProtocol::Msgpack)));
     // Connections that the kernel assigns to this process must be served. Where no other process listens,
     // clients see by refusals that this one is not ready. Where one does, this process does not listen
     // until it is ready, so that clients don't notice it.
     let predecessor =
         upgrade::socket_path(config.listen).as_deref().and_then(upgrade::connect_to_predecessor);
     let other_listens = predecessor.is_some() || addresses.iter().any(|(at, _)| is_taken(*at));
-    type Listeners = Vec<(TcpListener, Speaks)>;
+    type Listeners = Vec<(TcpListener, ListenerProtocol)>;
     let listen_all = || -> Result<Listeners, String> {
-        addresses.iter().map(|(at, speaks)| Ok((listen(*at)?, *speaks))).collect()
+        addresses.iter().map(|(at, protocol)| Ok((listen(*at)?, *protocol))).collect()
     };
     let mut listeners = if other_listens { Vec::new() } else { listen_all()? };
     let inspect = config.operator.inspect.clone();
@@ -210,7 +211,7 @@
     });
     spawn_local(hub.clone().run_timer());
     let custody = Custody::new(&hub, membership.as_ref())?;
-    let outside: Rc<dyn Outside> = match &custody {
+    let outside: Rc<dyn HubActions> = match &custody {
         Some(custody) => Guarded::new(custody.clone(), actions.clone()),
         None => actions.clone(),
     };
@@ -264,12 +265,12 @@
     }
     hub.listening.set(true);
     hub.update_figures();
-    for (listener, speaks) in &listeners {
+    for (listener, protocol) in &listeners {
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
         let name = &hub.config.name;
-        log::line(match speaks {
-            Speaks::Http1 | Speaks::Either => format!("{name} listens at {address}"),
-            Speaks::Msgpack => format!("{name} takes MessagePack-RPC at {address}"),
+        log::line(match protocol {
+            ListenerProtocol::Http1 | ListenerProtocol::Either => format!("{name} listens at {address}"),
+            ListenerProtocol::Msgpack => format!("{name} takes MessagePack-RPC at {address}"),
         });
     }
     if let Some(listener) = inspecting {
@@ -302,17 +303,17 @@
     spawn_local(reload(actions.clone(), reloads));
     let accepting: Vec<AbortHandle> = listeners
         .into_iter()
-        .map(|(listener, speaks)| {
+        .map(|(listener, protocol)| {
             let fronts = fronts.clone();
             // The task owns the listener, which is closed with the task once the backlog is empty.
             spawn_local(async move {
                 tokio::select! {
-                    () = fronts.accept(&listener, speaks) => {}
+                    () = fronts.accept(&listener, protocol) => {}
                     () = fronts.no_more.notified() => {}
                 }
                 // The connections left in the backlog are the successor's, where there is one.
                 if !fronts.left_to_another() {
-                    fronts.empty_backlog(&listener, speaks).await;
+                    fronts.empty_backlog(&listener, protocol).await;
                 }
             })
             .abort_handle()
@@ -347,21 +348,24 @@
 /// not those that this node listens at.
 fn inherited_listeners(
     inherited: &[std::net::TcpListener],
-    addresses: &[(SocketAddr, Speaks)],
-) -> Option<Vec<(TcpListener, Speaks)>> {
-    let find = |(at, speaks): &(SocketAddr, Speaks)| {
+    addresses: &[(SocketAddr, ListenerProtocol)],
+) -> Option<Vec<(TcpListener, ListenerProtocol)>> {
+    let find = |(at, protocol): &(SocketAddr, ListenerProtocol)| {
         let listener =
             inherited.iter().find(|l| l.local_addr().is_ok_and(|own| own == *at))?.try_clone().ok()?;
         listener.set_nonblocking(true).ok()?;
-        Some((TcpListener::from_std(listener).ok()?, *speaks))
+        Some((TcpListener::from_std(listener).ok()?, *protocol))
     };
     addresses.iter().map(find).collect()
 }
 
 /// Opens the socket at which a successor can ask this process for its listeners.
-fn open_handoff(hub: &Hub, listeners: &[(TcpListener, Speaks)]) -> Option<(Rc<Handoff>, UnixListener)> {
+fn open_handoff(
+    hub: &Hub,
+    listeners: &[(TcpListener, ListenerProtocol)],
+) -> Option<(Rc<Handoff>, UnixListener)> {
     let first = listeners.first()?.0.local_addr().ok()?;
-    let copy = |(listener, _): &(TcpListener, Speaks)| listener.as_fd().try_clone_to_owned().ok();
+    let copy = |(listener, _): &(TcpListener, ListenerProtocol)| listener.as_fd().try_clone_to_owned().ok();
     let sockets = listeners.iter().map(copy).collect::<Option<Vec<_>>>()?;
     let opened = Handoff::open(upgrade::socket_path(first)?, sockets);
     if opened.is_some() {
--- a/crates/node/src/sock.rs
+++ b/crates/node/src/sock.rs
@@ -176,7 +176,7 @@
 }
 
 /// A TCP socket that tracks the messages sent and received on it.
-pub struct Sock {
+pub struct TrackedSocket {
     stream: TcpStream,
     outgoing: RefCell<Progress>,
     /// What was received since the current message was begun.
@@ -212,7 +212,7 @@
     answer_pending: Cell<bool>,
 }
 
-impl Sock {
+impl TrackedSocket {
     /// Takes over a connected stream and disables Nagle's algorithm.
     ///
     /// # Errors
@@ -613,8 +613,8 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// The adapter through which hyper reads and writes a [`Sock`].
-pub struct Io(pub Rc<Sock>);
+/// The adapter through which hyper reads and writes a [`TrackedSocket`].
+pub struct Io(pub Rc<TrackedSocket>);
 
 impl Read for Io {
     fn poll_read(
--- a/crates/scale/src/scenario/list.rs
+++ b/crates/scale/src/scenario/list.rs
@@ -4,7 +4,7 @@
 
 use glenwood_list::{parse_update, Health, Update};
 use glenwood_node::clock::Clock;
-use glenwood_node::list::{Heard, Marks, Servers};
+use glenwood_node::list::{MsgpackServers, Servers, UpdateTimes};
 use glenwood_policy::{Action, Balancer, Event, Millis};
 use glenwood_settings::NodeSettings;
 
@@ -59,7 +59,7 @@
         let settings = NodeSettings::from_value(&settings).expect("good settings").policy;
         Self {
             clock: Clock::default(),
-            servers: Servers::new(Marks::default()),
+            servers: Servers::new(MsgpackServers::default()),
             warm_within: settings.rules.warm_up_time,
             balancer: Balancer::new(settings, 1).expect("good settings"),
             actions: Vec::new(),
@@ -72,7 +72,7 @@
 
     fn take(&mut self, text: &[u8]) {
         let update = Self::read(text);
-        let heard = Heard { clock: &self.clock, before: None, warm_within: self.warm_within };
+        let heard = UpdateTimes { clock: &self.clock, before: None, warm_within: self.warm_within };
         let (entries, _) = self.servers.take(update, heard);
         let event = Event::List { entries, saved: false };
         self.balancer.handle(self.clock.now(), event, &mut self.actions);
@@ -86,7 +86,7 @@
         let text = serde_json::to_vec(&change).expect("JSON");
         let (update, reading) = measure(|| Self::read(&text));
         let heard =
-            Heard { clock: &self.clock, before: Some(self.clock.now()), warm_within: self.warm_within };
+            UpdateTimes { clock: &self.clock, before: Some(self.clock.now()), warm_within: self.warm_within };
         let ((entries, _), listing) = measure(|| black_box(self.servers.take(update, heard)));
         let (_, deciding) = measure(|| {
             self.balancer.handle(self.clock.now(), Event::ListChange(entries), &mut self.actions);
