--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,7 +7,7 @@
 //! - A *front* validates what a client sent, passes an [`Incoming`] and returns its one [`Final`] to the
 //!   client.
 //! - A *backend* handles [`Output::Start`], [`Output::Abandon`] and [`Output::Recall`], and reports one
-//!   [`Ended`] for each attempt.
+//!   [`AttemptResult`] for each attempt.
 //! - A *driver* passes outputs to backends, fronts and discovery, and calls [`Core::handle_timeout`] when
 //!   [`Core::poll_timeout`] is due.
 #![warn(missing_docs)]
