--- a/crates/list/src/lines.rs
+++ b/crates/list/src/lines.rs
@@ -20,7 +20,7 @@
 /// Why the stream cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// A message is longer than [`MOST`].
+    /// A message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
     /// An object was truncated: what follows it is not its end.
     Truncated,
@@ -53,7 +53,7 @@
     /// Appends received data.
     ///
     /// # Errors
-    /// If the buffered message exceeds [`MOST`] bytes.
+    /// If the buffered message exceeds [`MAX_MESSAGE_BYTES`] bytes.
     pub fn push(&mut self, data: &[u8]) -> Result<(), StreamError> {
         if self.buffer.len() + data.len() > MAX_MESSAGE_BYTES {
             return Err(StreamError::TooLong);
