--- a/crates/exchange/src/connection.rs
+++ b/crates/exchange/src/connection.rs
@@ -262,7 +262,7 @@
         Verdict { proof, reason: ProofReason::Answered }
     }
 
-    /// The rest of a response has arrived, after [`Connection::answered`] was called for its head.
+    /// The rest of a response has arrived, after [`Connection::judge_response`] was called for its head.
     pub fn finished(&mut self, now: Instant) {
         self.idle_since = now;
     }
