--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use glenwood_core::{AttemptId, Ended};
-use glenwood_exchange::Said;
+use glenwood_core::{AttemptId, AttemptResult};
+use glenwood_exchange::ResponseMeaning;
 use glenwood_policy::{Outcome, ServerId};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -21,7 +21,7 @@
 use super::pool::Link;
 use super::Servers;
 use crate::blocks::OutgoingBody;
-use crate::call::{Content, Reply, Truncated, BODY_MOST, MAX_BODY_BYTES};
+use crate::call::{Content, Reply, Truncated, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::headers::end_to_end;
 use crate::sock::{Io, Pending};
 
@@ -46,7 +46,7 @@
 impl Framing {
     /// Returns whether the declared length is too long to buffer.
     fn is_long(self) -> bool {
-        matches!(self, Self::Length(length) if length > BODY_MOST as u64)
+        matches!(self, Self::Length(length) if length > MAX_BUFFERED_BODY_BYTES as u64)
     }
 }
 
@@ -65,27 +65,27 @@
 
 impl ReceivedAnswer {
     /// Classifies the answer by its status and headers.
-    pub fn classify(&self) -> Said {
+    pub fn classify(&self) -> ResponseMeaning {
         let is_turned_away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         match self.status {
-            StatusCode::OK => Said::Served,
+            StatusCode::OK => ResponseMeaning::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_turned_away => {
-                Said::TurnedAway
+                ResponseMeaning::RefusedUnprocessed
             }
             // Misbehaving clients send much that only a server can recognise as invalid; no other server
             // would accept it either.
-            StatusCode::BAD_REQUEST => Said::Rejected,
-            _ => Said::Failed,
+            StatusCode::BAD_REQUEST => ResponseMeaning::Rejected,
+            _ => ResponseMeaning::Failed,
         }
     }
 
     /// The outcome of the attempt that this answers.
     pub fn outcome(&self) -> Outcome {
         match self.classify() {
-            Said::Served => Outcome::Done,
-            Said::TurnedAway => Outcome::Full,
-            Said::Rejected => Outcome::Rejected,
-            Said::Failed => Outcome::Error,
+            ResponseMeaning::Served => Outcome::Done,
+            ResponseMeaning::RefusedUnprocessed => Outcome::Full,
+            ResponseMeaning::Rejected => Outcome::Rejected,
+            ResponseMeaning::Failed => Outcome::Error,
         }
     }
 
@@ -103,7 +103,7 @@
         server: ServerId,
         link: Link,
         attempt: Option<AttemptId>,
-    ) -> Ended<Reply> {
+    ) -> AttemptResult<Reply> {
         let outcome = self.outcome();
         let Some(rest) = self.rest else {
             return_to_pool(
@@ -115,9 +115,9 @@
             );
             return match outcome {
                 Outcome::Done => {
-                    Ended::Served(Reply { headers: self.headers, body: Content::Whole(self.read) })
+                    AttemptResult::Served(Reply { headers: self.headers, body: Content::Buffered(self.read) })
                 }
-                outcome => Ended::Without(outcome),
+                outcome => AttemptResult::NoResponse(outcome),
             };
         };
         match (outcome, attempt) {
@@ -134,11 +134,14 @@
                     servers: servers.clone(),
                     stall_timer: Box::pin(tokio::time::sleep(STALL_TIMEOUT)),
                 };
-                Ended::Flows(Reply { headers: self.headers, body: Content::Streamed(Box::pin(streamed)) })
+                AttemptResult::Streaming(Reply {
+                    headers: self.headers,
+                    body: Content::Streamed(Box::pin(streamed)),
+                })
             }
             // A probe expects no long body.
-            (Outcome::Done, None) => Ended::Without(Outcome::Error),
-            (outcome, _) => Ended::Without(outcome),
+            (Outcome::Done, None) => AttemptResult::NoResponse(Outcome::Error),
+            (outcome, _) => AttemptResult::NoResponse(outcome),
         }
     }
 }
@@ -167,7 +170,7 @@
     let pending = link.sock.pending();
     if !is_exact || pending == Pending::Bytes {
         let seen = link.exchange.received_behind_answer(Instant::now());
-        servers.pool.note_out_of_turn(server, seen);
+        servers.pool.record_unsolicited(server, seen);
         return;
     }
     // If the server moved or restarted while the connection was in use, `Pool::forget` did not
@@ -215,7 +218,7 @@
         let Some(link) = self.link.take() else { return };
         let complete = CompleteAnswer { body_bytes: self.passed_bytes, framing: self.framing };
         return_to_pool(&self.servers, self.server, link, complete, self.may_reuse);
-        self.servers.hub.flowed(self.attempt);
+        self.servers.hub.answer_finished(self.attempt);
     }
 }
 
@@ -223,7 +226,7 @@
     fn drop(&mut self) {
         // An unfinished connection can't be reused; closing it tells the server that nobody waits.
         if self.link.take().is_some() {
-            self.servers.hub.flowed(self.attempt);
+            self.servers.hub.answer_finished(self.attempt);
         }
     }
 }
@@ -317,7 +320,7 @@
         let (mut read, mut is_complete) = (BytesMut::new(), false);
         // For an answer with a long declared length the head is enough; its first body bytes are not waited
         // for.
-        while !is_complete && !framing.is_long() && read.len() <= BODY_MOST {
+        while !is_complete && !framing.is_long() && read.len() <= MAX_BUFFERED_BODY_BYTES {
             match body.frame().await.transpose()? {
                 Some(frame) => read.extend_from_slice(&frame.into_data().unwrap_or_default()),
                 None => is_complete = true,
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Ended};
-use glenwood_exchange::{Answer, Proof, Verdict, Why};
+use glenwood_core::{AttemptId, AttemptResult};
+use glenwood_exchange::{Answer, Proof, ProofReason, Verdict};
 use glenwood_policy::{Outcome, ServerId};
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, Uri};
@@ -126,7 +126,7 @@
         in_flight.task.abort();
         let outcome =
             if in_flight.written_at.get().is_some() { Outcome::Cancelled } else { Outcome::NotSent };
-        self.hub.attempt_ended(attempt, Ended::Without(outcome));
+        self.hub.attempt_ended(attempt, AttemptResult::NoResponse(outcome));
         true
     }
 
@@ -144,8 +144,8 @@
             let deadline = sent + 2 * servers.pool.max_connect_time;
             let message = if is_in_use { Message::Check } else { Message::Probe };
             let outcome = match exchange(&servers, server, deadline, &message, None).await {
-                Ended::Served(_) | Ended::Flows(_) => Outcome::Done,
-                Ended::Without(outcome) | Ended::RunsOn(outcome) => outcome,
+                AttemptResult::Served(_) | AttemptResult::Streaming(_) => Outcome::Done,
+                AttemptResult::NoResponse(outcome) | AttemptResult::RunsOn(outcome) => outcome,
             };
             servers.hub.probed(server, outcome, sent.elapsed());
         });
@@ -212,7 +212,7 @@
             Readiness::ReceivedBytes | Readiness::Closed => return Err(Outcome::ConnectFailed),
         }
         let accepts = match message {
-            Message::Call(_) => hub.accepts(server, place),
+            Message::Call(_) => hub.may_send_to(server, place),
             Message::Probe | Message::Check => hub.place(server) == Some(place),
         };
         let accepts = accepts && attempt.is_none_or(|attempt| hub.may_write(attempt));
@@ -228,7 +228,7 @@
     deadline: Instant,
     message: &Message,
     tracked: Option<(AttemptId, WrittenAt)>,
-) -> Ended<Reply> {
+) -> AttemptResult<Reply> {
     let (attempt, written_at) = tracked.unzip();
     let written_at = written_at.unwrap_or_default();
     let (hub, pool) = (&servers.hub, &servers.pool);
@@ -240,7 +240,7 @@
         let Acquired { mut link, reused } =
             match acquire_connection(servers, server, deadline, message, attempt, may_reuse).await {
                 Ok(acquired) => acquired,
-                Err(outcome) => return Ended::Without(outcome),
+                Err(outcome) => return AttemptResult::NoResponse(outcome),
             };
         may_reuse = false;
         let sent = Instant::now();
@@ -270,7 +270,7 @@
                 hub.body_taken(attempt.request);
             } else if message.rest().is_some() {
                 // The rest of the body was consumed by an earlier attempt; nothing of this one is sent.
-                return Ended::Without(Outcome::NotSent);
+                return AttemptResult::NoResponse(Outcome::NotSent);
             }
         }
         let request = message.request(deadline);
@@ -298,7 +298,7 @@
         if may_continue && !matches!(ended, Some(Ok(_))) {
             continue;
         }
-        return Ended::Without(match ended {
+        return AttemptResult::NoResponse(match ended {
             // The server closed a pooled connection before the first byte was written: nothing was sent, so
             // the attempt continues on another connection.
             Some(Err(_))
@@ -344,7 +344,7 @@
         let seen = link.exchange.received(Instant::now());
         // A request body that is still being streamed may legitimately be answered before its end.
         if let Some(seen) = seen.filter(|_| message.rest().is_none()) {
-            pool.note_out_of_turn(server, seen);
+            pool.record_unsolicited(server, seen);
         }
     }
     if link.sock.is_written() {
@@ -366,17 +366,17 @@
     };
     let now = Instant::now();
     let answer = Answer {
-        said: received.classify(),
+        meaning: received.classify(),
         began: link.sock.answer_began_at().unwrap_or(now),
-        names_another: received.names_another_request(id),
+        names_other_request: received.names_another_request(id),
     };
-    link.exchange.answered(now, answer, pool.need(server))
+    link.exchange.judge_response(now, answer, pool.required_idle(server))
 }
 
 /// The outcome of an attempt whose answer is not accepted as it stands; `Ok` if it is.
 fn outcome_of(verdict: Verdict, received: &ReceivedAnswer) -> Result<(), Outcome> {
-    match (verdict.why, verdict.proof) {
-        (Why::Answered, _) => Ok(()),
+    match (verdict.reason, verdict.proof) {
+        (ProofReason::Answered, _) => Ok(()),
         // A server starts with the last byte, so a success before that answers some other request.
         (_, Proof::NeverRan) if received.outcome() == Outcome::Done => Err(Outcome::NotSent),
         (_, Proof::NeverRan) => Ok(()),
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -11,7 +11,7 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Ended};
+use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_msgpack_rpc::client::{Connection, Event, GivenUp, Ran};
 use glenwood_msgpack_rpc::frame::Bounds;
 use glenwood_msgpack_rpc::message::{self, Answer, Code};
@@ -22,12 +22,12 @@
 use tokio::time::{timeout, timeout_at};
 
 use super::{Descriptor, Descriptors, EvictIdle};
-use crate::call::{Call, Content, Reply, BODY_MOST};
+use crate::call::{Call, Content, Reply, MAX_BUFFERED_BODY_BYTES};
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::Place;
 use crate::log;
-use crate::sock::Sock;
+use crate::sock::TrackedSocket;
 
 /// The largest single read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
@@ -233,23 +233,29 @@
 
     /// Ends an attempt in flight with `unsent` if no byte of it was written; otherwise it continues to run
     /// and is reported as `sent`.
-    fn give_up(&self, conn: &Conn, attempt: AttemptId, unsent: Outcome, sent: Outcome) -> Ended<Reply> {
+    fn give_up(
+        &self,
+        conn: &Conn,
+        attempt: AttemptId,
+        unsent: Outcome,
+        sent: Outcome,
+    ) -> AttemptResult<Reply> {
         let mut state = conn.state.borrow_mut();
         state.deadlines.retain(|(_, other)| *other != attempt);
         if let Some(at) = state.waiting.iter().position(|w| w.attempt == attempt) {
             state.waiting.remove(at);
         } else if state.protocol.give_up(&attempt) == GivenUp::RunsOn {
             // The attempt stays registered until its reply has arrived.
-            return Ended::RunsOn(sent);
+            return AttemptResult::RunsOn(sent);
         }
         state.sent.remove(&attempt);
         self.in_flight.borrow_mut().remove(&attempt);
-        Ended::Without(unsent)
+        AttemptResult::NoResponse(unsent)
     }
 
     /// Reports an attempt that ended without an answer and has nothing left running.
     fn report_ended(&self, attempt: AttemptId, outcome: Outcome) {
-        self.hub.attempt_ended(attempt, Ended::Without(outcome));
+        self.hub.attempt_ended(attempt, AttemptResult::NoResponse(outcome));
     }
 
     /// Retires the connections to a server that moved, restarted or is gone.
@@ -303,13 +309,13 @@
         }
     }
 
-    async fn establish(&self, conn: &Conn) -> Result<Rc<Sock>, Outcome> {
+    async fn establish(&self, conn: &Conn) -> Result<Rc<TrackedSocket>, Outcome> {
         let mut connecting = pin!(timeout(self.connect_limit, TcpStream::connect(conn.place.dial.address)));
         loop {
             let deadline = self.expire(conn);
             tokio::select! {
                 stream = &mut connecting => return match stream {
-                    Ok(Ok(stream)) => Sock::new(stream).map_err(|_| Outcome::ConnectFailed),
+                    Ok(Ok(stream)) => TrackedSocket::new(stream).map_err(|_| Outcome::ConnectFailed),
                     Ok(Err(error)) if is_own_connect_failure(&error) => {
                         self.descriptors.evict();
                         Err(Outcome::NotSent)
@@ -323,7 +329,7 @@
     }
 
     /// Serves a connection until it ends; returns whether anything was received.
-    async fn serve(&self, conn: &Conn, sock: &Sock) -> bool {
+    async fn serve(&self, conn: &Conn, sock: &TrackedSocket) -> bool {
         conn.opened.set(Some(Instant::now()));
         let mut reads = 0;
         loop {
@@ -389,8 +395,8 @@
 
     /// Hands waiting calls to the protocol state, a limited number at a time. A drain applies from the moment
     /// the node is notified, also to calls that were waiting.
-    fn submit_waiting(&self, conn: &Conn, sock: &Sock) {
-        if !self.hub.accepts(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
+    fn submit_waiting(&self, conn: &Conn, sock: &TrackedSocket) {
+        if !self.hub.may_send_to(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
             let withdrawn = conn.state.borrow_mut().protocol.withdraw();
             for attempt in withdrawn {
                 self.forget_attempt(conn, attempt);
@@ -461,7 +467,7 @@
                 silent && sent.is_some_and(|sent| self.has_answered_later(conn.server, sent));
             let outcome = if has_answered_later { Outcome::Unheard } else { Outcome::TimedOut };
             let ended = self.give_up(conn, attempt, Outcome::NotSent, outcome);
-            if silent && matches!(ended, Ended::RunsOn(_)) {
+            if silent && matches!(ended, AttemptResult::RunsOn(_)) {
                 conn.state.borrow_mut().silent = true;
             }
             self.hub.attempt_ended(attempt, ended);
@@ -474,7 +480,7 @@
 
     /// Reads available bytes and processes them. Returns how many, 0 if the server closed, and `usize::MAX`
     /// if nothing was available.
-    fn read(&self, conn: &Conn, sock: &Sock) -> std::io::Result<usize> {
+    fn read(&self, conn: &Conn, sock: &TrackedSocket) -> std::io::Result<usize> {
         let read = {
             let mut chunk = self.chunk.borrow_mut();
             match sock.try_read(&mut chunk) {
@@ -509,12 +515,16 @@
                     self.record_answer(conn, attempt);
                     (attempt, ended_with(answer))
                 }
-                Event::Garbled(attempt) if conn.state.borrow().protocol.broken().is_none() => {
+                Event::UndecodableReply(attempt) if conn.state.borrow().protocol.broken().is_none() => {
                     self.record_answer(conn, attempt);
-                    (attempt, Ended::Without(Outcome::Error))
+                    (attempt, AttemptResult::NoResponse(Outcome::Error))
+                }
+                Event::UndecodableReply(attempt) => {
+                    (attempt, AttemptResult::NoResponse(first_only(Outcome::Error)))
+                }
+                Event::Broken(attempt, Ran::Maybe) => {
+                    (attempt, AttemptResult::NoResponse(first_only(Outcome::Reset)))
                 }
-                Event::Garbled(attempt) => (attempt, Ended::Without(first_only(Outcome::Error))),
-                Event::Broken(attempt, Ran::Maybe) => (attempt, Ended::Without(first_only(Outcome::Reset))),
                 Event::Broken(attempt, Ran::Never) => {
                     let first = if conn.state.borrow().last_received.is_some() {
                         Outcome::NotSent
@@ -523,7 +533,7 @@
                     };
                     let outcome = if is_reported { Outcome::NotSent } else { first };
                     is_reported = true;
-                    (attempt, Ended::Without(outcome))
+                    (attempt, AttemptResult::NoResponse(outcome))
                 }
                 Event::Left(attempt) => {
                     self.forget_attempt(conn, attempt);
@@ -588,7 +598,7 @@
             Ok(Err(error)) if is_own_connect_failure(&error) => return Outcome::NotSent,
             Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed,
         };
-        let Ok(sock) = Sock::new(stream) else { return Outcome::ConnectFailed };
+        let Ok(sock) = TrackedSocket::new(stream) else { return Outcome::ConnectFailed };
         let mut protocol = Connection::new(1, Bounds::default());
         let call = message::Call { class: HEALTH_METHOD.to_string(), ..message::Call::default() };
         if protocol.call((), &call).is_err() {
@@ -632,7 +642,7 @@
 }
 
 /// Writes as much as the kernel accepts.
-fn write(conn: &Conn, sock: &Sock, hub: &Hub) -> std::io::Result<()> {
+fn write(conn: &Conn, sock: &TrackedSocket, hub: &Hub) -> std::io::Result<()> {
     let mut state = conn.state.borrow_mut();
     while state.protocol.unwritten() > 0 {
         let wrote = {
@@ -652,13 +662,13 @@
 }
 
 /// Converts a server's answer into the result of its attempt.
-fn ended_with(answer: Answer) -> Ended<Reply> {
+fn ended_with(answer: Answer) -> AttemptResult<Reply> {
     match answer {
-        Ok(body) if body.len() <= BODY_MOST => {
-            Ended::Served(Reply { headers: HeaderMap::new(), body: Content::Whole(body) })
+        Ok(body) if body.len() <= MAX_BUFFERED_BODY_BYTES => {
+            AttemptResult::Served(Reply { headers: HeaderMap::new(), body: Content::Buffered(body) })
         }
-        Ok(_) => Ended::Without(Outcome::Error),
-        Err(error) => Ended::Without(match error.code {
+        Ok(_) => AttemptResult::NoResponse(Outcome::Error),
+        Err(error) => AttemptResult::NoResponse(match error.code {
             Code::TurnedAway => Outcome::Full,
             // No other server would accept it either.
             Code::BadRequest => Outcome::Rejected,
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -24,7 +24,7 @@
 };
 use glenwood_datagram::Secret;
 use glenwood_members as members;
-use glenwood_policy::{self as policy, Earlier, Millis, Outcome, RequestId, ServerId};
+use glenwood_policy::{self as policy, Millis, Outcome, PriorAttempt, RequestId, ServerId};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -33,7 +33,7 @@
 
 use crate::call::{Call, Reply};
 use crate::config::Config;
-use crate::hub::{Gate, Hub, Outside, Waiter};
+use crate::hub::{Gate, Hub, HubActions, Waiter};
 use crate::identity;
 use crate::members::{Membership, MembershipObserver};
 
@@ -126,7 +126,7 @@
     orphans: RefCell<HashMap<Work, u64>>,
     next_orphans: Cell<u64>,
     socket: OnceCell<UdpSocket>,
-    inner: OnceCell<Rc<dyn Outside>>,
+    inner: OnceCell<Rc<dyn HubActions>>,
     /// Reference to itself, for callbacks.
     weak_self: Weak<Self>,
     counts: RefCell<Counts>,
@@ -247,7 +247,7 @@
                 match incoming {
                     Some(incoming) => {
                         let earlier = adopted.then(|| self.earlier_attempts(&earlier));
-                        self.submit_to_core(ticket, Incoming { earlier, ..incoming });
+                        self.submit_to_core(ticket, Incoming { prior_attempts: earlier, ..incoming });
                     }
                     // The request was submitted before: the clients have been answered, or get the answer
                     // that comes now.
@@ -261,7 +261,7 @@
                         let name = about.class.clone();
                         let local = LocalWork { adopted: true, ..LocalWork::new(incoming.class, name, None) };
                         self.local_works.borrow_mut().insert(ticket, local);
-                        self.submit_to_core(ticket, Incoming { earlier: Some(earlier), ..incoming });
+                        self.submit_to_core(ticket, Incoming { prior_attempts: Some(earlier), ..incoming });
                     }
                     None => self.release_work(ticket),
                 }
@@ -276,12 +276,15 @@
             }
             Event::Denied(ticket) => {
                 if let Some(pending) = self.take_pending(ticket) {
-                    self.hub.attempt_ended(pending.attempt, glenwood_core::Ended::Without(Outcome::NotSent));
+                    self.hub.attempt_ended(
+                        pending.attempt,
+                        glenwood_core::AttemptResult::NoResponse(Outcome::NotSent),
+                    );
                 }
                 self.request_next_intent(ticket);
             }
             Event::Verdict(ticket, verdict, bytes) => self.on_verdict(ticket, verdict, bytes.as_ref()),
-            Event::Unkept(ticket) => self.answer(ticket, &|| Final::Overdue),
+            Event::Unkept(ticket) => self.answer(ticket, &|| Final::DeadlineNear),
             Event::Unknown(ticket) => self.on_no_majority(ticket),
             Event::Twin(ticket) | Event::Ambiguous(ticket) => {
                 self.count(|counts| counts.doubtful += 1);
@@ -293,16 +296,16 @@
                 let open =
                     self.local_works.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
                 if !open {
-                    self.answer(ticket, &|| Final::Overdue);
+                    self.answer(ticket, &|| Final::DeadlineNear);
                     self.drop_local(ticket);
                 }
             }
         }
     }
 
-    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
+    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<PriorAttempt> {
         let now = self.hub.clock.now();
-        let to_earlier = |(sent, ago): &(Sent, u64)| Earlier {
+        let to_earlier = |(sent, ago): &(Sent, u64)| PriorAttempt {
             server: ServerId(sent.server),
             zone: sent.zone,
             cell: sent.cell,
@@ -334,15 +337,15 @@
         let began = self.hub.clock.now();
         Some(Incoming {
             class: class.number,
-            tenant: call.of.1.as_ref().map(|tenant| tenant.number),
+            tenant: call.class_and_tenant.1.as_ref().map(|tenant| tenant.number),
             key: call.key.clone(),
             id: call.id.clone(),
             began,
             deadline: began + remaining_ms as Millis,
             repeat_key: Some(call.repeat_key(self.hub.config.seed)),
             work: call.work(),
-            coming: false,
-            earlier: None,
+            body_pending: false,
+            prior_attempts: None,
             payload: Rc::new(call),
         })
     }
@@ -353,8 +356,9 @@
         self.local_works.borrow_mut().get_mut(&ticket).into_iter().for_each(|local| local.submitted = true);
         self.calls.borrow_mut().insert(at, ticket);
         let Some(this) = self.weak_self.upgrade() else { return };
-        let submission =
-            self.hub.request(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
+        let submission = self
+            .hub
+            .submit_to_core(incoming, Box::new(move |answer| this.on_final_answer(ticket, at, answer)));
         match submission {
             Ok(request) => {
                 if let Some(local) = self.local_works.borrow_mut().get_mut(&ticket) {
@@ -366,10 +370,16 @@
             }
             Err(rejection) => {
                 self.calls.borrow_mut().remove(&at);
-                let stay_away = self.hub.stay_away(class);
-                let refused = matches!(rejection, glenwood_core::NotTaken::NoRoom { .. });
+                let retry_after = self.hub.retry_after(class);
+                let refused = matches!(rejection, glenwood_core::Rejection::TooManyOpen { .. });
                 self.release_work(ticket);
-                self.answer(ticket, &|| if refused { Final::Refused { stay_away } } else { Final::Rejected });
+                self.answer(ticket, &|| {
+                    if refused {
+                        Final::Refused { retry_after }
+                    } else {
+                        Final::Rejected
+                    }
+                });
             }
         }
     }
@@ -416,17 +426,17 @@
                 self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Rejected);
             }
             Final::Rejected => self.answer(ticket, &|| Final::Rejected),
-            Final::Refused { stay_away } => {
+            Final::Refused { retry_after } => {
                 self.release_work(ticket);
-                self.answer(ticket, &|| Final::Refused { stay_away });
+                self.answer(ticket, &|| Final::Refused { retry_after });
             }
             Final::Failed => {
                 self.release_work(ticket);
                 self.answer(ticket, &|| Final::Failed);
             }
-            Final::Overdue => {
+            Final::DeadlineNear => {
                 self.release_work(ticket);
-                self.answer(ticket, &|| Final::Overdue);
+                self.answer(ticket, &|| Final::DeadlineNear);
             }
         }
         if !guarded {
@@ -471,8 +481,8 @@
             }
             _ => {
                 self.count(|counts| counts.refused += 1);
-                let stay_away = self.hub.stay_away(class);
-                self.answer(ticket, &|| Final::Refused { stay_away });
+                let retry_after = self.hub.retry_after(class);
+                self.answer(ticket, &|| Final::Refused { retry_after });
                 self.drop_local(ticket);
             }
         }
@@ -515,7 +525,7 @@
         let settings = self.hub.settings();
         let effect = settings.policy.classes.get(incoming.class).map(|class| class.effect);
         let call = &incoming.payload;
-        let name = call.of.0.name.to_string();
+        let name = call.class_and_tenant.0.name.to_string();
         let kind = match effect {
             Some(policy::Effect::Unsafe) => {
                 Kind::Unsafe { nonce: form::nonce(call), marked: form::is_marked(call) }
@@ -545,7 +555,7 @@
                 return Err((incoming, waiter));
             }
             self.count(|counts| counts.refused += 1);
-            waiter(Final::Refused { stay_away: self.hub.stay_away(class) });
+            waiter(Final::Refused { retry_after: self.hub.retry_after(class) });
             return Ok(0);
         };
         let number = self.last_number.get() + 1;
@@ -591,7 +601,7 @@
 
     fn fail_all(&self) {
         let tickets: Vec<Ticket> = self.local_works.borrow().keys().copied().collect();
-        tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::Overdue));
+        tickets.into_iter().for_each(|ticket| self.answer(ticket, &|| Final::DeadlineNear));
     }
 }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_list::lines::{self, Lines, Message, Spoilt};
+use glenwood_list::lines::{self, Message, MessageReader, StreamError};
 use glenwood_policy::{ListFailure, Millis};
 use glenwood_trace::Doing;
 use http_body_util::{BodyExt, Empty};
@@ -19,7 +19,7 @@
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
 use crate::list::{self, Update};
-use crate::sock::{Io, Sock};
+use crate::sock::{Io, TrackedSocket};
 
 /// Timeout for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -49,9 +49,9 @@
     Unreadable(String),
 }
 
-impl From<Spoilt> for Ended {
-    fn from(spoilt: Spoilt) -> Self {
-        Self::Unreadable(spoilt.to_string())
+impl From<StreamError> for Ended {
+    fn from(error: StreamError) -> Self {
+        Self::Unreadable(error.to_string())
     }
 }
 
@@ -99,7 +99,7 @@
     hub.trace(|_| Doing::Asking { from: Some(version) });
     let mut body = call(service, &format!("/v1/endpoints?watch=1&from={version}")).await?;
     hub.discovery_answering();
-    let mut lines = Lines::default();
+    let mut lines = MessageReader::default();
     let (mut due, mut answered) = (body.due, false);
     loop {
         // Only complete messages count as a sign of life: a trickle of bytes that never makes a message is
@@ -109,7 +109,7 @@
         let frame = frame.map_err(|_| silent())?.transpose();
         // Between two messages a watch may end at any time. Within a message it was cut off, and a change
         // may be lost.
-        let between_messages = answered && !lines.amid();
+        let between_messages = answered && !lines.has_partial_message();
         if answered && !matches!(frame, Ok(Some(_))) {
             hub.trace(|_| watch_ended_event(&body, &lines));
         }
@@ -135,9 +135,9 @@
     }
 }
 
-fn watch_ended_event(call: &Call, lines: &Lines) -> Doing {
+fn watch_ended_event(call: &Call, lines: &MessageReader) -> Doing {
     let last = call.sock.last_heard().iter().map(|byte| format!("{byte:02x}")).collect();
-    Doing::WatchEnded { amid: lines.amid(), last }
+    Doing::WatchEnded { amid: lines.has_partial_message(), last }
 }
 
 /// Requests the complete list once.
@@ -153,8 +153,8 @@
             break;
         };
         if let Ok(data) = frame.map_err(|e| Ended::Cut(with_causes(&e)))?.into_data() {
-            if text.len() + data.len() > lines::MOST {
-                return Err(Spoilt::TooLong.into());
+            if text.len() + data.len() > lines::MAX_MESSAGE_BYTES {
+                return Err(StreamError::TooLong.into());
             }
             text.extend_from_slice(&data);
         }
@@ -166,7 +166,7 @@
 }
 
 fn read(text: &[u8]) -> Result<Update, Ended> {
-    list::read(text).map_err(|reason| Ended::Unreadable(format!("unreadable: {reason}")))
+    list::parse_update(text).map_err(|reason| Ended::Unreadable(format!("unreadable: {reason}")))
 }
 
 /// The answer to a call; the connection is closed with it.
@@ -175,7 +175,7 @@
     /// When the complete list, or a watch's first message, is due.
     due: Instant,
     driver: tokio::task::JoinHandle<()>,
-    sock: Rc<Sock>,
+    sock: Rc<TrackedSocket>,
 }
 
 impl Drop for Call {
@@ -198,7 +198,7 @@
 async fn call(to: SocketAddr, path: &str) -> Result<Call, Ended> {
     let unanswered = |reason: &str| Ended::Unanswered(reason.to_string());
     let stream = timeout(CONNECT_TIMEOUT, connect(to)).await.map_err(|_| unanswered("no connection"))?;
-    let sock = stream.and_then(Sock::new).map_err(|e| unanswered(&e.to_string()))?;
+    let sock = stream.and_then(TrackedSocket::new).map_err(|e| unanswered(&e.to_string()))?;
     let (mut send, conn) = http1::handshake(Io(sock.clone())).await?;
     let driver = tokio::task::spawn_local(async move {
         // An error of the connection fails the call too, and is handled there.
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_core::{Final, Incoming as CoreRequest, NotTaken, Token, LONGEST_WAIT};
+use glenwood_core::{Final, Incoming as CoreRequest, Rejection, Token, MAX_CLIENT_WAIT};
 use glenwood_operation::budget::Share;
 use glenwood_operation::figures::{End, Ticket};
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::{Effect, Millis};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -27,11 +27,12 @@
 use super::table::{Client, Clients, Ending};
 use crate::blocks::{Blocks, BlocksBuilder, RemainingBody};
 use crate::call::{
-    Call, Content, Reply, Truncated, Via, BODY_MOST, KEY, MAX_BODY_BYTES, ORG, REMAINING, TXN,
+    Call, Content, Origin, Reply, Truncated, KEY, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ORG, REMAINING,
+    TXN,
 };
 use crate::headers::end_to_end;
 use crate::hub::{self, end_of, Hub};
-use crate::sock::{Io, Phase, Sock};
+use crate::sock::{Io, Phase, TrackedSocket};
 
 /// How long a connection is still read after its last answer. Closing it with unread bytes would send a
 /// reset, which can overtake the answer.
@@ -133,7 +134,11 @@
 }
 
 /// Answers one request.
-async fn respond(front: Rc<Front>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond(
+    front: Rc<Front>,
+    sock: Rc<TrackedSocket>,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
     let (hub, clients) = (&front.hub, &front.clients);
     let is_head = *request.method() == Method::HEAD;
     let length = declared_body_length(request.headers());
@@ -149,7 +154,7 @@
         let ticket = class.map(|class| hub.ticket(&class));
         let (mut answer, end) = match read {
             Ok((parsed, _)) if clients.must_refuse() => {
-                (refusal(hub.stay_away(parsed.call.of.0.number)), End::Deferred)
+                (refusal(hub.retry_after(parsed.call.class_and_tenant.0.number)), End::Deferred)
             }
             Ok((parsed, remaining)) => {
                 sock.detect_pipelined(length);
@@ -168,7 +173,7 @@
         match (ticket, &answer.body().content) {
             // A streamed answer ends the ticket with its last byte.
             (ticket, Content::Streamed(_)) => answer.body_mut().ticket = ticket,
-            (ticket, Content::Whole(_)) => ticket.into_iter().for_each(|ticket| ticket.end(end)),
+            (ticket, Content::Buffered(_)) => ticket.into_iter().for_each(|ticket| ticket.end(end)),
         }
         answer
     };
@@ -215,13 +220,13 @@
 /// Cancels the request if the client's connection ends before it is answered.
 struct PendingAnswer {
     hub: Rc<Hub>,
-    sock: Rc<Sock>,
-    asked: hub::Asked,
+    sock: Rc<TrackedSocket>,
+    asked: hub::RequestHandle,
     answered: bool,
 }
 
 impl PendingAnswer {
-    fn new(hub: &Rc<Hub>, sock: &Rc<Sock>, asked: hub::Asked) -> Self {
+    fn new(hub: &Rc<Hub>, sock: &Rc<TrackedSocket>, asked: hub::RequestHandle) -> Self {
         sock.set_answer_pending(true);
         Self { hub: hub.clone(), sock: sock.clone(), asked, answered: false }
     }
@@ -231,7 +236,7 @@
     fn drop(&mut self) {
         self.sock.set_answer_pending(false);
         if !self.answered {
-            self.hub.gone(self.asked);
+            self.hub.client_left(self.asked);
         }
     }
 }
@@ -239,34 +244,34 @@
 /// Hands the request to the core and waits for its final answer.
 async fn process(
     hub: &Rc<Hub>,
-    sock: &Rc<Sock>,
+    sock: &Rc<TrackedSocket>,
     parsed: ParsedRequest,
     arrived: Instant,
     remaining: Duration,
 ) -> (Response<AnswerBody>, End) {
     let began = hub.clock.at(arrived);
     let incoming = CoreRequest {
-        class: parsed.call.of.0.number,
-        tenant: parsed.call.of.1.as_ref().map(|tenant| tenant.number),
+        class: parsed.call.class_and_tenant.0.number,
+        tenant: parsed.call.class_and_tenant.1.as_ref().map(|tenant| tenant.number),
         key: parsed.call.key.clone(),
         id: parsed.call.id.clone(),
         began,
         deadline: began + remaining.as_secs_f64() * 1000.0,
         repeat_key: Some(parsed.call.repeat_key(hub.config.seed)),
         work: parsed.call.work(),
-        coming: parsed.call.rest.is_some(),
-        earlier: None,
+        body_pending: parsed.call.rest.is_some(),
+        prior_attempts: None,
         payload: Rc::new(parsed.call),
     };
     let (answer, answered) = oneshot::channel();
     // A client that has just disconnected needs no answer.
     let waiter = move |final_answer| drop(answer.send(final_answer));
-    let asked = match hub.ask(incoming, waiter) {
+    let asked = match hub.submit(incoming, waiter) {
         Ok(asked) => asked,
-        Err(NotTaken::NoRoom { stay_away }) => return (refusal(stay_away), End::Deferred),
-        Err(NotTaken::IdOpen) => return (plain(StatusCode::CONFLICT), End::Errored),
-        Err(NotTaken::NoSuchClass) => return (plain(StatusCode::NOT_FOUND), End::Errored),
-        Err(NotTaken::KeyMissing) => return (plain(StatusCode::BAD_REQUEST), End::Errored),
+        Err(Rejection::TooManyOpen { retry_after }) => return (refusal(retry_after), End::Deferred),
+        Err(Rejection::DuplicateId) => return (plain(StatusCode::CONFLICT), End::Errored),
+        Err(Rejection::UnknownClass) => return (plain(StatusCode::NOT_FOUND), End::Errored),
+        Err(Rejection::KeyMissing) => return (plain(StatusCode::BAD_REQUEST), End::Errored),
     };
     let mut pending = PendingAnswer::new(hub, sock, asked);
     let Ok(answer) = answered.await else { return (plain(StatusCode::GATEWAY_TIMEOUT), End::Errored) };
@@ -274,9 +279,9 @@
     let end = end_of(&answer);
     let answer = match answer {
         Final::Served(reply) => served(reply),
-        Final::Refused { stay_away } => refusal(stay_away),
+        Final::Refused { retry_after } => refusal(retry_after),
         Final::Failed => plain(StatusCode::BAD_GATEWAY),
-        Final::Overdue => plain(StatusCode::GATEWAY_TIMEOUT),
+        Final::DeadlineNear => plain(StatusCode::GATEWAY_TIMEOUT),
         Final::Rejected => plain(StatusCode::BAD_REQUEST),
     };
     (answer, end)
@@ -289,10 +294,10 @@
 }
 
 /// A refusal, with the core's `Retry-After` in decimal seconds if there is one.
-fn refusal(stay_away: Millis) -> Response<AnswerBody> {
+fn refusal(retry_after: Millis) -> Response<AnswerBody> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > 0.0 {
-        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
+    if retry_after > 0.0 {
+        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after / 1000.0)) {
             answer.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
@@ -342,7 +347,7 @@
 
 /// Returns whether the end of the request is unambiguous. A request with both a length and a transfer coding
 /// can smuggle a second request: what is body by one of them is the next request by the other.
-fn has_unambiguous_framing(sock: &Sock, headers: &HeaderMap) -> bool {
+fn has_unambiguous_framing(sock: &TrackedSocket, headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let chunked = |v: &HeaderValue| v.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (codings.next(), codings.next()) {
@@ -355,15 +360,15 @@
 }
 
 /// The class that a request's path names, if it exists.
-fn class_of(hub: &Hub, uri: &Uri) -> Option<Place> {
+fn class_of(hub: &Hub, uri: &Uri) -> Option<Slot> {
     let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     hub.class(name)
 }
 
 async fn read(
     hub: &Hub,
-    sock: &Sock,
-    class: Option<Place>,
+    sock: &TrackedSocket,
+    class: Option<Slot>,
     request: Request<Incoming>,
 ) -> Result<(ParsedRequest, Duration), RequestError> {
     // The settings in force when the head arrived apply to all of it.
@@ -403,15 +408,15 @@
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
     }
     let call = Call {
-        of: (class, tenant),
+        class_and_tenant: (class, tenant),
         id,
         key,
         method: parts.method,
         target: uri,
-        via: Via::Http(headers),
+        origin: Origin::Http(headers),
         body,
         rest,
-        held: budget_share,
+        body_budget_share: budget_share,
     };
     Ok((ParsedRequest { call }, remaining))
 }
@@ -423,12 +428,12 @@
     budget_share: Share,
 }
 
-/// Reads a body in full if it fits. The part beyond [`BODY_MOST`] needs room in the budget that all bodies
-/// share; when there is none, the rest is left to be streamed.
+/// Reads a body in full if it fits. The part beyond [`MAX_BUFFERED_BODY_BYTES`] needs room in the budget that
+/// all bodies share; when there is none, the rest is left to be streamed.
 async fn read_body(hub: &Hub, mut body: Incoming, declared: usize) -> Result<CollectedBody, RequestError> {
     let closing_error = |status| RequestError { status, must_close: true };
     let (mut read, mut budget_share) = (BlocksBuilder::default(), hub.bodies.share());
-    let mut fits = budget_share.grow(declared.saturating_sub(BODY_MOST));
+    let mut fits = budget_share.grow(declared.saturating_sub(MAX_BUFFERED_BODY_BYTES));
     while fits {
         let Some(frame) = body.frame().await else {
             return Ok(CollectedBody { body: read.finish(), rest: None, budget_share });
@@ -439,7 +444,7 @@
             return Err(closing_error(StatusCode::PAYLOAD_TOO_LARGE));
         }
         read.push(&data);
-        let missing = read.len().saturating_sub(BODY_MOST).saturating_sub(budget_share.size());
+        let missing = read.len().saturating_sub(MAX_BUFFERED_BODY_BYTES).saturating_sub(budget_share.size());
         fits = budget_share.grow(missing);
     }
     Ok(CollectedBody { body: read.finish(), rest: Some(body), budget_share })
@@ -460,14 +465,14 @@
     }
     let keyed = matches!(effect, Effect::Keyed { .. });
     let key = if keyed { Some(token(single_header(headers, &KEY)?)?) } else { None };
-    Ok((id, key, Duration::from_millis(remaining.min(LONGEST_WAIT as u64))))
+    Ok((id, key, Duration::from_millis(remaining.min(MAX_CLIENT_WAIT as u64))))
 }
 
 #[cfg(test)]
 mod tests {
     use std::cell::{Cell, OnceCell};
 
-    use glenwood_core::{AttemptId, Ended};
+    use glenwood_core::{AttemptId, AttemptResult};
     use glenwood_policy::ServerId;
     use serde_json::json;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -476,7 +481,7 @@
 
     use super::*;
     use crate::config;
-    use crate::hub::Outside;
+    use crate::hub::HubActions;
 
     /// A backend that answers every attempt at once.
     #[derive(Default)]
@@ -485,12 +490,12 @@
         starts: Cell<usize>,
     }
 
-    impl Outside for Server {
+    impl HubActions for Server {
         fn start(&self, attempt: AttemptId, _: ServerId, _: Instant, _: Rc<Call>) {
             self.starts.set(self.starts.get() + 1);
             let reply =
-                Reply { headers: HeaderMap::new(), body: Content::Whole(Bytes::from_static(b"served")) };
-            self.hub.get().expect("set").attempt_ended(attempt, Ended::Served(reply));
+                Reply { headers: HeaderMap::new(), body: Content::Buffered(Bytes::from_static(b"served")) };
+            self.hub.get().expect("set").attempt_ended(attempt, AttemptResult::Served(reply));
         }
         fn abandon(&self, _: AttemptId) {}
         fn unsent(&self, _: AttemptId) -> bool {
--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_core::{Final, Incoming, NotTaken, Token, LONGEST_WAIT};
+use glenwood_core::{Final, Incoming, Rejection, Token, MAX_CLIENT_WAIT};
 use glenwood_msgpack_rpc::message::{Answer, Call as RpcCall, Code, ErrorReply};
 use glenwood_msgpack_rpc::server::{self, Connection, Event, Limits};
 use glenwood_operation::figures::End;
-use glenwood_operation::places::Place;
+use glenwood_operation::places::Slot;
 use glenwood_policy::{Effect, Millis};
 use hyper::{Method, Uri};
 use tokio::sync::Notify;
@@ -19,17 +19,17 @@
 
 use super::http1::LINGER_TIMEOUT;
 use super::table::{Client, Clients, Ending, ANSWER_STALL_TIMEOUT};
-use crate::call::{Call, Content, Reply, Via, BODY_MOST};
+use crate::call::{Call, Content, Origin, Reply, MAX_BUFFERED_BODY_BYTES};
 use crate::hub::{self, end_of, Hub};
 use crate::log;
-use crate::sock::{Phase, Sock, REQUEST_TIMEOUT};
+use crate::sock::{Phase, TrackedSocket, REQUEST_TIMEOUT};
 
 /// The largest single read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// How many messages of one connection are handled before other tasks run.
 const MAX_MESSAGES_PER_POLL: usize = 16;
 /// The memory reserved for an open call's answer: the longest body and its framing.
-const MAX_ANSWER_BYTES: usize = BODY_MOST + 256;
+const MAX_ANSWER_BYTES: usize = MAX_BUFFERED_BODY_BYTES + 256;
 /// Open calls and their answers may take one part in so many of the node's memory.
 const MEMORY_DIVISOR: usize = 4;
 /// The longest path and query.
@@ -57,7 +57,7 @@
 struct Conn {
     protocol: RefCell<Connection>,
     /// The open calls by the client's message id; `None` while a call is being handed to the hub.
-    open: RefCell<HashMap<u32, Option<hub::Asked>>>,
+    open: RefCell<HashMap<u32, Option<hub::RequestHandle>>>,
     /// This connection's part of the reserved bytes.
     reserved: Cell<usize>,
     changed: Notify,
@@ -73,7 +73,7 @@
     fn drop(&mut self) {
         let open = std::mem::take(&mut *self.conn.open.borrow_mut());
         for request in open.into_values().flatten() {
-            self.front.hub.gone(request);
+            self.front.hub.client_left(request);
         }
         self.front.set_reserved(&self.conn, 0);
     }
@@ -122,14 +122,14 @@
                     protocol.finish();
                 }
                 let has_output = !protocol.output().is_empty();
-                let idle = protocol.open() == 0 && !has_output && !protocol.amid();
+                let idle = protocol.open() == 0 && !has_output && !protocol.has_partial_message();
                 let has_open_calls = protocol.open() > 0;
                 (
                     protocol.wants_bytes(),
                     has_output,
                     idle,
                     protocol.is_over(),
-                    protocol.amid(),
+                    protocol.has_partial_message(),
                     has_open_calls,
                 )
             };
@@ -181,7 +181,7 @@
     }
 
     /// Reads available bytes; false if the client has disconnected.
-    fn read(&self, sock: &Sock, conn: &Conn) -> bool {
+    fn read(&self, sock: &TrackedSocket, conn: &Conn) -> bool {
         let mut chunk = self.chunk.borrow_mut();
         match sock.try_read(&mut chunk) {
             Ok(0) => false,
@@ -204,7 +204,7 @@
                     let class = self.class(&class);
                     let ticket = class.as_ref().map(|class| self.hub.ticket(class));
                     let class = class.map_or(0, |class| class.number);
-                    let refusal = server::surplus(retry_after(self.hub.stay_away(class)));
+                    let refusal = server::surplus(retry_after_ms(self.hub.retry_after(class)));
                     conn.protocol.borrow_mut().answer(id, &Err(refusal));
                     ticket.into_iter().for_each(|ticket| ticket.end(End::Deferred));
                 }
@@ -229,7 +229,7 @@
         }
     }
 
-    fn class(&self, name: &str) -> Option<Place> {
+    fn class(&self, name: &str) -> Option<Slot> {
         self.hub.class(name)
     }
 
@@ -245,7 +245,7 @@
         let answer = match self.validate(request, began) {
             Err(invalid) => Err(invalid),
             Ok(incoming) if self.clients.must_refuse() || !self.has_memory(incoming.payload.body.len()) => {
-                Err(refused_reply("no room", self.hub.stay_away(incoming.class)))
+                Err(refused_reply("no room", self.hub.retry_after(incoming.class)))
             }
             Ok(incoming) => {
                 conn.open.borrow_mut().insert(id, None);
@@ -253,7 +253,7 @@
                 // If the hub does not take the call, the ticket is recovered from this cell.
                 let ticket_cell = Rc::new(Cell::new(ticket.take()));
                 let shared_ticket = ticket_cell.clone();
-                let taken = self.hub.ask(incoming, move |final_answer| {
+                let taken = self.hub.submit(incoming, move |final_answer| {
                     shared_ticket.take().into_iter().for_each(|ticket| ticket.end(end_of(&final_answer)));
                     answering_conn.open.borrow_mut().remove(&id);
                     answering_conn.protocol.borrow_mut().answer(id, &answer_of(final_answer));
@@ -271,7 +271,7 @@
                     Err(reason) => {
                         conn.open.borrow_mut().remove(&id);
                         ticket = ticket_cell.take();
-                        Err(not_taken_reply(reason))
+                        Err(rejection_reply(reason))
                     }
                 }
             }
@@ -288,7 +288,7 @@
         let Some(class) = self.class(&request.class) else {
             return Err(ErrorReply::new(Code::UnknownClass, "method: no such class"));
         };
-        if request.body.len() > BODY_MOST {
+        if request.body.len() > MAX_BUFFERED_BODY_BYTES {
             return Err(ErrorReply::new(Code::TooLarge, "body: longer than 65536 bytes"));
         }
         if request.path.len() > MAX_PATH_BYTES {
@@ -327,20 +327,20 @@
             .map_err(|_| invalid("path: not a path and query"))?;
         let tenant = org.as_deref().and_then(|org| self.hub.tenant(org));
         let began = self.hub.clock.at(began);
-        let deadline = began + remaining.min(LONGEST_WAIT as u64) as f64;
+        let deadline = began + remaining.min(MAX_CLIENT_WAIT as u64) as f64;
         // A small body is copied so that it does not keep the buffer of the complete message alive.
         let body =
             if request.body.len() < 1024 { Bytes::copy_from_slice(&request.body) } else { request.body };
         let call = Call {
-            of: (class.clone(), tenant.clone()),
+            class_and_tenant: (class.clone(), tenant.clone()),
             id: id.clone(),
             key: key.clone(),
             method,
             target,
-            via: Via::Rpc { org, user },
+            origin: Origin::Rpc { org, user },
             body: body.into(),
             rest: None,
-            held: self.hub.bodies.share(),
+            body_budget_share: self.hub.bodies.share(),
         };
         let repeat_key = Some(call.repeat_key(self.hub.config.seed));
         Ok(Incoming {
@@ -352,8 +352,8 @@
             deadline,
             repeat_key,
             work: call.work(),
-            coming: false,
-            earlier: None,
+            body_pending: false,
+            prior_attempts: None,
             payload: Rc::new(call),
         })
     }
@@ -377,7 +377,7 @@
 }
 
 /// Writes as much as the kernel accepts; returns whether anything was written.
-fn write(sock: &Sock, conn: &Conn) -> std::io::Result<bool> {
+fn write(sock: &TrackedSocket, conn: &Conn) -> std::io::Result<bool> {
     let mut protocol = conn.protocol.borrow_mut();
     let mut any = false;
     while !protocol.output().is_empty() {
@@ -395,36 +395,36 @@
 }
 
 /// The core's retry delay, rounded up to milliseconds, if there is one.
-fn retry_after(stay_away: Millis) -> Option<u64> {
-    (stay_away > 0.0).then_some(stay_away.ceil() as u64)
+fn retry_after_ms(retry_after: Millis) -> Option<u64> {
+    (retry_after > 0.0).then_some(retry_after.ceil() as u64)
 }
 
-fn refused_reply(message: &str, stay_away: Millis) -> ErrorReply {
+fn refused_reply(message: &str, retry_after: Millis) -> ErrorReply {
     let message = message.to_string();
-    ErrorReply { code: Code::Refused, message, retry_after_ms: retry_after(stay_away) }
+    ErrorReply { code: Code::Refused, message, retry_after_ms: retry_after_ms(retry_after) }
 }
 
 fn answer_of(final_answer: Final<Reply>) -> Answer {
     match final_answer {
         Final::Served(reply) => match reply.body {
-            Content::Whole(body) => Ok(body),
+            Content::Buffered(body) => Ok(body),
             // An answer must be one message, and one this long would delay all others on the connection.
             Content::Streamed(_) => {
                 Err(ErrorReply::new(Code::TooLarge, "the answer is longer than 65536 bytes"))
             }
         },
-        Final::Refused { stay_away } => Err(refused_reply("refused", stay_away)),
+        Final::Refused { retry_after } => Err(refused_reply("refused", retry_after)),
         Final::Failed => Err(ErrorReply::new(Code::Failed, "failed; it may have run")),
-        Final::Overdue => Err(ErrorReply::new(Code::Failed, "no answer in time; it may have run")),
+        Final::DeadlineNear => Err(ErrorReply::new(Code::Failed, "no answer in time; it may have run")),
         Final::Rejected => Err(ErrorReply::new(Code::BadRequest, "turned down by the server")),
     }
 }
 
-fn not_taken_reply(reason: NotTaken) -> ErrorReply {
+fn rejection_reply(reason: Rejection) -> ErrorReply {
     match reason {
-        NotTaken::IdOpen => ErrorReply::new(Code::BadRequest, "txn: a request with this id is open"),
-        NotTaken::NoRoom { stay_away } => refused_reply("too many open requests", stay_away),
-        NotTaken::NoSuchClass => ErrorReply::new(Code::UnknownClass, "method: no such class"),
-        NotTaken::KeyMissing => ErrorReply::new(Code::BadRequest, "key: missing"),
+        Rejection::DuplicateId => ErrorReply::new(Code::BadRequest, "txn: a request with this id is open"),
+        Rejection::TooManyOpen { retry_after } => refused_reply("too many open requests", retry_after),
+        Rejection::UnknownClass => ErrorReply::new(Code::UnknownClass, "method: no such class"),
+        Rejection::KeyMissing => ErrorReply::new(Code::BadRequest, "key: missing"),
     }
 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -1,5 +1,5 @@
 //! The hub owns the core. It passes the core's outputs to fronts, backends and discovery, and their reports
-//! back to the core. It calls none of them directly; see [`Outside`].
+//! back to the core. It calls none of them directly; see [`HubActions`].
 
 mod answers;
 mod servers;
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, NotTaken, Output};
-use glenwood_list::{Merge, Source, Succession};
+use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Rejection};
+use glenwood_list::{MergedList, Source, VersionCheck};
 use glenwood_operation::budget::Budget;
 use glenwood_operation::figures::{End, Shared, Ticket};
-use glenwood_operation::places::{Place as Slot, Places};
+use glenwood_operation::places::{Slot, Slots};
 use glenwood_policy::{Discovery, Millis, Outcome, RequestId, ServerId, SettingsError};
 use glenwood_settings::NodeSettings;
 use glenwood_trace::{Answer, Doing, Record};
@@ -34,7 +34,7 @@
 use crate::usage::Shares;
 
 /// The actions that the hub has others carry out. None of these calls may block.
-pub trait Outside {
+pub trait HubActions {
     /// Starts an attempt; [`Hub::attempt_ended`] must be called when it ends.
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>);
     /// Abandons an attempt, and reports its end before returning.
@@ -56,7 +56,7 @@
 
 /// Identifies a request that a front has submitted, so that it can report that the client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum RequestHandle {
     /// The request is in the core.
     Core(RequestId),
     /// The request is with the gate, under this number.
@@ -106,7 +106,7 @@
     match answer {
         Final::Served(_) => Answer::Served,
         Final::Refused { .. } => Answer::Refused,
-        Final::Failed | Final::Overdue | Final::Rejected => Answer::Failed,
+        Final::Failed | Final::DeadlineNear | Final::Rejected => Answer::Failed,
     }
 }
 
@@ -136,15 +136,15 @@
     /// The settings in force, with classes and tenants by their slots. The tenants' names are left out, as
     /// `tenants` has them.
     settings: RefCell<Rc<NodeSettings>>,
-    classes: RefCell<Places>,
-    tenants: RefCell<Places>,
+    classes: RefCell<Slots>,
+    tenants: RefCell<Slots>,
     core: RefCell<Core<Rc<Call>, Reply>>,
     waiters: RefCell<HashMap<RequestId, Waiter>>,
     servers: RefCell<Servers>,
     /// Merges the lists of discovery and registrations, where there are both.
-    merge: Option<RefCell<Merge>>,
+    merge: Option<RefCell<MergedList>>,
     /// Checks which list of discovery may follow on which.
-    succession: RefCell<Succession>,
+    succession: RefCell<VersionCheck>,
     /// The version of the list; `None` requests the complete list.
     version: Cell<Option<u64>>,
     /// A source of the list has answered.
@@ -158,7 +158,7 @@
     counts: Cell<Counts>,
     /// Limits the log lines about answers out of turn.
     answer_log_budget: LineBudget,
-    outside: OnceCell<Rc<dyn Outside>>,
+    outside: OnceCell<Rc<dyn HubActions>>,
     gate: OnceCell<Rc<dyn Gate>>,
     /// Applies changes on top of the settings of a file.
     overlay: OnceCell<Rc<dyn Overlay>>,
@@ -185,11 +185,11 @@
             settings.policy.discovery = Discovery::Pushed;
         }
         let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
-        core.bound_rotation(config.max_rotation());
-        let (mut classes, mut tenants) = (Places::default(), Places::default());
+        core.limit_rotation(config.max_rotation());
+        let (mut classes, mut tenants) = (Slots::default(), Slots::default());
         // All are new and take the slots in their order.
-        classes.follow(&settings.classes);
-        tenants.follow(&tenant_names);
+        classes.replace_names(&settings.classes);
+        tenants.replace_names(&tenant_names);
         shares.iter().for_each(|shares| shares.follow(&tenant_names, &settings));
         let hub = Rc::new(Self {
             clock: Clock::default(),
@@ -226,17 +226,17 @@
             config,
         });
         let names = hub.settings().classes.clone();
-        hub.figures.with(|figures| figures.have_classes(names.iter().map(String::as_str)));
+        hub.figures.with(|figures| figures.set_classes(names.iter().map(String::as_str)));
         Ok(hub)
     }
 
     /// Sets who carries out the core's actions, and takes the saved list. To be called once, before
     /// anything else.
-    pub fn start(&self, outside: Rc<dyn Outside>, known: Option<Update>) {
+    pub fn start(&self, outside: Rc<dyn HubActions>, known: Option<Update>) {
         let _ = self.outside.set(outside);
         let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
         // No server is known yet and no list was taken before, so this one is accepted.
-        let _ = self.succession.borrow_mut().take(&saved, 0);
+        let _ = self.succession.borrow_mut().accept(&saved, 0);
         self.take_list(Source::Discovery, saved, true);
     }
 
@@ -281,13 +281,13 @@
     fn report_finished_attempts(&self) {
         loop {
             let Some(attempt) = self.finished_attempts.borrow_mut().pop() else { return };
-            self.core.borrow_mut().attempt_left(self.clock.now(), attempt);
+            self.core.borrow_mut().attempt_finished_at_server(self.clock.now(), attempt);
         }
     }
 
     /// The rest of an answer has come, or nobody wants it any more. This may be called while the core is
     /// borrowed, as it drops an answer that came too late.
-    pub fn flowed(&self, attempt: AttemptId) {
+    pub fn answer_finished(&self, attempt: AttemptId) {
         self.finished_attempts.borrow_mut().push(attempt);
         if self.core.try_borrow_mut().is_ok() {
             self.report_finished_attempts();
@@ -349,7 +349,7 @@
         let mut counts = self.counts.get();
         match answer {
             Final::Served(_) | Final::Rejected => counts.answered += 1,
-            Final::Failed | Final::Overdue => {
+            Final::Failed | Final::DeadlineNear => {
                 counts.answered += 1;
                 counts.failed += 1;
             }
@@ -385,7 +385,7 @@
         if !self.config.operator.trace.is_on() {
             return;
         }
-        let Some((server, sent)) = self.core.borrow().attempt(attempt) else { return };
+        let Some((server, sent)) = self.core.borrow().pending_attempt(attempt) else { return };
         self.trace(|name| Doing::End {
             request: attempt.request.0,
             attempt: attempt.number,
@@ -412,7 +412,7 @@
         let (ready, listed) = (self.ready() && self.listening.get(), self.listed_servers() as u64);
         let (avoided, send_counts) = {
             let core = self.core.borrow();
-            (core.avoided() as u64, core.doubtful_sends())
+            (core.ejected_count() as u64, core.doubtful_sends())
         };
         self.figures.with(|f| {
             (f.ready, f.listed, f.avoided) = (ready, listed, avoided);
@@ -455,29 +455,31 @@
 
     // ---- Fronts ----
 
-    /// Takes a request; `waiter` gets its one final answer, unless [`Hub::gone`] is called first.
+    /// Takes a request; `waiter` gets its one final answer, unless [`Hub::client_left`] is called first.
     ///
     /// # Errors
     /// The reason why it was not taken; `waiter` is not called then.
-    pub fn ask(
+    pub fn submit(
         &self,
         incoming: Incoming<Rc<Call>>,
         waiter: impl FnOnce(Final<Reply>) + 'static,
-    ) -> Result<Asked, NotTaken> {
+    ) -> Result<RequestHandle, Rejection> {
         let Some(gate) = self.gate.get() else {
-            return self.request(incoming, Box::new(waiter)).map(Asked::Core);
+            return self.submit_to_core(incoming, Box::new(waiter)).map(RequestHandle::Core);
         };
         match gate.take(incoming, Box::new(waiter)) {
-            Ok(number) => Ok(Asked::Gate(number)),
-            Err((incoming, waiter)) => self.request(incoming, waiter).map(Asked::Core),
+            Ok(number) => Ok(RequestHandle::Gate(number)),
+            Err((incoming, waiter)) => self.submit_to_core(incoming, waiter).map(RequestHandle::Core),
         }
     }
 
     /// The client left: its request needs no answer any more.
-    pub fn gone(&self, asked: Asked) {
-        match asked {
-            Asked::Core(id) => self.client_gone(id),
-            Asked::Gate(number) => self.gate.get().into_iter().for_each(|gate| gate.on_client_gone(number)),
+    pub fn client_left(&self, request: RequestHandle) {
+        match request {
+            RequestHandle::Core(id) => self.client_gone(id),
+            RequestHandle::Gate(number) => {
+                self.gate.get().into_iter().for_each(|gate| gate.on_client_gone(number))
+            }
         }
     }
 
@@ -486,11 +488,15 @@
     ///
     /// # Errors
     /// The reason why it was not taken; `waiter` is not called then.
-    pub fn request(&self, incoming: Incoming<Rc<Call>>, waiter: Waiter) -> Result<RequestId, NotTaken> {
+    pub fn submit_to_core(
+        &self,
+        incoming: Incoming<Rc<Call>>,
+        waiter: Waiter,
+    ) -> Result<RequestId, Rejection> {
         let (class, tenant) = (incoming.class, incoming.tenant);
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
         let allowed_by_share = || self.shares.as_ref()?.count_request(tenant?);
-        let id = self.core.borrow_mut().take_within(self.clock.now(), incoming, allowed_by_share)?;
+        let id = self.core.borrow_mut().accept_with_usage(self.clock.now(), incoming, allowed_by_share)?;
         self.trace(|_| Doing::Ask { request: id.0, class });
         if let Some(call) = payload {
             self.trace(|_| Doing::Id { request: id.0, id: call.id.as_str().to_string() });
@@ -503,39 +509,39 @@
     /// The client left: its request needs no answer any more.
     pub fn client_gone(&self, id: RequestId) {
         self.waiters.borrow_mut().remove(&id);
-        self.update_core(|core, now| core.client_gone(now, id));
+        self.update_core(|core, now| core.client_disconnected(now, id));
     }
 
     /// The number of requests that await their final answer.
     pub fn awaiting(&self) -> usize {
-        self.core.borrow().awaiting() + self.gate.get().map_or(0, |gate| gate.awaiting())
+        self.core.borrow().awaiting_count() + self.gate.get().map_or(0, |gate| gate.awaiting())
     }
 
     /// Fails all open requests: the node ends, and an answer is better than a connection reset.
     pub fn fail_all(&self) {
         self.failing.set(true);
-        self.update_core(|core, now| core.fail_all(now));
+        self.update_core(|core, now| core.fail_open_requests(now));
         self.gate.get().into_iter().for_each(|gate| gate.fail_all());
     }
 
     /// The time that the client of a refused request of this class should stay away, for a request that the
     /// core does not get to see.
-    pub fn stay_away(&self, class: usize) -> Millis {
-        self.core.borrow().stay_away(class)
+    pub fn retry_after(&self, class: usize) -> Millis {
+        self.core.borrow().retry_after(class)
     }
 
     // ---- Backends ----
 
     /// An attempt has ended.
-    pub fn attempt_ended(&self, attempt: AttemptId, ended: Ended<Reply>) {
+    pub fn attempt_ended(&self, attempt: AttemptId, ended: AttemptResult<Reply>) {
         let outcome = match &ended {
-            Ended::Served(_) | Ended::Flows(_) => Outcome::Done,
-            Ended::Without(outcome) | Ended::RunsOn(outcome) => *outcome,
+            AttemptResult::Served(_) | AttemptResult::Streaming(_) => Outcome::Done,
+            AttemptResult::NoResponse(outcome) | AttemptResult::RunsOn(outcome) => *outcome,
         };
         self.trace_end(attempt, outcome);
         self.gate.get().into_iter().for_each(|gate| gate.on_attempt_ended(attempt, outcome));
         if self.merge.is_some() {
-            let server = self.core.borrow().attempt(attempt).map(|(server, _)| server);
+            let server = self.core.borrow().pending_attempt(attempt).map(|(server, _)| server);
             let now = self.clock.now();
             server
                 .into_iter()
@@ -546,7 +552,7 @@
 
     /// The body of a request is being read from its client, and can't be sent again.
     pub fn body_taken(&self, request: RequestId) {
-        self.update_core(|core, now| core.body_taken(now, request));
+        self.update_core(|core, now| core.body_consumed(now, request));
     }
 
     /// The last byte of a request with a streamed body was sent.
@@ -556,7 +562,7 @@
 
     /// A server has finished an attempt that had run on after its end here.
     pub fn attempt_left(&self, attempt: AttemptId) {
-        self.update_core(|core, now| core.attempt_left(now, attempt));
+        self.update_core(|core, now| core.attempt_finished_at_server(now, attempt));
     }
 
     /// A probe has ended.
@@ -588,8 +594,8 @@
 
     /// May a request be sent to this incarnation of a server now? It may have begun to drain while the
     /// request waited for a connection.
-    pub fn accepts(&self, server: ServerId, place: Place) -> bool {
-        self.place(server) == Some(place) && self.core.borrow().accepts(server)
+    pub fn may_send_to(&self, server: ServerId, place: Place) -> bool {
+        self.place(server) == Some(place) && self.core.borrow().accepts_new_attempts(server)
     }
 
     /// May an attempt that was started still be written? A keyed request may be repeated only for as long
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -3,11 +3,11 @@
 use std::cell::Cell;
 
 use glenwood_list::Source;
-use glenwood_policy::{ListFailure, Millis, Trust};
+use glenwood_policy::{ListFailure, Millis, RotationStatus};
 use glenwood_trace::Doing;
 
 use super::Hub;
-use crate::list::{Health, Heard, Host, Update};
+use crate::list::{Health, Host, Update, UpdateTimes};
 use crate::log;
 
 /// When each source of the list was last seen, in the core's time.
@@ -38,7 +38,7 @@
     /// the complete list is requested at once. The old call is ended first, so that none of its late lines
     /// is read.
     pub fn discovery_moved(&self) {
-        self.succession.borrow_mut().restart();
+        self.succession.borrow_mut().reset();
         self.version.set(None);
         if let Some(outside) = self.outside.get() {
             outside.unsubscribe();
@@ -79,7 +79,7 @@
     /// The answer to a call to discovery has begun.
     pub fn discovery_answering(&self) {
         self.trace(|_| Doing::Answering);
-        self.update_core(|core, now| core.list_answering(now));
+        self.update_core(|core, now| core.list_answer_started(now));
     }
 
     /// A watch reported that it is alive, without a change. The first such message also answers the call:
@@ -89,24 +89,25 @@
         self.list_last_seen.of(Source::Discovery).set(Some(self.clock.now()));
         let list_received = self.list_received.replace(true);
         if first || !list_received {
-            let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
+            let rotation_status = self.list_lost_since.get().map(|_| self.core.borrow().rotation_status());
             self.update_core(|core, now| core.list_changed(now, Vec::new()));
-            self.log_list_followed_again(trust);
+            self.log_list_followed_again(rotation_status);
             self.update_figures();
         }
     }
 
-    /// Logs for how long the list was not followed, if it has just come back; `trust` is the state before.
-    fn log_list_followed_again(&self, trust: Option<Trust>) {
-        let Some(Trust { rotated, proved, seen, refuse }) = trust else { return };
+    /// Logs for how long the list was not followed, if it has just come back; `rotation_status` is the state
+    /// before.
+    fn log_list_followed_again(&self, rotation_status: Option<RotationStatus>) {
+        let Some(RotationStatus { in_rotation, proved, seen, refusing }) = rotation_status else { return };
         if self.core.borrow().has_lost_list() {
             return;
         }
         let Some(lost) = self.list_lost_since.take() else { return };
         let version = self.version.get().unwrap_or_default();
         log::line(format!(
-            "list followed again: version {version}, after {:.0} ms; of {rotated} servers {proved} proved, \
-             {seen} seen, {refuse} refused",
+            "list followed again: version {version}, after {:.0} ms; of {in_rotation} servers {proved} proved, \
+             {seen} seen, {refusing} refused",
             self.clock.now() - lost
         ));
     }
@@ -118,7 +119,7 @@
     pub fn apply_discovery_update(&self, update: Update) -> Result<(), String> {
         // Where servers register as well, discovery may have no servers left.
         let known = if self.merge.is_some() { 0 } else { self.servers.borrow().len() };
-        self.succession.borrow_mut().take(&update, known)?;
+        self.succession.borrow_mut().accept(&update, known)?;
         self.last_discovery_error.borrow_mut().clear();
         self.list_received.set(true);
         self.trace(|_| Doing::List { whole: update.whole, entries: update.hosts.len() });
@@ -126,9 +127,9 @@
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
             self.trace(|_| Doing::Entry { server: host.host.clone(), health: format!("{:?}", host.health) });
         }
-        let trust = self.list_lost_since.get().map(|_| self.core.borrow().trust());
+        let rotation_status = self.list_lost_since.get().map(|_| self.core.borrow().rotation_status());
         self.take_list(Source::Discovery, update, false);
-        self.log_list_followed_again(trust);
+        self.log_list_followed_again(rotation_status);
         Ok(())
     }
 
@@ -160,15 +161,15 @@
             self.version.set(Some(update.version));
         }
         let update = match &self.merge {
-            Some(merge) => merge.borrow_mut().take(source, update),
+            Some(merge) => merge.borrow_mut().apply(source, update),
             None => update,
         };
         let whole = update.whole;
         let last_seen = self.list_last_seen.of(source);
-        let heard = Heard {
+        let heard = UpdateTimes {
             clock: &self.clock,
             before: last_seen.get(),
-            warm_within: self.settings().policy.rules.warm_within,
+            warm_within: self.settings().policy.rules.warm_up_time,
         };
         let (entries, stale) = self.servers.borrow_mut().take(update, heard);
         if !saved {
@@ -179,11 +180,11 @@
         }
         self.update_core(|core, now| {
             if whole {
-                core.list(now, entries, saved);
+                core.handle_list(now, entries, saved);
             } else if source == Source::Discovery {
                 core.list_changed(now, entries);
             } else {
-                core.list_news(now, entries);
+                core.list_changed_elsewhere(now, entries);
             }
         });
         self.update_figures();
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use glenwood_list::start::{Starts, Told};
-pub use glenwood_list::{read, update, Dial, Health, Host, Protocol, Update};
+use glenwood_list::start::{ClaimedStart, StartTimes};
+pub use glenwood_list::{parse_update, update_from_value, Dial, Health, Host, Protocol, Update};
 use glenwood_policy::{Entry, Listed, Millis, Outcome, ServerId};
 
 use crate::clock::Clock;
@@ -37,7 +37,7 @@
 
 /// The servers that speak MessagePack-RPC by the operator's file, whatever the list says.
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
+pub struct MsgpackServers {
     /// Kinds of machine.
     pub kinds: HashSet<String>,
     /// Names of servers.
@@ -58,14 +58,14 @@
 /// All listed servers that are not gone.
 #[derive(Default)]
 pub struct Servers {
-    marks: Marks,
+    marks: MsgpackServers,
     known: HashMap<ServerId, KnownServer>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 /// The times that apply to an update of the list.
 #[derive(Clone, Copy)]
-pub struct Heard<'a> {
+pub struct UpdateTimes<'a> {
     /// The node's clock, with the time of the update.
     pub clock: &'a Clock,
     /// When the source was last seen before this update.
@@ -76,8 +76,8 @@
 
 impl Servers {
     /// Creates an empty list.
-    pub fn new(marks: Marks) -> Self {
-        Self { marks, known: HashMap::new(), starts: Starts::default() }
+    pub fn new(marks: MsgpackServers) -> Self {
+        Self { marks, known: HashMap::new(), starts: StartTimes::default() }
     }
 
     /// The number of servers.
@@ -122,7 +122,7 @@
 
     /// Applies an update. Returns the entries for the core, and the servers whose connections are of no
     /// more use.
-    pub fn take(&mut self, update: Update, heard: Heard<'_>) -> (Vec<Entry>, Vec<ServerId>) {
+    pub fn take(&mut self, update: Update, heard: UpdateTimes<'_>) -> (Vec<Entry>, Vec<ServerId>) {
         if update.whole {
             for host in self.known.values_mut() {
                 host.state = Listed::Gone;
@@ -144,13 +144,18 @@
             }
         }
         let known = &self.known;
-        self.starts.forget(known.len(), |server| known.contains_key(&ServerId(server)));
+        self.starts.drop_unlisted(known.len(), |server| known.contains_key(&ServerId(server)));
         (entries, stale)
     }
 
     /// Applies an update's entry of a server. It counts from now on, also for attempts that were decided on
     /// but not sent.
-    fn apply_entry(&mut self, host: Host, heard: Heard<'_>, stale: &mut Vec<ServerId>) -> Option<Entry> {
+    fn apply_entry(
+        &mut self,
+        host: Host,
+        heard: UpdateTimes<'_>,
+        stale: &mut Vec<ServerId>,
+    ) -> Option<Entry> {
         let server = ServerId(number_of(&host.host));
         let state = listed_state(host.health);
         let before = self.known.get(&server);
@@ -183,14 +188,19 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started: self.start_time(server, host.born_ms, heard),
+            started_at: self.start_time(server, host.born_ms, heard),
         })
     }
 
     /// When a server started; `None` if that is long ago.
-    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: Heard<'_>) -> Option<Millis> {
-        let Heard { clock, before, warm_within } = heard;
-        let claim = Told { claimed: clock.at_unix(born_ms), now: clock.now(), heard: before, warm_within };
-        self.starts.start(server.0, born_ms, claim)
+    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: UpdateTimes<'_>) -> Option<Millis> {
+        let UpdateTimes { clock, before, warm_within } = heard;
+        let claim = ClaimedStart {
+            claimed_start: clock.at_unix(born_ms),
+            now: clock.now(),
+            previous_list_at: before,
+            warm_up_time: warm_within,
+        };
+        self.starts.estimate(server.0, born_ms, claim)
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -305,16 +305,16 @@
         let machine = self.machine.borrow();
         let figures = machine.as_ref().map(Members::figures).unwrap_or_default();
         let living = machine.as_ref().map_or(0, |machine| machine.living().count() as u64);
-        let gauge = |name, value, help| Figure { name, counts: false, help, value };
-        let counter = |name, value, help| Figure { name, counts: true, help, value };
+        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
+        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
         vec![
-            gauge("members_living", living, "Other nodes that are considered living."),
-            counter("members_declared", figures.declared, "Nodes that this one declared lost."),
+            gauge("members_living", living, "Other nodes that are taken for living."),
+            counter("members_declared", figures.declared, "Nodes that this one took for lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
-            counter("members_stalls", figures.stalls, "Times that this node was stalled."),
-            counter("members_refused", figures.refused, "Datagrams that were rejected."),
+            counter("members_stalls", figures.stalls, "Times that this node stood still."),
+            counter("members_refused", figures.refused, "Datagrams that were turned down."),
             counter("members_sent", figures.sent, "Datagrams sent."),
-            counter("members_sent_bytes", figures.sent_bytes, "Bytes of the datagrams sent."),
+            counter("members_sent_bytes", figures.sent_bytes, "Bytes of those."),
         ]
     }
 
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -8,8 +8,8 @@
 
 use glenwood_coordination::guard;
 use glenwood_coordination::view::Said;
-use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, Output, Token};
-use glenwood_list::{Dial, Health, Host, Merge, Protocol, Source, Update};
+use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Token};
+use glenwood_list::{Dial, Health, Host, MergedList, Protocol, Source, Update};
 use glenwood_policy::{
     Class, Discovery, Effect, Entry, Goal, Limits, Listed, Outcome, Rules, ServerId, Settings, Weights,
 };
@@ -24,9 +24,15 @@
 const GRACE: f64 = 500.0;
 
 fn settings() -> Settings {
-    let class = |effect| Class { aim: 100.0, worth: 1.0, late_worth: 0.2, patience: f64::INFINITY, effect };
+    let class = |effect| Class {
+        target_latency: 100.0,
+        worth: 1.0,
+        late_worth: 0.2,
+        client_timeout: f64::INFINITY,
+        effect,
+    };
     Settings {
-        number: 0,
+        node_index: 0,
         nodes: 1,
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
         tenants: Vec::new(),
@@ -42,15 +48,15 @@
             max_retry_after: 1000.0,
         },
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.2,
-            warm_within: 5000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
+            max_call_interval: 10_000.0,
+            cold_capacity_share: 0.2,
+            warm_up_time: 5000.0,
+            overload_factor: 3.0,
+            overload_window: 1000.0,
         },
         discovery: Discovery::Pushed,
         weights: Weights::None,
-        tick: 1.0,
+        min_event_interval: 1.0,
     }
 }
 
@@ -75,7 +81,7 @@
 
 struct Node {
     core: Core<(), ()>,
-    merge: Merge,
+    merge: MergedList,
     list: BTreeMap<u64, Health>,
     /// Since when each server is out of the list.
     told: BTreeMap<u64, f64>,
@@ -107,7 +113,7 @@
     fn new(answered: Arc<Mutex<BTreeMap<String, f64>>>) -> Self {
         Self {
             core: Core::new(settings(), 5, 10_000).expect("good settings"),
-            merge: Merge::default(),
+            merge: MergedList::default(),
             list: BTreeMap::new(),
             told: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -126,7 +132,7 @@
         for said in world.views[0].take_said() {
             let Said::List { whole, hosts } = said else { continue };
             let update = Update { version: 0, whole, hosts };
-            let update = self.merge.take(Source::Registrations, update);
+            let update = self.merge.apply(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
                 let id = id_of(&host.host);
                 match host.health {
@@ -145,11 +151,11 @@
                     kind: 0,
                     state: listed(host.health),
                     weight: 1.0,
-                    started: (host.born_ms > 0.0).then_some(host.born_ms),
+                    started_at: (host.born_ms > 0.0).then_some(host.born_ms),
                 }
             });
             let entries = entries.collect();
-            self.core.list_news(now, entries);
+            self.core.list_changed_elsewhere(now, entries);
         }
     }
 
@@ -197,19 +203,20 @@
                 deadline,
                 repeat_key: None,
                 work: None,
-                coming: false,
-                earlier: None,
+                body_pending: false,
+                prior_attempts: None,
                 payload: (),
             };
             self.counts.asked += 1;
-            self.core.take(now, incoming).expect("there is room");
+            self.core.accept(now, incoming).expect("there is room");
             self.next += 10.0;
         }
         let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(|(at, _, _)| *at <= now);
         self.under_way = rest;
         for (_, attempt, server) in due {
             let well = alive.contains(&server);
-            let ended = if well { Ended::Served(()) } else { Ended::Without(Outcome::Reset) };
+            let ended =
+                if well { AttemptResult::Served(()) } else { AttemptResult::NoResponse(Outcome::Reset) };
             self.heard(now, server, well);
             self.core.attempt_ended(now, attempt, ended);
         }
@@ -226,12 +233,16 @@
                         self.under_way.push((now + WORK, attempt, server));
                     } else {
                         self.heard(now, server, false);
-                        self.core.attempt_ended(now, attempt, Ended::Without(Outcome::ConnectFailed));
+                        self.core.attempt_ended(
+                            now,
+                            attempt,
+                            AttemptResult::NoResponse(Outcome::ConnectFailed),
+                        );
                     }
                 }
                 Output::Abandon(attempt) => {
                     self.under_way.retain(|(_, other, _)| *other != attempt);
-                    self.core.attempt_ended(now, attempt, Ended::Without(Outcome::Cancelled));
+                    self.core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::Cancelled));
                 }
                 // A server here begins with the first byte.
                 Output::Recall(_) => {}
