--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -1,5 +1,6 @@
-//! All works of a node: it drives their proposers by time, sends again what is not answered, gives up what takes too long, keeps bytes
-//! beside registers and fetches them, and knows who lives as far as it is told.
+//! The coordinator manages every work that a node is involved in. It drives the proposers by time,
+//! resends unanswered requests, enforces timeouts, stores blobs at keepers and fetches them, and tracks
+//! which node incarnations membership reports as alive.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,161 +13,169 @@
 use crate::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict, Work};
 use crate::roster::Rosters;
 
-/// The longest wait between two sendings of one thing, in times the first.
+/// Upper limit of the exponential backoff between resends, as a multiple of the initial interval.
 const BACK_OFF: u64 = 8;
-/// How many pieces go to a keeper at a time.
+/// Number of blob pieces sent to one keeper per round of sending.
 const PIECES_AT_ONCE: usize = 16;
-/// How often a life with works in hand says that it is there.
+/// Interval between announcements to keepers that this incarnation is alive and holds works.
 const HERE_MS: u64 = 100;
-/// How long after its last word a work is held here for its keepers to hear of it, in times the patience.
+/// How long a work whose verdict missed its timeout keeps resending it to the keepers, as a multiple of
+/// `patience_ms`.
 const LINGER: u64 = 4;
 
-/// How a coordinator works. All times are in milliseconds.
+/// Timing and capacity limits of a coordinator. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a majority may take.
+    /// Timeout for reaching a majority of keepers.
     pub patience_ms: u64,
-    /// After how long what was not answered is sent again, at first.
+    /// Initial interval before an unanswered request is resent.
     pub resend_ms: u64,
-    /// How often another's work is looked at.
+    /// Polling interval for a work that another node holds.
     pub poll_ms: u64,
-    /// How long a register lives after its last use; no attempt is begun later than half of it after the last asking.
+    /// How long a register lives after its last use. No attempt starts later than half of this time after
+    /// the node acquired the work.
     pub life_ms: u64,
-    /// The most works at a time.
+    /// Maximum number of works at a time.
     pub most: usize,
 }
 
-/// One work, for as long as this node has to do with it.
+/// Handle of one work, valid for as long as this node is involved in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Ticket(pub u64);
 
-/// What a request is, as far as its identity goes.
+/// How the identity of a request is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Its key says what it is.
+    /// The request is identified by its idempotency key.
     Keyed,
-    /// It has none: it is this asking's alone, and where it is marked, that of an earlier one that is equal.
+    /// The request has no key. Each one is a work of its own, unless it is marked as a repeat of an
+    /// earlier equal request.
     Unsafe {
-        /// A number made of the client's id for it.
+        /// Derived from the request id that the client sent.
         nonce: u64,
-        /// Its client says that it repeats another.
+        /// The client marked the request as a repeat.
         marked: bool,
     },
 }
 
-/// A request that is to be guarded.
+/// A request to be guarded by custody.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// A digest of what is asked for, and by whom.
+    /// Digest of the requested operation and its caller.
     pub slot: (u64, u64),
-    /// What it is.
+    /// How the request is identified.
     pub kind: Kind,
-    /// Its class, by name.
+    /// Name of the request's class.
     pub class: String,
-    /// How long its client waits.
+    /// Time left until the client's deadline.
     pub remaining_ms: u32,
-    /// It as bytes, where it is to go along.
+    /// The serialized request, if it is to be stored at the keepers.
     pub body: Option<Bytes>,
 }
 
-/// What a node's holder of a work comes to.
+/// The result that the holder of a work reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// A server's answer, as bytes; `None` where it is too long to be kept.
+    /// A server's answer. `None` if the answer is too long to be stored.
     Served(Option<Bytes>),
-    /// The server found the request itself bad.
+    /// The server rejected the request as invalid.
     Rejected,
-    /// Nothing is said for good; whoever comes next may take it, unless it is unsafe and may have run.
+    /// Releases the work without a verdict. The next node may take it over, unless it is unsafe and may
+    /// have run.
     LetGo,
 }
 
-/// What happened.
+/// Notifications from the coordinator to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The work is this node's: hand it to the module, with what is known of earlier attempts.
+    /// This node holds the work. The caller decides how to proceed, given what is known of earlier
+    /// attempts.
     Yours {
         /// The work.
         ticket: Ticket,
-        /// Attempts that were meant to be sent before, with how long ago.
+        /// Attempts that earlier holders intended to send, each with its age in milliseconds.
         earlier: Vec<(Sent, u64)>,
-        /// It was another's, or was let go.
+        /// Another node held the work before or released it.
         adopted: bool,
     },
-    /// The same of a work that nobody asks for here.
+    /// This node took over an orphaned work that no client here waits for.
     Adopt {
         /// The work.
         ticket: Ticket,
-        /// As above.
+        /// Attempts that earlier holders intended to send, each with its age in milliseconds.
         earlier: Vec<(Sent, u64)>,
-        /// What it is.
+        /// The fixed properties of the work.
         about: About,
-        /// The request as it was given to the keepers.
+        /// The request as it was stored at the keepers.
         body: Bytes,
-        /// How much of its client's time is left.
+        /// Time left until the client's deadline.
         remaining_ms: u64,
     },
-    /// The attempt that was meant may be sent now.
+    /// The intended attempt may be sent now.
     Go(Ticket),
-    /// The attempt that was meant must not be sent.
+    /// The intended attempt must not be sent.
     Denied(Ticket),
-    /// What is said of the work for good, with the answer where it was served.
+    /// The final verdict on the work, with the answer if a server gave one that was stored.
     Verdict(Ticket, Verdict, Option<Bytes>),
-    /// A verdict could not be kept at a majority in time: nobody may be told of it.
+    /// A verdict was not stored at a majority in time, or its answer could not be fetched. It must not be
+    /// reported to any client.
     Unkept(Ticket),
-    /// The question who has the work found no majority in time: nothing is known.
+    /// No majority answered in time, so the holder of the work is not known.
     Unknown(Ticket),
-    /// An equal request, marked as a repeat, is under way: this one may be what it repeats, and must not be sent too.
+    /// An equal request marked as a repeat is in progress. It may be a repeat of this request, which must
+    /// therefore not be sent as well.
     Twin(Ticket),
-    /// A marked repeat could be that of several.
+    /// The marked repeat could belong to more than one earlier request.
     Ambiguous(Ticket),
-    /// The work that this one repeats is already here, under another ticket.
+    /// The marked repeat (first ticket) repeats a work that this node already has under the second
+    /// ticket.
     Same(Ticket, Ticket),
-    /// Nothing more is to come.
+    /// The work has ended. No further events follow for this ticket.
     Over(Ticket),
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Figures {
-    /// Works that were asked for, and those of them that another had.
+    /// Requests that were submitted.
     pub asked: u64,
-    /// See `asked`.
+    /// Requests that joined a work that was already in progress.
     pub joined: u64,
-    /// Works that were taken over from another holder, and those of them for which nobody asked here.
+    /// Works taken over from another holder.
     pub adopted: u64,
-    /// See `adopted`.
+    /// Works acquired that no client at this node waits for.
     pub orphans: u64,
-    /// Works that could not be taken over, as no keeper had the request.
+    /// Works that were released because no keeper had the request's bytes.
     pub bodiless: u64,
-    /// Intents written, and those that came to nothing.
+    /// Intents that were stored at a majority.
     pub intents: u64,
-    /// See `intents`.
+    /// Attempts that were denied.
     pub denied: u64,
-    /// Works of which another became holder.
+    /// Works that another node took over from this one.
     pub ousted: u64,
-    /// Questions that found no majority in time.
+    /// Works for which no majority answered in time.
     pub unknown: u64,
-    /// Verdicts that were kept, and those that could not be in time.
+    /// Verdicts stored at a majority.
     pub kept: u64,
-    /// See `kept`.
+    /// Verdicts that were not stored in time.
     pub unkept: u64,
-    /// Verdicts "may have run".
+    /// "May have run" verdicts.
     pub may_have_run: u64,
 }
 
-/// A blob that is on its way to keepers.
+/// A blob being stored at the keepers.
 struct Put {
     blob: Blob,
     bytes: Bytes,
-    /// Which pieces each keeper has.
+    /// Bitmask of the pieces that each keeper has.
     have: BTreeMap<NodeId, u128>,
 }
 
-/// A blob that is being fetched.
+/// A blob being fetched from the keepers.
 struct Fetch {
     blob: Blob,
     pieces: BTreeMap<u8, Bytes>,
-    /// What it is for; `None`: the request itself.
+    /// The verdict whose answer is fetched. `None` if the request itself is fetched.
     verdict: Option<Verdict>,
     until: u64,
 }
@@ -174,15 +183,15 @@
 struct Entry {
     work: Work,
     proposer: Proposer,
-    /// Somebody here asked for it, or the module has it: not just an orphan's adoption.
+    /// The request, if one was submitted at this node. `None` if the work was adopted as an orphan.
     asked: Option<Ask>,
-    /// When the work began, by what keepers say of its age.
+    /// When the work began, estimated from the ages that keepers report.
     began: u64,
-    /// Others of its slot, as keepers tell a marked repeat.
+    /// Nonces of other works of the same slot, as reported by each keeper.
     others: BTreeMap<NodeId, Vec<u64>>,
-    /// When what is waited for is given up.
+    /// Deadline of the pending operation.
     until: u64,
-    /// When it is to be ended in any case.
+    /// When the entry is removed in any case.
     ends: u64,
     next_send: u64,
     wait: u64,
@@ -191,13 +200,13 @@
     meant: Option<usize>,
     puts: Vec<Put>,
     fetch: Option<Fetch>,
-    /// The verdict's own bytes, where they are this node's.
+    /// The answer that this node submitted with its verdict.
     answer: Option<(Blob, Bytes)>,
-    /// The waiter was told that its verdict is not kept.
+    /// [`Event::Unkept`] was already emitted for this work.
     unkept: bool,
 }
 
-/// All works of a node.
+/// Manages every work that this node is involved in.
 pub struct Coordinator {
     set: Settings,
     me: Life,
@@ -206,7 +215,7 @@
     entries: BTreeMap<Ticket, Entry>,
     by_work: BTreeMap<Work, Ticket>,
     last: u64,
-    /// By node, which life was heard of last, and whether it lives.
+    /// The latest known incarnation of each node and whether it is alive.
     lives: BTreeMap<NodeId, (u64, bool)>,
     heard: BTreeMap<Life, u64>,
     timers: BTreeSet<(u64, Ticket)>,
@@ -217,13 +226,13 @@
     figures: Figures,
 }
 
-/// The blob of these bytes.
+/// Returns the digest and length of these bytes.
 pub fn blob_of(bytes: &[u8]) -> Blob {
     Blob { digest: number_of(&[b"blob", bytes]), length: bytes.len() as u32 }
 }
 
 impl Coordinator {
-    /// A coordinator of this life.
+    /// Creates a coordinator for this incarnation of the node.
     pub fn new(set: Settings, me: Life, rosters: Rosters, seed: u64, now: u64) -> Self {
         Self {
             set,
@@ -244,45 +253,45 @@
         }
     }
 
-    // ---- What it knows ----
+    // ---- State queries ----
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn figures(&self) -> Figures {
         self.figures
     }
 
-    /// How many works it has to do with, and how many of them are this node's.
+    /// Number of works this node is involved in, and number of them that it holds.
     pub fn counts(&self) -> (usize, usize) {
         (self.entries.len(), self.entries.values().filter(|entry| entry.proposer.holds()).count())
     }
 
-    /// The work of a ticket.
+    /// The identity of the work with this ticket.
     pub fn work(&self, ticket: Ticket) -> Option<Work> {
         self.entries.get(&ticket).map(|entry| entry.work)
     }
 
-    /// Does this node have it?
+    /// Whether this node holds the work.
     pub fn holds(&self, ticket: Ticket) -> bool {
         self.entries.get(&ticket).is_some_and(|entry| entry.proposer.holds())
     }
 
-    /// Who has it, as far as was heard.
+    /// The last known holder of the work.
     pub fn holder(&self, ticket: Ticket) -> Option<Life> {
         self.entries.get(&ticket).and_then(|entry| entry.proposer.holder())
     }
 
-    // ---- Who lives ----
+    // ---- Membership ----
 
-    /// Membership says that this is the life of its node now, and whether it lives.
+    /// Records from membership the current incarnation of a node and whether it is alive.
     pub fn life(&mut self, life: Life, lives: bool) {
         let known = self.lives.get(&life.node).copied();
-        // The loss of an older life, heard late, says nothing of the one that is there.
+        // A late report that an older incarnation was lost says nothing about the current one.
         if lives || known.is_none_or(|(other, there)| other == life.life || !there) {
             self.lives.insert(life.node, (life.life, lives));
         }
     }
 
-    /// Is that life lost, by what is known?
+    /// Whether this incarnation is considered lost.
     pub fn is_lost(&self, now: u64, life: Life) -> bool {
         let gone = match self.lives.get(&life.node) {
             Some((other, lives)) => !(*lives && *other == life.life),
@@ -291,19 +300,21 @@
         gone && life != self.me && self.heard.get(&life).is_none_or(|at| now - at > HEARD_MS)
     }
 
-    // ---- The node's side ----
+    // ---- Caller interface ----
 
-    /// The next thing that happened.
+    /// Returns the next event.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// The next thing to be said: to whom, and about what; nothing but that this life is there, where that is `None`.
+    /// Returns the next message to send and its receiver. `None` in place of a work and request stands
+    /// for the announcement that this incarnation is alive.
     pub fn poll_transmit(&mut self) -> Option<(NodeId, Option<(Work, Request)>)> {
         self.out.pop_front()
     }
 
-    /// A request came. Gives its ticket, and whether others here wait by it already; `None` where there are too many.
+    /// Submits a request. Returns its ticket and whether it joined a work already in progress here, or
+    /// `None` if there are too many works.
     pub fn ask(&mut self, now: u64, ask: Ask) -> Option<(Ticket, bool)> {
         self.figures.asked += 1;
         let nonce = match ask.kind {
@@ -342,7 +353,8 @@
         self.put_entry(now, ticket, work, proposer, Some(ask));
     }
 
-    /// A work whose holder is lost, as a keeper knows: this node takes it up, unless it has to do with it already.
+    /// Takes over a work whose holder is lost, as found by a keeper, unless this node is involved in it
+    /// already.
     pub fn adopt(&mut self, now: u64, work: Work) {
         if self.by_work.contains_key(&work) || self.entries.len() >= self.set.most {
             return;
@@ -376,8 +388,9 @@
         self.work_on(now, ticket);
     }
 
-    /// An attempt is meant to be sent: [`Event::Go`] or [`Event::Denied`] follows, before the next may be meant. Gives its number
-    /// among those of all holders, where it was written down at all.
+    /// Starts to store the intent to send an attempt. [`Event::Go`] or [`Event::Denied`] follows and must
+    /// be awaited before the next call. Returns the index of the attempt among those of all holders, or
+    /// `None` if no intent was recorded.
     pub fn intend(&mut self, now: u64, ticket: Ticket, server: u64, zone: u64, cell: u64) -> Option<usize> {
         let life = self.set.life_ms;
         let patience = self.set.patience_ms;
@@ -387,7 +400,7 @@
         };
         let at = u32::try_from(now - entry.began).unwrap_or(u32::MAX);
         let number = entry.proposer.record().map_or(0, |record| record.sent.len());
-        // So late a register may have ended at some keepers.
+        // By then the register may have expired at some keepers.
         let late = now + life / 2 > entry.ends;
         let full = number >= crate::wire::SENT_MOST;
         if late || full || !entry.proposer.intend(Sent { server, zone, cell, at, never: false }) {
@@ -400,12 +413,13 @@
         Some(number)
     }
 
-    /// It is proven that this attempt, counted over all holders, never ran.
+    /// Records that this attempt, by its index among those of all holders, is proven never to have run.
     pub fn never_ran(&mut self, ticket: Ticket, number: usize) {
         self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.never_ran(number));
     }
 
-    /// What the work has come to here. [`Event::Verdict`] follows, or [`Event::Unkept`]; of what is let go, nothing.
+    /// Submits the result of a work. [`Event::Verdict`] or [`Event::Unkept`] follows, or neither if the
+    /// work is released.
     pub fn conclude(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
         let patience = self.set.patience_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
@@ -431,7 +445,7 @@
         self.work_on(now, ticket);
     }
 
-    /// Nobody here waits for it any more. What this node has goes on.
+    /// No client at this node waits for the work any more. If this node holds it, it continues.
     pub fn give_up(&mut self, now: u64, ticket: Ticket) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
             entry.proposer.give_up();
@@ -439,9 +453,9 @@
         }
     }
 
-    // ---- The keepers' side ----
+    // ---- Keeper replies ----
 
-    /// A keeper answered.
+    /// Handles a keeper's reply.
     pub fn hear(&mut self, now: u64, by: NodeId, work: Work, reply: Reply) {
         let Some(ticket) = self.by_work.get(&work).copied() else { return };
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
@@ -455,7 +469,7 @@
                     self.heard.insert(holder, now);
                 }
                 if record.is_some() {
-                    // The oldest word of its age is the nearest to its beginning.
+                    // The highest reported age is the closest to the actual start of the work.
                     entry.began = entry.began.min(now.saturating_sub(u64::from(age)));
                 }
                 entry.proposer.heard(by, answer);
@@ -479,20 +493,21 @@
         self.work_on(now, ticket);
     }
 
-    /// Keepers know other works of this one's slot.
+    /// Handles reports that keepers know other works of the same slot.
     fn other_works(&mut self, now: u64, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
         let Some(ask) = entry.asked.clone() else { return };
         if !matches!(ask.kind, Kind::Unsafe { marked: true, .. }) {
-            // Only a marked repeat is told to others; it may be this one's.
+            // Keepers report only marked repeats to an unmarked request. The repeat may be of this
+            // request.
             self.finish(ticket);
             self.events.push_back(Event::Twin(ticket));
             return;
         }
         let all: BTreeSet<u64> = entry.others.values().flatten().copied().collect();
         if !entry.proposer.keepers().majority(|id| entry.others.contains_key(&id)) {
-            // One that one keeper knows is enough to go by, and a second would be a doubt: the others are heard first, or
-            // the patience ends.
+            // A single keeper may know the only earlier work, and further keepers may know others, which
+            // makes the repeat ambiguous. So a majority of reports is awaited, up to the timeout.
             return;
         }
         self.finish(ticket);
@@ -513,14 +528,14 @@
 
     // ---- Time ----
 
-    /// When [`Coordinator::tick`] is to be called.
+    /// When [`Coordinator::tick`] should be called next.
     pub fn due(&self) -> Option<u64> {
         let here = (!self.entries.is_empty()).then_some(self.next_here);
         let timer = self.timers.first().map(|(at, _)| *at);
         here.into_iter().chain(timer).min()
     }
 
-    /// Does what is due.
+    /// Processes expired timers.
     pub fn tick(&mut self, now: u64) {
         if now >= self.next_here {
             self.next_here = now + HERE_MS;
@@ -545,7 +560,7 @@
         }
     }
 
-    /// Takes a work as far as it goes now.
+    /// Advances a work as far as possible at this time.
     fn work_on(&mut self, now: u64, ticket: Ticket) {
         self.steps(now, ticket);
         self.give_up_what_is_late(now, ticket);
@@ -565,7 +580,7 @@
         self.timers.insert((due, ticket));
     }
 
-    /// What the proposer has come to.
+    /// Processes the pending steps of the proposer.
     fn steps(&mut self, now: u64, ticket: Ticket) {
         let set = self.set;
         loop {
@@ -612,7 +627,9 @@
                         self.figures.intents += 1;
                         self.events.push_back(Event::Go(ticket));
                     } else {
-                        // This node stood still meanwhile: another may have come through since.
+                        // The majority came after the timeout, for instance because this process was
+                        // suspended. Another node may have taken the work over since, so the attempt is
+                        // not sent.
                         entry.proposer.never_ran(number);
                         self.figures.denied += 1;
                         self.events.push_back(Event::Denied(ticket));
@@ -651,7 +668,7 @@
         }
     }
 
-    /// What is waited for too long.
+    /// Handles completed fetches and expired timeouts.
     fn give_up_what_is_late(&mut self, now: u64, ticket: Ticket) {
         let set = self.set;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
@@ -673,7 +690,7 @@
                 }
             } else if now >= fetch.until {
                 match fetch.verdict {
-                    // It is known to be served, and not with what.
+                    // The work was served, but its answer can't be fetched.
                     Some(_) => self.events.push_back(Event::Unkept(ticket)),
                     None => {
                         self.figures.bodiless += 1;
@@ -692,7 +709,7 @@
             self.figures.denied += 1;
             self.events.push_back(Event::Denied(ticket));
         } else if entry.proposer.holds() {
-            // It is still said to the keepers for a while, so that others learn of it.
+            // Keeps resending the verdict for a while, so that other nodes can learn it.
             if !std::mem::replace(&mut entry.unkept, true) {
                 self.figures.unkept += 1;
                 self.events.push_back(Event::Unkept(ticket));
@@ -701,7 +718,8 @@
                 entry.ends = now;
             }
         } else if let (Some(_), false) = (&entry.asked, entry.others.is_empty()) {
-            // No majority told of other works, but one keeper knows some: who sends it all the same may send it twice.
+            // At least one keeper reported other works, but no majority did. Sending the request could
+            // send it twice.
             self.finish(ticket);
             self.events.push_back(Event::Ambiguous(ticket));
         } else {
@@ -711,7 +729,7 @@
         }
     }
 
-    /// Looks at another's work again, and takes its place where its holder is lost.
+    /// Polls a work that another node holds and takes it over if the holder is lost.
     fn look_on(&mut self, now: u64, ticket: Ticket) {
         let (set, jitter) = (self.set, self.random.u64(0..=self.set.poll_ms));
         let Some(entry) = self.entries.get(&ticket) else { return };
@@ -728,14 +746,14 @@
                 } else {
                     entry.proposer.again();
                 }
-                // To look once more is the same question.
+                // The repeated read equals the last request, so `send` would not treat it as new.
                 (entry.next_send, entry.wait) = (now, set.resend_ms);
                 entry.until = now + set.patience_ms;
             }
         } else {
             entry.next_poll = u64::MAX;
             if entry.proposer.is_outbid() {
-                // Not at once: whoever was faster should come through.
+                // Waits before the next round, so that the competing node can finish.
                 if entry.next_send <= now {
                     entry.proposer.again();
                 } else {
@@ -763,7 +781,7 @@
 }
 
 impl Entry {
-    /// Sends what a keeper has not answered, when its time has come; what is new at once.
+    /// Sends a new request at once and resends an unanswered one when its resend time has come.
     fn send(
         &mut self,
         now: u64,
@@ -784,7 +802,7 @@
         let marked = matches!(&self.asked, Some(Ask { kind: Kind::Unsafe { marked: true, .. }, .. }))
             && self.work.nonce == Work::REPEAT;
         let before = out.len();
-        // Bytes go first, so that the word that rests on them finds them there.
+        // Blobs are sent first, because keepers accept a verdict only if they have its answer.
         let answered = self.answer.is_some();
         for put in
             self.puts.iter().filter(|put| !answered || self.answer.as_ref().is_some_and(|a| a.0 == put.blob))
--- a/crates/custody/src/keeper.rs
+++ b/crates/custody/src/keeper.rs
@@ -1,5 +1,6 @@
-//! All registers of one keeper, and the bytes beside them. Every entry ends by itself, so that no disk is needed: a keeper that
-//! starts gives no votes for as long as an entry of its life before could last.
+//! A keeper stores registers and the blobs that belong to them. Every entry expires, so no disk storage
+//! is needed: a restarted keeper gives no votes until every entry of its previous incarnation would have
+//! expired.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
@@ -10,78 +11,79 @@
 use crate::proposer::Question;
 use crate::register::{Acceptor, Answer, Blob, Life, Record, Verdict, Work};
 
-/// How long a life counts as there after it was heard, whatever membership says: a process that leaves its address to its
-/// successor finishes what it has.
+/// How long an incarnation counts as alive after its last message, even if membership reports it as lost.
+/// This lets a process that handed its address over to a successor finish its works.
 pub const HEARD_MS: u64 = 500;
-/// How long a piece of a blob is.
+/// Length of a full blob piece in bytes.
 pub const PIECE: usize = 1000;
-/// The longest blob: as many pieces as have a bit each.
+/// Maximum length of a blob in bytes: the pieces are tracked in a bitmask of 128 bits.
 pub const BLOB_MOST: usize = 128 * PIECE;
-/// How many pieces answer one request for some.
+/// Maximum number of pieces sent in reply to one request.
 const PIECES_AT_ONCE: usize = 8;
-/// How many other works of its slot an asker is told of.
+/// Maximum number of other works of the same slot that one reply lists.
 const OTHERS_MOST: usize = 4;
-/// What an entry takes besides its blobs, about: a register with some attempts.
+/// Estimated memory of one entry without its blobs: a register with a few attempts.
 const ENTRY: usize = 512;
 
-/// How a keeper keeps.
+/// Limits of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// How long an entry lives after its last use, in milliseconds.
     pub life_ms: u64,
-    /// The most works.
+    /// Maximum number of works.
     pub works_most: usize,
-    /// The most bytes, entries and blobs together.
+    /// Maximum number of bytes, for entries and blobs together.
     pub bytes_most: usize,
 }
 
-/// What a keeper is asked about one work.
+/// A request to a keeper about one work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Something about its register; `marked`: by a client's repeat that names no first asking.
+    /// An operation on the register. The flag is set for a client's marked repeat that does not name its
+    /// first request.
     Ask(Question, bool),
-    /// Keep this piece of a blob.
+    /// Store this piece of a blob.
     Put(Blob, u8, Bytes),
-    /// Give some of these pieces.
+    /// Return some of the pieces selected by the bitmask.
     Get(Blob, u128),
 }
 
-/// What it answers.
+/// A keeper's reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// About the register.
+    /// The result of an operation on the register.
     Answer {
-        /// The answer.
+        /// The result.
         answer: Answer,
-        /// How old the work is there, in milliseconds.
+        /// Age of the work at this keeper, in milliseconds.
         age: u32,
-        /// The one who has it was heard a moment ago.
+        /// The keeper received a message from the holder recently (see [`HEARD_MS`]).
         fresh: bool,
     },
-    /// Nothing was promised: these are other works of the same slot, by their nonces.
+    /// No promise was made, because these other works of the same slot exist. Lists their nonces.
     Others(Vec<u64>),
-    /// These pieces of a blob are here.
+    /// Bitmask of the pieces of a blob that this keeper has.
     Have(Blob, u128),
-    /// A piece.
+    /// One piece of a blob, with its index.
     Piece(Blob, u8, Bytes),
-    /// It started a while ago, and gives no votes yet.
+    /// The keeper started recently and gives no votes yet.
     Quiet,
-    /// It has no room.
+    /// The keeper has no capacity left.
     Full,
 }
 
-/// What was counted since the start, and what there is.
+/// Counters since the start and current sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Figures {
-    /// Works that are kept.
+    /// Works currently stored.
     pub works: u64,
-    /// Bytes that are kept.
+    /// Bytes currently stored.
     pub bytes: u64,
-    /// Works that ended by themselves.
+    /// Works that expired.
     pub expired: u64,
-    /// Requests that found no room.
+    /// Requests rejected for lack of capacity.
     pub full: u64,
-    /// Requests that came while it gave no votes.
+    /// Requests received while the keeper gave no votes.
     pub quiet: u64,
 }
 
@@ -102,32 +104,32 @@
     }
 }
 
-/// How many pieces a blob has.
+/// Number of pieces of a blob.
 pub fn pieces_of(blob: Blob) -> usize {
     (blob.length as usize).div_ceil(PIECE).max(1)
 }
 
-/// All pieces of a blob.
+/// Bitmask that selects all pieces of a blob.
 pub fn all_pieces(blob: Blob) -> u128 {
     u128::MAX >> (128 - pieces_of(blob).min(128))
 }
 
-/// A keeper.
+/// Stores registers and blobs, within limits.
 pub struct Keeper {
     set: Settings,
     quiet_until: u64,
     works: BTreeMap<Work, Entry>,
     blobs: BTreeMap<(Work, Blob), Pieces>,
     bytes: usize,
-    /// When an entry may have ended, one for each.
+    /// When each entry may have expired, in order of time.
     ends: VecDeque<(u64, Work)>,
-    /// When each life was last heard.
+    /// When the last message of each incarnation was received.
     heard: BTreeMap<Life, u64>,
     figures: Figures,
 }
 
 impl Keeper {
-    /// One that starts now.
+    /// Creates a keeper that starts now.
     pub fn new(set: Settings, now: u64) -> Self {
         Self {
             set,
@@ -141,22 +143,22 @@
         }
     }
 
-    /// Does it give votes?
+    /// Whether the keeper gives votes yet.
     pub fn votes(&self, now: u64) -> bool {
         now >= self.quiet_until
     }
 
-    /// What was counted.
+    /// Counters since the start and current sizes.
     pub fn figures(&self) -> Figures {
         Figures { works: self.works.len() as u64, bytes: self.bytes as u64, ..self.figures }
     }
 
-    /// When [`Keeper::tick`] has something to do; `None`: not by time alone.
+    /// When [`Keeper::tick`] should be called next, or `None` if no entry can expire.
     pub fn due(&self) -> Option<u64> {
         self.ends.front().map(|(at, _)| *at)
     }
 
-    /// Ends what has lasted.
+    /// Removes expired entries.
     pub fn tick(&mut self, now: u64) {
         while let Some((_, work)) = self.ends.front().copied().filter(|(at, _)| *at <= now) {
             self.ends.pop_front();
@@ -164,7 +166,8 @@
                 continue;
             };
             if end > now {
-                // It was used since. The queue stays in order: no end is later than that of an entry used now.
+                // The entry was used since it was queued. Inserting it by its new expiry keeps the queue
+                // sorted: an entry that is used now is appended and expires no earlier than all others.
                 let at = self.ends.partition_point(|(at, _)| *at <= end);
                 self.ends.insert(at, (end, work));
                 continue;
@@ -183,7 +186,7 @@
         }
     }
 
-    /// This life said something.
+    /// Records that a message of this incarnation was received.
     pub fn heard_of(&mut self, now: u64, life: Life) {
         if self.heard.insert(life, now).is_none() {
             self.heard.retain(|_, at| now - *at <= HEARD_MS);
@@ -194,7 +197,7 @@
         self.heard.get(&life).is_some_and(|at| now - *at <= HEARD_MS)
     }
 
-    /// Answers a request about a work.
+    /// Handles a request about a work.
     pub fn hear(&mut self, now: u64, work: Work, request: Request) -> Reply {
         self.tick(now);
         if !self.votes(now) {
@@ -222,7 +225,8 @@
             }
         }
         if let Question::Accept(_, Record { verdict: Some(Verdict::Served(blob)), .. }) = question {
-            // Whoever is told of the answer must find it.
+            // A verdict is accepted only once its answer is complete here, so that a node that reads the
+            // verdict can also fetch the answer.
             let have = self.blobs.get(&(work, *blob)).map_or(0, Pieces::have);
             if have != all_pieces(*blob) {
                 return Reply::Have(*blob, have);
@@ -255,8 +259,8 @@
         Reply::Answer { answer, age: age(now, entry), fresh }
     }
 
-    /// Other works of its slot that matter to who opens this one: to a marked repeat all, to the others a marked repeat
-    /// that may be theirs.
+    /// Nonces of other works of the slot that matter to a request that opens this one: all of them for a
+    /// marked repeat, else only a marked repeat, which may be a repeat of this request.
     fn others(&self, work: Work, marked: bool) -> Vec<u64> {
         let slot = |nonce| Work { slot: work.slot, nonce };
         let of = (Bound::Included(slot(0)), Bound::Included(slot(u64::MAX)));
@@ -270,7 +274,7 @@
         if blob.length as usize > BLOB_MOST || piece >= count || bytes.len() != length {
             return Reply::Have(blob, 0);
         }
-        // Bytes without a register would have no end.
+        // A blob without a register would never expire.
         if !self.works.contains_key(&work) || self.bytes + bytes.len() > self.set.bytes_most {
             self.figures.full += 1;
             return Reply::Full;
@@ -290,7 +294,7 @@
         Some(Reply::Piece(blob, piece as u8, pieces.bytes[piece].clone()?))
     }
 
-    /// The answers to a request for pieces, which are several.
+    /// Returns the replies to a request for pieces.
     pub fn give(&self, now: u64, work: Work, blob: Blob, mut want: u128) -> Vec<Reply> {
         let mut replies = Vec::new();
         while self.votes(now) && replies.len() < PIECES_AT_ONCE {
@@ -304,8 +308,9 @@
         replies
     }
 
-    /// Works without a verdict whose holder is lost, and was not heard itself since, for as long as a client may wait for one:
-    /// what is taken up again and again would never end.
+    /// Works without a verdict whose holder is lost and was not heard from recently. Only works younger
+    /// than half the lifetime of an entry, the longest a client may wait, are included, since each
+    /// takeover extends the entry and a work could otherwise be taken over forever.
     pub fn orphans(&self, now: u64, lost: impl Fn(Life) -> bool) -> Vec<Work> {
         let gone = |holder: Life| lost(holder) && !self.is_fresh(now, holder);
         let orphan = |entry: &Entry| {
@@ -316,7 +321,7 @@
         self.works.iter().filter(|(_, entry)| orphan(entry)).map(|(work, _)| *work).collect()
     }
 
-    /// What is kept, by work: what was accepted, and how old it is.
+    /// All works with the last accepted record and their age in milliseconds.
     pub fn all(&self, now: u64) -> impl Iterator<Item = (&Work, Option<&Record>, u32)> {
         self.works.iter().map(move |(work, entry)| (work, entry.acceptor.record(), age(now, entry)))
     }
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -1,16 +1,21 @@
-//! Work in hand that survives the loss of its node: another takes it over, once.
+//! Custody lets a request in progress survive the loss of the node that handles it: another node takes it
+//! over, and only the current holder may send attempts.
 //!
-//! Each work has a register of its own at three keepers, which are chosen by a hash of its identity among the nodes of a roster.
-//! Whoever has the work writes its intent there, at its ballot, to a majority *before the first byte of a send*; whoever takes
-//! over raises the ballot at a majority first, so it either sees the intent or makes it fail. So no clock is needed for
-//! safety but for one thing: a register lives for a while after its last use, and what comes later is not heard.
+//! Each request (a *work*) has a register at three keepers, which are chosen from a roster of nodes by
+//! hashing the work's identity. The protocol is a form of Paxos. The holder stores its intent at a
+//! majority of keepers under its ballot *before it sends the first byte of an attempt*. A node that takes
+//! over first raises the ballot at a majority, so it either sees the intent or makes the write of the
+//! intent fail. Safety depends on clocks in one respect only: a register expires some time after its last
+//! use, and messages that arrive too late for it are dropped.
 //!
 //! - `register`: one register at one keeper;
-//! - `proposer`: one work at one node, with no time in it: what is explored whole;
-//! - `keeper`: all registers of a keeper, bounded, each with an end;
-//! - `coordinator`: all works of a node: patience, second sendings, bodies in pieces, who lives;
-//! - `roster`: who keeps what, and how that changes;
-//! - `wire`: datagrams.
+//! - `proposer`: the protocol of one work at one node, independent of time, so that a model checker can
+//!   explore it;
+//! - `keeper`: all registers of a keeper, with limits and expiry;
+//! - `coordinator`: all works of a node, with timeouts, resends, transfer of blobs in pieces, and
+//!   liveness of nodes;
+//! - `roster`: which nodes are the keepers of a work, and how a roster changes;
+//! - `wire`: the datagram format.
 //!
 //! Nothing here does I/O or reads a clock.
 #![warn(missing_docs)]
--- a/crates/custody/src/proposer.rs
+++ b/crates/custody/src/proposer.rs
@@ -1,69 +1,71 @@
-//! One work at one node, from the first question to its end. There is no time in it: what is to be sent, again and again until it is
-//! answered, is [`Proposer::messages`], and when to do what its driver says.
+//! The protocol state of one work at one node, from the first prepare to its end. It is independent of
+//! time: [`Proposer::messages`] returns what has to be sent, repeatedly until it is answered, and the
+//! driver decides when to send and when to retry.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::register::{About, Answer, Ballot, Effect, Life, NodeId, Record, Sent, Stamp, Verdict};
 use crate::roster::Keepers;
 
-/// What a keeper is asked.
+/// An operation that a proposer requests from a keeper's register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Question {
-    /// Promise this ballot, where nobody has the work.
+    /// Promise this ballot, unless a record was accepted already.
     Open(Ballot),
-    /// Promise it, whoever has the work.
+    /// Promise this ballot, even if a record was accepted.
     Seize(Ballot),
-    /// Accept this word.
+    /// Accept this record under this stamp.
     Accept(Stamp, Record),
-    /// Say what was accepted.
+    /// Return the accepted record.
     Look,
 }
 
-/// What a proposer has come to.
+/// A result of the protocol that the driver must act on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
-    /// The work is this node's: the module may be asked. These attempts were meant before; `adopted`: by another holder.
+    /// This node holds the work and may decide on attempts.
     Yours {
-        /// Earlier attempts.
+        /// Attempts that were intended before.
         earlier: Vec<Sent>,
-        /// It was another's.
+        /// Another incarnation held the work before.
         adopted: bool,
     },
-    /// The intent is written: the attempt may be sent now, and only now.
+    /// The intent is stored at a majority. The attempt may be sent now, but not later.
     Go,
-    /// Another has the work now: nothing more may be begun, and an intent that was being written is void.
+    /// Another node holds the work now. No further attempt may start, and an intent that was being
+    /// written is void.
     Ousted,
-    /// What is said of the work for good.
+    /// The final verdict on the work.
     Verdict(Verdict),
-    /// The work is nobody's now.
+    /// The work was released without a verdict.
     LetGo,
 }
 
-/// What is being written.
+/// The purpose of the record being written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Purpose {
-    /// That this node has the work; nobody waits for it.
+    /// The claim that this node holds the work. Nothing waits for its completion.
     Claim,
     Intent,
     Verdict(Verdict),
     LetGo,
-    /// All is written.
+    /// The last record was accepted by a majority.
     Nothing,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum State {
-    /// A promise is asked for.
+    /// Collecting promises for a ballot.
     Asking {
         ballot: Ballot,
-        /// Whoever has the work gives way.
+        /// Take the work over even if it has a holder.
         seizes: bool,
         promised: BTreeMap<NodeId, Option<(Stamp, Record)>>,
         outbid: BTreeSet<NodeId>,
     },
-    /// Another has it: what it comes to is looked for.
+    /// Another node holds the work. Its register is polled for the outcome.
     Watching { said: BTreeMap<NodeId, Option<(Stamp, Record)>>, unsettled: u8 },
-    /// The work is this node's.
+    /// This node holds the work.
     Holding {
         stamp: Stamp,
         record: Record,
@@ -71,35 +73,37 @@
         accepted: BTreeSet<NodeId>,
         outbid: BTreeSet<NodeId>,
     },
-    /// Nothing more is to come.
+    /// The work has ended at this node.
     Ended,
 }
 
-/// How often what stands at no majority is looked at before somebody settles it.
+/// How many consecutive reads may find no majority for the latest record before this node takes over to
+/// settle it.
 const UNSETTLED: u8 = 3;
 
-/// One work at one node.
+/// The protocol state of one work at one node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     me: Life,
     keepers: Keepers,
-    /// What it is, where this node was asked for it.
+    /// The fixed properties of the work, if it was submitted at this node.
     about: Option<About>,
-    /// The highest round that was heard of.
+    /// The highest round seen.
     round: u64,
     state: State,
-    /// Attempts of this holder that are proven never to have run, for the next word.
+    /// Indices of attempts of this holder that are proven never to have run, to be included in the next
+    /// record.
     proven: BTreeSet<usize>,
     steps: VecDeque<Step>,
 }
 
-/// The latest of what keepers have.
+/// The record with the highest stamp among the keepers' replies.
 fn latest(all: &BTreeMap<NodeId, Option<(Stamp, Record)>>) -> Option<&(Stamp, Record)> {
     all.values().flatten().max_by_key(|(stamp, _)| *stamp)
 }
 
 impl Proposer {
-    /// A work that this node was asked for.
+    /// Creates a proposer for a request that was submitted at this node, and starts the first round.
     pub fn asked(me: Life, keepers: Keepers, about: About) -> Self {
         let mut proposer = Self::seen(me, keepers);
         proposer.about = Some(about);
@@ -107,7 +111,7 @@
         proposer
     }
 
-    /// A work that this node only knows to be without a living holder.
+    /// Creates a proposer for a work known only to have lost its holder, and starts a takeover.
     pub fn orphaned(me: Life, keepers: Keepers) -> Self {
         let mut proposer = Self::seen(me, keepers);
         proposer.ask(true);
@@ -126,27 +130,27 @@
         }
     }
 
-    /// What it has come to.
+    /// Returns the next step.
     pub fn poll(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Is nothing more to come?
+    /// Whether the work has ended at this node.
     pub fn is_over(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// Does this node have the work, as far as it knows?
+    /// Whether this node holds the work, as far as it knows.
     pub fn holds(&self) -> bool {
         matches!(self.state, State::Holding { .. })
     }
 
-    /// Is it another's, and looked at?
+    /// Whether another node holds the work and its register is polled.
     pub fn watches(&self) -> bool {
         matches!(self.state, State::Watching { .. })
     }
 
-    /// Is something being written or asked for that somebody waits for?
+    /// Whether the driver waits for a majority: for promises, or for a record other than the claim.
     pub fn waits(&self) -> bool {
         match &self.state {
             State::Asking { .. } => true,
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Who has the work, as far as was heard.
+    /// The last known holder of the work.
     pub fn holder(&self) -> Option<Life> {
         match &self.state {
             State::Watching { said, .. } => latest(said)?.1.holder,
@@ -164,7 +168,7 @@
         }
     }
 
-    /// What the register holds, where it is this node's.
+    /// The contents of the register, if this node holds the work.
     pub fn record(&self) -> Option<&Record> {
         match &self.state {
             State::Holding { record, .. } => Some(record),
@@ -172,12 +176,12 @@
         }
     }
 
-    /// The work's keepers.
+    /// The keepers of the work.
     pub fn keepers(&self) -> &Keepers {
         &self.keepers
     }
 
-    /// What is to be asked of whom, until it is answered.
+    /// The requests that are still unanswered, each with its keeper.
     pub fn messages(&self) -> Vec<(NodeId, Question)> {
         let to = |without: &dyn Fn(NodeId) -> bool, question: Question| {
             let all = self.keepers.all().into_iter().filter(|id| !without(*id));
@@ -197,7 +201,7 @@
         }
     }
 
-    // ---- Asking ----
+    // ---- Preparing ----
 
     fn ask(&mut self, seizes: bool) {
         self.round += 1;
@@ -205,7 +209,8 @@
         self.state = State::Asking { ballot, seizes, promised: BTreeMap::new(), outbid: BTreeSet::new() };
     }
 
-    /// Others were faster, or too few answered: asks anew with a higher ballot, or looks anew.
+    /// Retries with a higher ballot after losing to another node or getting too few answers. While
+    /// watching, clears the replies so that the register is read again.
     pub fn again(&mut self) {
         match &mut self.state {
             State::Asking { seizes, .. } => {
@@ -217,26 +222,26 @@
         }
     }
 
-    /// Has some keeper promised more to another than is asked for here?
+    /// Whether a keeper has promised a higher ballot than the one being prepared.
     pub fn is_outbid(&self) -> bool {
         matches!(&self.state, State::Asking { outbid, .. } if !outbid.is_empty())
     }
 
-    /// The holder that was heard of is lost: this node takes its place, if others let it.
+    /// The known holder is lost: starts a takeover.
     pub fn holder_lost(&mut self) {
         if self.watches() {
             self.ask(true);
         }
     }
 
-    /// Nobody who asked for it here is there any more.
+    /// No client at this node waits for the work any more. Ends it here, unless this node holds it.
     pub fn give_up(&mut self) {
         if !self.holds() {
             self.state = State::Ended;
         }
     }
 
-    /// A keeper answered.
+    /// Handles a keeper's answer.
     pub fn heard(&mut self, by: NodeId, answer: Answer) {
         if !self.keepers.all().contains(&by) {
             return;
@@ -267,7 +272,7 @@
                     self.hold(ballot, record, Purpose::Claim);
                     self.steps.push_back(Step::Yours { earlier: Vec::new(), adopted: false });
                 }
-                // Nothing was ever chosen, and nobody asks here.
+                // No record was ever accepted, and no request for the work was submitted here.
                 None => self.state = State::Ended,
             },
             Some((_, mut record)) => {
@@ -325,7 +330,7 @@
             return;
         }
         let Some((stamp, record)) = latest(said).cloned() else {
-            // Whoever began it came to nothing.
+            // The node that started the work never stored a record.
             self.ask(false);
             return;
         };
@@ -337,7 +342,8 @@
             return;
         }
         *unsettled = if settled { 0 } else { *unsettled + 1 };
-        // Let go, or this node's own from before it was ousted, or left halfway.
+        // The work was released, was held by this node before another superseded it, or has a release
+        // that reached no majority.
         let free =
             record.holder.is_none_or(|holder| holder == self.me) && (settled || record.verdict.is_none());
         if free || *unsettled >= UNSETTLED {
@@ -381,27 +387,29 @@
         true
     }
 
-    /// An attempt is meant to be sent; [`Step::Go`] says when it may be. `false` where it may never be.
+    /// Records the intent to send an attempt. [`Step::Go`] follows once it may be sent. Returns `false`
+    /// if it may never be sent.
     pub fn intend(&mut self, sent: Sent) -> bool {
         let spent = self.record().is_none_or(|record| self.is_spent(record) || record.verdict.is_some());
         !spent && self.write(Purpose::Intent, |record| record.sent.push(sent))
     }
 
-    /// Is it unsafe, and may it have run, by what is proven too?
+    /// Whether the work is unsafe and may have run, taking into account what is proven but not written
+    /// yet.
     fn is_spent(&self, record: &Record) -> bool {
         let maybe = |(n, sent): (usize, &Sent)| !sent.never && !self.proven.contains(&n);
         record.about.effect == Effect::Unsafe && record.sent.iter().enumerate().any(maybe)
     }
 
-    /// It is proven that an attempt of this holder never ran, or was never sent; that goes along with the next word. A word that
-    /// was said is never said again in another form.
+    /// Records that an attempt of this holder is proven never to have run or was never sent. This is
+    /// included in the next record, because a record must not change under the same stamp.
     pub fn never_ran(&mut self, number: usize) {
         if self.holds() {
             self.proven.insert(number);
         }
     }
 
-    /// The intent that is being written is given up: its attempt is never sent, whatever becomes of the word.
+    /// Cancels the intent being written. Its attempt is never sent, even if the record is accepted.
     pub fn deny(&mut self) {
         if let State::Holding { record, purpose: purpose @ Purpose::Intent, .. } = &mut self.state {
             *purpose = Purpose::Claim;
@@ -409,12 +417,13 @@
         }
     }
 
-    /// The work has come to this. `false` where it is not this node's.
+    /// Writes the final verdict. Returns `false` if this node does not hold the work.
     pub fn conclude(&mut self, verdict: Verdict) -> bool {
         self.write(Purpose::Verdict(verdict), |record| record.verdict = Some(verdict))
     }
 
-    /// Nothing is said for good, and whoever is asked next may take it. What is unsafe and may have run is not let go.
+    /// Releases the work without a verdict, so that the next node that is asked may take it over. Unsafe
+    /// work that may have run gets the verdict [`Verdict::MayHaveRun`] instead.
     pub fn let_go(&mut self) -> bool {
         match self.record() {
             Some(record) if self.is_spent(record) => self.conclude(Verdict::MayHaveRun),
@@ -422,7 +431,7 @@
         }
     }
 
-    /// What its class allows, where that is known.
+    /// The effect of the work's class, if it is known.
     pub fn effect(&self) -> Option<Effect> {
         self.record().map(|record| &record.about).or(self.about.as_ref()).map(|about| about.effect)
     }
--- a/crates/custody/src/register.rs
+++ b/crates/custody/src/register.rs
@@ -1,154 +1,158 @@
-//! One register at one keeper: what it has promised, and what it has accepted.
+//! The register of one work at one keeper: the highest promised ballot and the last accepted record.
 
 use serde::Serialize;
 
-/// A node, by a number made of its name.
+/// Identifies a node, derived from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct NodeId(pub u64);
 
-/// One life of a node: a number that no other start of any node has.
+/// One incarnation of a node, from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Life {
     /// The node.
     pub node: NodeId,
-    /// Which start of it.
+    /// Distinguishes this start from all other starts of any node.
     pub life: u64,
 }
 
-/// A work's identity: what is asked for and by whom, and, for work that has no key, which asking began it.
+/// Identity of a work: the operation and its caller and, if the request has no key, the first request for
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Work {
-    /// A digest of what is asked for, and by whom.
+    /// Digest of the requested operation and its caller.
     pub slot: (u64, u64),
-    /// 0 for a key, [`Work::REPEAT`] for a repeat whose first asking nobody knows, else made of the first asking's id.
+    /// 0 for a keyed request, [`Work::REPEAT`] for a marked repeat whose first request is unknown, else
+    /// derived from the id of the first request.
     pub nonce: u64,
 }
 
 impl Work {
-    /// The nonce of a marked repeat that repeats nothing known: two of them at two nodes are one work.
+    /// The nonce of a marked repeat whose first request is unknown. Two such repeats at two nodes are the
+    /// same work.
     pub const REPEAT: u64 = 1;
 }
 
-/// Ballots are ordered; no two lives have one in common.
+/// A ballot number. Ballots are totally ordered, and no two incarnations share one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Ballot {
     /// The round.
     pub round: u64,
-    /// Whose it is.
+    /// The incarnation that uses the ballot.
     pub life: u64,
 }
 
-/// A ballot, and which of its holder's words at that ballot.
+/// A ballot and the version of the record written under it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Stamp {
     /// The ballot.
     pub ballot: Ballot,
-    /// Which word, from 1.
+    /// The version, counted from 1.
     pub version: u32,
 }
 
-/// What a class allows, as far as that matters here. Safe classes are never guarded.
+/// Whether a class allows a request to be sent again. Safe classes are never guarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Again with its key.
+    /// May be sent again with its idempotency key.
     Keyed,
-    /// Never again once it may have been sent.
+    /// Must not be sent again once an attempt may have been sent.
     Unsafe,
 }
 
-/// Bytes that keepers have beside a register, by their digest.
+/// Digest and length of bytes that keepers store along with a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Blob {
-    /// The digest.
+    /// Digest of the bytes.
     pub digest: u64,
-    /// How many.
+    /// Number of bytes.
     pub length: u32,
 }
 
-/// An attempt that its holder meant to send.
+/// An attempt that a holder intended to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Sent {
-    /// To which server, alike on all nodes.
+    /// Number of the target server, the same on all nodes.
     pub server: u64,
     /// The server's zone.
     pub zone: u64,
     /// The server's cell.
     pub cell: u64,
-    /// When, in milliseconds since the work began.
+    /// Time of the intent in milliseconds since the work began.
     pub at: u32,
-    /// It is proven that it never ran.
+    /// The attempt is proven never to have run.
     pub never: bool,
 }
 
-/// What is said of a work for good.
+/// The final outcome of a work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// A server's answer, which the keepers have.
+    /// A server answered, and the keepers store the answer.
     Served(Blob),
-    /// A server answered, with more than keepers take.
+    /// A server answered, but the answer is too long to be stored.
     ServedLong,
-    /// The server found the request itself bad.
+    /// The server rejected the request as invalid.
     Rejected,
-    /// It may have run, and is not sent again.
+    /// The work may have run and is not sent again.
     MayHaveRun,
 }
 
-/// What does not change of a work.
+/// The fixed properties of a work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct About {
-    /// What its class allows.
+    /// The effect of its class.
     pub effect: Effect,
-    /// Its class, by name.
+    /// Name of its class.
     pub class: String,
-    /// How long its first client waited, from when the work began.
+    /// How long the first client waits, counted from the beginning of the work.
     pub remaining_ms: u32,
-    /// The request, where it is short enough to go along.
+    /// The request, if it is short enough to be stored at the keepers.
     pub request: Option<Blob>,
 }
 
-/// What a register holds.
+/// The contents of a register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Record {
-    /// Who may begin attempts; `None`: whoever comes next.
+    /// The incarnation that may start attempts, or `None` if the work was released to the next node that
+    /// asks.
     pub holder: Option<Life>,
-    /// Attempts that were meant to be sent, by all holders.
+    /// Attempts that any holder intended to send.
     pub sent: Vec<Sent>,
-    /// What is said for good, if anything.
+    /// The final verdict, if there is one.
     pub verdict: Option<Verdict>,
-    /// What does not change.
+    /// The fixed properties.
     pub about: About,
 }
 
 impl Record {
-    /// May it have run?
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.sent.iter().any(|sent| !sent.never)
     }
 
-    /// May whoever takes it over not send it, whatever the module says?
+    /// Whether the work must not be sent again: it is unsafe and may have run.
     pub fn is_spent(&self) -> bool {
         self.about.effect == Effect::Unsafe && self.may_have_run()
     }
 }
 
-/// What a keeper says of one register.
+/// The result of an operation on a register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Answer {
-    /// Nothing below this ballot is accepted from now on; this was accepted last.
+    /// The ballot is promised: no lower one is accepted from now on. Contains the last accepted record.
     Promised(Ballot, Option<(Stamp, Record)>),
-    /// Somebody has it, or had it.
+    /// The accepted record. Some node holds or held the work.
     Known(Stamp, Record),
-    /// Nothing was ever accepted.
+    /// No record was accepted yet.
     Nothing,
-    /// This, or a later word of the same ballot, is accepted.
+    /// The record with this stamp is accepted. The stamp may be a later one of the same ballot.
     Accepted(Stamp),
     /// A higher ballot was promised.
     Outbid(Ballot),
 }
 
-/// One register at one keeper.
+/// The acceptor of one register at one keeper.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
     promised: Ballot,
@@ -156,7 +160,7 @@
 }
 
 impl Acceptor {
-    /// Promises the ballot where nobody has the work.
+    /// Promises the ballot if no record was accepted, else returns the accepted record.
     pub fn open(&mut self, ballot: Ballot) -> Answer {
         match &self.accepted {
             Some((stamp, record)) => Answer::Known(*stamp, record.clone()),
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Promises the ballot, whoever has the work.
+    /// Promises the ballot even if a record was accepted.
     pub fn seize(&mut self, ballot: Ballot) -> Answer {
         if ballot < self.promised {
             return Answer::Outbid(self.promised);
@@ -173,7 +177,7 @@
         Answer::Promised(ballot, self.accepted.clone())
     }
 
-    /// Accepts a word, unless a higher ballot was promised.
+    /// Accepts a record unless a higher ballot was promised.
     pub fn accept(&mut self, stamp: Stamp, record: &Record) -> Answer {
         if stamp.ballot < self.promised {
             return Answer::Outbid(self.promised);
@@ -185,7 +189,7 @@
         Answer::Accepted(self.accepted.as_ref().map_or(stamp, |(accepted, _)| *accepted))
     }
 
-    /// What was accepted.
+    /// Returns the accepted record as an answer.
     pub fn look(&self) -> Answer {
         match &self.accepted {
             Some((stamp, record)) => Answer::Known(*stamp, record.clone()),
@@ -193,7 +197,7 @@
         }
     }
 
-    /// What was accepted.
+    /// The accepted record.
     pub fn record(&self) -> Option<&Record> {
         self.accepted.as_ref().map(|(_, record)| record)
     }
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -1,9 +1,11 @@
-//! Who keeps what. The keepers of a work follow from its identity and the roster alone, not from who seems to live: two nodes that
-//! go by one roster have the same, whatever they think of the others.
+//! Selects the keepers of a work. They depend only on the work's identity and the roster, not on which
+//! nodes seem alive, so two nodes with the same roster agree on them whatever they think of the other
+//! nodes.
 //!
-//! A roster has an *epoch*. It changes in two steps, as a change of one by one node would else have two majorities that do not
-//! meet: first all nodes go by the new and the one before, and need a majority by each (`before` is there); then, when all do,
-//! by the new alone. Nodes that are two steps apart do not hear one another.
+//! A roster has an *epoch*. A direct change between rosters could yield two majorities that have no
+//! keeper in common, so a roster changes in two steps. First all nodes use both the new and the previous
+//! roster and need a majority in each (`before` is set). Once all nodes do so, they use the new roster
+//! alone. Nodes that are two steps apart ignore each other's messages.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +13,20 @@
 
 use crate::register::NodeId;
 
-/// How many keepers a work has.
+/// Number of keepers of a work.
 pub const KEEPERS: usize = 3;
 
-/// Nodes that may be keepers.
+/// The nodes that may be keepers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
     nodes: Vec<(NodeId, String)>,
 }
 
 impl Roster {
-    /// These nodes, each with its zone.
+    /// Creates a roster from nodes with their zones.
     ///
     /// # Errors
-    /// Where they are fewer than three, or one stands twice.
+    /// If there are fewer than [`KEEPERS`] nodes, or a node is listed twice.
     pub fn new(nodes: Vec<(NodeId, String)>) -> Result<Self, String> {
         let distinct: BTreeSet<NodeId> = nodes.iter().map(|(id, _)| *id).collect();
         if distinct.len() < nodes.len() {
@@ -36,7 +38,7 @@
         Ok(Self { nodes })
     }
 
-    /// The keepers of a slot: by rendezvous hashing, from different zones as far as there are such.
+    /// Selects the keepers of a slot by rendezvous hashing, from different zones as far as possible.
     fn keepers(&self, slot: (u64, u64)) -> Vec<NodeId> {
         let rank =
             |id: NodeId| number_of(&[&slot.0.to_be_bytes(), &slot.1.to_be_bytes(), &id.0.to_be_bytes()]);
@@ -57,14 +59,14 @@
     }
 }
 
-/// The roster that counts, and in a change the one before.
+/// The current roster and, during a change, the previous one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rosters {
-    /// The number of the roster; each change raises it by one.
+    /// The number of the current roster. Each change increments it.
     pub epoch: u32,
-    /// The roster.
+    /// The current roster.
     pub now: Roster,
-    /// The one before it, in the first step of a change.
+    /// The previous roster, during the first step of a change.
     pub before: Option<Roster>,
 }
 
@@ -75,7 +77,8 @@
         Keepers { groups: all.into_iter().flatten().map(|roster| roster.keepers(slot)).collect() }
     }
 
-    /// Does whoever goes by this epoch, with or without the one before, have a majority in common with this one?
+    /// Whether every majority of a node at this epoch shares a keeper with every majority of these
+    /// rosters. `joint`: the other node also uses its previous roster.
     pub fn meets(&self, epoch: u32, joint: bool) -> bool {
         let own = [Some(self.epoch), self.before.as_ref().map(|_| self.epoch.wrapping_sub(1))];
         let theirs = [Some(epoch), joint.then(|| epoch.wrapping_sub(1))];
@@ -83,34 +86,35 @@
     }
 }
 
-/// The keepers of one work: a majority is one of each group.
+/// The keepers of one work, one group for each roster. A majority requires a majority of every group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Keepers {
     groups: Vec<Vec<NodeId>>,
 }
 
 impl Keepers {
-    /// One group.
+    /// Keepers of a single group.
     pub fn of(nodes: Vec<NodeId>) -> Self {
         Self { groups: vec![nodes] }
     }
 
-    /// All of them, each once.
+    /// All keepers without duplicates.
     pub fn all(&self) -> BTreeSet<NodeId> {
         self.groups.iter().flatten().copied().collect()
     }
 
-    /// Are those a majority?
+    /// Whether the keepers that satisfy `yes` form a majority.
     pub fn majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
         self.groups.iter().all(|group| 2 * group.iter().filter(|id| yes(**id)).count() > group.len())
     }
 
-    /// Can there be no majority without those?
+    /// Whether no majority is possible without the keepers that satisfy `no`.
     pub fn blocked(&self, no: impl Fn(NodeId) -> bool) -> bool {
         !self.majority(|id| !no(id))
     }
 
-    /// Which of them comes first, second, and so on, for a keeper: who takes a work up for which nobody asks.
+    /// Position of a keeper in the first group. It determines the order in which keepers take over an
+    /// orphaned work.
     pub fn place(&self, id: NodeId) -> Option<usize> {
         self.groups.first()?.iter().position(|other| *other == id)
     }
@@ -149,11 +153,11 @@
         for (n, one) in steps.iter().enumerate() {
             for (m, other) in steps.iter().enumerate() {
                 let meets = one.meets(other.epoch, other.before.is_some());
-                // The first and the last have no majority in common.
+                // The first and the last step may have disjoint majorities.
                 assert_eq!(meets, n.abs_diff(m) < 2, "{n} and {m}");
             }
         }
-        // A majority of the one and a majority of the other have a keeper in common, for neighbours.
+        // Any majorities of two adjacent steps share a keeper.
         for slot in 0..200 {
             let quorums = |rosters: &Rosters| {
                 let keepers = rosters.keepers((slot, 1));
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -1,7 +1,9 @@
-//! Datagrams: requests and replies about works, several in one, under a keyed digest.
+//! The datagram format: several requests and replies about works in one datagram, authenticated by a
+//! keyed digest.
 //!
-//! A datagram says when it was sent. What is older, or newer, than a part of an entry's life is not heard: whatever is delayed or
-//! played again so late could speak of a register that has ended.
+//! A datagram carries its sending time. The receiver drops it if that time differs from its own by more
+//! than a fraction of an entry's lifetime, because a message that is delayed or replayed for longer could
+//! refer to a register that has expired.
 
 use bytes::Bytes;
 use glenwood_datagram::{number_of, write_short, Reader, Secret, LONGEST, TAG};
@@ -13,47 +15,48 @@
 };
 
 const MAGIC: u32 = 0x474c_4331;
-/// The most attempts that a record has.
+/// Maximum number of attempts in a record.
 pub const SENT_MOST: usize = 8;
-/// The longest name of a class.
+/// Maximum length of a class name in bytes.
 pub const CLASS_MOST: usize = 64;
 
-/// One thing that is said.
+/// One message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Say {
-    /// To a keeper.
+    /// A request to a keeper.
     Request(Work, Request),
-    /// By a keeper.
+    /// A keeper's reply.
     Reply(Work, Reply),
-    /// The sender's life has works in hand, though its membership may have passed to a successor.
+    /// The sender's incarnation is alive and holds works, even if its membership may have passed to a
+    /// successor.
     Here,
 }
 
-/// Who says something, and when.
+/// The header of a datagram: its sender and when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct From {
-    /// Whose nodes these are.
+    /// Number of the sender's cluster (see [`cluster_number`]).
     pub cluster: u32,
-    /// The life that speaks.
+    /// The sender's incarnation.
     pub life: Life,
-    /// The epoch of its roster, and whether it goes by the one before too.
+    /// The sender's roster epoch, and whether it also uses the previous roster.
     pub epoch: (u32, bool),
-    /// Its clock, Unix time in milliseconds.
+    /// The sender's clock, Unix time in milliseconds.
     pub time: u64,
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
-    /// Not made with the secret.
+    /// The digest does not match the secret.
     Forged,
-    /// It can't be read.
+    /// The contents can't be parsed.
     Unreadable,
-    /// Another cluster's.
+    /// It belongs to another cluster.
     OtherCluster,
 }
 
-/// The number of a cluster's name.
+/// Derives a cluster's number from its name.
 pub fn cluster_number(name: &str) -> u32 {
     number_of(&[b"custody", name.as_bytes()]) as u32
 }
@@ -301,7 +304,7 @@
     Some(u128::from_be_bytes(r.take(16)?.try_into().ok()?))
 }
 
-/// Writes what is said to one receiver, in as few datagrams as hold it.
+/// Encodes messages to one receiver, with as many as fit in each datagram.
 pub fn write(from: &From, says: &[Say], secret: &Secret) -> Vec<Vec<u8>> {
     let head = {
         let mut out = Vec::with_capacity(LONGEST);
@@ -327,10 +330,10 @@
     all
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Where it is not this cluster's, was not made with the secret, or can't be read.
+/// If it belongs to another cluster, was not made with the secret, or can't be parsed.
 pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<(From, Vec<Say>), Bad> {
     let said = secret.open(bytes).map_err(|_| Bad::Forged)?;
     let mut r = Reader::new(said);
