--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -8,20 +8,20 @@
 use glenwood_datagram::number_of;
 use serde::Serialize;
 
-use crate::keeper::{all_pieces, pieces_of, Reply, Request, BLOB_MOST, HEARD_MS, PIECE};
-use crate::proposer::{Proposer, Question, Step};
+use crate::keeper::{all_pieces_mask, piece_count, Reply, Request, LIVENESS_MS, MAX_BLOB_BYTES, PIECE_BYTES};
+use crate::proposer::{Proposer, RegisterOp, Step};
 use crate::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict, Work};
 use crate::roster::Rosters;
 
 /// Upper limit of the exponential backoff between resends, as a multiple of the initial interval.
-const BACK_OFF: u64 = 8;
+const MAX_BACKOFF_FACTOR: u64 = 8;
 /// Number of blob pieces sent to one keeper per round of sending.
-const PIECES_AT_ONCE: usize = 16;
+const PIECES_PER_ROUND: usize = 16;
 /// Interval between announcements to keepers that this incarnation is alive and holds works.
-const HERE_MS: u64 = 100;
+const ALIVE_INTERVAL_MS: u64 = 100;
 /// How long a work whose verdict missed its timeout keeps resending it to the keepers, as a multiple of
 /// `patience_ms`.
-const LINGER: u64 = 4;
+const LINGER_FACTOR: u64 = 4;
 
 /// Timing and capacity limits of a coordinator. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -164,7 +164,7 @@
 }
 
 /// A blob being stored at the keepers.
-struct Put {
+struct Upload {
     blob: Blob,
     bytes: Bytes,
     /// Bitmask of the pieces that each keeper has.
@@ -177,51 +177,51 @@
     pieces: BTreeMap<u8, Bytes>,
     /// The verdict whose answer is fetched. `None` if the request itself is fetched.
     verdict: Option<Verdict>,
-    until: u64,
+    deadline: u64,
 }
 
 struct Entry {
     work: Work,
     proposer: Proposer,
     /// The request, if one was submitted at this node. `None` if the work was adopted as an orphan.
-    asked: Option<Ask>,
+    submitted: Option<Ask>,
     /// When the work began, estimated from the ages that keepers report.
     began: u64,
     /// Nonces of other works of the same slot, as reported by each keeper.
-    others: BTreeMap<NodeId, Vec<u64>>,
+    reported_nonces: BTreeMap<NodeId, Vec<u64>>,
     /// Deadline of the pending operation.
-    until: u64,
+    deadline: u64,
     /// When the entry is removed in any case.
-    ends: u64,
+    expires: u64,
     next_send: u64,
-    wait: u64,
+    resend_wait: u64,
     next_poll: u64,
-    asked_last: Option<Question>,
-    meant: Option<usize>,
-    puts: Vec<Put>,
+    last_request: Option<RegisterOp>,
+    pending_attempt: Option<usize>,
+    uploads: Vec<Upload>,
     fetch: Option<Fetch>,
     /// The answer that this node submitted with its verdict.
-    answer: Option<(Blob, Bytes)>,
+    own_answer: Option<(Blob, Bytes)>,
     /// [`Event::Unkept`] was already emitted for this work.
-    unkept: bool,
+    unkept_reported: bool,
 }
 
 /// Manages every work that this node is involved in.
 pub struct Coordinator {
-    set: Settings,
-    me: Life,
+    settings: Settings,
+    local: Life,
     rosters: Rosters,
     random: fastrand::Rng,
     entries: BTreeMap<Ticket, Entry>,
     by_work: BTreeMap<Work, Ticket>,
-    last: u64,
+    last_ticket: u64,
     /// The latest known incarnation of each node and whether it is alive.
-    lives: BTreeMap<NodeId, (u64, bool)>,
-    heard: BTreeMap<Life, u64>,
+    incarnations: BTreeMap<NodeId, (u64, bool)>,
+    last_seen: BTreeMap<Life, u64>,
     timers: BTreeSet<(u64, Ticket)>,
-    set_for: BTreeMap<Ticket, u64>,
-    next_here: u64,
-    out: VecDeque<(NodeId, Option<(Work, Request)>)>,
+    scheduled: BTreeMap<Ticket, u64>,
+    next_announcement: u64,
+    outgoing: VecDeque<(NodeId, Option<(Work, Request)>)>,
     events: VecDeque<Event>,
     figures: Figures,
 }
@@ -233,21 +233,21 @@
 
 impl Coordinator {
     /// Creates a coordinator for this incarnation of the node.
-    pub fn new(set: Settings, me: Life, rosters: Rosters, seed: u64, now: u64) -> Self {
+    pub fn new(settings: Settings, local: Life, rosters: Rosters, seed: u64, now: u64) -> Self {
         Self {
-            set,
-            me,
+            settings,
+            local,
             rosters,
             random: fastrand::Rng::with_seed(seed),
             entries: BTreeMap::new(),
             by_work: BTreeMap::new(),
-            last: 0,
-            lives: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_ticket: 0,
+            incarnations: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             timers: BTreeSet::new(),
-            set_for: BTreeMap::new(),
-            next_here: now,
-            out: VecDeque::new(),
+            scheduled: BTreeMap::new(),
+            next_announcement: now,
+            outgoing: VecDeque::new(),
             events: VecDeque::new(),
             figures: Figures::default(),
         }
@@ -262,7 +262,7 @@
 
     /// Number of works this node is involved in, and number of them that it holds.
     pub fn counts(&self) -> (usize, usize) {
-        (self.entries.len(), self.entries.values().filter(|entry| entry.proposer.holds()).count())
+        (self.entries.len(), self.entries.values().filter(|entry| entry.proposer.is_holder()).count())
     }
 
     /// The identity of the work with this ticket.
@@ -272,7 +272,7 @@
 
     /// Whether this node holds the work.
     pub fn holds(&self, ticket: Ticket) -> bool {
-        self.entries.get(&ticket).is_some_and(|entry| entry.proposer.holds())
+        self.entries.get(&ticket).is_some_and(|entry| entry.proposer.is_holder())
     }
 
     /// The last known holder of the work.
@@ -283,21 +283,23 @@
     // ---- Membership ----
 
     /// Records from membership the current incarnation of a node and whether it is alive.
-    pub fn life(&mut self, life: Life, lives: bool) {
-        let known = self.lives.get(&life.node).copied();
+    pub fn life(&mut self, life: Life, alive: bool) {
+        let recorded = self.incarnations.get(&life.node).copied();
         // A late report that an older incarnation was lost says nothing about the current one.
-        if lives || known.is_none_or(|(other, there)| other == life.life || !there) {
-            self.lives.insert(life.node, (life.life, lives));
+        if alive || recorded.is_none_or(|(other, was_alive)| other == life.life || !was_alive) {
+            self.incarnations.insert(life.node, (life.life, alive));
         }
     }
 
     /// Whether this incarnation is considered lost.
     pub fn is_lost(&self, now: u64, life: Life) -> bool {
-        let gone = match self.lives.get(&life.node) {
-            Some((other, lives)) => !(*lives && *other == life.life),
+        let considered_dead = match self.incarnations.get(&life.node) {
+            Some((other, alive)) => !(*alive && *other == life.life),
             None => false,
         };
-        gone && life != self.me && self.heard.get(&life).is_none_or(|at| now - at > HEARD_MS)
+        considered_dead
+            && life != self.local
+            && self.last_seen.get(&life).is_none_or(|at| now - at > LIVENESS_MS)
     }
 
     // ---- Caller interface ----
@@ -310,7 +312,7 @@
     /// Returns the next message to send and its receiver. `None` in place of a work and request stands
     /// for the announcement that this incarnation is alive.
     pub fn poll_transmit(&mut self) -> Option<(NodeId, Option<(Work, Request)>)> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     /// Submits a request. Returns its ticket and whether it joined a work already in progress here, or
@@ -327,73 +329,80 @@
             self.figures.joined += 1;
             return Some((*ticket, true));
         }
-        if self.entries.len() >= self.set.most {
+        if self.entries.len() >= self.settings.most {
             return None;
         }
-        let ticket = self.next();
-        self.begin(now, ticket, work, ask);
+        let ticket = self.next_ticket();
+        self.start_work(now, ticket, work, ask);
         Some((ticket, false))
     }
 
-    fn next(&mut self) -> Ticket {
-        self.last += 1;
-        Ticket(self.last)
+    fn next_ticket(&mut self) -> Ticket {
+        self.last_ticket += 1;
+        Ticket(self.last_ticket)
     }
 
-    fn begin(&mut self, now: u64, ticket: Ticket, work: Work, ask: Ask) {
+    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, ask: Ask) {
         let effect = if ask.kind == Kind::Keyed { Effect::Keyed } else { Effect::Unsafe };
-        let body = ask.body.as_ref().filter(|body| body.len() <= BLOB_MOST);
+        let body = ask.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
         let about = About {
             effect,
             class: ask.class.clone(),
             remaining_ms: ask.remaining_ms,
             request: body.map(|body| blob_of(body)),
         };
-        let proposer = Proposer::asked(self.me, self.rosters.keepers(work.slot), about);
-        self.put_entry(now, ticket, work, proposer, Some(ask));
+        let proposer = Proposer::for_request(self.local, self.rosters.keepers(work.slot), about);
+        self.insert_entry(now, ticket, work, proposer, Some(ask));
     }
 
     /// Takes over a work whose holder is lost, as found by a keeper, unless this node is involved in it
     /// already.
     pub fn adopt(&mut self, now: u64, work: Work) {
-        if self.by_work.contains_key(&work) || self.entries.len() >= self.set.most {
+        if self.by_work.contains_key(&work) || self.entries.len() >= self.settings.most {
             return;
         }
-        let ticket = self.next();
-        let proposer = Proposer::orphaned(self.me, self.rosters.keepers(work.slot));
-        self.put_entry(now, ticket, work, proposer, None);
+        let ticket = self.next_ticket();
+        let proposer = Proposer::for_orphan(self.local, self.rosters.keepers(work.slot));
+        self.insert_entry(now, ticket, work, proposer, None);
     }
 
-    fn put_entry(&mut self, now: u64, ticket: Ticket, work: Work, proposer: Proposer, asked: Option<Ask>) {
+    fn insert_entry(
+        &mut self,
+        now: u64,
+        ticket: Ticket,
+        work: Work,
+        proposer: Proposer,
+        submitted: Option<Ask>,
+    ) {
         let entry = Entry {
             work,
             proposer,
-            asked,
+            submitted,
             began: now,
-            others: BTreeMap::new(),
-            until: now + self.set.patience_ms,
-            ends: now + self.set.life_ms,
+            reported_nonces: BTreeMap::new(),
+            deadline: now + self.settings.patience_ms,
+            expires: now + self.settings.life_ms,
             next_send: now,
-            wait: self.set.resend_ms,
+            resend_wait: self.settings.resend_ms,
             next_poll: u64::MAX,
-            asked_last: None,
-            meant: None,
-            puts: Vec::new(),
+            last_request: None,
+            pending_attempt: None,
+            uploads: Vec::new(),
             fetch: None,
-            answer: None,
-            unkept: false,
+            own_answer: None,
+            unkept_reported: false,
         };
         self.entries.insert(ticket, entry);
         self.by_work.insert(work, ticket);
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
     /// Starts to store the intent to send an attempt. [`Event::Go`] or [`Event::Denied`] follows and must
     /// be awaited before the next call. Returns the index of the attempt among those of all holders, or
     /// `None` if no intent was recorded.
     pub fn intend(&mut self, now: u64, ticket: Ticket, server: u64, zone: u64, cell: u64) -> Option<usize> {
-        let life = self.set.life_ms;
-        let patience = self.set.patience_ms;
+        let ttl = self.settings.life_ms;
+        let majority_timeout = self.settings.patience_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else {
             self.events.push_back(Event::Denied(ticket));
             return None;
@@ -401,116 +410,117 @@
         let at = u32::try_from(now - entry.began).unwrap_or(u32::MAX);
         let number = entry.proposer.record().map_or(0, |record| record.sent.len());
         // By then the register may have expired at some keepers.
-        let late = now + life / 2 > entry.ends;
-        let full = number >= crate::wire::SENT_MOST;
-        if late || full || !entry.proposer.intend(Sent { server, zone, cell, at, never: false }) {
+        let too_late = now + ttl / 2 > entry.expires;
+        let is_full = number >= crate::wire::MAX_ATTEMPTS;
+        if too_late || is_full || !entry.proposer.write_intent(Sent { server, zone, cell, at, never: false })
+        {
             self.figures.denied += 1;
             self.events.push_back(Event::Denied(ticket));
             return None;
         }
-        (entry.meant, entry.until) = (Some(number), now + patience);
-        self.work_on(now, ticket);
+        (entry.pending_attempt, entry.deadline) = (Some(number), now + majority_timeout);
+        self.advance(now, ticket);
         Some(number)
     }
 
     /// Records that this attempt, by its index among those of all holders, is proven never to have run.
     pub fn never_ran(&mut self, ticket: Ticket, number: usize) {
-        self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.never_ran(number));
+        self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.mark_never_ran(number));
     }
 
     /// Submits the result of a work. [`Event::Verdict`] or [`Event::Unkept`] follows, or neither if the
     /// work is released.
     pub fn conclude(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
-        let patience = self.set.patience_ms;
+        let majority_timeout = self.settings.patience_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         let held = match conclusion {
-            Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= BLOB_MOST) {
+            Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= MAX_BLOB_BYTES) {
                 Some(bytes) => {
                     let blob = blob_of(&bytes);
-                    let held = entry.proposer.conclude(Verdict::Served(blob));
+                    let held = entry.proposer.write_verdict(Verdict::Served(blob));
                     if held {
-                        entry.puts.push(Put { blob, bytes: bytes.clone(), have: BTreeMap::new() });
-                        entry.answer = Some((blob, bytes));
+                        entry.uploads.push(Upload { blob, bytes: bytes.clone(), have: BTreeMap::new() });
+                        entry.own_answer = Some((blob, bytes));
                     }
                     held
                 }
-                None => entry.proposer.conclude(Verdict::ServedLong),
+                None => entry.proposer.write_verdict(Verdict::ServedLong),
             },
-            Conclusion::Rejected => entry.proposer.conclude(Verdict::Rejected),
-            Conclusion::LetGo => entry.proposer.let_go(),
+            Conclusion::Rejected => entry.proposer.write_verdict(Verdict::Rejected),
+            Conclusion::LetGo => entry.proposer.release(),
         };
         if held {
-            (entry.until, entry.meant) = (now + patience, None);
+            (entry.deadline, entry.pending_attempt) = (now + majority_timeout, None);
         }
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
     /// No client at this node waits for the work any more. If this node holds it, it continues.
     pub fn give_up(&mut self, now: u64, ticket: Ticket) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
-            entry.proposer.give_up();
-            self.work_on(now, ticket);
+            entry.proposer.abandon();
+            self.advance(now, ticket);
         }
     }
 
     // ---- Keeper replies ----
 
     /// Handles a keeper's reply.
-    pub fn hear(&mut self, now: u64, by: NodeId, work: Work, reply: Reply) {
+    pub fn hear(&mut self, now: u64, keeper: NodeId, work: Work, reply: Reply) {
         let Some(ticket) = self.by_work.get(&work).copied() else { return };
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         match reply {
-            Reply::Answer { answer, age, fresh } => {
+            Reply::Answer { answer, age, holder_alive } => {
                 let record = match &answer {
-                    Answer::Promised(_, Some((_, record))) | Answer::Known(_, record) => Some(record),
+                    Answer::Promised(_, Some((_, record))) | Answer::Stored(_, record) => Some(record),
                     _ => None,
                 };
-                if let Some(holder) = record.and_then(|record| record.holder).filter(|_| fresh) {
-                    self.heard.insert(holder, now);
+                if let Some(holder) = record.and_then(|record| record.holder).filter(|_| holder_alive) {
+                    self.last_seen.insert(holder, now);
                 }
                 if record.is_some() {
                     // The highest reported age is the closest to the actual start of the work.
                     entry.began = entry.began.min(now.saturating_sub(u64::from(age)));
                 }
-                entry.proposer.heard(by, answer);
+                entry.proposer.handle_answer(keeper, answer);
             }
-            Reply::Others(nonces) => {
-                entry.others.insert(by, nonces);
-                self.other_works(now, ticket);
+            Reply::OtherWorks(nonces) => {
+                entry.reported_nonces.insert(keeper, nonces);
+                self.handle_other_works(now, ticket);
                 return;
             }
-            Reply::Have(blob, have) => {
-                let put = entry.puts.iter_mut().find(|put| put.blob == blob);
-                put.into_iter().for_each(|put| *put.have.entry(by).or_default() |= have);
+            Reply::HavePieces(blob, have) => {
+                let upload = entry.uploads.iter_mut().find(|upload| upload.blob == blob);
+                upload.into_iter().for_each(|upload| *upload.have.entry(keeper).or_default() |= have);
             }
             Reply::Piece(blob, piece, bytes) => {
                 if let Some(fetch) = entry.fetch.as_mut().filter(|fetch| fetch.blob == blob) {
                     fetch.pieces.insert(piece, bytes);
                 }
             }
-            Reply::Quiet | Reply::Full => {}
+            Reply::NotVoting | Reply::AtCapacity => {}
         }
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
     /// Handles reports that keepers know other works of the same slot.
-    fn other_works(&mut self, now: u64, ticket: Ticket) {
+    fn handle_other_works(&mut self, now: u64, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
-        let Some(ask) = entry.asked.clone() else { return };
+        let Some(ask) = entry.submitted.clone() else { return };
         if !matches!(ask.kind, Kind::Unsafe { marked: true, .. }) {
             // Keepers report only marked repeats to an unmarked request. The repeat may be of this
             // request.
-            self.finish(ticket);
+            self.remove_entry(ticket);
             self.events.push_back(Event::Twin(ticket));
             return;
         }
-        let all: BTreeSet<u64> = entry.others.values().flatten().copied().collect();
-        if !entry.proposer.keepers().majority(|id| entry.others.contains_key(&id)) {
+        let all: BTreeSet<u64> = entry.reported_nonces.values().flatten().copied().collect();
+        if !entry.proposer.keepers().majority(|id| entry.reported_nonces.contains_key(&id)) {
             // A single keeper may know the only earlier work, and further keepers may know others, which
             // makes the repeat ambiguous. So a majority of reports is awaited, up to the timeout.
             return;
         }
-        self.finish(ticket);
+        self.remove_entry(ticket);
         match all.first().copied().filter(|_| all.len() == 1) {
             None => self.events.push_back(Event::Ambiguous(ticket)),
             Some(nonce) => {
@@ -519,7 +529,7 @@
                     Some(other) => self.events.push_back(Event::Same(ticket, *other)),
                     None => {
                         self.figures.joined += 1;
-                        self.begin(now, ticket, work, ask);
+                        self.start_work(now, ticket, work, ask);
                     }
                 }
             }
@@ -530,77 +540,77 @@
 
     /// When [`Coordinator::tick`] should be called next.
     pub fn due(&self) -> Option<u64> {
-        let here = (!self.entries.is_empty()).then_some(self.next_here);
+        let announcement = (!self.entries.is_empty()).then_some(self.next_announcement);
         let timer = self.timers.first().map(|(at, _)| *at);
-        here.into_iter().chain(timer).min()
+        announcement.into_iter().chain(timer).min()
     }
 
     /// Processes expired timers.
     pub fn tick(&mut self, now: u64) {
-        if now >= self.next_here {
-            self.next_here = now + HERE_MS;
-            let held = self.entries.values().filter(|entry| entry.proposer.holds());
+        if now >= self.next_announcement {
+            self.next_announcement = now + ALIVE_INTERVAL_MS;
+            let held = self.entries.values().filter(|entry| entry.proposer.is_holder());
             let keepers: BTreeSet<NodeId> = held.flat_map(|entry| entry.proposer.keepers().all()).collect();
-            self.out.extend(keepers.into_iter().map(|id| (id, None)));
-            self.heard.retain(|_, at| now - *at <= HEARD_MS);
+            self.outgoing.extend(keepers.into_iter().map(|id| (id, None)));
+            self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
         while let Some((_, ticket)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.set_for.remove(&ticket);
-            self.work_on(now, ticket);
+            self.scheduled.remove(&ticket);
+            self.advance(now, ticket);
         }
     }
 
-    fn finish(&mut self, ticket: Ticket) {
+    fn remove_entry(&mut self, ticket: Ticket) {
         if let Some(entry) = self.entries.remove(&ticket) {
             self.by_work.remove(&entry.work);
         }
-        if let Some(at) = self.set_for.remove(&ticket) {
+        if let Some(at) = self.scheduled.remove(&ticket) {
             self.timers.remove(&(at, ticket));
         }
     }
 
     /// Advances a work as far as possible at this time.
-    fn work_on(&mut self, now: u64, ticket: Ticket) {
-        self.steps(now, ticket);
-        self.give_up_what_is_late(now, ticket);
-        self.look_on(now, ticket);
-        self.steps(now, ticket);
+    fn advance(&mut self, now: u64, ticket: Ticket) {
+        self.process_steps(now, ticket);
+        self.handle_timeouts(now, ticket);
+        self.poll_holder(now, ticket);
+        self.process_steps(now, ticket);
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        entry.send(now, &self.set, &mut self.out, &mut self.random);
+        entry.send_due(now, &self.settings, &mut self.outgoing, &mut self.random);
         if entry.is_done(now) {
-            self.finish(ticket);
+            self.remove_entry(ticket);
             self.events.push_back(Event::Over(ticket));
             return;
         }
         let due = entry.due();
-        if let Some(before) = self.set_for.insert(ticket, due) {
+        if let Some(before) = self.scheduled.insert(ticket, due) {
             self.timers.remove(&(before, ticket));
         }
         self.timers.insert((due, ticket));
     }
 
     /// Processes the pending steps of the proposer.
-    fn steps(&mut self, now: u64, ticket: Ticket) {
-        let set = self.set;
+    fn process_steps(&mut self, now: u64, ticket: Ticket) {
+        let settings = self.settings;
         loop {
             let Some(entry) = self.entries.get_mut(&ticket) else { return };
-            let Some(step) = entry.proposer.poll() else { return };
+            let Some(step) = entry.proposer.poll_step() else { return };
             match step {
-                Step::Yours { earlier, adopted } => {
+                Step::Acquired { earlier, adopted } => {
                     let began = entry.began;
                     let earlier: Vec<(Sent, u64)> = earlier
                         .into_iter()
                         .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at))))
                         .collect();
-                    entry.ends = now + set.life_ms;
+                    entry.expires = now + settings.life_ms;
                     self.figures.adopted += u64::from(adopted);
-                    if let Some(ask) = &entry.asked {
-                        if let Some(body) = ask.body.clone().filter(|body| body.len() <= BLOB_MOST) {
+                    if let Some(ask) = &entry.submitted {
+                        if let Some(body) = ask.body.clone().filter(|body| body.len() <= MAX_BLOB_BYTES) {
                             let blob = blob_of(&body);
-                            let known = entry.proposer.record().and_then(|record| record.about.request);
-                            if known == Some(blob) {
-                                entry.puts.push(Put { blob, bytes: body, have: BTreeMap::new() });
+                            let recorded = entry.proposer.record().and_then(|record| record.about.request);
+                            if recorded == Some(blob) {
+                                entry.uploads.push(Upload { blob, bytes: body, have: BTreeMap::new() });
                             }
                         }
                         let adopted = adopted || !earlier.is_empty();
@@ -611,43 +621,44 @@
                     let request = entry.proposer.record().and_then(|record| record.about.request);
                     match request {
                         Some(blob) => {
-                            let until = now + set.patience_ms;
-                            entry.fetch = Some(Fetch { blob, pieces: BTreeMap::new(), verdict: None, until });
+                            let deadline = now + settings.patience_ms;
+                            entry.fetch =
+                                Some(Fetch { blob, pieces: BTreeMap::new(), verdict: None, deadline });
                             entry.next_send = now;
                         }
                         None => {
                             self.figures.bodiless += 1;
-                            entry.proposer.let_go();
+                            entry.proposer.release();
                         }
                     }
                 }
-                Step::Go => {
-                    let Some(number) = entry.meant.take() else { continue };
-                    if now < entry.until {
+                Step::SendAllowed => {
+                    let Some(number) = entry.pending_attempt.take() else { continue };
+                    if now < entry.deadline {
                         self.figures.intents += 1;
                         self.events.push_back(Event::Go(ticket));
                     } else {
                         // The majority came after the timeout, for instance because this process was
                         // suspended. Another node may have taken the work over since, so the attempt is
                         // not sent.
-                        entry.proposer.never_ran(number);
+                        entry.proposer.mark_never_ran(number);
                         self.figures.denied += 1;
                         self.events.push_back(Event::Denied(ticket));
                     }
                 }
-                Step::Ousted => {
+                Step::Superseded => {
                     self.figures.ousted += 1;
-                    if entry.meant.take().is_some() {
+                    if entry.pending_attempt.take().is_some() {
                         self.figures.denied += 1;
                         self.events.push_back(Event::Denied(ticket));
                     }
                     entry.next_poll = now;
                 }
-                Step::LetGo => {}
+                Step::Released => {}
                 Step::Verdict(verdict) => {
                     self.figures.kept += 1;
                     self.figures.may_have_run += u64::from(verdict == Verdict::MayHaveRun);
-                    let own = entry.answer.as_ref();
+                    let own = entry.own_answer.as_ref();
                     match verdict {
                         Verdict::Served(blob) => match own.filter(|(own, _)| *own == blob) {
                             Some((_, bytes)) => {
@@ -655,9 +666,10 @@
                                 self.events.push_back(Event::Verdict(ticket, verdict, Some(bytes)));
                             }
                             None => {
-                                let until = now + set.patience_ms;
+                                let deadline = now + settings.patience_ms;
                                 let verdict = Some(verdict);
-                                entry.fetch = Some(Fetch { blob, pieces: BTreeMap::new(), verdict, until });
+                                entry.fetch =
+                                    Some(Fetch { blob, pieces: BTreeMap::new(), verdict, deadline });
                                 entry.next_send = now;
                             }
                         },
@@ -669,11 +681,11 @@
     }
 
     /// Handles completed fetches and expired timeouts.
-    fn give_up_what_is_late(&mut self, now: u64, ticket: Ticket) {
-        let set = self.set;
+    fn handle_timeouts(&mut self, now: u64, ticket: Ticket) {
+        let settings = self.settings;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         if let Some(fetch) = &entry.fetch {
-            if let Some(bytes) = fetch.whole() {
+            if let Some(bytes) = fetch.complete_bytes() {
                 let verdict = fetch.verdict;
                 entry.fetch = None;
                 match verdict {
@@ -688,74 +700,74 @@
                         self.events.push_back(event);
                     }
                 }
-            } else if now >= fetch.until {
+            } else if now >= fetch.deadline {
                 match fetch.verdict {
                     // The work was served, but its answer can't be fetched.
                     Some(_) => self.events.push_back(Event::Unkept(ticket)),
                     None => {
                         self.figures.bodiless += 1;
-                        entry.proposer.let_go();
-                        entry.until = now + set.patience_ms;
+                        entry.proposer.release();
+                        entry.deadline = now + settings.patience_ms;
                     }
                 }
                 entry.fetch = None;
             }
         }
-        if !entry.proposer.waits() || now < entry.until {
+        if !entry.proposer.is_waiting() || now < entry.deadline {
             return;
         }
-        if entry.meant.take().is_some() {
-            entry.proposer.deny();
+        if entry.pending_attempt.take().is_some() {
+            entry.proposer.cancel_intent();
             self.figures.denied += 1;
             self.events.push_back(Event::Denied(ticket));
-        } else if entry.proposer.holds() {
+        } else if entry.proposer.is_holder() {
             // Keeps resending the verdict for a while, so that other nodes can learn it.
-            if !std::mem::replace(&mut entry.unkept, true) {
+            if !std::mem::replace(&mut entry.unkept_reported, true) {
                 self.figures.unkept += 1;
                 self.events.push_back(Event::Unkept(ticket));
-                entry.until = now + LINGER * set.patience_ms;
+                entry.deadline = now + LINGER_FACTOR * settings.patience_ms;
             } else {
-                entry.ends = now;
+                entry.expires = now;
             }
-        } else if let (Some(_), false) = (&entry.asked, entry.others.is_empty()) {
+        } else if let (Some(_), false) = (&entry.submitted, entry.reported_nonces.is_empty()) {
             // At least one keeper reported other works, but no majority did. Sending the request could
             // send it twice.
-            self.finish(ticket);
+            self.remove_entry(ticket);
             self.events.push_back(Event::Ambiguous(ticket));
         } else {
             self.figures.unknown += 1;
-            self.finish(ticket);
+            self.remove_entry(ticket);
             self.events.push_back(Event::Unknown(ticket));
         }
     }
 
     /// Polls a work that another node holds and takes it over if the holder is lost.
-    fn look_on(&mut self, now: u64, ticket: Ticket) {
-        let (set, jitter) = (self.set, self.random.u64(0..=self.set.poll_ms));
+    fn poll_holder(&mut self, now: u64, ticket: Ticket) {
+        let (settings, jitter) = (self.settings, self.random.u64(0..=self.settings.poll_ms));
         let Some(entry) = self.entries.get(&ticket) else { return };
-        let lost =
-            entry.proposer.watches() && entry.proposer.holder().is_some_and(|life| self.is_lost(now, life));
+        let lost = entry.proposer.is_watching()
+            && entry.proposer.holder().is_some_and(|life| self.is_lost(now, life));
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        if entry.proposer.watches() {
+        if entry.proposer.is_watching() {
             if entry.next_poll == u64::MAX {
                 entry.next_poll = now + jitter;
             } else if now >= entry.next_poll {
-                entry.next_poll = now + set.poll_ms;
+                entry.next_poll = now + settings.poll_ms;
                 if lost {
                     entry.proposer.holder_lost();
                 } else {
-                    entry.proposer.again();
+                    entry.proposer.retry();
                 }
-                // The repeated read equals the last request, so `send` would not treat it as new.
-                (entry.next_send, entry.wait) = (now, set.resend_ms);
-                entry.until = now + set.patience_ms;
+                // The repeated read equals the last request, so `send_due` would not treat it as new.
+                (entry.next_send, entry.resend_wait) = (now, settings.resend_ms);
+                entry.deadline = now + settings.patience_ms;
             }
         } else {
             entry.next_poll = u64::MAX;
-            if entry.proposer.is_outbid() {
+            if entry.proposer.is_preempted() {
                 // Waits before the next round, so that the competing node can finish.
                 if entry.next_send <= now {
-                    entry.proposer.again();
+                    entry.proposer.retry();
                 } else {
                     entry.next_send = entry.next_send.min(now + 1 + jitter / 2);
                 }
@@ -765,8 +777,8 @@
 }
 
 impl Fetch {
-    fn whole(&self) -> Option<Bytes> {
-        let count = pieces_of(self.blob);
+    fn complete_bytes(&self) -> Option<Bytes> {
+        let count = piece_count(self.blob);
         if self.pieces.len() < count {
             return None;
         }
@@ -774,74 +786,82 @@
         Some(Bytes::from(bytes)).filter(|bytes| blob_of(bytes) == self.blob)
     }
 
-    fn want(&self) -> u128 {
+    fn missing_mask(&self) -> u128 {
         let have: u128 = self.pieces.keys().map(|n| 1u128 << n).sum();
-        all_pieces(self.blob) & !have
+        all_pieces_mask(self.blob) & !have
     }
 }
 
 impl Entry {
     /// Sends a new request at once and resends an unanswered one when its resend time has come.
-    fn send(
+    fn send_due(
         &mut self,
         now: u64,
-        set: &Settings,
-        out: &mut VecDeque<(NodeId, Option<(Work, Request)>)>,
+        settings: &Settings,
+        outgoing: &mut VecDeque<(NodeId, Option<(Work, Request)>)>,
         random: &mut fastrand::Rng,
     ) {
-        let messages = self.proposer.messages();
-        let question = messages.first().map(|(_, question)| question.clone());
-        let new = question.is_some() && question != self.asked_last;
-        if new {
-            self.wait = set.resend_ms;
-            self.asked_last = question;
+        let pending = self.proposer.pending_requests();
+        let op = pending.first().map(|(_, op)| op.clone());
+        let is_new = op.is_some() && op != self.last_request;
+        if is_new {
+            self.resend_wait = settings.resend_ms;
+            self.last_request = op;
         }
-        if !new && now < self.next_send {
+        if !is_new && now < self.next_send {
             return;
         }
-        let marked = matches!(&self.asked, Some(Ask { kind: Kind::Unsafe { marked: true, .. }, .. }))
+        let marked = matches!(&self.submitted, Some(Ask { kind: Kind::Unsafe { marked: true, .. }, .. }))
             && self.work.nonce == Work::REPEAT;
-        let before = out.len();
+        let before = outgoing.len();
         // Blobs are sent first, because keepers accept a verdict only if they have its answer.
-        let answered = self.answer.is_some();
-        for put in
-            self.puts.iter().filter(|put| !answered || self.answer.as_ref().is_some_and(|a| a.0 == put.blob))
+        let answered = self.own_answer.is_some();
+        for upload in self
+            .uploads
+            .iter()
+            .filter(|upload| !answered || self.own_answer.as_ref().is_some_and(|a| a.0 == upload.blob))
         {
             for id in self.proposer.keepers().all() {
-                let missing = all_pieces(put.blob) & !put.have.get(&id).copied().unwrap_or(0);
-                let missing = (0..pieces_of(put.blob)).filter(|n| missing >> n & 1 == 1);
-                for n in missing.take(PIECES_AT_ONCE) {
-                    let piece = put.bytes.slice(n * PIECE..put.bytes.len().min((n + 1) * PIECE));
-                    out.push_back((id, Some((self.work, Request::Put(put.blob, n as u8, piece)))));
+                let missing = all_pieces_mask(upload.blob) & !upload.have.get(&id).copied().unwrap_or(0);
+                let missing = (0..piece_count(upload.blob)).filter(|n| missing >> n & 1 == 1);
+                for n in missing.take(PIECES_PER_ROUND) {
+                    let piece =
+                        upload.bytes.slice(n * PIECE_BYTES..upload.bytes.len().min((n + 1) * PIECE_BYTES));
+                    outgoing
+                        .push_back((id, Some((self.work, Request::StorePiece(upload.blob, n as u8, piece)))));
                 }
             }
         }
-        for (id, question) in messages {
-            out.push_back((id, Some((self.work, Request::Ask(question, marked)))));
+        for (id, op) in pending {
+            outgoing.push_back((id, Some((self.work, Request::Register(op, marked)))));
         }
         if let Some(fetch) = &self.fetch {
             let all: Vec<NodeId> = self.proposer.keepers().all().into_iter().collect();
             if let Some(id) = random.choice(&all) {
-                out.push_back((*id, Some((self.work, Request::Get(fetch.blob, fetch.want())))));
+                outgoing.push_back((*id, Some((self.work, Request::Get(fetch.blob, fetch.missing_mask())))));
             }
         }
-        let any = out.len() > before;
-        self.next_send = if any { now + self.wait } else { u64::MAX };
-        let fetches = self.fetch.is_some();
-        self.wait = if fetches { set.resend_ms } else { (2 * self.wait).min(BACK_OFF * set.resend_ms) };
+        let sent_any = outgoing.len() > before;
+        self.next_send = if sent_any { now + self.resend_wait } else { u64::MAX };
+        let is_fetching = self.fetch.is_some();
+        self.resend_wait = if is_fetching {
+            settings.resend_ms
+        } else {
+            (2 * self.resend_wait).min(MAX_BACKOFF_FACTOR * settings.resend_ms)
+        };
     }
 
     fn is_done(&self, now: u64) -> bool {
-        (self.proposer.is_over() && self.fetch.is_none()) || now >= self.ends
+        (self.proposer.has_ended() && self.fetch.is_none()) || now >= self.expires
     }
 
     fn due(&self) -> u64 {
-        let mut due = self.ends.min(self.next_send).min(self.next_poll);
-        if self.proposer.waits() {
-            due = due.min(self.until);
+        let mut due = self.expires.min(self.next_send).min(self.next_poll);
+        if self.proposer.is_waiting() {
+            due = due.min(self.deadline);
         }
         if let Some(fetch) = &self.fetch {
-            due = due.min(fetch.until);
+            due = due.min(fetch.deadline);
         }
         due
     }
--- a/crates/custody/src/keeper.rs
+++ b/crates/custody/src/keeper.rs
@@ -8,22 +8,22 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-use crate::proposer::Question;
+use crate::proposer::RegisterOp;
 use crate::register::{Acceptor, Answer, Blob, Life, Record, Verdict, Work};
 
 /// How long an incarnation counts as alive after its last message, even if membership reports it as lost.
 /// This lets a process that handed its address over to a successor finish its works.
-pub const HEARD_MS: u64 = 500;
+pub const LIVENESS_MS: u64 = 500;
 /// Length of a full blob piece in bytes.
-pub const PIECE: usize = 1000;
+pub const PIECE_BYTES: usize = 1000;
 /// Maximum length of a blob in bytes: the pieces are tracked in a bitmask of 128 bits.
-pub const BLOB_MOST: usize = 128 * PIECE;
+pub const MAX_BLOB_BYTES: usize = 128 * PIECE_BYTES;
 /// Maximum number of pieces sent in reply to one request.
-const PIECES_AT_ONCE: usize = 8;
+const MAX_PIECES_PER_REPLY: usize = 8;
 /// Maximum number of other works of the same slot that one reply lists.
-const OTHERS_MOST: usize = 4;
+const MAX_OTHERS_LISTED: usize = 4;
 /// Estimated memory of one entry without its blobs: a register with a few attempts.
-const ENTRY: usize = 512;
+const ENTRY_BYTES: usize = 512;
 
 /// Limits of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,9 +41,9 @@
 pub enum Request {
     /// An operation on the register. The flag is set for a client's marked repeat that does not name its
     /// first request.
-    Ask(Question, bool),
+    Register(RegisterOp, bool),
     /// Store this piece of a blob.
-    Put(Blob, u8, Bytes),
+    StorePiece(Blob, u8, Bytes),
     /// Return some of the pieces selected by the bitmask.
     Get(Blob, u128),
 }
@@ -57,19 +57,19 @@
         answer: Answer,
         /// Age of the work at this keeper, in milliseconds.
         age: u32,
-        /// The keeper received a message from the holder recently (see [`HEARD_MS`]).
-        fresh: bool,
+        /// The keeper received a message from the holder recently (see [`LIVENESS_MS`]).
+        holder_alive: bool,
     },
     /// No promise was made, because these other works of the same slot exist. Lists their nonces.
-    Others(Vec<u64>),
+    OtherWorks(Vec<u64>),
     /// Bitmask of the pieces of a blob that this keeper has.
-    Have(Blob, u128),
+    HavePieces(Blob, u128),
     /// One piece of a blob, with its index.
     Piece(Blob, u8, Bytes),
     /// The keeper started recently and gives no votes yet.
-    Quiet,
+    NotVoting,
     /// The keeper has no capacity left.
-    Full,
+    AtCapacity,
 }
 
 /// Counters since the start and current sizes.
@@ -89,8 +89,8 @@
 
 struct Entry {
     acceptor: Acceptor,
-    first: u64,
-    last: u64,
+    created: u64,
+    last_used: u64,
 }
 
 struct Pieces {
@@ -98,54 +98,54 @@
 }
 
 impl Pieces {
-    fn have(&self) -> u128 {
-        let bit = |(n, piece): (usize, &Option<Bytes>)| u128::from(piece.is_some()) << n;
-        self.bytes.iter().enumerate().map(bit).sum()
+    fn present_mask(&self) -> u128 {
+        let mask_bit = |(n, piece): (usize, &Option<Bytes>)| u128::from(piece.is_some()) << n;
+        self.bytes.iter().enumerate().map(mask_bit).sum()
     }
 }
 
 /// Number of pieces of a blob.
-pub fn pieces_of(blob: Blob) -> usize {
-    (blob.length as usize).div_ceil(PIECE).max(1)
+pub fn piece_count(blob: Blob) -> usize {
+    (blob.length as usize).div_ceil(PIECE_BYTES).max(1)
 }
 
 /// Bitmask that selects all pieces of a blob.
-pub fn all_pieces(blob: Blob) -> u128 {
-    u128::MAX >> (128 - pieces_of(blob).min(128))
+pub fn all_pieces_mask(blob: Blob) -> u128 {
+    u128::MAX >> (128 - piece_count(blob).min(128))
 }
 
 /// Stores registers and blobs, within limits.
 pub struct Keeper {
-    set: Settings,
-    quiet_until: u64,
+    settings: Settings,
+    votes_from: u64,
     works: BTreeMap<Work, Entry>,
     blobs: BTreeMap<(Work, Blob), Pieces>,
     bytes: usize,
     /// When each entry may have expired, in order of time.
-    ends: VecDeque<(u64, Work)>,
+    expiries: VecDeque<(u64, Work)>,
     /// When the last message of each incarnation was received.
-    heard: BTreeMap<Life, u64>,
+    last_seen: BTreeMap<Life, u64>,
     figures: Figures,
 }
 
 impl Keeper {
     /// Creates a keeper that starts now.
-    pub fn new(set: Settings, now: u64) -> Self {
+    pub fn new(settings: Settings, now: u64) -> Self {
         Self {
-            set,
-            quiet_until: now + set.life_ms,
+            settings,
+            votes_from: now + settings.life_ms,
             works: BTreeMap::new(),
             blobs: BTreeMap::new(),
             bytes: 0,
-            ends: VecDeque::new(),
-            heard: BTreeMap::new(),
+            expiries: VecDeque::new(),
+            last_seen: BTreeMap::new(),
             figures: Figures::default(),
         }
     }
 
     /// Whether the keeper gives votes yet.
     pub fn votes(&self, now: u64) -> bool {
-        now >= self.quiet_until
+        now >= self.votes_from
     }
 
     /// Counters since the start and current sizes.
@@ -155,32 +155,33 @@
 
     /// When [`Keeper::tick`] should be called next, or `None` if no entry can expire.
     pub fn due(&self) -> Option<u64> {
-        self.ends.front().map(|(at, _)| *at)
+        self.expiries.front().map(|(at, _)| *at)
     }
 
     /// Removes expired entries.
     pub fn tick(&mut self, now: u64) {
-        while let Some((_, work)) = self.ends.front().copied().filter(|(at, _)| *at <= now) {
-            self.ends.pop_front();
-            let Some(end) = self.works.get(&work).map(|entry| entry.last + self.set.life_ms) else {
+        while let Some((_, work)) = self.expiries.front().copied().filter(|(at, _)| *at <= now) {
+            self.expiries.pop_front();
+            let Some(expires_at) = self.works.get(&work).map(|entry| entry.last_used + self.settings.life_ms)
+            else {
                 continue;
             };
-            if end > now {
+            if expires_at > now {
                 // The entry was used since it was queued. Inserting it by its new expiry keeps the queue
                 // sorted: an entry that is used now is appended and expires no earlier than all others.
-                let at = self.ends.partition_point(|(at, _)| *at <= end);
-                self.ends.insert(at, (end, work));
+                let at = self.expiries.partition_point(|(at, _)| *at <= expires_at);
+                self.expiries.insert(at, (expires_at, work));
                 continue;
             }
             self.works.remove(&work);
-            self.bytes = self.bytes.saturating_sub(ENTRY);
-            let of =
+            self.bytes = self.bytes.saturating_sub(ENTRY_BYTES);
+            let key_range =
                 (work, Blob { digest: 0, length: 0 })..=(work, Blob { digest: u64::MAX, length: u32::MAX });
-            let blobs: Vec<(Work, Blob)> = self.blobs.range(of).map(|(key, _)| *key).collect();
+            let blobs: Vec<(Work, Blob)> = self.blobs.range(key_range).map(|(key, _)| *key).collect();
             for key in blobs {
                 let pieces = self.blobs.remove(&key);
-                let size: usize = pieces.iter().flat_map(|p| p.bytes.iter().flatten()).map(Bytes::len).sum();
-                self.bytes = self.bytes.saturating_sub(size);
+                let freed: usize = pieces.iter().flat_map(|p| p.bytes.iter().flatten()).map(Bytes::len).sum();
+                self.bytes = self.bytes.saturating_sub(freed);
             }
             self.figures.expired += 1;
         }
@@ -188,13 +189,13 @@
 
     /// Records that a message of this incarnation was received.
     pub fn heard_of(&mut self, now: u64, life: Life) {
-        if self.heard.insert(life, now).is_none() {
-            self.heard.retain(|_, at| now - *at <= HEARD_MS);
+        if self.last_seen.insert(life, now).is_none() {
+            self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
     }
 
-    fn is_fresh(&self, now: u64, life: Life) -> bool {
-        self.heard.get(&life).is_some_and(|at| now - *at <= HEARD_MS)
+    fn is_alive(&self, now: u64, life: Life) -> bool {
+        self.last_seen.get(&life).is_some_and(|at| now - *at <= LIVENESS_MS)
     }
 
     /// Handles a request about a work.
@@ -202,92 +203,99 @@
         self.tick(now);
         if !self.votes(now) {
             self.figures.quiet += 1;
-            return Reply::Quiet;
+            return Reply::NotVoting;
         }
         match request {
-            Request::Ask(question, marked) => self.ask(now, work, &question, marked),
-            Request::Put(blob, piece, bytes) => self.put(work, blob, usize::from(piece), bytes),
-            Request::Get(blob, want) => self.get(work, blob, want).unwrap_or(Reply::Have(blob, 0)),
+            Request::Register(op, marked) => self.handle_register(now, work, &op, marked),
+            Request::StorePiece(blob, piece, bytes) => {
+                self.store_piece(work, blob, usize::from(piece), bytes)
+            }
+            Request::Get(blob, want) => {
+                self.find_piece(work, blob, want).unwrap_or(Reply::HavePieces(blob, 0))
+            }
         }
     }
 
-    fn ask(&mut self, now: u64, work: Work, question: &Question, marked: bool) -> Reply {
-        if let Question::Look = question {
+    fn handle_register(&mut self, now: u64, work: Work, op: &RegisterOp, marked: bool) -> Reply {
+        if let RegisterOp::Read = op {
             let Some(entry) = self.works.get(&work) else {
-                return Reply::Answer { answer: Answer::Nothing, age: 0, fresh: false };
+                return Reply::Answer { answer: Answer::Empty, age: 0, holder_alive: false };
             };
-            return self.answer(now, entry, entry.acceptor.look());
+            return self.register_reply(now, entry, entry.acceptor.read());
         }
-        if let Question::Open(_) = question {
-            let others = self.others(work, marked);
+        if let RegisterOp::PrepareNew(_) = op {
+            let others = self.other_nonces(work, marked);
             if !others.is_empty() {
-                return Reply::Others(others);
+                return Reply::OtherWorks(others);
             }
         }
-        if let Question::Accept(_, Record { verdict: Some(Verdict::Served(blob)), .. }) = question {
+        if let RegisterOp::Accept(_, Record { verdict: Some(Verdict::Served(blob)), .. }) = op {
             // A verdict is accepted only once its answer is complete here, so that a node that reads the
             // verdict can also fetch the answer.
-            let have = self.blobs.get(&(work, *blob)).map_or(0, Pieces::have);
-            if have != all_pieces(*blob) {
-                return Reply::Have(*blob, have);
+            let stored = self.blobs.get(&(work, *blob)).map_or(0, Pieces::present_mask);
+            if stored != all_pieces_mask(*blob) {
+                return Reply::HavePieces(*blob, stored);
             }
         }
         if !self.works.contains_key(&work) {
-            if self.works.len() >= self.set.works_most || self.bytes + ENTRY > self.set.bytes_most {
+            if self.works.len() >= self.settings.works_most
+                || self.bytes + ENTRY_BYTES > self.settings.bytes_most
+            {
                 self.figures.full += 1;
-                return Reply::Full;
+                return Reply::AtCapacity;
             }
-            self.bytes += ENTRY;
-            self.works.insert(work, Entry { acceptor: Acceptor::default(), first: now, last: now });
-            self.ends.push_back((now + self.set.life_ms, work));
+            self.bytes += ENTRY_BYTES;
+            self.works.insert(work, Entry { acceptor: Acceptor::default(), created: now, last_used: now });
+            self.expiries.push_back((now + self.settings.life_ms, work));
         }
-        let Some(entry) = self.works.get_mut(&work) else { return Reply::Full };
-        entry.last = now;
-        let answer = match question {
-            Question::Open(ballot) => entry.acceptor.open(*ballot),
-            Question::Seize(ballot) => entry.acceptor.seize(*ballot),
-            Question::Accept(stamp, record) => entry.acceptor.accept(*stamp, record),
-            Question::Look => entry.acceptor.look(),
+        let Some(entry) = self.works.get_mut(&work) else { return Reply::AtCapacity };
+        entry.last_used = now;
+        let answer = match op {
+            RegisterOp::PrepareNew(ballot) => entry.acceptor.prepare_new(*ballot),
+            RegisterOp::Prepare(ballot) => entry.acceptor.prepare(*ballot),
+            RegisterOp::Accept(stamp, record) => entry.acceptor.accept(*stamp, record),
+            RegisterOp::Read => entry.acceptor.read(),
         };
         let entry = &self.works[&work];
-        self.answer(now, entry, answer)
+        self.register_reply(now, entry, answer)
     }
 
-    fn answer(&self, now: u64, entry: &Entry, answer: Answer) -> Reply {
+    fn register_reply(&self, now: u64, entry: &Entry, answer: Answer) -> Reply {
         let holder = entry.acceptor.record().and_then(|record| record.holder);
-        let fresh = holder.is_some_and(|holder| self.is_fresh(now, holder));
-        Reply::Answer { answer, age: age(now, entry), fresh }
+        let holder_alive = holder.is_some_and(|holder| self.is_alive(now, holder));
+        Reply::Answer { answer, age: age(now, entry), holder_alive }
     }
 
     /// Nonces of other works of the slot that matter to a request that opens this one: all of them for a
     /// marked repeat, else only a marked repeat, which may be a repeat of this request.
-    fn others(&self, work: Work, marked: bool) -> Vec<u64> {
+    fn other_nonces(&self, work: Work, marked: bool) -> Vec<u64> {
         let slot = |nonce| Work { slot: work.slot, nonce };
-        let of = (Bound::Included(slot(0)), Bound::Included(slot(u64::MAX)));
-        let nonces = self.works.range(of).map(|(other, _)| other.nonce).filter(|nonce| *nonce != work.nonce);
-        nonces.filter(|nonce| marked || *nonce == Work::REPEAT).take(OTHERS_MOST).collect()
+        let key_range = (Bound::Included(slot(0)), Bound::Included(slot(u64::MAX)));
+        let nonces =
+            self.works.range(key_range).map(|(other, _)| other.nonce).filter(|nonce| *nonce != work.nonce);
+        nonces.filter(|nonce| marked || *nonce == Work::REPEAT).take(MAX_OTHERS_LISTED).collect()
     }
 
-    fn put(&mut self, work: Work, blob: Blob, piece: usize, bytes: Bytes) -> Reply {
-        let count = pieces_of(blob);
-        let length = (blob.length as usize).saturating_sub(piece * PIECE).min(PIECE);
-        if blob.length as usize > BLOB_MOST || piece >= count || bytes.len() != length {
-            return Reply::Have(blob, 0);
+    fn store_piece(&mut self, work: Work, blob: Blob, piece: usize, bytes: Bytes) -> Reply {
+        let count = piece_count(blob);
+        let length = (blob.length as usize).saturating_sub(piece * PIECE_BYTES).min(PIECE_BYTES);
+        if blob.length as usize > MAX_BLOB_BYTES || piece >= count || bytes.len() != length {
+            return Reply::HavePieces(blob, 0);
         }
         // A blob without a register would never expire.
-        if !self.works.contains_key(&work) || self.bytes + bytes.len() > self.set.bytes_most {
+        if !self.works.contains_key(&work) || self.bytes + bytes.len() > self.settings.bytes_most {
             self.figures.full += 1;
-            return Reply::Full;
+            return Reply::AtCapacity;
         }
         let pieces = self.blobs.entry((work, blob)).or_insert_with(|| Pieces { bytes: vec![None; count] });
         if pieces.bytes[piece].is_none() {
             self.bytes += bytes.len();
             pieces.bytes[piece] = Some(bytes);
         }
-        Reply::Have(blob, pieces.have())
+        Reply::HavePieces(blob, pieces.present_mask())
     }
 
-    fn get(&self, work: Work, blob: Blob, want: u128) -> Option<Reply> {
+    fn find_piece(&self, work: Work, blob: Blob, want: u128) -> Option<Reply> {
         let pieces = self.blobs.get(&(work, blob))?;
         let wanted = |n: &usize| want >> n & 1 == 1;
         let piece = (0..pieces.bytes.len()).filter(wanted).find(|n| pieces.bytes[*n].is_some())?;
@@ -297,13 +305,13 @@
     /// Returns the replies to a request for pieces.
     pub fn give(&self, now: u64, work: Work, blob: Blob, mut want: u128) -> Vec<Reply> {
         let mut replies = Vec::new();
-        while self.votes(now) && replies.len() < PIECES_AT_ONCE {
-            let Some(Reply::Piece(blob, piece, bytes)) = self.get(work, blob, want) else { break };
+        while self.votes(now) && replies.len() < MAX_PIECES_PER_REPLY {
+            let Some(Reply::Piece(blob, piece, bytes)) = self.find_piece(work, blob, want) else { break };
             want &= !(1 << piece);
             replies.push(Reply::Piece(blob, piece, bytes));
         }
         if replies.is_empty() {
-            replies.push(if self.votes(now) { Reply::Have(blob, 0) } else { Reply::Quiet });
+            replies.push(if self.votes(now) { Reply::HavePieces(blob, 0) } else { Reply::NotVoting });
         }
         replies
     }
@@ -312,13 +320,16 @@
     /// than half the lifetime of an entry, the longest a client may wait, are included, since each
     /// takeover extends the entry and a work could otherwise be taken over forever.
     pub fn orphans(&self, now: u64, lost: impl Fn(Life) -> bool) -> Vec<Work> {
-        let gone = |holder: Life| lost(holder) && !self.is_fresh(now, holder);
-        let orphan = |entry: &Entry| {
-            let young = now - entry.first < self.set.life_ms / 2;
-            young
-                && entry.acceptor.record().is_some_and(|r| r.verdict.is_none() && r.holder.is_some_and(gone))
+        let has_lost_holder = |holder: Life| lost(holder) && !self.is_alive(now, holder);
+        let is_orphan = |entry: &Entry| {
+            let is_recent = now - entry.created < self.settings.life_ms / 2;
+            is_recent
+                && entry
+                    .acceptor
+                    .record()
+                    .is_some_and(|r| r.verdict.is_none() && r.holder.is_some_and(has_lost_holder))
         };
-        self.works.iter().filter(|(_, entry)| orphan(entry)).map(|(work, _)| *work).collect()
+        self.works.iter().filter(|(_, entry)| is_orphan(entry)).map(|(work, _)| *work).collect()
     }
 
     /// All works with the last accepted record and their age in milliseconds.
@@ -328,5 +339,5 @@
 }
 
 fn age(now: u64, entry: &Entry) -> u32 {
-    u32::try_from(now.saturating_sub(entry.first)).unwrap_or(u32::MAX)
+    u32::try_from(now.saturating_sub(entry.created)).unwrap_or(u32::MAX)
 }
--- a/crates/custody/src/register.rs
+++ b/crates/custody/src/register.rs
@@ -132,7 +132,7 @@
     }
 
     /// Whether the work must not be sent again: it is unsafe and may have run.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_unsafe_to_resend(&self) -> bool {
         self.about.effect == Effect::Unsafe && self.may_have_run()
     }
 }
@@ -143,13 +143,13 @@
     /// The ballot is promised: no lower one is accepted from now on. Contains the last accepted record.
     Promised(Ballot, Option<(Stamp, Record)>),
     /// The accepted record. Some node holds or held the work.
-    Known(Stamp, Record),
+    Stored(Stamp, Record),
     /// No record was accepted yet.
-    Nothing,
+    Empty,
     /// The record with this stamp is accepted. The stamp may be a later one of the same ballot.
     Accepted(Stamp),
     /// A higher ballot was promised.
-    Outbid(Ballot),
+    Preempted(Ballot),
 }
 
 /// The acceptor of one register at one keeper.
@@ -161,17 +161,17 @@
 
 impl Acceptor {
     /// Promises the ballot if no record was accepted, else returns the accepted record.
-    pub fn open(&mut self, ballot: Ballot) -> Answer {
+    pub fn prepare_new(&mut self, ballot: Ballot) -> Answer {
         match &self.accepted {
-            Some((stamp, record)) => Answer::Known(*stamp, record.clone()),
-            None => self.seize(ballot),
+            Some((stamp, record)) => Answer::Stored(*stamp, record.clone()),
+            None => self.prepare(ballot),
         }
     }
 
     /// Promises the ballot even if a record was accepted.
-    pub fn seize(&mut self, ballot: Ballot) -> Answer {
+    pub fn prepare(&mut self, ballot: Ballot) -> Answer {
         if ballot < self.promised {
-            return Answer::Outbid(self.promised);
+            return Answer::Preempted(self.promised);
         }
         self.promised = ballot;
         Answer::Promised(ballot, self.accepted.clone())
@@ -180,7 +180,7 @@
     /// Accepts a record unless a higher ballot was promised.
     pub fn accept(&mut self, stamp: Stamp, record: &Record) -> Answer {
         if stamp.ballot < self.promised {
-            return Answer::Outbid(self.promised);
+            return Answer::Preempted(self.promised);
         }
         self.promised = stamp.ballot;
         if self.accepted.as_ref().is_none_or(|(accepted, _)| *accepted < stamp) {
@@ -190,10 +190,10 @@
     }
 
     /// Returns the accepted record as an answer.
-    pub fn look(&self) -> Answer {
+    pub fn read(&self) -> Answer {
         match &self.accepted {
-            Some((stamp, record)) => Answer::Known(*stamp, record.clone()),
-            None => Answer::Nothing,
+            Some((stamp, record)) => Answer::Stored(*stamp, record.clone()),
+            None => Answer::Empty,
         }
     }
 
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -49,8 +49,8 @@
         for distinct in [true, false] {
             for (_, id, zone) in &order {
                 let taken = chosen.iter().any(|(other, _)| other == id);
-                let beside = distinct && chosen.iter().any(|(_, other)| other == zone);
-                if chosen.len() < KEEPERS && !taken && !beside {
+                let same_zone = distinct && chosen.iter().any(|(_, other)| other == zone);
+                if chosen.len() < KEEPERS && !taken && !same_zone {
                     chosen.push((*id, zone));
                 }
             }
@@ -94,7 +94,7 @@
 
 impl Keepers {
     /// Keepers of a single group.
-    pub fn of(nodes: Vec<NodeId>) -> Self {
+    pub fn single_group(nodes: Vec<NodeId>) -> Self {
         Self { groups: vec![nodes] }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether no majority is possible without the keepers that satisfy `no`.
-    pub fn blocked(&self, no: impl Fn(NodeId) -> bool) -> bool {
+    pub fn is_blocked(&self, no: impl Fn(NodeId) -> bool) -> bool {
         !self.majority(|id| !no(id))
     }
 
@@ -125,11 +125,11 @@
     use super::*;
 
     fn roster(nodes: std::ops::Range<u64>, zones: u64) -> Roster {
-        Roster::new(nodes.map(|n| (NodeId(n), format!("z{}", n % zones))).collect()).expect("good")
+        Roster::new(nodes.map(|n| (NodeId(n), format!("z{}", n % zones))).collect()).expect("valid roster")
     }
 
     #[test]
-    fn keepers_are_three_of_different_zones_and_spread_evenly() {
+    fn a_slot_has_three_keepers_in_distinct_zones_and_keepers_are_spread_evenly() {
         let roster = roster(0..12, 3);
         let mut counts = [0; 12];
         for slot in 0..3000 {
@@ -142,7 +142,7 @@
     }
 
     #[test]
-    fn any_two_steps_next_to_each_other_meet_and_no_others_do() {
+    fn only_adjacent_steps_of_a_roster_change_share_a_majority() {
         let (old, new) = (roster(0..6, 2), roster(3..9, 2));
         let step = |epoch, now: &Roster, before: Option<&Roster>| Rosters {
             epoch,
@@ -180,7 +180,7 @@
     }
 
     #[test]
-    fn rosters_that_make_no_sense_are_refused() {
+    fn rosters_with_duplicates_or_too_few_nodes_are_rejected() {
         assert!(Roster::new(vec![(NodeId(1), "a".into()); 3]).is_err());
         assert!(Roster::new((0..2).map(|n| (NodeId(n), String::new())).collect()).is_err());
     }
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -9,16 +9,16 @@
 use glenwood_datagram::{number_of, write_short, Reader, Secret, LONGEST, TAG};
 
 use crate::keeper::{Reply, Request};
-use crate::proposer::Question;
+use crate::proposer::RegisterOp;
 use crate::register::{
     About, Answer, Ballot, Blob, Effect, Life, NodeId, Record, Sent, Stamp, Verdict, Work,
 };
 
 const MAGIC: u32 = 0x474c_4331;
 /// Maximum number of attempts in a record.
-pub const SENT_MOST: usize = 8;
+pub const MAX_ATTEMPTS: usize = 8;
 /// Maximum length of a class name in bytes.
-pub const CLASS_MOST: usize = 64;
+pub const MAX_CLASS_BYTES: usize = 64;
 
 /// One message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,11 +47,11 @@
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DecodeError {
     /// The digest does not match the secret.
-    Forged,
+    InvalidTag,
     /// The contents can't be parsed.
-    Unreadable,
+    Malformed,
     /// It belongs to another cluster.
     OtherCluster,
 }
@@ -83,7 +83,7 @@
         }
         None => out.push(0),
     }
-    let sent = &record.sent[..record.sent.len().min(SENT_MOST)];
+    let sent = &record.sent[..record.sent.len().min(MAX_ATTEMPTS)];
     out.push(sent.len() as u8);
     for sent in sent {
         write_u64s(out, &[sent.server, sent.zone, sent.cell]);
@@ -101,7 +101,7 @@
         Some(Verdict::MayHaveRun) => out.push(4),
     }
     out.push(u8::from(record.about.effect == Effect::Unsafe));
-    write_short(out, &record.about.class.as_bytes()[..record.about.class.len().min(CLASS_MOST)]);
+    write_short(out, &record.about.class.as_bytes()[..record.about.class.len().min(MAX_CLASS_BYTES)]);
     out.extend(record.about.remaining_ms.to_be_bytes());
     match record.about.request {
         Some(blob) => {
@@ -130,7 +130,7 @@
         _ => Some(Life { node: NodeId(r.u64()?), life: r.u64()? }),
     };
     let count = usize::from(r.u8()?);
-    if count > SENT_MOST {
+    if count > MAX_ATTEMPTS {
         return None;
     }
     let mut sent = Vec::with_capacity(count);
@@ -153,12 +153,12 @@
     Some(Record { holder, sent, verdict, about: About { effect, class, remaining_ms, request } })
 }
 
-fn write_long(out: &mut Vec<u8>, bytes: &[u8]) {
+fn write_prefixed(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u16).to_be_bytes());
     out.extend(bytes);
 }
 
-fn read_long(r: &mut Reader) -> Option<Bytes> {
+fn read_prefixed(r: &mut Reader) -> Option<Bytes> {
     let length = usize::from(r.u16()?);
     r.take(length).map(Bytes::copy_from_slice)
 }
@@ -171,48 +171,48 @@
 impl Say {
     fn write(&self, out: &mut Vec<u8>) {
         match self {
-            Self::Request(work, Request::Ask(question, marked)) => {
-                let kind = match question {
-                    Question::Open(_) if *marked => 1,
-                    Question::Open(_) => 0,
-                    Question::Seize(_) => 2,
-                    Question::Accept(..) => 3,
-                    Question::Look => 4,
+            Self::Request(work, Request::Register(op, marked)) => {
+                let kind = match op {
+                    RegisterOp::PrepareNew(_) if *marked => 1,
+                    RegisterOp::PrepareNew(_) => 0,
+                    RegisterOp::Prepare(_) => 2,
+                    RegisterOp::Accept(..) => 3,
+                    RegisterOp::Read => 4,
                 };
                 write_work(out, kind, *work);
-                match question {
-                    Question::Open(ballot) | Question::Seize(ballot) => {
+                match op {
+                    RegisterOp::PrepareNew(ballot) | RegisterOp::Prepare(ballot) => {
                         write_u64s(out, &[ballot.round, ballot.life]);
                     }
-                    Question::Accept(stamp, record) => {
+                    RegisterOp::Accept(stamp, record) => {
                         write_stamp(out, *stamp);
                         write_record(out, record);
                     }
-                    Question::Look => {}
+                    RegisterOp::Read => {}
                 }
             }
-            Self::Request(work, Request::Put(blob, piece, bytes)) => {
+            Self::Request(work, Request::StorePiece(blob, piece, bytes)) => {
                 write_work(out, 5, *work);
                 write_blob(out, *blob);
                 out.push(*piece);
-                write_long(out, bytes);
+                write_prefixed(out, bytes);
             }
             Self::Request(work, Request::Get(blob, want)) => {
                 write_work(out, 6, *work);
                 write_blob(out, *blob);
                 out.extend(want.to_be_bytes());
             }
-            Self::Reply(work, Reply::Answer { answer, age, fresh }) => {
+            Self::Reply(work, Reply::Answer { answer, age, holder_alive }) => {
                 let kind = match answer {
                     Answer::Promised(..) => 10,
-                    Answer::Known(..) => 11,
-                    Answer::Nothing => 12,
+                    Answer::Stored(..) => 11,
+                    Answer::Empty => 12,
                     Answer::Accepted(_) => 13,
-                    Answer::Outbid(_) => 14,
+                    Answer::Preempted(_) => 14,
                 };
                 write_work(out, kind, *work);
                 out.extend(age.to_be_bytes());
-                out.push(u8::from(*fresh));
+                out.push(u8::from(*holder_alive));
                 match answer {
                     Answer::Promised(ballot, accepted) => {
                         write_u64s(out, &[ballot.round, ballot.life]);
@@ -222,21 +222,21 @@
                             write_record(out, record);
                         }
                     }
-                    Answer::Known(stamp, record) => {
+                    Answer::Stored(stamp, record) => {
                         write_stamp(out, *stamp);
                         write_record(out, record);
                     }
-                    Answer::Nothing => {}
+                    Answer::Empty => {}
                     Answer::Accepted(stamp) => write_stamp(out, *stamp),
-                    Answer::Outbid(ballot) => write_u64s(out, &[ballot.round, ballot.life]),
+                    Answer::Preempted(ballot) => write_u64s(out, &[ballot.round, ballot.life]),
                 }
             }
-            Self::Reply(work, Reply::Others(nonces)) => {
+            Self::Reply(work, Reply::OtherWorks(nonces)) => {
                 write_work(out, 15, *work);
                 out.push(nonces.len() as u8);
                 write_u64s(out, nonces);
             }
-            Self::Reply(work, Reply::Have(blob, have)) => {
+            Self::Reply(work, Reply::HavePieces(blob, have)) => {
                 write_work(out, 16, *work);
                 write_blob(out, *blob);
                 out.extend(have.to_be_bytes());
@@ -245,10 +245,10 @@
                 write_work(out, 17, *work);
                 write_blob(out, *blob);
                 out.push(*piece);
-                write_long(out, bytes);
+                write_prefixed(out, bytes);
             }
-            Self::Reply(work, Reply::Quiet) => write_work(out, 18, *work),
-            Self::Reply(work, Reply::Full) => write_work(out, 19, *work),
+            Self::Reply(work, Reply::NotVoting) => write_work(out, 18, *work),
+            Self::Reply(work, Reply::AtCapacity) => write_work(out, 19, *work),
             Self::Here => out.push(20),
         }
     }
@@ -259,16 +259,16 @@
             return Some(Self::Here);
         }
         let work = Work { slot: (r.u64()?, r.u64()?), nonce: r.u64()? };
-        let ask = |question, marked| Self::Request(work, Request::Ask(question, marked));
-        let say = match kind {
-            0 | 1 => ask(Question::Open(read_ballot(r)?), kind == 1),
-            2 => ask(Question::Seize(read_ballot(r)?), false),
-            3 => ask(Question::Accept(read_stamp(r)?, read_record(r)?), false),
-            4 => ask(Question::Look, false),
-            5 => Self::Request(work, Request::Put(read_blob(r)?, r.u8()?, read_long(r)?)),
+        let register_request = |op, marked| Self::Request(work, Request::Register(op, marked));
+        let message = match kind {
+            0 | 1 => register_request(RegisterOp::PrepareNew(read_ballot(r)?), kind == 1),
+            2 => register_request(RegisterOp::Prepare(read_ballot(r)?), false),
+            3 => register_request(RegisterOp::Accept(read_stamp(r)?, read_record(r)?), false),
+            4 => register_request(RegisterOp::Read, false),
+            5 => Self::Request(work, Request::StorePiece(read_blob(r)?, r.u8()?, read_prefixed(r)?)),
             6 => Self::Request(work, Request::Get(read_blob(r)?, read_u128(r)?)),
             10..=14 => {
-                let (age, fresh) = (r.u32()?, r.u8()? == 1);
+                let (age, holder_alive) = (r.u32()?, r.u8()? == 1);
                 let answer = match kind {
                     10 => {
                         let ballot = read_ballot(r)?;
@@ -278,25 +278,25 @@
                         };
                         Answer::Promised(ballot, accepted)
                     }
-                    11 => Answer::Known(read_stamp(r)?, read_record(r)?),
-                    12 => Answer::Nothing,
+                    11 => Answer::Stored(read_stamp(r)?, read_record(r)?),
+                    12 => Answer::Empty,
                     13 => Answer::Accepted(read_stamp(r)?),
-                    _ => Answer::Outbid(read_ballot(r)?),
+                    _ => Answer::Preempted(read_ballot(r)?),
                 };
-                Self::Reply(work, Reply::Answer { answer, age, fresh })
+                Self::Reply(work, Reply::Answer { answer, age, holder_alive })
             }
             15 => {
                 let count = r.u8()?;
                 let nonces = (0..count).map(|_| r.u64()).collect::<Option<_>>()?;
-                Self::Reply(work, Reply::Others(nonces))
+                Self::Reply(work, Reply::OtherWorks(nonces))
             }
-            16 => Self::Reply(work, Reply::Have(read_blob(r)?, read_u128(r)?)),
-            17 => Self::Reply(work, Reply::Piece(read_blob(r)?, r.u8()?, read_long(r)?)),
-            18 => Self::Reply(work, Reply::Quiet),
-            19 => Self::Reply(work, Reply::Full),
+            16 => Self::Reply(work, Reply::HavePieces(read_blob(r)?, read_u128(r)?)),
+            17 => Self::Reply(work, Reply::Piece(read_blob(r)?, r.u8()?, read_prefixed(r)?)),
+            18 => Self::Reply(work, Reply::NotVoting),
+            19 => Self::Reply(work, Reply::AtCapacity),
             _ => return None,
         };
-        Some(say)
+        Some(message)
     }
 }
 
@@ -305,8 +305,8 @@
 }
 
 /// Encodes messages to one receiver, with as many as fit in each datagram.
-pub fn write(from: &From, says: &[Say], secret: &Secret) -> Vec<Vec<u8>> {
-    let head = {
+pub fn write(from: &From, messages: &[Say], secret: &Secret) -> Vec<Vec<u8>> {
+    let header_bytes = {
         let mut out = Vec::with_capacity(LONGEST);
         out.extend(MAGIC.to_be_bytes());
         out.extend(from.cluster.to_be_bytes());
@@ -315,44 +315,44 @@
         out.push(u8::from(from.epoch.1));
         out
     };
-    let (mut all, mut out, mut one) = (Vec::new(), head.clone(), Vec::new());
-    for say in says {
-        one.clear();
-        say.write(&mut one);
-        if out.len() + one.len() + TAG > LONGEST && out.len() > head.len() {
-            all.push(secret.seal(std::mem::replace(&mut out, head.clone())));
+    let (mut datagrams, mut out, mut encoded) = (Vec::new(), header_bytes.clone(), Vec::new());
+    for message in messages {
+        encoded.clear();
+        message.write(&mut encoded);
+        if out.len() + encoded.len() + TAG > LONGEST && out.len() > header_bytes.len() {
+            datagrams.push(secret.seal(std::mem::replace(&mut out, header_bytes.clone())));
         }
-        out.extend(&one);
+        out.extend(&encoded);
     }
-    if out.len() > head.len() {
-        all.push(secret.seal(out));
+    if out.len() > header_bytes.len() {
+        datagrams.push(secret.seal(out));
     }
-    all
+    datagrams
 }
 
 /// Decodes a datagram.
 ///
 /// # Errors
 /// If it belongs to another cluster, was not made with the secret, or can't be parsed.
-pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<(From, Vec<Say>), Bad> {
-    let said = secret.open(bytes).map_err(|_| Bad::Forged)?;
-    let mut r = Reader::new(said);
+pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<(From, Vec<Say>), DecodeError> {
+    let payload = secret.open(bytes).map_err(|_| DecodeError::InvalidTag)?;
+    let mut r = Reader::new(payload);
     if r.u32() != Some(MAGIC) {
-        return Err(Bad::Unreadable);
+        return Err(DecodeError::Malformed);
     }
     if r.u32() != Some(cluster) {
-        return Err(Bad::OtherCluster);
+        return Err(DecodeError::OtherCluster);
     }
     let mut parse = || {
         let life = Life { node: NodeId(r.u64()?), life: r.u64()? };
         let from = From { cluster, life, time: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
-        let mut says = Vec::new();
+        let mut messages = Vec::new();
         while !r.is_empty() {
-            says.push(Say::read(&mut r)?);
+            messages.push(Say::read(&mut r)?);
         }
-        Some((from, says))
+        Some((from, messages))
     };
-    parse().ok_or(Bad::Unreadable)
+    parse().ok_or(DecodeError::Malformed)
 }
 
 #[cfg(test)]
@@ -378,8 +378,8 @@
         let about = (effect, "[a-z]{0,64}", any::<u32>(), proptest::option::of(blob())).prop_map(
             |(effect, class, remaining_ms, request)| About { effect, class, remaining_ms, request },
         );
-        let sents = proptest::collection::vec(sent, 0..=SENT_MOST);
-        (proptest::option::of(life), sents, proptest::option::of(verdict), about)
+        let attempts = proptest::collection::vec(sent, 0..=MAX_ATTEMPTS);
+        (proptest::option::of(life), attempts, proptest::option::of(verdict), about)
             .prop_map(|(holder, sent, verdict, about)| Record { holder, sent, verdict, about })
     }
 
@@ -395,33 +395,34 @@
         proptest::collection::vec(any::<u8>(), 0..1000).prop_map(Bytes::from)
     }
 
-    fn say() -> impl Strategy<Value = Say> {
+    fn message() -> impl Strategy<Value = Say> {
         let request = prop_oneof![
-            (ballot(), any::<bool>()).prop_map(|(b, marked)| Request::Ask(Question::Open(b), marked)),
-            ballot().prop_map(|b| Request::Ask(Question::Seize(b), false)),
-            (stamp(), record()).prop_map(|(s, r)| Request::Ask(Question::Accept(s, r), false)),
-            Just(Request::Ask(Question::Look, false)),
-            (blob(), any::<u8>(), bytes()).prop_map(|(b, n, bytes)| Request::Put(b, n, bytes)),
+            (ballot(), any::<bool>())
+                .prop_map(|(b, marked)| Request::Register(RegisterOp::PrepareNew(b), marked)),
+            ballot().prop_map(|b| Request::Register(RegisterOp::Prepare(b), false)),
+            (stamp(), record()).prop_map(|(s, r)| Request::Register(RegisterOp::Accept(s, r), false)),
+            Just(Request::Register(RegisterOp::Read, false)),
+            (blob(), any::<u8>(), bytes()).prop_map(|(b, n, bytes)| Request::StorePiece(b, n, bytes)),
             (blob(), any::<u128>()).prop_map(|(b, want)| Request::Get(b, want)),
         ];
         let answer = prop_oneof![
             (ballot(), proptest::option::of((stamp(), record()))).prop_map(|(b, a)| Answer::Promised(b, a)),
-            (stamp(), record()).prop_map(|(s, r)| Answer::Known(s, r)),
-            Just(Answer::Nothing),
+            (stamp(), record()).prop_map(|(s, r)| Answer::Stored(s, r)),
+            Just(Answer::Empty),
             stamp().prop_map(Answer::Accepted),
-            ballot().prop_map(Answer::Outbid),
+            ballot().prop_map(Answer::Preempted),
         ];
         let reply = prop_oneof![
-            (answer, any::<u32>(), any::<bool>()).prop_map(|(answer, age, fresh)| Reply::Answer {
+            (answer, any::<u32>(), any::<bool>()).prop_map(|(answer, age, holder_alive)| Reply::Answer {
                 answer,
                 age,
-                fresh
+                holder_alive
             }),
-            proptest::collection::vec(any::<u64>(), 0..5).prop_map(Reply::Others),
-            (blob(), any::<u128>()).prop_map(|(b, have)| Reply::Have(b, have)),
+            proptest::collection::vec(any::<u64>(), 0..5).prop_map(Reply::OtherWorks),
+            (blob(), any::<u128>()).prop_map(|(b, have)| Reply::HavePieces(b, have)),
             (blob(), any::<u8>(), bytes()).prop_map(|(b, n, bytes)| Reply::Piece(b, n, bytes)),
-            Just(Reply::Quiet),
-            Just(Reply::Full),
+            Just(Reply::NotVoting),
+            Just(Reply::AtCapacity),
         ];
         let work = any::<(u64, u64, u64)>().prop_map(|(a, b, nonce)| Work { slot: (a, b), nonce });
         prop_oneof![
@@ -433,33 +434,33 @@
 
     proptest! {
         #[test]
-        fn what_is_written_is_read_in_order_and_no_datagram_is_too_long(
-            says in proptest::collection::vec(say(), 1..12),
+        fn messages_round_trip_in_order_and_no_datagram_exceeds_the_maximum(
+            messages in proptest::collection::vec(message(), 1..12),
             time in any::<u64>(),
             epoch in any::<(u32, bool)>(),
         ) {
             let secret = Secret::new(b"ours");
             let from = From { cluster: 7, life: Life { node: NodeId(1), life: 2 }, epoch, time };
-            let datagrams = write(&from, &says, &secret);
-            let mut read_again = Vec::new();
+            let datagrams = write(&from, &messages, &secret);
+            let mut decoded = Vec::new();
             for bytes in &datagrams {
                 prop_assert!(bytes.len() <= LONGEST);
-                let (by, some) = read(bytes, 7, &secret).expect("as written");
-                prop_assert_eq!(by, from);
-                read_again.extend(some);
-                prop_assert_eq!(read(bytes, 8, &secret), Err(Bad::OtherCluster));
-                prop_assert_eq!(read(bytes, 7, &Secret::new(b"theirs")), Err(Bad::Forged));
+                let (header, decoded_here) = read(bytes, 7, &secret).expect("a written datagram is readable");
+                prop_assert_eq!(header, from);
+                decoded.extend(decoded_here);
+                prop_assert_eq!(read(bytes, 8, &secret), Err(DecodeError::OtherCluster));
+                prop_assert_eq!(read(bytes, 7, &Secret::new(b"theirs")), Err(DecodeError::InvalidTag));
             }
-            prop_assert_eq!(read_again, says);
+            prop_assert_eq!(decoded, messages);
         }
 
         #[test]
-        fn bytes_of_any_kind_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             let secret = Secret::new(b"ours");
-            let mut said = MAGIC.to_be_bytes().to_vec();
-            said.extend(7u32.to_be_bytes());
-            said.extend(bytes);
-            let _ = read(&secret.seal(said), 7, &secret);
+            let mut payload = MAGIC.to_be_bytes().to_vec();
+            payload.extend(7u32.to_be_bytes());
+            payload.extend(bytes);
+            let _ = read(&secret.seal(payload), 7, &secret);
         }
     }
 }
--- a/crates/custody/tests/explored.rs
+++ b/crates/custody/tests/explored.rs
@@ -1,13 +1,14 @@
-//! Every interleaving of small cases, over the shipped machines: three keepers, a holder and others that take over, a network
-//! that loses, doubles and reorders, false suspicion at any moment, answers, crashes (whoever does nothing more) and one keeper
-//! that starts anew.
+//! Model checking of the proposer and the acceptor in small cases: every interleaving of three keepers, a
+//! holder, nodes that take over, a network that loses, duplicates and reorders messages, false suspicions
+//! at any time, answers, crashes (a node that takes no further step) and one keeper that restarts.
 //!
-//! Each message may come at any later moment or never, in any order. A second sending of what was not answered is a late
-//! message, so there is none; one that is doubled by the network is answered as the first was, or as outbid.
+//! A message may be delivered at any later time or never, in any order. A resend equals a delayed message
+//! and is not modelled. A duplicate made by the network gets the same answer as the first copy, or is
+//! answered as preempted.
 
 use std::collections::BTreeSet;
 
-use glenwood_custody::proposer::{Proposer, Question};
+use glenwood_custody::proposer::{Proposer, RegisterOp};
 use glenwood_custody::register::Acceptor;
 use glenwood_custody::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict};
 use glenwood_custody::{Keepers, Step};
@@ -15,21 +16,21 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask(usize, NodeId, Question),
-    Say(NodeId, usize, Answer),
+    Request(usize, NodeId, RegisterOp),
+    Reply(NodeId, usize, Answer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It was not asked yet.
+    /// It has no request yet.
     Idle,
-    /// It has asked keepers, or looks.
-    Asking,
+    /// It waits for promises or polls the register.
+    Preparing,
     /// Its intent is being written.
-    Means,
-    /// Its attempt is out.
+    WritingIntent,
+    /// Its attempt has been sent.
     Sent,
-    /// It has its end.
+    /// It has finished.
     Done,
 }
 
@@ -37,8 +38,8 @@
 struct Node {
     proposer: Option<Proposer>,
     phase: Phase,
-    /// What was last put into the network for each keeper.
-    asked: [Option<Question>; 3],
+    /// The last request sent to each keeper.
+    last_requests: [Option<RegisterOp>; 3],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -46,57 +47,58 @@
     nodes: Vec<Node>,
     keepers: Vec<Option<Acceptor>>,
     net: BTreeSet<Message>,
-    /// Attempts that were sent, by node.
-    sends: Vec<usize>,
-    /// What anybody was told for good.
-    told: BTreeSet<Verdict>,
+    /// Number of attempts sent by each node.
+    sent_attempts: Vec<usize>,
+    /// Verdicts that any node reported.
+    reported: BTreeSet<Verdict>,
     restarted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A request comes to this node.
+    /// A request is submitted at this node.
     Begin(usize),
     Deliver(Message),
-    /// The keeper hears it, and its answer is lost.
-    Unanswered(Message),
-    /// What this node watches has no living holder, it thinks.
-    Lost(usize),
-    /// It asks anew with a higher ballot.
-    Again(usize),
-    /// Its attempt is answered.
+    /// The keeper handles the message, but its answer is lost.
+    DeliverWithoutAnswer(Message),
+    /// This node suspects that the holder it watches is lost.
+    SuspectHolder(usize),
+    /// This node retries with a higher ballot.
+    Retry(usize),
+    /// A server answers this node's attempt.
     Answered(usize),
-    /// Its attempt is proven never to have run, and it gives the work up.
+    /// This node's attempt is proven never to have run, and the node releases the work.
     NeverRan(usize),
-    /// This keeper loses what it had.
+    /// This keeper loses its state.
     Restart(usize),
 }
 
-/// What is left out, to see that the properties notice.
+/// A safeguard that is disabled to check that the properties detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// An attempt is sent though its intent is not written.
-    Intent,
-    /// A keeper that starts anew votes at once.
-    Quiet,
-    /// A holder is taken for lost without a higher ballot: its verdict is told before it is kept.
-    Keeping,
-    /// What was seen of the earlier holder's intent does not count.
-    Sight,
+enum Disabled {
+    None,
+    /// Attempts are sent before their intent is stored.
+    IntentStorage,
+    /// A restarted keeper votes at once.
+    RestartDelay,
+    /// A holder reports its verdict before it is stored at a majority.
+    VerdictStorage,
+    /// Intents of earlier holders are ignored.
+    EarlierIntents,
 }
 
 struct Case {
     effect: Effect,
     nodes: usize,
-    rounds: u64,
-    /// How many attempts all holders together may make.
-    limit: usize,
+    max_rounds: u64,
+    /// Maximum number of attempts by all holders together.
+    max_attempts: usize,
     restarts: bool,
-    /// Answers of keepers come at any later moment too; else at once or never, which leaves far fewer states: what a node does by
-    /// an answer goes out as questions, and these come at any moment in any case.
-    late: bool,
-    without: Without,
+    /// Delivers keepers' answers at any later time as well. Otherwise they are delivered at once or
+    /// never, which leaves far fewer states: a node reacts to an answer by sending requests, and those
+    /// are delayed in either case.
+    delay_answers: bool,
+    disabled: Disabled,
 }
 
 fn life(node: usize) -> Life {
@@ -105,54 +107,58 @@
 
 impl Case {
     fn keepers() -> Keepers {
-        Keepers::of((0..3).map(NodeId).collect())
+        Keepers::single_group((0..3).map(NodeId).collect())
     }
 
-    /// Puts what a node has to say into the network, and takes its steps.
-    fn settle(&self, state: &mut State, n: usize) {
-        let State { nodes, net, sends, told, .. } = state;
-        let Node { proposer, phase, asked } = &mut nodes[n];
+    /// Processes a node's steps and sends its pending requests.
+    fn process_node(&self, state: &mut State, n: usize) {
+        let State { nodes, net, sent_attempts, reported, .. } = state;
+        let Node { proposer, phase, last_requests } = &mut nodes[n];
         let Some(proposer) = proposer else { return };
-        while let Some(step) = proposer.poll() {
+        while let Some(step) = proposer.poll_step() {
             match step {
-                Step::Yours { earlier, .. } => {
-                    let limit = earlier.len() >= self.limit;
+                Step::Acquired { earlier, .. } => {
+                    let at_limit = earlier.len() >= self.max_attempts;
                     let sent = Sent { server: n as u64, zone: 0, cell: 0, at: 0, never: false };
-                    if !limit && proposer.intend(sent) {
-                        *phase = Phase::Means;
-                        if self.without == Without::Intent {
-                            (sends[n], *phase) = (sends[n] + 1, Phase::Sent);
+                    if !at_limit && proposer.write_intent(sent) {
+                        *phase = Phase::WritingIntent;
+                        if self.disabled == Disabled::IntentStorage {
+                            (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::Sent);
                         }
                     } else {
-                        proposer.let_go();
+                        proposer.release();
                         *phase = Phase::Done;
                     }
                 }
-                Step::Go if *phase == Phase::Means => (sends[n], *phase) = (sends[n] + 1, Phase::Sent),
-                Step::Go => {}
-                Step::Ousted if *phase != Phase::Done => *phase = Phase::Asking,
-                Step::Ousted => {}
+                Step::SendAllowed if *phase == Phase::WritingIntent => {
+                    (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::Sent)
+                }
+                Step::SendAllowed => {}
+                Step::Superseded if *phase != Phase::Done => *phase = Phase::Preparing,
+                Step::Superseded => {}
                 Step::Verdict(verdict) => {
-                    told.insert(verdict);
+                    reported.insert(verdict);
                     *phase = Phase::Done;
                 }
-                Step::LetGo => *phase = Phase::Done,
+                Step::Released => *phase = Phase::Done,
             }
         }
-        for (to, question) in proposer.messages() {
-            let last = &mut asked[to.0 as usize];
-            // To look once more is another question.
-            if last.as_ref() != Some(&question) || question == Question::Look {
-                *last = Some(question.clone());
-                net.insert(Message::Ask(n, to, question));
+        for (to, op) in proposer.pending_requests() {
+            let last = &mut last_requests[to.0 as usize];
+            // A repeated read is a new request.
+            if last.as_ref() != Some(&op) || op == RegisterOp::Read {
+                *last = Some(op.clone());
+                net.insert(Message::Request(n, to, op));
             }
         }
     }
 
-    /// What a node makes of an answer.
-    fn seen(&self, answer: Answer) -> Answer {
+    /// The answer as the node sees it.
+    fn as_seen(&self, answer: Answer) -> Answer {
         match answer {
-            Answer::Promised(ballot, Some((stamp, mut record))) if self.without == Without::Sight => {
+            Answer::Promised(ballot, Some((stamp, mut record)))
+                if self.disabled == Disabled::EarlierIntents =>
+            {
                 record.sent.clear();
                 Answer::Promised(ballot, Some((stamp, record)))
             }
@@ -160,35 +166,36 @@
         }
     }
 
-    /// Drops messages that can do nothing any more: ballots only grow, so what a keeper would now turn down, and whose sender would
-    /// make nothing of that, stays so. One who looks asks again whenever it has to.
-    fn drop_dead(state: &mut State) {
+    /// Drops messages that can have no further effect, to reduce the number of states. Ballots only grow,
+    /// so a request that a keeper would reject now, with an answer that the sender would ignore, stays
+    /// without effect. A read that is dropped here is sent again when needed.
+    fn drop_ineffective_messages(state: &mut State) {
         let State { nodes, keepers, net, .. } = state;
         net.retain(|message| {
-            let Message::Ask(n, to, question) = message else { return true };
+            let Message::Request(n, to, op) = message else { return true };
             let (Some(proposer), Some(acceptor)) = (&nodes[*n].proposer, &keepers[to.0 as usize]) else {
                 return false;
             };
             let (mut after, mut asker) = (acceptor.clone(), proposer.clone());
-            let answer = match question {
-                Question::Open(ballot) => after.open(*ballot),
-                Question::Seize(ballot) => after.seize(*ballot),
-                Question::Accept(stamp, record) => after.accept(*stamp, record),
-                Question::Look => return proposer.watches(),
+            let answer = match op {
+                RegisterOp::PrepareNew(ballot) => after.prepare_new(*ballot),
+                RegisterOp::Prepare(ballot) => after.prepare(*ballot),
+                RegisterOp::Accept(stamp, record) => after.accept(*stamp, record),
+                RegisterOp::Read => return proposer.is_watching(),
             };
-            asker.heard(*to, answer);
+            asker.handle_answer(*to, answer);
             after != *acceptor || asker != *proposer
         });
     }
 
-    fn round(proposer: &Proposer) -> u64 {
+    fn highest_round(proposer: &Proposer) -> u64 {
         proposer
-            .messages()
+            .pending_requests()
             .iter()
             .map(|(_, q)| match q {
-                Question::Open(b) | Question::Seize(b) => b.round,
-                Question::Accept(stamp, _) => stamp.ballot.round,
-                Question::Look => 0,
+                RegisterOp::PrepareNew(b) | RegisterOp::Prepare(b) => b.round,
+                RegisterOp::Accept(stamp, _) => stamp.ballot.round,
+                RegisterOp::Read => 0,
             })
             .max()
             .unwrap_or(0)
@@ -201,11 +208,14 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            nodes: vec![Node { proposer: None, phase: Phase::Idle, asked: [None, None, None] }; self.nodes],
+            nodes: vec![
+                Node { proposer: None, phase: Phase::Idle, last_requests: [None, None, None] };
+                self.nodes
+            ],
             keepers: vec![Some(Acceptor::default()); 3],
             net: BTreeSet::new(),
-            sends: vec![0; self.nodes],
-            told: BTreeSet::new(),
+            sent_attempts: vec![0; self.nodes],
+            reported: BTreeSet::new(),
             restarted: false,
         }]
     }
@@ -213,20 +223,20 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for message in &state.net {
             actions.push(Action::Deliver(message.clone()));
-            let matters = matches!(message, Message::Ask(_, _, question) if *question != Question::Look);
-            if !self.late && matters {
-                actions.push(Action::Unanswered(message.clone()));
+            let may_be_lost = matches!(message, Message::Request(_, _, op) if *op != RegisterOp::Read);
+            if !self.delay_answers && may_be_lost {
+                actions.push(Action::DeliverWithoutAnswer(message.clone()));
             }
         }
         for (n, node) in state.nodes.iter().enumerate() {
             match &node.proposer {
-                // Nodes of one kind: the second to be asked is the one with the next number.
+                // The nodes are symmetric, so they receive their requests in order of their numbers.
                 None if n == 0 || state.nodes[n - 1].proposer.is_some() => actions.push(Action::Begin(n)),
                 None => {}
-                Some(proposer) if proposer.watches() && proposer.holder().is_some() => {
-                    actions.push(Action::Lost(n))
+                Some(proposer) if proposer.is_watching() && proposer.holder().is_some() => {
+                    actions.push(Action::SuspectHolder(n))
                 }
-                Some(proposer) if proposer.is_outbid() => actions.push(Action::Again(n)),
+                Some(proposer) if proposer.is_preempted() => actions.push(Action::Retry(n)),
                 Some(_) => {}
             }
             if node.phase == Phase::Sent {
@@ -241,113 +251,124 @@
 
     fn next_state(&self, before: &State, action: Action) -> Option<State> {
         let mut state = before.clone();
-        if let Action::Deliver(message) | Action::Unanswered(message) = &action {
+        if let Action::Deliver(message) | Action::DeliverWithoutAnswer(message) = &action {
             state.net.remove(message);
         }
         match action {
             Action::Begin(n) => {
                 let about =
                     About { effect: self.effect, class: String::new(), remaining_ms: 1000, request: None };
-                state.nodes[n].proposer = Some(Proposer::asked(life(n), Self::keepers(), about));
-                state.nodes[n].phase = Phase::Asking;
-                self.settle(&mut state, n);
+                state.nodes[n].proposer = Some(Proposer::for_request(life(n), Self::keepers(), about));
+                state.nodes[n].phase = Phase::Preparing;
+                self.process_node(&mut state, n);
             }
-            Action::Deliver(Message::Ask(n, to, ref question))
-            | Action::Unanswered(Message::Ask(n, to, ref question)) => {
-                // One that starts anew gives no votes.
+            Action::Deliver(Message::Request(n, to, ref op))
+            | Action::DeliverWithoutAnswer(Message::Request(n, to, ref op)) => {
+                // A restarted keeper gives no votes.
                 let acceptor = state.keepers[to.0 as usize].as_mut()?;
-                let answer = match question {
-                    Question::Open(ballot) => acceptor.open(*ballot),
-                    Question::Seize(ballot) => acceptor.seize(*ballot),
-                    Question::Accept(stamp, record) => acceptor.accept(*stamp, record),
-                    Question::Look => acceptor.look(),
+                let answer = match op {
+                    RegisterOp::PrepareNew(ballot) => acceptor.prepare_new(*ballot),
+                    RegisterOp::Prepare(ballot) => acceptor.prepare(*ballot),
+                    RegisterOp::Accept(stamp, record) => acceptor.accept(*stamp, record),
+                    RegisterOp::Read => acceptor.read(),
                 };
-                if self.late {
-                    state.net.insert(Message::Say(to, n, answer));
+                if self.delay_answers {
+                    state.net.insert(Message::Reply(to, n, answer));
                 } else if matches!(action, Action::Deliver(_)) {
-                    state.nodes[n].proposer.as_mut()?.heard(to, self.seen(answer));
-                    self.settle(&mut state, n);
+                    state.nodes[n].proposer.as_mut()?.handle_answer(to, self.as_seen(answer));
+                    self.process_node(&mut state, n);
                 }
             }
-            Action::Deliver(Message::Say(by, n, answer))
-            | Action::Unanswered(Message::Say(by, n, answer)) => {
-                state.nodes[n].proposer.as_mut()?.heard(by, self.seen(answer));
-                self.settle(&mut state, n);
+            Action::Deliver(Message::Reply(by, n, answer))
+            | Action::DeliverWithoutAnswer(Message::Reply(by, n, answer)) => {
+                state.nodes[n].proposer.as_mut()?.handle_answer(by, self.as_seen(answer));
+                self.process_node(&mut state, n);
             }
-            Action::Lost(n) => {
+            Action::SuspectHolder(n) => {
                 state.nodes[n].proposer.as_mut()?.holder_lost();
-                self.settle(&mut state, n);
+                self.process_node(&mut state, n);
             }
-            Action::Again(n) => {
-                state.nodes[n].proposer.as_mut()?.again();
-                self.settle(&mut state, n);
+            Action::Retry(n) => {
+                state.nodes[n].proposer.as_mut()?.retry();
+                self.process_node(&mut state, n);
             }
             Action::Answered(n) => {
                 let verdict = Verdict::Served(Blob { digest: n as u64, length: 1 });
-                if self.without == Without::Keeping {
-                    state.told.insert(verdict);
+                if self.disabled == Disabled::VerdictStorage {
+                    state.reported.insert(verdict);
                 }
-                state.nodes[n].proposer.as_mut()?.conclude(verdict);
+                state.nodes[n].proposer.as_mut()?.write_verdict(verdict);
                 state.nodes[n].phase = Phase::Done;
-                self.settle(&mut state, n);
+                self.process_node(&mut state, n);
             }
             Action::NeverRan(n) => {
                 let proposer = state.nodes[n].proposer.as_mut()?;
                 let last = proposer.record().map_or(0, |record| record.sent.len() - 1);
-                proposer.never_ran(last);
-                proposer.let_go();
-                // It never ran: it counts as never sent.
-                state.sends[n] -= 1;
+                proposer.mark_never_ran(last);
+                proposer.release();
+                // An attempt that never ran counts as not sent.
+                state.sent_attempts[n] -= 1;
                 state.nodes[n].phase = Phase::Done;
-                self.settle(&mut state, n);
+                self.process_node(&mut state, n);
             }
             Action::Restart(k) => {
-                state.keepers[k] = (self.without == Without::Quiet).then(Acceptor::default);
+                state.keepers[k] = (self.disabled == Disabled::RestartDelay).then(Acceptor::default);
                 state.restarted = true;
             }
         }
-        Self::drop_dead(&mut state);
+        Self::drop_ineffective_messages(&mut state);
         (state != *before).then_some(state)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.nodes.iter().filter_map(|node| node.proposer.as_ref()).all(|c| Self::round(c) <= self.rounds)
+        state
+            .nodes
+            .iter()
+            .filter_map(|node| node.proposer.as_ref())
+            .all(|c| Self::highest_round(c) <= self.max_rounds)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("unsafe work is sent once at the most", |case: &Case, state: &State| {
-                case.effect == Effect::Keyed || state.sends.iter().sum::<usize>() <= 1
+            Property::always("unsafe work is sent at most once", |case: &Case, state: &State| {
+                case.effect == Effect::Keyed || state.sent_attempts.iter().sum::<usize>() <= 1
             }),
             Property::always(
-                "attempts of all holders keep within the limit",
-                |case: &Case, state: &State| state.sends.iter().sum::<usize>() <= case.limit,
+                "all holders together stay within the attempt limit",
+                |case: &Case, state: &State| state.sent_attempts.iter().sum::<usize>() <= case.max_attempts,
             ),
-            Property::always("all are told one verdict", |_, state: &State| state.told.len() <= 1),
-            Property::sometimes("a work is taken over and ends", |_, state: &State| {
-                state.sends[0] <= 1 && state.nodes[1].phase == Phase::Done && !state.told.is_empty()
+            Property::always("at most one verdict is reported", |_, state: &State| state.reported.len() <= 1),
+            Property::sometimes("a work is taken over and finishes", |_, state: &State| {
+                state.sent_attempts[0] <= 1
+                    && state.nodes[1].phase == Phase::Done
+                    && !state.reported.is_empty()
             }),
         ]
     }
 }
 
-/// Explores a case as far as these bounds; the states, and the properties that did not hold.
-fn explore(case: Case, most: usize) -> (usize, Vec<&'static str>) {
+/// Explores a case up to the given number of states. Returns the number of states and the violated
+/// properties.
+fn explore(case: Case, state_limit: usize) -> (usize, Vec<&'static str>) {
     let name = format!(
-        "{:?}, {} nodes, {} rounds, restart {}, without {:?}",
-        case.effect, case.nodes, case.rounds, case.restarts, case.without
+        "{:?}, {} nodes, {} rounds, restart {}, disabled {:?}",
+        case.effect, case.nodes, case.max_rounds, case.restarts, case.disabled
     );
-    // What is left out is noticed soonest nearest to the beginning; all states together take least memory by depth.
-    let shortest = case.without != Without::Nothing;
-    let ends = stateright::HasDiscoveries::AnyFailures;
-    let builder = case.checker().threads(6).target_state_count(most).finish_when(ends);
-    let checker: Box<dyn Checked> =
-        if shortest { Box::new(builder.spawn_bfs().join()) } else { Box::new(builder.spawn_dfs().join()) };
+    // Breadth-first search finds violations close to the initial state soonest. Depth-first search needs
+    // the least memory to visit all states.
+    let breadth_first = case.disabled != Disabled::None;
+    let finish_condition = stateright::HasDiscoveries::AnyFailures;
+    let builder = case.checker().threads(6).target_state_count(state_limit).finish_when(finish_condition);
+    let checker: Box<dyn FinishedChecker> = if breadth_first {
+        Box::new(builder.spawn_bfs().join())
+    } else {
+        Box::new(builder.spawn_dfs().join())
+    };
     let (states, all, depth) = checker.counts();
-    println!("{name}: {states} states, come by in {all} ways, depth {depth}");
+    println!("{name}: {states} states, {all} transitions, depth {depth}");
     let mut failed = Vec::new();
     for (what, path) in checker.found() {
-        if what != "a work is taken over and ends" {
+        if what != "a work is taken over and finishes" {
             println!("  {what}: {path}");
             failed.push(what);
         }
@@ -355,13 +376,13 @@
     (states, failed)
 }
 
-/// A checker that has ended, whichever way it went.
-trait Checked {
+/// A finished checker of either search order.
+trait FinishedChecker {
     fn counts(&self) -> (usize, usize, usize);
     fn found(&self) -> Vec<(&'static str, String)>;
 }
 
-impl<C: Checker<Case>> Checked for C {
+impl<C: Checker<Case>> FinishedChecker for C {
     fn counts(&self) -> (usize, usize, usize) {
         (self.unique_state_count(), self.state_count(), self.max_depth())
     }
@@ -374,58 +395,66 @@
     }
 }
 
-/// How many states are generated at the most.
-fn most(default: usize) -> usize {
+/// Maximum number of generated states: GLENWOOD_STATES or the default.
+fn max_states(default: usize) -> usize {
     std::env::var("GLENWOOD_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn three_nodes_keep_every_property_as_far_as_that_was_explored() {
+fn properties_hold_for_three_nodes_up_to_the_state_limit() {
     for effect in [Effect::Unsafe, Effect::Keyed] {
         let case = Case {
             effect,
             nodes: 3,
-            rounds: 3,
-            limit: 2,
+            max_rounds: 3,
+            max_attempts: 2,
             restarts: true,
-            late: true,
-            without: Without::Nothing,
+            delay_answers: true,
+            disabled: Disabled::None,
         };
-        let (states, failed) = explore(case, most(300_000));
+        let (states, failed) = explore(case, max_states(300_000));
         assert!(failed.is_empty() && states > 1000, "{failed:?}");
     }
 }
 
 #[test]
-fn each_guard_that_is_left_out_is_noticed() {
-    for (without, effect, words) in [
-        (Without::Intent, Effect::Unsafe, "unsafe work is sent once at the most"),
-        (Without::Sight, Effect::Unsafe, "unsafe work is sent once at the most"),
-        (Without::Quiet, Effect::Unsafe, "unsafe work is sent once at the most"),
-        (Without::Sight, Effect::Keyed, "attempts of all holders keep within the limit"),
-        (Without::Keeping, Effect::Unsafe, "all are told one verdict"),
+fn disabling_each_safeguard_violates_a_property() {
+    for (disabled, effect, property) in [
+        (Disabled::IntentStorage, Effect::Unsafe, "unsafe work is sent at most once"),
+        (Disabled::EarlierIntents, Effect::Unsafe, "unsafe work is sent at most once"),
+        (Disabled::RestartDelay, Effect::Unsafe, "unsafe work is sent at most once"),
+        (Disabled::EarlierIntents, Effect::Keyed, "all holders together stay within the attempt limit"),
+        (Disabled::VerdictStorage, Effect::Unsafe, "at most one verdict is reported"),
     ] {
-        let restarts = without == Without::Quiet;
-        let case = Case { effect, nodes: 2, rounds: 3, limit: 1, restarts, late: false, without };
-        let (_, failed) = explore(case, most(3_000_000));
-        assert!(failed.contains(&words), "{without:?} {effect:?}: {failed:?}");
+        let restarts = disabled == Disabled::RestartDelay;
+        let case = Case {
+            effect,
+            nodes: 2,
+            max_rounds: 3,
+            max_attempts: 1,
+            restarts,
+            delay_answers: false,
+            disabled,
+        };
+        let (_, failed) = explore(case, max_states(3_000_000));
+        assert!(failed.contains(&property), "{disabled:?} {effect:?}: {failed:?}");
     }
 }
 
 #[test]
-fn two_nodes_keep_every_property_in_every_state() {
+fn properties_hold_for_two_nodes_in_every_state() {
     for effect in [Effect::Unsafe, Effect::Keyed] {
         for restarts in [false, true] {
             let case = Case {
                 effect,
                 nodes: 2,
-                rounds: 2,
-                limit: 2,
+                max_rounds: 2,
+                max_attempts: 2,
                 restarts,
-                late: false,
-                without: Without::Nothing,
+                delay_answers: false,
+                disabled: Disabled::None,
             };
-            let (states, failed) = explore(case, most(1_000_000));
+            let (states, failed) = explore(case, max_states(1_000_000));
             assert!(failed.is_empty() && states > 1000, "{failed:?}");
         }
     }
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Coordinators and keepers in virtual time: many seeds of crashes, restarts, stalls, cuts and lost datagrams, and a ledger of all that was
-//! carried out and told.
+//! Simulates coordinators and keepers in virtual time, over many seeds with crashes, restarts, stalls,
+//! network partitions and lost datagrams, and records every attempt sent and every outcome reported to
+//! clients.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -13,25 +14,25 @@
 };
 use glenwood_datagram::Secret;
 
-const LIFE: u64 = 4000;
-const PATIENCE: u64 = 150;
-const REMAINING: u64 = 1500;
-/// How many attempts a keyed work may have.
-const LIMIT: usize = 3;
-/// How soon membership tells of a loss.
-const NOTICED: u64 = 700;
+const ENTRY_LIFETIME_MS: u64 = 4000;
+const MAJORITY_TIMEOUT_MS: u64 = 150;
+const CLIENT_DEADLINE_MS: u64 = 1500;
+/// Maximum number of attempts of a keyed work.
+const MAX_KEYED_ATTEMPTS: usize = 3;
+/// Minimum time until membership reports a loss, in milliseconds.
+const MIN_LOSS_NOTICE_MS: u64 = 700;
 
 #[derive(Clone, Debug)]
-enum What {
+enum Action {
     Wake(usize),
-    Comes(usize, usize, Vec<u8>),
-    /// A server has carried an attempt of this node's life out: its ticket.
+    Deliver(usize, usize, Vec<u8>),
+    /// A server has executed an attempt of this node's incarnation for this ticket.
     Served(usize, u64, Ticket, usize),
     Lost(usize, Life),
     Joined(usize, Life),
     Begin(usize),
-    /// A client comes again, at this node.
-    Again(usize, usize),
+    /// A client repeats its request at this node.
+    Repeat(usize, usize),
     Fault(Fault),
 }
 
@@ -39,34 +40,34 @@
 enum Fault {
     Kill(usize),
     Start(usize),
-    Stop(usize),
-    GoOn(usize),
-    Cut(BTreeSet<usize>),
+    Suspend(usize),
+    Resume(usize),
+    Partition(BTreeSet<usize>),
     Heal,
 }
 
-/// A request, over all its askings.
+/// A client's request, over all its repeats.
 #[derive(Clone, Debug, Default)]
 struct Job {
     keyed: bool,
-    /// Attempts that were sent, and how often it was carried out.
+    /// Number of attempts sent. Each attempt's number also determines the server's answer.
     sends: usize,
-    told: BTreeSet<String>,
-    /// Answers that say nothing for good.
+    outcomes: BTreeSet<String>,
+    /// Answers without a final outcome.
     undecided: usize,
     first: usize,
-    /// When it was last asked.
-    asked: u64,
+    /// When it was last submitted.
+    last_submitted: u64,
 }
 
 struct Node {
     coordinator: Coordinator,
     keeper: Keeper,
     life: Life,
-    still: bool,
-    waiting: VecDeque<(usize, Vec<u8>)>,
+    suspended: bool,
+    queued: VecDeque<(usize, Vec<u8>)>,
     wake: u64,
-    /// What each ticket is, and how many clients wait by it.
+    /// The job of each ticket, and the number of clients that wait for it.
     jobs: BTreeMap<Ticket, (usize, usize)>,
     next_orphans: u64,
 }
@@ -77,16 +78,16 @@
     rosters: Rosters,
     random: fastrand::Rng,
     loss: f64,
-    doubled: f64,
-    cut: Option<BTreeSet<usize>>,
+    duplication: f64,
+    partition: Option<BTreeSet<usize>>,
     jobs: Vec<Job>,
-    lives: u64,
+    last_incarnation: u64,
     count: u64,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<(u64, u64), What>,
+    events: BTreeMap<(u64, u64), Action>,
     secret: Secret,
     adopted: u64,
-    unguarded: u64,
+    without_majority: u64,
 }
 
 fn id(n: usize) -> NodeId {
@@ -95,58 +96,59 @@
 
 impl Fleet {
     fn new(nodes: usize, keepers: usize, seed: u64) -> Self {
-        let roster =
-            Roster::new((0..keepers).map(|n| (id(n), format!("z{}", n % 3))).collect()).expect("good");
+        let roster = Roster::new((0..keepers).map(|n| (id(n), format!("z{}", n % 3))).collect())
+            .expect("valid roster");
         let mut fleet = Self {
             now: 100_000,
             nodes: (0..nodes).map(|_| None).collect(),
             rosters: Rosters { epoch: 1, now: roster, before: None },
             random: fastrand::Rng::with_seed(seed),
             loss: 0.0,
-            doubled: 0.0,
-            cut: None,
+            duplication: 0.0,
+            partition: None,
             jobs: Vec::new(),
-            lives: 0,
+            last_incarnation: 0,
             count: 0,
             heap: BinaryHeap::new(),
             events: BTreeMap::new(),
             secret: Secret::new(b"a secret of all nodes"),
             adopted: 0,
-            unguarded: 0,
+            without_majority: 0,
         };
         (0..nodes).for_each(|n| fleet.start(n));
-        fleet.run(LIFE + 100);
+        fleet.run(ENTRY_LIFETIME_MS + 100);
         fleet
     }
 
-    fn at(&mut self, when: u64, what: What) {
+    fn at(&mut self, when: u64, action: Action) {
         self.count += 1;
         self.heap.push(Reverse((when, self.count)));
-        self.events.insert((when, self.count), what);
+        self.events.insert((when, self.count), action);
     }
 
     fn start(&mut self, n: usize) {
-        self.lives += 1;
-        let life = Life { node: id(n), life: self.lives };
-        let set = coordinator::Settings {
-            patience_ms: PATIENCE,
+        self.last_incarnation += 1;
+        let life = Life { node: id(n), life: self.last_incarnation };
+        let settings = coordinator::Settings {
+            patience_ms: MAJORITY_TIMEOUT_MS,
             resend_ms: 20,
             poll_ms: 50,
-            life_ms: LIFE,
+            life_ms: ENTRY_LIFETIME_MS,
             most: 10_000,
         };
-        let kept = keeper::Settings { life_ms: LIFE, works_most: 10_000, bytes_most: 10_000_000 };
+        let keeper_settings =
+            keeper::Settings { life_ms: ENTRY_LIFETIME_MS, works_most: 10_000, bytes_most: 10_000_000 };
         let mut coordinator =
-            Coordinator::new(set, life, self.rosters.clone(), self.random.u64(..), self.now);
+            Coordinator::new(settings, life, self.rosters.clone(), self.random.u64(..), self.now);
         for node in self.nodes.iter().flatten() {
             coordinator.life(node.life, true);
         }
         let node = Node {
             coordinator,
-            keeper: Keeper::new(kept, self.now),
+            keeper: Keeper::new(keeper_settings, self.now),
             life,
-            still: false,
-            waiting: VecDeque::new(),
+            suspended: false,
+            queued: VecDeque::new(),
             wake: u64::MAX,
             jobs: BTreeMap::new(),
             next_orphans: self.now,
@@ -154,15 +156,15 @@
         self.nodes[n] = Some(node);
         for by in 0..self.nodes.len() {
             let when = self.now + self.random.u64(10..200);
-            self.at(when, What::Joined(by, life));
+            self.at(when, Action::Joined(by, life));
         }
         self.wake(n);
     }
 
-    fn gone(&mut self, life: Life) {
+    fn report_loss(&mut self, life: Life) {
         for by in 0..self.nodes.len() {
-            let when = self.now + NOTICED + self.random.u64(0..200);
-            self.at(when, What::Lost(by, life));
+            let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
+            self.at(when, Action::Lost(by, life));
         }
     }
 
@@ -170,39 +172,40 @@
         match fault {
             Fault::Kill(n) => {
                 if let Some(node) = self.nodes[n].take() {
-                    self.gone(node.life);
-                    // Clients that waited see their connection break, and come again elsewhere.
-                    for (job, waiting) in node.jobs.into_values() {
-                        if waiting > 0 {
-                            self.client_lost(job);
+                    self.report_loss(node.life);
+                    // The connections of waiting clients break, and the clients repeat their requests at
+                    // other nodes.
+                    for (job, waiting_clients) in node.jobs.into_values() {
+                        if waiting_clients > 0 {
+                            self.repeat_requests(job);
                         }
                     }
                 }
             }
             Fault::Start(n) if self.nodes[n].is_none() => self.start(n),
             Fault::Start(_) => {}
-            Fault::Stop(n) => {
+            Fault::Suspend(n) => {
                 let Some(node) = &mut self.nodes[n] else { return };
-                node.still = true;
+                node.suspended = true;
                 let life = node.life;
-                // Long enough, it is taken for lost.
-                self.gone(life);
+                // Membership reports a suspended node as lost if it stays suspended long enough.
+                self.report_loss(life);
             }
-            Fault::GoOn(n) => {
+            Fault::Resume(n) => {
                 let Some(node) = &mut self.nodes[n] else { return };
-                node.still = false;
-                let (life, waiting) = (node.life, std::mem::take(&mut node.waiting));
+                node.suspended = false;
+                let (life, queued) = (node.life, std::mem::take(&mut node.queued));
                 for by in 0..self.nodes.len() {
-                    let when = self.now + NOTICED + 300;
-                    self.at(when, What::Joined(by, life));
+                    let when = self.now + MIN_LOSS_NOTICE_MS + 300;
+                    self.at(when, Action::Joined(by, life));
                 }
-                for (from, bytes) in waiting {
-                    self.hear(n, from, &bytes);
+                for (from, bytes) in queued {
+                    self.receive(n, from, &bytes);
                 }
                 self.tick(n);
             }
-            Fault::Cut(side) => {
-                // Each side takes the other for lost.
+            Fault::Partition(side) => {
+                // Each side of the partition considers the other lost.
                 let lives: Vec<(usize, Life)> = self
                     .nodes
                     .iter()
@@ -212,30 +215,30 @@
                 for by in 0..self.nodes.len() {
                     for (n, life) in &lives {
                         if side.contains(&by) != side.contains(n) {
-                            let when = self.now + NOTICED + self.random.u64(0..200);
-                            self.at(when, What::Lost(by, *life));
+                            let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
+                            self.at(when, Action::Lost(by, *life));
                         }
                     }
                 }
-                self.cut = Some(side);
+                self.partition = Some(side);
             }
             Fault::Heal => {
-                self.cut = None;
+                self.partition = None;
                 let lives: Vec<Life> = self.nodes.iter().flatten().map(|node| node.life).collect();
                 for by in 0..self.nodes.len() {
                     for life in &lives {
-                        let when = self.now + NOTICED + 300 + self.random.u64(0..200);
-                        self.at(when, What::Joined(by, *life));
+                        let when = self.now + MIN_LOSS_NOTICE_MS + 300 + self.random.u64(0..200);
+                        self.at(when, Action::Joined(by, *life));
                     }
                 }
             }
         }
     }
 
-    /// Most come again, some at two nodes at once, some never.
-    fn client_lost(&mut self, job: usize) {
-        // It has waited for its time at the most, and no register ends as early.
-        if self.now > self.jobs[job].asked + REMAINING {
+    /// Repeats the request of a disconnected client at zero to two nodes.
+    fn repeat_requests(&mut self, job: usize) {
+        // A client waits no longer than its deadline, which ends before the register can expire.
+        if self.now > self.jobs[job].last_submitted + CLIENT_DEADLINE_MS {
             return;
         }
         let alive: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect();
@@ -243,7 +246,7 @@
         for _ in 0..times {
             if let Some(n) = self.random.choice(&alive).copied() {
                 let when = self.now + self.random.u64(1..50);
-                self.at(when, What::Again(job, n));
+                self.at(when, Action::Repeat(job, n));
             }
         }
     }
@@ -252,54 +255,55 @@
         let now = self.now;
         let nonce = 10 + self.random.u64(0..u64::MAX / 2);
         let keyed = self.jobs[job].keyed;
-        self.jobs[job].asked = now;
+        self.jobs[job].last_submitted = now;
         let Some(node) = &mut self.nodes[n] else { return };
-        if node.still {
+        if node.suspended {
             return;
         }
         let ask = Ask {
             slot: (job as u64, 7),
             kind: if keyed { Kind::Keyed } else { Kind::Unsafe { nonce, marked } },
             class: "c".into(),
-            remaining_ms: REMAINING as u32,
+            remaining_ms: CLIENT_DEADLINE_MS as u32,
             body: Some(Bytes::from(vec![job as u8; 10 + 400 * (job % 7)])),
         };
         let Some((ticket, _)) = node.coordinator.ask(now, ask) else { return };
         node.jobs.entry(ticket).or_insert((job, 0)).1 += 1;
-        self.after(n);
+        self.process_outputs(n);
     }
 
-    fn tell(&mut self, n: usize, ticket: Ticket, words: Option<String>) {
+    fn report_outcome(&mut self, n: usize, ticket: Ticket, outcome: Option<String>) {
         let Some(node) = &mut self.nodes[n] else { return };
-        let Some((job, waiting)) = node.jobs.get_mut(&ticket) else { return };
-        let waited = std::mem::take(waiting);
+        let Some((job, waiting_clients)) = node.jobs.get_mut(&ticket) else { return };
+        let waited = std::mem::take(waiting_clients);
         let job = *job;
         if waited > 0 {
-            match words {
-                Some(words) => drop(self.jobs[job].told.insert(words)),
+            match outcome {
+                Some(outcome) => drop(self.jobs[job].outcomes.insert(outcome)),
                 None => self.jobs[job].undecided += waited,
             }
         }
     }
 
-    /// What the module would do: unsafe work that may have run fails, all else is sent within its limit.
+    /// Decides as the policy module would: unsafe work that may have run fails, everything else is sent
+    /// within its limit.
     fn decide(&mut self, n: usize, ticket: Ticket, job: usize, earlier: &[(Sent, u64)]) {
         let now = self.now;
-        let maybe = earlier.iter().any(|(sent, _)| !sent.never);
+        let may_have_run = earlier.iter().any(|(sent, _)| !sent.never);
         let keyed = self.jobs[job].keyed;
-        let may = if keyed { earlier.len() < LIMIT } else { !maybe };
+        let may_send = if keyed { earlier.len() < MAX_KEYED_ATTEMPTS } else { !may_have_run };
         let server = self.random.u64(0..20);
         let Some(node) = &mut self.nodes[n] else { return };
-        if may {
+        if may_send {
             node.coordinator.intend(now, ticket, server, 0, 0);
         } else {
             node.coordinator.conclude(now, ticket, Conclusion::LetGo);
-            let words = if keyed { None } else { Some("may have run".to_string()) };
-            self.tell(n, ticket, words);
+            let outcome = if keyed { None } else { Some("may have run".to_string()) };
+            self.report_outcome(n, ticket, outcome);
         }
     }
 
-    fn happened(&mut self, n: usize, event: Event) {
+    fn handle_event(&mut self, n: usize, event: Event) {
         let job_of = |fleet: &Self, ticket| fleet.nodes[n].as_ref()?.jobs.get(&ticket).map(|(job, _)| *job);
         match event {
             Event::Yours { ticket, earlier, .. } => {
@@ -311,7 +315,7 @@
                 let Some(node) = &mut self.nodes[n] else { return };
                 let Some(work) = node.coordinator.work(ticket) else { return };
                 let job = work.slot.0 as usize;
-                assert_eq!(body[0], job as u8, "the request came along");
+                assert_eq!(body[0], job as u8, "the stored request belongs to the job");
                 node.jobs.insert(ticket, (job, 0));
                 self.adopted += 1;
                 if remaining_ms > 30 {
@@ -326,77 +330,81 @@
                 let Some(job) = job_of(self, ticket) else { return };
                 let life = self.nodes[n].as_ref().map_or(0, |node| node.life.life);
                 self.jobs[job].sends += 1;
-                let run = self.jobs[job].sends;
+                let attempt_number = self.jobs[job].sends;
                 // Some servers never answer.
                 if self.random.f64() < 0.9 {
                     let when = self.now + self.random.u64(1..400);
-                    self.at(when, What::Served(n, life, ticket, run));
+                    self.at(when, Action::Served(n, life, ticket, attempt_number));
                 }
             }
             Event::Denied(ticket) => {
-                // As the module: refused, which says nothing for good.
+                // The policy module would refuse the request, which is not a final outcome.
                 let now = self.now;
                 let Some(node) = &mut self.nodes[n] else { return };
                 if node.coordinator.holds(ticket) {
                     node.coordinator.conclude(now, ticket, Conclusion::LetGo);
-                    self.tell(n, ticket, None);
+                    self.report_outcome(n, ticket, None);
                 }
             }
             Event::Verdict(ticket, verdict, bytes) => {
-                let words = match verdict {
-                    Verdict::Served(_) => format!("served {:?}", bytes.expect("with its bytes")),
+                let outcome = match verdict {
+                    Verdict::Served(_) => {
+                        format!("served {:?}", bytes.expect("a served verdict carries its answer"))
+                    }
                     Verdict::MayHaveRun => "may have run".to_string(),
                     other => format!("{other:?}"),
                 };
-                self.tell(n, ticket, Some(words));
+                self.report_outcome(n, ticket, Some(outcome));
             }
-            Event::Unkept(ticket) => self.tell(n, ticket, None),
+            Event::Unkept(ticket) => self.report_outcome(n, ticket, None),
             Event::Unknown(ticket) => {
-                self.unguarded += 1;
-                self.tell(n, ticket, None);
+                self.without_majority += 1;
+                self.report_outcome(n, ticket, None);
             }
-            Event::Twin(ticket) | Event::Ambiguous(ticket) => self.tell(n, ticket, None),
+            Event::Twin(ticket) | Event::Ambiguous(ticket) => self.report_outcome(n, ticket, None),
             Event::Same(ticket, other) => {
                 let Some(node) = &mut self.nodes[n] else { return };
-                if let (Some((_, waiting)), Some(to)) = (node.jobs.remove(&ticket), node.jobs.get_mut(&other))
+                if let (Some((_, waiting_clients)), Some(to)) =
+                    (node.jobs.remove(&ticket), node.jobs.get_mut(&other))
                 {
-                    to.1 += waiting;
+                    to.1 += waiting_clients;
                 }
             }
-            Event::Over(ticket) => self.tell(n, ticket, None),
+            Event::Over(ticket) => self.report_outcome(n, ticket, None),
         }
     }
 
-    fn send(&mut self, n: usize, to: usize, says: &[Say]) {
+    fn send(&mut self, n: usize, to: usize, messages: &[Say]) {
         let Some(node) = &self.nodes[n] else { return };
         let from = From { cluster: 1, life: node.life, epoch: (1, false), time: self.now };
-        for bytes in wire::write(&from, says, &self.secret) {
-            let severed = self.cut.as_ref().is_some_and(|side| side.contains(&n) != side.contains(&to));
-            let copies = 1 + usize::from(self.random.f64() < self.doubled);
+        for bytes in wire::write(&from, messages, &self.secret) {
+            let is_partitioned =
+                self.partition.as_ref().is_some_and(|side| side.contains(&n) != side.contains(&to));
+            let copies = 1 + usize::from(self.random.f64() < self.duplication);
             for _ in 0..copies {
-                if !severed && self.random.f64() >= self.loss {
+                if !is_partitioned && self.random.f64() >= self.loss {
                     let when = self.now + self.random.u64(1..=8);
-                    self.at(when, What::Comes(to, n, bytes.clone()));
+                    self.at(when, Action::Deliver(to, n, bytes.clone()));
                 }
             }
         }
     }
 
-    fn hear(&mut self, n: usize, from: usize, bytes: &[u8]) {
-        let (by, says) = wire::read(bytes, 1, &self.secret).expect("as written");
+    fn receive(&mut self, n: usize, from: usize, bytes: &[u8]) {
+        let (by, messages) = wire::read(bytes, 1, &self.secret).expect("datagrams of this cluster decode");
         let now = self.now;
         let mut replies = Vec::new();
         {
             let Some(node) = &mut self.nodes[n] else { return };
-            if by.time.abs_diff(now) > LIFE / 4 {
+            if by.time.abs_diff(now) > ENTRY_LIFETIME_MS / 4 {
                 return;
             }
             node.keeper.heard_of(now, by.life);
-            for say in says {
-                match say {
+            for message in messages {
+                match message {
                     Say::Request(work, Request::Get(blob, want)) => {
-                        let given = node.keeper.give(now, work, blob, want);
-                        replies.extend(given.into_iter().map(|reply| Say::Reply(work, reply)));
+                        let pieces = node.keeper.give(now, work, blob, want);
+                        replies.extend(pieces.into_iter().map(|reply| Say::Reply(work, reply)));
                     }
                     Say::Request(work, request) => {
                         replies.push(Say::Reply(work, node.keeper.hear(now, work, request)));
@@ -409,7 +417,7 @@
         if !replies.is_empty() {
             self.send(n, from, &replies);
         }
-        self.after(n);
+        self.process_outputs(n);
     }
 
     fn tick(&mut self, n: usize) {
@@ -422,23 +430,23 @@
             let coordinator = &node.coordinator;
             let works = node.keeper.orphans(now, |life| coordinator.is_lost(now, life));
             for work in works {
-                // The first keeper at once, the others later by chance.
-                let place = keepers.keepers(work.slot).place(node.life.node).unwrap_or(3);
-                if place == 0 || self.random.f64() < 0.2 {
+                // The first keeper adopts the work at once, the others later with some probability.
+                let position = keepers.keepers(work.slot).place(node.life.node).unwrap_or(3);
+                if position == 0 || self.random.f64() < 0.2 {
                     node.coordinator.adopt(now, work);
                 }
             }
         }
-        self.after(n);
+        self.process_outputs(n);
     }
 
-    fn after(&mut self, n: usize) {
+    fn process_outputs(&mut self, n: usize) {
         loop {
             let mut out: BTreeMap<usize, Vec<Say>> = BTreeMap::new();
             let Some(node) = &mut self.nodes[n] else { return };
-            while let Some((to, what)) = node.coordinator.poll_transmit() {
+            while let Some((to, action)) = node.coordinator.poll_transmit() {
                 let to = to.0 as usize - 1;
-                match what {
+                match action {
                     Some((work, request)) if to == n => {
                         let replies = match request {
                             Request::Get(blob, want) => node.keeper.give(self.now, work, blob, want),
@@ -454,11 +462,11 @@
                 }
             }
             let event = node.coordinator.poll_event();
-            for (to, says) in out {
-                self.send(n, to, &says);
+            for (to, messages) in out {
+                self.send(n, to, &messages);
             }
             match event {
-                Some(event) => self.happened(n, event),
+                Some(event) => self.handle_event(n, event),
                 None => break,
             }
         }
@@ -473,7 +481,7 @@
         let due = due.unwrap_or(now + 1000).max(now + 1);
         if due < node.wake || node.wake <= now {
             node.wake = due;
-            self.at(due, What::Wake(n));
+            self.at(due, Action::Wake(n));
         }
     }
 
@@ -482,105 +490,105 @@
         while let Some(Reverse(next)) = self.heap.peek().copied().filter(|Reverse(next)| next.0 <= end) {
             self.heap.pop();
             self.now = next.0;
-            match self.events.remove(&next).expect("it was put there") {
-                What::Wake(n) => {
+            match self.events.remove(&next).expect("every queued time has an event") {
+                Action::Wake(n) => {
                     let now = self.now;
-                    if self.nodes[n].as_ref().is_some_and(|node| node.wake == now && !node.still) {
+                    if self.nodes[n].as_ref().is_some_and(|node| node.wake == now && !node.suspended) {
                         self.tick(n);
                     }
                 }
-                What::Comes(n, from, bytes) => {
+                Action::Deliver(n, from, bytes) => {
                     let Some(node) = &mut self.nodes[n] else { continue };
-                    if node.still {
-                        node.waiting.push_back((from, bytes));
+                    if node.suspended {
+                        node.queued.push_back((from, bytes));
                     } else {
-                        self.hear(n, from, &bytes);
+                        self.receive(n, from, &bytes);
                     }
                 }
-                What::Served(n, life, ticket, run) => {
+                Action::Served(n, life, ticket, attempt_number) => {
                     let now = self.now;
                     let Some(node) = &mut self.nodes[n] else { continue };
-                    if node.still {
-                        self.at(now + 50, What::Served(n, life, ticket, run));
+                    if node.suspended {
+                        self.at(now + 50, Action::Served(n, life, ticket, attempt_number));
                     } else if node.life.life == life {
-                        let answer = Bytes::from(vec![run as u8; 1 + 1500 * (run % 2)]);
+                        let answer = Bytes::from(vec![attempt_number as u8; 1 + 1500 * (attempt_number % 2)]);
                         node.coordinator.conclude(now, ticket, Conclusion::Served(Some(answer)));
-                        self.after(n);
+                        self.process_outputs(n);
                     }
                 }
-                What::Lost(by, life) => {
+                Action::Lost(by, life) => {
                     if let Some(node) = &mut self.nodes[by] {
                         node.coordinator.life(life, false);
                     }
                 }
-                What::Joined(by, life) => {
-                    let there = self.nodes.iter().flatten().any(|node| node.life == life);
-                    if let Some(node) = self.nodes[by].as_mut().filter(|_| there) {
+                Action::Joined(by, life) => {
+                    let is_running = self.nodes.iter().flatten().any(|node| node.life == life);
+                    if let Some(node) = self.nodes[by].as_mut().filter(|_| is_running) {
                         node.coordinator.life(life, true);
                     }
                 }
-                What::Begin(job) => {
+                Action::Begin(job) => {
                     let n = self.jobs[job].first;
                     self.ask(job, n, false);
                 }
-                What::Again(job, n) => self.ask(job, n, true),
-                What::Fault(fault) => self.fault(fault),
+                Action::Repeat(job, n) => self.ask(job, n, true),
+                Action::Fault(fault) => self.fault(fault),
             }
         }
         self.now = end;
     }
 
-    /// So many requests over so long, and faults.
-    fn play(&mut self, jobs: usize, span: u64, faults: usize) {
+    /// Runs this number of jobs, spread over the given time span, together with random faults.
+    fn run_scenario(&mut self, jobs: usize, span: u64, faults: usize) {
         let nodes = self.nodes.len();
         for n in 0..jobs {
             let job = Job { keyed: self.random.bool(), first: self.random.usize(0..nodes), ..Job::default() };
             self.jobs.push(job);
             let when = self.now + self.random.u64(0..span);
-            self.at(when, What::Begin(n));
+            self.at(when, Action::Begin(n));
         }
         for _ in 0..faults {
             let when = self.now + self.random.u64(0..span);
             let (n, length) = (self.random.usize(0..nodes), self.random.u64(1..3000));
             match self.random.u8(0..4) {
                 0 => {
-                    self.at(when, What::Fault(Fault::Kill(n)));
-                    let away = if self.random.bool() { 1 } else { length };
-                    self.at(when + away, What::Fault(Fault::Start(n)));
+                    self.at(when, Action::Fault(Fault::Kill(n)));
+                    let downtime = if self.random.bool() { 1 } else { length };
+                    self.at(when + downtime, Action::Fault(Fault::Start(n)));
                 }
                 1 => {
-                    self.at(when, What::Fault(Fault::Stop(n)));
-                    self.at(when + length, What::Fault(Fault::GoOn(n)));
+                    self.at(when, Action::Fault(Fault::Suspend(n)));
+                    self.at(when + length, Action::Fault(Fault::Resume(n)));
                 }
                 2 => {
                     let size = [1, nodes / 2][self.random.usize(0..2)];
                     let mut all: Vec<usize> = (0..nodes).collect();
                     self.random.shuffle(&mut all);
-                    self.at(when, What::Fault(Fault::Cut(all[..size].iter().copied().collect())));
-                    self.at(when + length, What::Fault(Fault::Heal));
+                    self.at(when, Action::Fault(Fault::Partition(all[..size].iter().copied().collect())));
+                    self.at(when + length, Action::Fault(Fault::Heal));
                 }
-                _ => self.at(when, What::Fault(Fault::Kill(n))),
+                _ => self.at(when, Action::Fault(Fault::Kill(n))),
             }
         }
-        self.run(span + 5 * LIFE);
+        self.run(span + 5 * ENTRY_LIFETIME_MS);
     }
 
-    fn check(&self, seed: u64) {
+    fn check_invariants(&self, seed: u64) {
         for (n, job) in self.jobs.iter().enumerate() {
-            assert!(job.told.len() <= 1, "seed {seed}, work {n}: two verdicts: {:?}", job.told);
-            let most = if job.keyed { LIMIT } else { 1 };
+            assert!(job.outcomes.len() <= 1, "seed {seed}, work {n}: two verdicts: {:?}", job.outcomes);
+            let max_sends = if job.keyed { MAX_KEYED_ATTEMPTS } else { 1 };
             assert!(
-                job.sends <= most,
+                job.sends <= max_sends,
                 "seed {seed}, work {n}: sent {} times, keyed {}",
                 job.sends,
                 job.keyed
             );
         }
         for node in self.nodes.iter().flatten() {
-            let (here, _) = node.coordinator.counts();
-            assert_eq!(here, 0, "seed {seed}: all works end by themselves");
-            assert_eq!(node.keeper.figures().works, 0, "seed {seed}: and all entries");
-            assert_eq!(node.keeper.figures().bytes, 0, "seed {seed}: with their bytes");
+            let (active, _) = node.coordinator.counts();
+            assert_eq!(active, 0, "seed {seed}: works remain at a coordinator");
+            assert_eq!(node.keeper.figures().works, 0, "seed {seed}: registers remain at a keeper");
+            assert_eq!(node.keeper.figures().bytes, 0, "seed {seed}: bytes remain at a keeper");
         }
     }
 }
@@ -590,54 +598,60 @@
 }
 
 #[test]
-fn whatever_fails_unsafe_work_runs_once_and_all_are_told_one_verdict() {
-    let (mut adopted, mut told, mut undecided) = (0, 0, 0);
+fn with_faults_unsafe_work_runs_at_most_once_and_all_clients_get_one_outcome() {
+    let (mut adopted, mut outcomes, mut undecided) = (0, 0, 0);
     let all = seeds(60);
     for seed in 0..all {
         let mut fleet = Fleet::new(50, 12, seed);
         fleet.loss = [0.0, 0.05, 0.2][(seed % 3) as usize];
-        fleet.doubled = 0.05;
-        fleet.play(120, 6000, 16);
-        fleet.check(seed);
+        fleet.duplication = 0.05;
+        fleet.run_scenario(120, 6000, 16);
+        fleet.check_invariants(seed);
         adopted += fleet.adopted;
-        told += fleet.jobs.iter().filter(|job| !job.told.is_empty()).count();
+        outcomes += fleet.jobs.iter().filter(|job| !job.outcomes.is_empty()).count();
         undecided += fleet.jobs.iter().map(|job| job.undecided).sum::<usize>();
     }
-    println!("{all} seeds: {told} works with a verdict, {undecided} answers without, {adopted} taken up for nobody");
-    assert!(adopted > all / 2 && told as u64 > 60 * all, "or this shows nothing: {adopted}, {told}");
+    println!("{all} seeds: {outcomes} works with a verdict, {undecided} answers without, {adopted} orphans adopted");
+    assert!(
+        adopted > all / 2 && outcomes as u64 > 60 * all,
+        "too few cases to be meaningful: {adopted} adopted, {outcomes} with a verdict"
+    );
 }
 
 #[test]
-fn on_a_quiet_fleet_every_work_is_served_and_kept() {
+fn without_faults_works_are_served_and_their_verdicts_stored() {
     let mut fleet = Fleet::new(12, 9, 1);
-    fleet.play(200, 3000, 0);
-    fleet.check(1);
-    let served =
-        fleet.jobs.iter().filter(|job| job.told.iter().any(|words| words.starts_with("served"))).count();
-    assert!(served >= 160, "nine of ten servers answer: {served}");
-    assert_eq!((fleet.adopted, fleet.unguarded), (0, 0));
+    fleet.run_scenario(200, 3000, 0);
+    fleet.check_invariants(1);
+    let served = fleet
+        .jobs
+        .iter()
+        .filter(|job| job.outcomes.iter().any(|outcome| outcome.starts_with("served")))
+        .count();
+    assert!(served >= 160, "nine of ten servers answer, so most of 200 works must be served: {served}");
+    assert_eq!((fleet.adopted, fleet.without_majority), (0, 0));
 }
 
 #[test]
-fn without_a_majority_nothing_is_sent_under_custody() {
+fn without_a_majority_no_attempt_is_sent() {
     let mut fleet = Fleet::new(6, 3, 2);
     fleet.fault(Fault::Kill(0));
     fleet.fault(Fault::Kill(1));
     fleet.jobs = vec![Job { first: 4, ..Job::default() }; 4];
     (0..4).for_each(|job| fleet.ask(job, 4, false));
-    fleet.run(3 * PATIENCE);
-    assert_eq!(fleet.unguarded, 4, "that is told in time");
+    fleet.run(3 * MAJORITY_TIMEOUT_MS);
+    assert_eq!(fleet.without_majority, 4, "each request gets a report that no majority answered");
     assert!(fleet.jobs.iter().all(|job| job.sends == 0));
 }
 
 #[test]
-fn a_keeper_that_starts_gives_no_votes_until_older_entries_have_ended() {
+fn a_restarted_keeper_gives_no_votes_until_older_entries_have_expired() {
     let mut fleet = Fleet::new(6, 3, 3);
     fleet.jobs = vec![Job { first: 4, ..Job::default() }; 2];
     fleet.ask(0, 4, false);
     fleet.run(20);
     assert_eq!(fleet.jobs[0].sends, 1);
-    // Two of three lose what they had, and the holder is lost.
+    // Two of the three keepers lose their state, and the holder is lost.
     for n in [0, 1] {
         fleet.fault(Fault::Kill(n));
         fleet.fault(Fault::Start(n));
@@ -646,9 +660,9 @@
     fleet.run(1500);
     fleet.ask(0, 5, true);
     fleet.run(1000);
-    assert_eq!(fleet.jobs[0].sends, 1, "nobody can know that it was not sent");
-    fleet.run(LIFE);
+    assert_eq!(fleet.jobs[0].sends, 1, "the first attempt may have been sent, so no other may follow");
+    fleet.run(ENTRY_LIFETIME_MS);
     fleet.ask(1, 5, false);
     fleet.run(500);
-    assert_eq!(fleet.jobs[1].sends, 1, "they vote again");
+    assert_eq!(fleet.jobs[1].sends, 1, "the restarted keepers vote again");
 }
