--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -433,23 +433,23 @@
     pub fn conclude(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
         let majority_timeout = self.settings.patience_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        let held = match conclusion {
+        let was_holder = match conclusion {
             Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= MAX_BLOB_BYTES) {
                 Some(bytes) => {
                     let blob = blob_of(&bytes);
-                    let held = entry.proposer.write_verdict(Verdict::Served(blob));
-                    if held {
+                    let was_holder = entry.proposer.write_verdict(Verdict::Served(blob));
+                    if was_holder {
                         entry.uploads.push(Upload { blob, bytes: bytes.clone(), have: BTreeMap::new() });
                         entry.own_answer = Some((blob, bytes));
                     }
-                    held
+                    was_holder
                 }
                 None => entry.proposer.write_verdict(Verdict::ServedLong),
             },
             Conclusion::Rejected => entry.proposer.write_verdict(Verdict::Rejected),
             Conclusion::LetGo => entry.proposer.release(),
         };
-        if held {
+        if was_holder {
             (entry.deadline, entry.pending_attempt) = (now + majority_timeout, None);
         }
         self.advance(now, ticket);
--- a/crates/custody/src/proposer.rs
+++ b/crates/custody/src/proposer.rs
@@ -390,8 +390,8 @@
         true
     }
 
-    /// Records the intent to send an attempt. [`Step::SendAllowed`] follows once it may be sent. Returns `false`
-    /// if it may never be sent.
+    /// Records the intent to send an attempt. [`Step::SendAllowed`] follows once it may be sent. Returns
+    /// `false` if it may never be sent.
     pub fn write_intent(&mut self, sent: Sent) -> bool {
         let must_not_send =
             self.record().is_none_or(|record| self.is_unsafe_to_resend(record) || record.verdict.is_some());
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -14,6 +14,7 @@
     About, Answer, Ballot, Blob, Effect, Life, NodeId, Record, Sent, Stamp, Verdict, Work,
 };
 
+/// Marks a custody datagram ("GLC1" in ASCII).
 const MAGIC: u32 = 0x474c_4331;
 /// Maximum number of attempts in a record.
 pub const MAX_ATTEMPTS: usize = 8;
@@ -315,19 +316,19 @@
         out.push(u8::from(from.epoch.1));
         out
     };
-    let (mut datagrams, mut out, mut encoded) = (Vec::new(), header_bytes.clone(), Vec::new());
+    let (mut sealed, mut out, mut encoded) = (Vec::new(), header_bytes.clone(), Vec::new());
     for message in messages {
         encoded.clear();
         message.write(&mut encoded);
         if out.len() + encoded.len() + TAG > LONGEST && out.len() > header_bytes.len() {
-            datagrams.push(secret.seal(std::mem::replace(&mut out, header_bytes.clone())));
+            sealed.push(secret.seal(std::mem::replace(&mut out, header_bytes.clone())));
         }
         out.extend(&encoded);
     }
     if out.len() > header_bytes.len() {
-        datagrams.push(secret.seal(out));
+        sealed.push(secret.seal(out));
     }
-    datagrams
+    sealed
 }
 
 /// Decodes a datagram.
--- a/crates/custody/tests/explored.rs
+++ b/crates/custody/tests/explored.rs
@@ -76,7 +76,7 @@
 /// A safeguard that is disabled to check that the properties detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disabled {
-    None,
+    Nothing,
     /// Attempts are sent before their intent is stored.
     IntentStorage,
     /// A restarted keeper votes at once.
@@ -356,7 +356,7 @@
     );
     // Breadth-first search finds violations close to the initial state soonest. Depth-first search needs
     // the least memory to visit all states.
-    let breadth_first = case.disabled != Disabled::None;
+    let breadth_first = case.disabled != Disabled::Nothing;
     let finish_condition = stateright::HasDiscoveries::AnyFailures;
     let builder = case.checker().threads(6).target_state_count(state_limit).finish_when(finish_condition);
     let checker: Box<dyn FinishedChecker> = if breadth_first {
@@ -365,7 +365,7 @@
         Box::new(builder.spawn_dfs().join())
     };
     let (states, all, depth) = checker.counts();
-    println!("{name}: {states} states, {all} transitions, depth {depth}");
+    println!("{name}: {states} unique states, {all} generated, depth {depth}");
     let mut failed = Vec::new();
     for (what, path) in checker.found() {
         if what != "a work is taken over and finishes" {
@@ -410,7 +410,7 @@
             max_attempts: 2,
             restarts: true,
             delay_answers: true,
-            disabled: Disabled::None,
+            disabled: Disabled::Nothing,
         };
         let (states, failed) = explore(case, max_states(300_000));
         assert!(failed.is_empty() && states > 1000, "{failed:?}");
@@ -452,7 +452,7 @@
                 max_attempts: 2,
                 restarts,
                 delay_answers: false,
-                disabled: Disabled::None,
+                disabled: Disabled::Nothing,
             };
             let (states, failed) = explore(case, max_states(1_000_000));
             assert!(failed.is_empty() && states > 1000, "{failed:?}");
