--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -515,7 +515,7 @@
             return;
         }
         let all: BTreeSet<u64> = entry.reported_nonces.values().flatten().copied().collect();
-        if !entry.proposer.keepers().majority(|id| entry.reported_nonces.contains_key(&id)) {
+        if !entry.proposer.keepers().is_majority(|id| entry.reported_nonces.contains_key(&id)) {
             // A single keeper may know the only earlier work, and further keepers may know others, which
             // makes the repeat ambiguous. So a majority of reports is awaited, up to the timeout.
             return;
--- a/crates/custody/src/proposer.rs
+++ b/crates/custody/src/proposer.rs
@@ -263,7 +263,7 @@
             return;
         }
         promised.insert(keeper, accepted);
-        if !self.keepers.majority(|id| promised.contains_key(&id)) {
+        if !self.keepers.is_majority(|id| promised.contains_key(&id)) {
             return;
         }
         let ballot = *ballot;
@@ -328,7 +328,7 @@
         }
         let State::Watching { replies, unsettled_reads } = &mut self.state else { return };
         replies.insert(keeper, known);
-        if !self.keepers.majority(|id| replies.contains_key(&id)) {
+        if !self.keepers.is_majority(|id| replies.contains_key(&id)) {
             return;
         }
         let Some((stamp, record)) = latest_record(replies).cloned() else {
@@ -339,7 +339,7 @@
         let has_latest = |id: NodeId| {
             replies.get(&id).is_some_and(|known| known.as_ref().is_some_and(|(s, _)| *s == stamp))
         };
-        let settled = self.keepers.majority(has_latest);
+        let settled = self.keepers.is_majority(has_latest);
         if let Some(verdict) = record.verdict.filter(|_| settled) {
             self.finish(Step::Verdict(verdict));
             return;
@@ -367,7 +367,7 @@
             return;
         }
         accepted.insert(keeper);
-        if !self.keepers.majority(|id| accepted.contains(&id)) {
+        if !self.keepers.is_majority(|id| accepted.contains(&id)) {
             return;
         }
         match std::mem::replace(purpose, Purpose::Idle) {
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -104,13 +104,13 @@
     }
 
     /// Whether the keepers that satisfy `yes` form a majority.
-    pub fn majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
+    pub fn is_majority(&self, yes: impl Fn(NodeId) -> bool) -> bool {
         self.groups.iter().all(|group| 2 * group.iter().filter(|id| yes(**id)).count() > group.len())
     }
 
     /// Whether no majority is possible without the keepers that satisfy `no`.
     pub fn is_blocked(&self, no: impl Fn(NodeId) -> bool) -> bool {
-        !self.majority(|id| !no(id))
+        !self.is_majority(|id| !no(id))
     }
 
     /// Position of a keeper in the first group. It determines the order in which keepers take over an
@@ -166,7 +166,7 @@
                     .map(|set| {
                         all.iter().enumerate().filter(|(n, _)| set >> n & 1 == 1).map(|(_, id)| *id).collect()
                     })
-                    .filter(|set: &BTreeSet<NodeId>| keepers.majority(|id| set.contains(&id)))
+                    .filter(|set: &BTreeSet<NodeId>| keepers.is_majority(|id| set.contains(&id)))
                     .collect::<Vec<_>>()
             };
             for pair in steps.windows(2) {
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -55,7 +55,7 @@
     outcomes: BTreeSet<String>,
     /// Answers without a final outcome.
     undecided: usize,
-    first: usize,
+    first_node: usize,
     /// When it was last submitted.
     last_submitted: u64,
 }
@@ -66,7 +66,7 @@
     life: Life,
     suspended: bool,
     queued: VecDeque<(usize, Vec<u8>)>,
-    wake: u64,
+    next_wake: u64,
     /// The job of each ticket, and the number of clients that wait for it.
     jobs: BTreeMap<Ticket, (usize, usize)>,
     next_orphans: u64,
@@ -90,13 +90,13 @@
     without_majority: u64,
 }
 
-fn id(n: usize) -> NodeId {
+fn node_id(n: usize) -> NodeId {
     NodeId(n as u64 + 1)
 }
 
 impl Fleet {
     fn new(nodes: usize, keepers: usize, seed: u64) -> Self {
-        let roster = Roster::new((0..keepers).map(|n| (id(n), format!("z{}", n % 3))).collect())
+        let roster = Roster::new((0..keepers).map(|n| (node_id(n), format!("z{}", n % 3))).collect())
             .expect("valid roster");
         let mut fleet = Self {
             now: 100_000,
@@ -120,7 +120,7 @@
         fleet
     }
 
-    fn at(&mut self, when: u64, action: Action) {
+    fn schedule(&mut self, when: u64, action: Action) {
         self.count += 1;
         self.heap.push(Reverse((when, self.count)));
         self.events.insert((when, self.count), action);
@@ -128,7 +128,7 @@
 
     fn start(&mut self, n: usize) {
         self.last_incarnation += 1;
-        let life = Life { node: id(n), life: self.last_incarnation };
+        let life = Life { node: node_id(n), life: self.last_incarnation };
         let settings = coordinator::Settings {
             patience_ms: MAJORITY_TIMEOUT_MS,
             resend_ms: 20,
@@ -149,14 +149,14 @@
             life,
             suspended: false,
             queued: VecDeque::new(),
-            wake: u64::MAX,
+            next_wake: u64::MAX,
             jobs: BTreeMap::new(),
             next_orphans: self.now,
         };
         self.nodes[n] = Some(node);
         for by in 0..self.nodes.len() {
             let when = self.now + self.random.u64(10..200);
-            self.at(when, Action::Joined(by, life));
+            self.schedule(when, Action::Joined(by, life));
         }
         self.wake(n);
     }
@@ -164,11 +164,11 @@
     fn report_loss(&mut self, life: Life) {
         for by in 0..self.nodes.len() {
             let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
-            self.at(when, Action::Lost(by, life));
+            self.schedule(when, Action::Lost(by, life));
         }
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(n) => {
                 if let Some(node) = self.nodes[n].take() {
@@ -197,7 +197,7 @@
                 let (life, queued) = (node.life, std::mem::take(&mut node.queued));
                 for by in 0..self.nodes.len() {
                     let when = self.now + MIN_LOSS_NOTICE_MS + 300;
-                    self.at(when, Action::Joined(by, life));
+                    self.schedule(when, Action::Joined(by, life));
                 }
                 for (from, bytes) in queued {
                     self.receive(n, from, &bytes);
@@ -216,7 +216,7 @@
                     for (n, life) in &lives {
                         if side.contains(&by) != side.contains(n) {
                             let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
-                            self.at(when, Action::Lost(by, *life));
+                            self.schedule(when, Action::Lost(by, *life));
                         }
                     }
                 }
@@ -228,7 +228,7 @@
                 for by in 0..self.nodes.len() {
                     for life in &lives {
                         let when = self.now + MIN_LOSS_NOTICE_MS + 300 + self.random.u64(0..200);
-                        self.at(when, Action::Joined(by, *life));
+                        self.schedule(when, Action::Joined(by, *life));
                     }
                 }
             }
@@ -246,7 +246,7 @@
         for _ in 0..times {
             if let Some(n) = self.random.choice(&alive).copied() {
                 let when = self.now + self.random.u64(1..50);
-                self.at(when, Action::Repeat(job, n));
+                self.schedule(when, Action::Repeat(job, n));
             }
         }
     }
@@ -334,7 +334,7 @@
                 // Some servers never answer.
                 if self.random.f64() < 0.9 {
                     let when = self.now + self.random.u64(1..400);
-                    self.at(when, Action::Served(n, life, ticket, attempt_number));
+                    self.schedule(when, Action::Served(n, life, ticket, attempt_number));
                 }
             }
             Event::Denied(ticket) => {
@@ -384,7 +384,7 @@
             for _ in 0..copies {
                 if !is_partitioned && self.random.f64() >= self.loss {
                     let when = self.now + self.random.u64(1..=8);
-                    self.at(when, Action::Deliver(to, n, bytes.clone()));
+                    self.schedule(when, Action::Deliver(to, n, bytes.clone()));
                 }
             }
         }
@@ -453,7 +453,7 @@
                             request => vec![node.keeper.hear(self.now, work, request)],
                         };
                         for reply in replies {
-                            node.coordinator.hear(self.now, id(n), work, reply);
+                            node.coordinator.hear(self.now, node_id(n), work, reply);
                         }
                     }
                     Some((work, request)) => out.entry(to).or_default().push(Say::Request(work, request)),
@@ -479,9 +479,9 @@
         let orphans = (node.keeper.figures().works > 0).then_some(node.next_orphans);
         let due = [node.coordinator.due(), node.keeper.due(), orphans].into_iter().flatten().min();
         let due = due.unwrap_or(now + 1000).max(now + 1);
-        if due < node.wake || node.wake <= now {
-            node.wake = due;
-            self.at(due, Action::Wake(n));
+        if due < node.next_wake || node.next_wake <= now {
+            node.next_wake = due;
+            self.schedule(due, Action::Wake(n));
         }
     }
 
@@ -493,7 +493,7 @@
             match self.events.remove(&next).expect("every queued time has an event") {
                 Action::Wake(n) => {
                     let now = self.now;
-                    if self.nodes[n].as_ref().is_some_and(|node| node.wake == now && !node.suspended) {
+                    if self.nodes[n].as_ref().is_some_and(|node| node.next_wake == now && !node.suspended) {
                         self.tick(n);
                     }
                 }
@@ -509,7 +509,7 @@
                     let now = self.now;
                     let Some(node) = &mut self.nodes[n] else { continue };
                     if node.suspended {
-                        self.at(now + 50, Action::Served(n, life, ticket, attempt_number));
+                        self.schedule(now + 50, Action::Served(n, life, ticket, attempt_number));
                     } else if node.life.life == life {
                         let answer = Bytes::from(vec![attempt_number as u8; 1 + 1500 * (attempt_number % 2)]);
                         node.coordinator.conclude(now, ticket, Conclusion::Served(Some(answer)));
@@ -528,11 +528,11 @@
                     }
                 }
                 Action::Begin(job) => {
-                    let n = self.jobs[job].first;
+                    let n = self.jobs[job].first_node;
                     self.ask(job, n, false);
                 }
                 Action::Repeat(job, n) => self.ask(job, n, true),
-                Action::Fault(fault) => self.fault(fault),
+                Action::Fault(fault) => self.apply_fault(fault),
             }
         }
         self.now = end;
@@ -542,32 +542,36 @@
     fn run_scenario(&mut self, jobs: usize, span: u64, faults: usize) {
         let nodes = self.nodes.len();
         for n in 0..jobs {
-            let job = Job { keyed: self.random.bool(), first: self.random.usize(0..nodes), ..Job::default() };
+            let job =
+                Job { keyed: self.random.bool(), first_node: self.random.usize(0..nodes), ..Job::default() };
             self.jobs.push(job);
             let when = self.now + self.random.u64(0..span);
-            self.at(when, Action::Begin(n));
+            self.schedule(when, Action::Begin(n));
         }
         for _ in 0..faults {
             let when = self.now + self.random.u64(0..span);
             let (n, length) = (self.random.usize(0..nodes), self.random.u64(1..3000));
             match self.random.u8(0..4) {
                 0 => {
-                    self.at(when, Action::Fault(Fault::Kill(n)));
+                    self.schedule(when, Action::Fault(Fault::Kill(n)));
                     let downtime = if self.random.bool() { 1 } else { length };
-                    self.at(when + downtime, Action::Fault(Fault::Start(n)));
+                    self.schedule(when + downtime, Action::Fault(Fault::Start(n)));
                 }
                 1 => {
-                    self.at(when, Action::Fault(Fault::Suspend(n)));
-                    self.at(when + length, Action::Fault(Fault::Resume(n)));
+                    self.schedule(when, Action::Fault(Fault::Suspend(n)));
+                    self.schedule(when + length, Action::Fault(Fault::Resume(n)));
                 }
                 2 => {
                     let size = [1, nodes / 2][self.random.usize(0..2)];
                     let mut all: Vec<usize> = (0..nodes).collect();
                     self.random.shuffle(&mut all);
-                    self.at(when, Action::Fault(Fault::Partition(all[..size].iter().copied().collect())));
-                    self.at(when + length, Action::Fault(Fault::Heal));
+                    self.schedule(
+                        when,
+                        Action::Fault(Fault::Partition(all[..size].iter().copied().collect())),
+                    );
+                    self.schedule(when + length, Action::Fault(Fault::Heal));
                 }
-                _ => self.at(when, Action::Fault(Fault::Kill(n))),
+                _ => self.schedule(when, Action::Fault(Fault::Kill(n))),
             }
         }
         self.run(span + 5 * ENTRY_LIFETIME_MS);
@@ -635,9 +639,9 @@
 #[test]
 fn without_a_majority_no_attempt_is_sent() {
     let mut fleet = Fleet::new(6, 3, 2);
-    fleet.fault(Fault::Kill(0));
-    fleet.fault(Fault::Kill(1));
-    fleet.jobs = vec![Job { first: 4, ..Job::default() }; 4];
+    fleet.apply_fault(Fault::Kill(0));
+    fleet.apply_fault(Fault::Kill(1));
+    fleet.jobs = vec![Job { first_node: 4, ..Job::default() }; 4];
     (0..4).for_each(|job| fleet.ask(job, 4, false));
     fleet.run(3 * MAJORITY_TIMEOUT_MS);
     assert_eq!(fleet.without_majority, 4, "each request gets a report that no majority answered");
@@ -647,16 +651,16 @@
 #[test]
 fn a_restarted_keeper_gives_no_votes_until_older_entries_have_expired() {
     let mut fleet = Fleet::new(6, 3, 3);
-    fleet.jobs = vec![Job { first: 4, ..Job::default() }; 2];
+    fleet.jobs = vec![Job { first_node: 4, ..Job::default() }; 2];
     fleet.ask(0, 4, false);
     fleet.run(20);
     assert_eq!(fleet.jobs[0].sends, 1);
     // Two of the three keepers lose their state, and the holder is lost.
     for n in [0, 1] {
-        fleet.fault(Fault::Kill(n));
-        fleet.fault(Fault::Start(n));
+        fleet.apply_fault(Fault::Kill(n));
+        fleet.apply_fault(Fault::Start(n));
     }
-    fleet.fault(Fault::Kill(4));
+    fleet.apply_fault(Fault::Kill(4));
     fleet.run(1500);
     fleet.ask(0, 5, true);
     fleet.run(1000);
