--- a/crates/configuration/src/feed.rs
+++ b/crates/configuration/src/feed.rs
@@ -1,33 +1,34 @@
-//! A publisher's side: a bounded log of changes, the resources at its end, and subscribers who are each sent what they lack.
+//! The publishing side: a bounded log of changes, the resources at its head, and the subscribers.
 //!
-//! A subscriber costs a cursor, however far it is behind: changes come out of the log, or, where the log does not reach back to it,
-//! a snapshot in pieces. What may be sent to it at a time is bounded by its credit, so one that is slow holds up nobody else; what
-//! all of them together are sent is bounded by a rate, and they take turns.
+//! The state per subscriber is one cursor, however far it is behind. It is sent changes from the log or, if
+//! the log no longer reaches back to its position, a snapshot in pieces. Each subscriber has a credit that
+//! bounds the messages in flight to it, so a slow one does not delay the others. A common rate limits what is
+//! sent to all subscribers together, and they are served round-robin.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::change::{Change, Logged};
+use crate::change::{Change, LoggedChange};
 use crate::message::{Piece, Publication, Request, Resume, Summary};
 use crate::resource::{Key, Scope};
 use crate::resources::Resources;
 use crate::version::{Digest, Position, Version};
 use crate::Time;
 
-/// A subscriber, by a number that its driver gives.
+/// Identifies a subscriber; the number is assigned by the caller that owns the connections.
 pub type Subscriber = u64;
 
-/// How a feed serves.
+/// Limits and intervals of a feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How many changes are kept.
+    /// Maximum number of changes in the log.
     pub log_most: usize,
-    /// How many resources a piece of a snapshot holds at the most.
+    /// Maximum number of resources in one piece of a snapshot.
     pub piece_entries: usize,
-    /// How many resources and changes may be sent a second, to all subscribers together.
+    /// Rate limit for resources and changes sent to all subscribers together, per second.
     pub entries_per_s: u64,
-    /// How often a subscriber is told that its publisher is there, in milliseconds.
+    /// Interval of the keep-alive messages to each subscriber, in milliseconds.
     pub alive_ms: u64,
-    /// After how long without a word a subscriber is forgotten, in milliseconds.
+    /// A subscriber that sends nothing for this long is removed, in milliseconds.
     pub forget_ms: u64,
 }
 
@@ -37,64 +38,67 @@
     }
 }
 
-/// For how long what may be sent can be saved up, in milliseconds.
+/// Capacity of the rate limiter's token bucket, as milliseconds of its refill rate.
 const BURST_MS: u64 = 100;
-/// How many messages may be under way to one subscriber.
-pub const CREDIT: u32 = 16;
+/// Maximum number of unacknowledged messages to one subscriber.
+pub const MAX_CREDIT: u32 = 16;
 
-/// What a subscriber is being sent.
+/// What a subscriber is currently being sent.
 enum Sending {
-    /// Changes after this version.
+    /// The changes after this version, from the log.
     Changes(Version),
-    /// A snapshot.
+    /// A snapshot, in pieces.
     Snapshot(Box<SnapshotCursor>),
-    /// Nothing: it is ahead of this publisher, or of another history.
+    /// Nothing: the subscriber is ahead of this publisher or has a diverging history, or there is nothing to
+    /// send yet.
     Nothing,
 }
 
+/// A subscriber's progress through a snapshot.
 struct SnapshotCursor {
-    of: Position,
+    position: Position,
     resources: Resources,
     pieces: u32,
     after: Option<Key>,
     digest: Digest,
 }
 
-struct State {
+/// What a feed keeps for each subscriber.
+struct SubscriberState {
     scope: Scope,
     sending: Sending,
     credit: u32,
-    heard: Time,
+    last_seen: Time,
     next_alive: Time,
     summary: Summary,
 }
 
-/// A publisher's side.
+/// The change log, the resources at its head and the state of all subscribers.
 pub struct Feed {
     settings: Settings,
     head: Position,
     resources: Resources,
-    /// The position that the first change of the log follows on.
+    /// The position before the first change of the log.
     base: Position,
-    log: VecDeque<Logged>,
-    /// The snapshot that is being sent, in common for all who need one.
+    log: VecDeque<LoggedChange>,
+    /// The snapshot that is being sent, shared by all subscribers that need one.
     pinned: Option<(Position, Resources)>,
-    subscribers: BTreeMap<Subscriber, State>,
-    /// Who had the last turn.
-    turn: Subscriber,
-    allowance: f64,
-    allowed_at: Time,
-    /// The highest position that a subscriber had beyond this publisher's.
-    ahead: Option<Version>,
+    subscribers: BTreeMap<Subscriber, SubscriberState>,
+    /// The subscriber that was served last, for the round-robin order.
+    last_served: Subscriber,
+    tokens: f64,
+    refilled_at: Time,
+    /// The highest version reported by a subscriber that is beyond this publisher's.
+    subscriber_ahead: Option<Version>,
     currency: Currency,
 }
 
-/// Since when the position is known to be the source's.
+/// How recently the head was known to be the source's position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Currency {
     /// This is the source.
     Source,
-    /// It was at that time, for the last time; `None`: not yet.
+    /// This is a relay, and its head last matched the source at this time; `None` if it never has.
     Relay(Option<Time>),
 }
 
@@ -108,7 +112,7 @@
 }
 
 impl Feed {
-    /// A publisher that has nothing yet.
+    /// Creates an empty feed at the default position.
     pub fn new(settings: Settings, currency: Currency, now: Time) -> Self {
         Self {
             currency,
@@ -119,44 +123,44 @@
             log: VecDeque::new(),
             pinned: None,
             subscribers: BTreeMap::new(),
-            turn: 0,
-            allowance: 0.0,
-            allowed_at: now,
-            ahead: None,
+            last_served: 0,
+            tokens: 0.0,
+            refilled_at: now,
+            subscriber_ahead: None,
         }
     }
 
-    /// The position that it has.
+    /// The position of the last change.
     pub fn head(&self) -> Position {
         self.head
     }
 
-    /// All resources.
+    /// All resources at the head.
     pub fn resources(&self) -> &Resources {
         &self.resources
     }
 
-    /// How many changes it keeps.
+    /// The number of changes in the log.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// The highest version that a subscriber had beyond this publisher's, if any had.
-    pub fn ahead(&self) -> Option<Version> {
-        self.ahead
+    /// The highest version reported by a subscriber that is beyond this publisher's, if any.
+    pub fn subscriber_ahead(&self) -> Option<Version> {
+        self.subscriber_ahead
     }
 
-    /// Takes a change over that follows on what it has.
+    /// Applies a change that directly follows the head and adds it to the log.
     ///
     /// # Errors
-    /// Gives the change back where it does not follow.
+    /// Returns the change if it does not follow the head.
     pub fn append(&mut self, change: Change) -> Result<(), Change> {
         if !change.follows(self.head) {
             return Err(change);
         }
         self.head = change.position();
         let before = change.operations().map(|operation| self.resources.apply(operation)).collect();
-        self.log.push_back(Logged { change, before });
+        self.log.push_back(LoggedChange { change, before });
         while self.log.len() > self.settings.log_most {
             if let Some(first) = self.log.pop_front() {
                 self.base = first.change.position();
@@ -165,80 +169,88 @@
         Ok(())
     }
 
-    /// Holds these resources at that position from now on, with no log of how they came to be. Whoever is subscribed begins anew.
+    /// Replaces all resources and the position, and clears the log. Every subscriber is then sent a snapshot.
     pub fn replace(&mut self, at: Position, resources: Resources) {
         (self.head, self.base, self.resources) = (at, at, resources);
         self.log.clear();
         self.pinned = None;
-        self.ahead = self.ahead.filter(|ahead| *ahead > at.version);
-        let positions: Vec<Subscriber> = self.subscribers.keys().copied().collect();
-        for subscriber in positions {
-            let sending = self.begin(None, None);
+        self.subscriber_ahead = self.subscriber_ahead.filter(|ahead| *ahead > at.version);
+        let subscribers: Vec<Subscriber> = self.subscribers.keys().copied().collect();
+        for subscriber in subscribers {
+            let sending = self.select_sending(None, None);
             if let Some(state) = self.subscribers.get_mut(&subscriber) {
                 state.sending = sending;
             }
         }
     }
 
-    /// When the position was last known to be the source's.
+    /// Sets how recently the head was known to be the source's position.
     pub fn set_currency(&mut self, currency: Currency) {
         self.currency = currency;
     }
 
-    /// A subscriber has said something.
+    /// Handles a request from a subscriber.
     pub fn receive(&mut self, now: Time, from: Subscriber, request: Request) {
         match request {
             Request::Subscribe { name: _, from: position, resume, scope } => {
-                let sending = self.begin(position, resume);
+                let sending = self.select_sending(position, resume);
                 let summary = self.subscribers.remove(&from).map(|state| state.summary).unwrap_or_default();
-                // Those who come at one time hear that it is there at different ones.
+                // Spreads the keep-alive messages of subscribers that arrive at the same time.
                 let next_alive = now + 1 + from % self.settings.alive_ms.max(1);
-                let state = State { scope, sending, credit: CREDIT, heard: now, next_alive, summary };
+                let state = SubscriberState {
+                    scope,
+                    sending,
+                    credit: MAX_CREDIT,
+                    last_seen: now,
+                    next_alive,
+                    summary,
+                };
                 self.subscribers.insert(from, state);
             }
             Request::Report(summary) => {
                 if let Some(state) = self.subscribers.get_mut(&from) {
-                    (state.heard, state.summary) = (now, summary);
+                    (state.last_seen, state.summary) = (now, summary);
                 }
             }
         }
     }
 
-    /// A subscriber is gone.
-    pub fn leave(&mut self, subscriber: Subscriber) {
+    /// Removes a subscriber whose connection has closed.
+    pub fn remove_subscriber(&mut self, subscriber: Subscriber) {
         self.subscribers.remove(&subscriber);
     }
 
-    /// So many messages to a subscriber have been taken off: as many more may go.
+    /// Returns credit for messages that the subscriber has received, so that as many more may be sent.
     pub fn taken(&mut self, subscriber: Subscriber, messages: u32) {
         if let Some(state) = self.subscribers.get_mut(&subscriber) {
-            state.credit = (state.credit + messages).min(CREDIT);
+            state.credit = (state.credit + messages).min(MAX_CREDIT);
         }
     }
 
-    /// Who is subscribed.
+    /// The current subscribers.
     pub fn subscribers(&self) -> impl Iterator<Item = Subscriber> + '_ {
         self.subscribers.keys().copied()
     }
 
-    /// What all subscribers say of the nodes behind them.
+    /// The combined reports of all subscribers about the nodes behind them.
     pub fn summary(&self) -> Summary {
         let mut sum = Summary::default();
         self.subscribers.values().for_each(|state| sum.add(&state.summary));
         sum
     }
 
-    /// What one who has this is to be sent.
-    fn begin(&mut self, from: Option<Position>, resume: Option<Resume>) -> Sending {
+    /// Decides what to send to a subscriber that has the position `from` and perhaps an unfinished snapshot.
+    fn select_sending(&mut self, from: Option<Position>, resume: Option<Resume>) -> Sending {
         if let Some(from) = from {
             if self.is_known(from) {
                 return Sending::Changes(from.version);
             }
             if from.version.epoch >= self.head.version.epoch && from.version.epoch > 0 {
-                // Not a version of this history, or none yet: to send it another one would be to lead it backwards.
+                // The version is not, or not yet, in this history. Sending another one would move the
+                // subscriber backwards.
                 let is_ahead = from.version > self.head.version;
                 if is_ahead || from.version >= self.base.version {
-                    self.ahead = self.ahead.max(Some(from.version));
+                    self.subscriber_ahead = self.subscriber_ahead.max(Some(from.version));
                     return Sending::Nothing;
                 }
             }
@@ -246,60 +258,61 @@
         if self.head.version == Version::default() {
             return Sending::Nothing;
         }
-        let (of, resources) = self.pin();
-        let cursor = match resume.filter(|resume| resume.of == of) {
+        let (position, resources) = self.pin_snapshot();
+        let cursor = match resume.filter(|resume| resume.position == position) {
             Some(resume) => SnapshotCursor {
-                of,
+                position,
                 resources,
                 pieces: resume.pieces,
                 after: Some(resume.after),
                 digest: resume.digest,
             },
-            None => SnapshotCursor { of, resources, pieces: 0, after: None, digest: Digest::default() },
+            None => SnapshotCursor { position, resources, pieces: 0, after: None, digest: Digest::default() },
         };
         Sending::Snapshot(Box::new(cursor))
     }
 
-    /// Is this a position of this history that the log still reaches back to?
+    /// Returns whether the position belongs to this history and the log still reaches back to it.
     fn is_known(&self, position: Position) -> bool {
         if position == self.head || position == self.base {
             return true;
         }
-        self.logged_after(position.version).is_some_and(|place| {
-            self.log.get(place).is_some_and(|logged| logged.change.previous == position.digest)
+        self.log_index_after(position.version).is_some_and(|index| {
+            self.log.get(index).is_some_and(|logged| logged.change.previous == position.digest)
         })
     }
 
-    /// The place in the log of the change after that version.
-    fn logged_after(&self, version: Version) -> Option<usize> {
+    /// The index in the log of the change that follows `version`.
+    fn log_index_after(&self, version: Version) -> Option<usize> {
         let first = self.log.front()?.change.version;
         let next = version.next();
         if next.epoch != first.epoch {
             return None;
         }
-        usize::try_from(next.number.checked_sub(first.number)?).ok().filter(|place| *place < self.log.len())
+        usize::try_from(next.number.checked_sub(first.number)?).ok().filter(|index| *index < self.log.len())
     }
 
-    /// The snapshot that is being sent; a new one where the log no longer reaches back to it.
-    fn pin(&mut self) -> (Position, Resources) {
-        if let Some((of, resources)) = &self.pinned {
-            if self.is_known(*of) {
-                return (*of, resources.clone());
+    /// The shared snapshot, or a new one if there is none or the log no longer reaches back to it.
+    fn pin_snapshot(&mut self) -> (Position, Resources) {
+        if let Some((position, resources)) = &self.pinned {
+            if self.is_known(*position) {
+                return (*position, resources.clone());
             }
         }
         self.pinned = Some((self.head, self.resources.clone()));
         (self.head, self.resources.clone())
     }
 
-    /// When it wants to be woken.
+    /// When to call [`Feed::tick`] and [`Feed::poll_transmit`] next; `None` if nothing is scheduled.
     pub fn due(&self) -> Option<Time> {
         let alive = self.subscribers.values().map(|state| state.next_alive).min();
-        let waits = self.subscribers.values().any(|state| state.credit > 0 && self.has_more(state));
-        let refilled = waits.then_some(self.allowed_at + 1);
+        let has_backlog = self.subscribers.values().any(|state| state.credit > 0 && self.has_more(state));
+        let refilled = has_backlog.then_some(self.refilled_at + 1);
         alive.into_iter().chain(refilled).min()
     }
 
-    fn has_more(&self, state: &State) -> bool {
+    /// Returns whether there is a change or a snapshot piece to send to the subscriber.
+    fn has_more(&self, state: &SubscriberState) -> bool {
         match &state.sending {
             Sending::Changes(version) => *version < self.head.version,
             Sending::Snapshot(_) => true,
@@ -307,10 +320,10 @@
         }
     }
 
-    /// Forgets who has not been heard for long.
+    /// Removes subscribers that have been silent for too long, and an unused shared snapshot.
     pub fn tick(&mut self, now: Time) {
-        let forget = self.settings.forget_ms;
-        self.subscribers.retain(|_, state| now.saturating_sub(state.heard) < forget);
+        let timeout_ms = self.settings.forget_ms;
+        self.subscribers.retain(|_, state| now.saturating_sub(state.last_seen) < timeout_ms);
         if self.pinned.is_some()
             && !self.subscribers.values().any(|s| matches!(s.sending, Sending::Snapshot(_)))
         {
@@ -318,26 +331,26 @@
         }
     }
 
-    /// The next thing to send, and to whom; `None` for now. Subscribers take turns.
+    /// The next message and the subscriber to send it to; `None` if there is nothing to send now.
     pub fn poll_transmit(&mut self, now: Time) -> Option<(Subscriber, Publication)> {
         let rate = self.settings.entries_per_s as f64 / 1e3;
-        let elapsed = now.saturating_sub(self.allowed_at) as f64;
-        self.allowance = (self.allowance + rate * elapsed).min((rate * BURST_MS as f64).max(1.0));
-        self.allowed_at = now;
-        let after = self.subscribers.range(self.turn + 1..);
-        let mut order = after.chain(self.subscribers.range(..=self.turn));
+        let elapsed = now.saturating_sub(self.refilled_at) as f64;
+        self.tokens = (self.tokens + rate * elapsed).min((rate * BURST_MS as f64).max(1.0));
+        self.refilled_at = now;
+        let after = self.subscribers.range(self.last_served + 1..);
+        let mut order = after.chain(self.subscribers.range(..=self.last_served));
         let subscriber = *order.find(|(_, state)| self.is_ready(now, state))?.0;
-        self.turn = subscriber;
-        Some((subscriber, self.next_for(now, subscriber)?))
+        self.last_served = subscriber;
+        Some((subscriber, self.next_publication(now, subscriber)?))
     }
 
-    /// May something go to this subscriber by now?
-    fn is_ready(&self, now: Time, state: &State) -> bool {
-        now >= state.next_alive || (state.credit > 0 && self.allowance >= 1.0 && self.has_more(state))
+    /// Returns whether something may be sent to this subscriber now.
+    fn is_ready(&self, now: Time, state: &SubscriberState) -> bool {
+        now >= state.next_alive || (state.credit > 0 && self.tokens >= 1.0 && self.has_more(state))
     }
 
-    /// The next thing for one subscriber.
-    fn next_for(&mut self, now: Time, subscriber: Subscriber) -> Option<Publication> {
+    /// The next message for one subscriber.
+    fn next_publication(&mut self, now: Time, subscriber: Subscriber) -> Option<Publication> {
         let (head, alive_ms, entries) = (self.head, self.settings.alive_ms, self.settings.piece_entries);
         let age_ms = self.currency.age(now);
         let state = self.subscribers.get_mut(&subscriber)?;
@@ -348,7 +361,7 @@
                 _ => Publication::Alive { at: head, age_ms },
             });
         }
-        if state.credit == 0 || self.allowance < 1.0 {
+        if state.credit == 0 || self.tokens < 1.0 {
             return None;
         }
         let publication = match &mut state.sending {
@@ -356,28 +369,33 @@
             Sending::Changes(version) if *version >= head.version => return None,
             Sending::Changes(version) => {
                 let version = *version;
-                let place = self.logged_after(version);
+                let index = self.log_index_after(version);
                 let state = self.subscribers.get_mut(&subscriber)?;
-                let Some(logged) = place.and_then(|place| self.log.get(place)) else {
-                    // The log was cut while it was slow.
-                    let sending = self.begin(None, None);
+                let Some(logged) = index.and_then(|index| self.log.get(index)) else {
+                    // The log was truncated past this slow subscriber's position: send it a snapshot instead.
+                    let sending = self.select_sending(None, None);
                     self.subscribers.get_mut(&subscriber)?.sending = sending;
-                    return self.next_for(now, subscriber);
+                    return self.next_publication(now, subscriber);
                 };
                 state.sending = Sending::Changes(version.next());
-                self.allowance -= 1.0;
+                self.tokens -= 1.0;
                 Publication::Change(logged.scoped(&state.scope))
             }
             Sending::Snapshot(cursor) => {
                 let (page, last) = cursor.resources.page(cursor.after.as_ref(), &state.scope, entries);
-                self.allowance -= page.len().max(1) as f64;
-                cursor.digest = Piece::chained(cursor.digest, &page);
+                self.tokens -= page.len().max(1) as f64;
+                cursor.digest = Piece::chained_digest(cursor.digest, &page);
                 cursor.after = page.last().map(crate::Entry::key).or(cursor.after.take());
-                let piece =
-                    Piece { of: cursor.of, index: cursor.pieces, last, digest: cursor.digest, entries: page };
+                let piece = Piece {
+                    position: cursor.position,
+                    index: cursor.pieces,
+                    last,
+                    digest: cursor.digest,
+                    entries: page,
+                };
                 cursor.pieces += 1;
                 if last {
-                    state.sending = Sending::Changes(piece.of.version);
+                    state.sending = Sending::Changes(piece.position.version);
                 }
                 Publication::Piece(piece)
             }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,19 +1,22 @@
-//! Configuration in versions that come as changes.
+//! Distribution of a versioned configuration as a sequence of changes.
 //!
-//! A [`Source`] holds the whole configuration and a bounded log of its changes. [`Relay`]s follow it, or one another, and hand
-//! it on. A [`Replica`] in each node follows a relay by its [`Scope`], offers what is new to its node as a whole, and keeps the
-//! last version that the node accepted.
+//! A [`Source`] holds the complete configuration and a bounded log of its changes. [`Relay`]s follow the
+//! source or one another and publish the configuration again. A [`Replica`] in each node follows a relay with
+//! a [`Scope`], offers all pending changes together to its node, and keeps the last version that the node
+//! accepted.
 //!
 //! - [`resource`]: typed resources, each with one owner;
 //! - [`version`]: versions, and digests that are chained over all changes;
-//! - [`change`]: changes, as they are numbered and as a subscriber of a scope is sent them;
-//! - [`resources`]: all resources, and what makes a change valid;
-//! - [`message`]: what publishers and subscribers say to each other;
-//! - [`feed`]: a publisher's side: the log, subscribers, snapshots in pieces;
-//! - [`follower`]: a subscriber's side: gaps, silence, other publishers;
+//! - [`change`]: numbered changes, and their filtered form for a subscriber's scope;
+//! - [`resources`]: the set of all resources, and the validation of changes;
+//! - [`message`]: the messages between publishers and subscribers;
+//! - [`feed`]: the publishing side: the change log, subscribers, snapshots in pieces;
+//! - [`follower`]: the subscribing side: detection of gaps and silence, and the switch to another publisher;
 //! - [`source`], [`relay`], [`replica`]: the three roles.
 //!
-//! Nothing here does I/O or reads a clock, but for the module `net` (a feature of its own): each machine is told the time, in milliseconds, and what arrived, and says what to send.
+//! Except for the module `net` (an optional feature), nothing here does I/O or reads a clock. The caller
+//! passes the time in milliseconds and the received messages to each state machine, and sends the messages
+//! that it returns.
 #![warn(missing_docs)]
 
 pub mod change;
@@ -37,5 +40,5 @@
 pub use source::Source;
 pub use version::{Digest, Position, Version};
 
-/// A time in milliseconds; it starts anywhere and never runs backwards.
+/// A monotonic time in milliseconds, with an arbitrary start.
 pub type Time = u64;
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -1,4 +1,4 @@
-//! What publishers and subscribers say to each other, one JSON object a line.
+//! The messages between publishers and subscribers, encoded as one JSON object per line.
 
 use std::collections::BTreeMap;
 
@@ -8,115 +8,119 @@
 use crate::resource::{Entry, Key, Scope};
 use crate::version::{Digest, Position, Version};
 
-/// The most rejections that a summary names.
-pub const REJECTIONS_MOST: usize = 20;
+/// Maximum number of rejections in a summary.
+pub const MAX_REJECTIONS: usize = 20;
 
-/// A piece of a snapshot, in the order of its keys.
+/// A piece of a snapshot. The resources of a snapshot are sent in key order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Of which position the snapshot is.
-    pub of: Position,
-    /// Which piece, from 0.
+    /// The position that the snapshot represents.
+    #[serde(rename = "of")]
+    pub position: Position,
+    /// The index of the piece within the snapshot, from 0.
     pub index: u32,
-    /// No other follows.
+    /// Whether this is the last piece.
     pub last: bool,
-    /// The digest of all pieces so far, each with its entries.
+    /// The chained digest over the entries of all pieces up to this one.
     pub digest: Digest,
-    /// The resources.
+    /// The resources of this piece.
     pub entries: Vec<Entry>,
 }
 
 impl Piece {
-    /// The digest of a piece that follows on another; the first follows on the default.
-    pub fn chained(previous: Digest, entries: &[Entry]) -> Digest {
+    /// Computes the digest of a piece from the previous piece's digest; for the first one, `previous` is the
+    /// default.
+    pub fn chained_digest(previous: Digest, entries: &[Entry]) -> Digest {
         let bytes = serde_json::to_vec(entries).unwrap_or_default();
         Digest::of(&[previous.bytes(), &bytes])
     }
 }
 
-/// From where a snapshot that was cut off goes on.
+/// Where to resume an interrupted snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resume {
-    /// Of which position it is.
-    pub of: Position,
-    /// How many pieces have come.
+    /// The position that the snapshot represents.
+    #[serde(rename = "of")]
+    pub position: Position,
+    /// The number of pieces received.
     pub pieces: u32,
-    /// The last key of these.
+    /// The last key in these pieces.
     pub after: Key,
-    /// The digest of these.
+    /// The chained digest of these pieces.
     pub digest: Digest,
 }
 
-/// What a publisher says.
+/// A message from a publisher to a subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Publication {
-    /// A change.
+    /// A change that follows the subscriber's position.
     Change(Change),
     /// A piece of a snapshot.
     Piece(Piece),
-    /// It is there.
+    /// A keep-alive.
     Alive {
-        /// The position that it has.
+        /// The publisher's position.
         at: Position,
-        /// How long ago that was known to be the source's, in milliseconds; `None`: not yet.
+        /// The time since this was last known to be the source's position, in milliseconds; `None` if it
+        /// never was.
         age_ms: Option<u64>,
     },
-    /// It is not as far as its subscriber, or not of the same history; this is its position.
+    /// The publisher is behind the subscriber or has a diverging history; holds the publisher's position.
     Behind(Position),
 }
 
-/// What a node turned down.
+/// A version that a node rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The node.
+    /// The node's name.
     pub node: String,
-    /// The version.
+    /// The rejected version.
     pub version: Version,
-    /// Why.
+    /// Why the node rejected it.
     pub reason: String,
 }
 
-/// How far the nodes behind a subscriber are.
+/// The state of the nodes behind a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// How many nodes have each version in force.
+    /// The number of nodes per version in force.
     pub in_force: BTreeMap<Version, usize>,
-    /// What nodes turned down and have not passed since; the first [`REJECTIONS_MOST`].
+    /// Rejections by nodes that have accepted nothing since; the first [`MAX_REJECTIONS`].
     pub rejections: Vec<Rejection>,
 }
 
 impl Summary {
-    /// Adds what another one says.
+    /// Merges another summary into this one.
     pub fn add(&mut self, other: &Self) {
         for (version, nodes) in &other.in_force {
             *self.in_force.entry(*version).or_default() += nodes;
         }
-        let room = REJECTIONS_MOST.saturating_sub(self.rejections.len());
-        self.rejections.extend(other.rejections.iter().take(room).cloned());
+        let remaining = MAX_REJECTIONS.saturating_sub(self.rejections.len());
+        self.rejections.extend(other.rejections.iter().take(remaining).cloned());
     }
 
-    /// How many nodes it speaks of.
+    /// The number of nodes that the summary covers.
     pub fn nodes(&self) -> usize {
         self.in_force.values().sum()
     }
 }
 
-/// What a subscriber says.
+/// A message from a subscriber to a publisher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
-    /// It wants to follow from now on, in place of whatever it wanted before.
+    /// Starts a subscription, in place of an earlier one.
     Subscribe {
-        /// Who it is.
+        /// The subscriber's name.
         name: String,
-        /// The position that it has; `None`: nothing yet.
+        /// The subscriber's position; `None` if it has none yet.
         from: Option<Position>,
-        /// The snapshot that it has begun to take.
+        /// The snapshot that the subscriber has partly received, if any.
         resume: Option<Resume>,
-        /// What it wants.
+        /// The part of the configuration to send.
         scope: Scope,
     },
-    /// How far it is.
+    /// Reports the state of the nodes behind the subscriber.
     Report(Summary),
 }
--- a/crates/configuration/src/net.rs
+++ b/crates/configuration/src/net.rs
@@ -1,5 +1,5 @@
-//! The connections of subscribers and operators to publishers: JSON over HTTP/1.1. A watch is a request whose answer stays open and
-//! brings one JSON object a line.
+//! The client side of connections to publishers: JSON over HTTP/1.1. A watch is a request whose answer is a
+//! stream with one JSON object per line.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,46 +17,55 @@
 
 use crate::message::{Publication, Request};
 
-/// Where a subscriber watches.
+/// Path on which a subscriber watches for publications.
 pub const WATCH: &str = "/v1/configuration/watch";
-/// Where it says how far it is.
+/// Path on which a subscriber reports the state of the nodes behind it.
 pub const REPORT: &str = "/v1/configuration/report";
-/// Where operators see how far everybody is.
+/// Path on which operators read the publisher's status.
 pub const STATUS: &str = "/v1/configuration/status";
-/// Where operators push a change.
+/// Path on which operators push a change.
 pub const PUSH: &str = "/v1/configuration/push";
-/// Where an operator begins a new epoch.
+/// Path on which an operator begins a new epoch.
 pub const EPOCH: &str = "/v1/configuration/epoch";
-/// The header that names a subscriber.
-pub const NAME: &str = "x-subscriber";
-
-/// The longest message, in bytes.
-const MESSAGE_MOST: usize = 4 << 20;
-/// The longest answer to a call that is no watch, in bytes.
-const ANSWER_MOST: usize = 4 << 20;
-/// How long a connection may take, and a whole call that is no watch.
-const CONNECT: Duration = Duration::from_secs(1);
-const CALL: Duration = Duration::from_secs(5);
-
-/// An answer whose connection ends with it.
-struct Open {
+/// The header with the subscriber's name.
+pub const SUBSCRIBER_HEADER: &str = "x-subscriber";
+
+/// Maximum length of a message in a watch, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum length of the answer to a call other than a watch, in bytes.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a complete call, and for the head of a watch's answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// An answer that is still being received; dropping it closes the connection.
+struct StreamingAnswer {
     answer: Response<Incoming>,
     connection: JoinHandle<()>,
 }
 
-impl Drop for Open {
+impl Drop for StreamingAnswer {
     fn drop(&mut self) {
         self.connection.abort();
     }
 }
 
-async fn open(to: SocketAddr, name: &str, path: &str, body: Option<Vec<u8>>) -> Result<Open, String> {
-    let stream = timeout(CONNECT, TcpStream::connect(to)).await.map_err(|_| "no connection".to_string())?;
+/// Connects, sends a request and waits for the head of the answer.
+async fn send_request(
+    to: SocketAddr,
+    name: &str,
+    path: &str,
+    body: Option<Vec<u8>>,
+) -> Result<StreamingAnswer, String> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to))
+        .await
+        .map_err(|_| "timed out while connecting".to_string())?;
     let stream = stream.map_err(|e| e.to_string())?;
     stream.set_nodelay(true).map_err(|e| e.to_string())?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
     let connection = tokio::spawn(async move {
-        // What breaks the connection breaks the call too, and is seen there.
+        // A connection error also fails the call, which reports it.
         let _ = connection.await;
     });
     let method = if body.is_some() { "POST" } else { "GET" };
@@ -64,100 +73,107 @@
         .method(method)
         .uri(path)
         .header("host", to.to_string())
-        .header(NAME, name)
+        .header(SUBSCRIBER_HEADER, name)
         .body(Full::new(Bytes::from(body.unwrap_or_default())));
     let request = request.map_err(|e| e.to_string())?;
-    let answer = timeout(CALL, sender.send_request(request)).await.map_err(|_| "no answer".to_string());
+    let answer = timeout(CALL_TIMEOUT, sender.send_request(request))
+        .await
+        .map_err(|_| "timed out while waiting for an answer".to_string());
     match answer {
-        Ok(Ok(answer)) => Ok(Open { answer, connection }),
+        Ok(Ok(answer)) => Ok(StreamingAnswer { answer, connection }),
         Ok(Err(error)) => {
             connection.abort();
             Err(error.to_string())
         }
-        Err(words) => {
+        Err(message) => {
             connection.abort();
-            Err(words)
+            Err(message)
         }
     }
 }
 
-/// Asks once; gives the status and the body.
+/// Sends one request and returns the status and the body of the answer.
 ///
 /// # Errors
-/// Where no whole answer comes.
+/// Returns an error if no complete answer arrives in time.
 pub async fn call(
     to: SocketAddr,
     name: &str,
     path: &str,
     body: Option<Vec<u8>>,
 ) -> Result<(StatusCode, Vec<u8>), String> {
-    let whole = async {
-        let mut open = open(to, name, path, body).await?;
-        let status = open.answer.status();
-        let body = Limited::new(open.answer.body_mut(), ANSWER_MOST).collect().await;
+    let exchange = async {
+        let mut response = send_request(to, name, path, body).await?;
+        let status = response.answer.status();
+        let body = Limited::new(response.answer.body_mut(), MAX_ANSWER_BYTES).collect().await;
         Ok((status, body.map_err(|e| e.to_string())?.to_bytes().to_vec()))
     };
-    timeout(CALL, whole).await.map_err(|_| "no whole answer".to_string())?
+    timeout(CALL_TIMEOUT, exchange)
+        .await
+        .map_err(|_| "timed out before the answer was complete".to_string())?
 }
 
-/// Watches a publisher: what it says goes to `heard`, until the watch ends or nobody listens there.
+/// Watches a publisher and forwards its messages to `publications`, until the watch ends or the receiver is
+/// dropped.
 ///
 /// # Errors
-/// Why it ended.
+/// Returns why the watch ended.
 pub async fn watch(
     to: SocketAddr,
     name: &str,
     subscribe: &Request,
-    heard: mpsc::Sender<Publication>,
+    publications: mpsc::Sender<Publication>,
 ) -> Result<(), String> {
     let body = serde_json::to_vec(subscribe).map_err(|e| e.to_string())?;
-    let mut open = open(to, name, WATCH, Some(body)).await?;
-    if open.answer.status() != StatusCode::OK {
-        return Err(format!("status {}", open.answer.status()));
+    let mut response = send_request(to, name, WATCH, Some(body)).await?;
+    if response.answer.status() != StatusCode::OK {
+        return Err(format!("the watch was answered with status {}", response.answer.status()));
     }
-    let mut lines = Lines::default();
-    while let Some(frame) = open.answer.body_mut().frame().await {
+    let mut lines = LineBuffer::default();
+    while let Some(frame) = response.answer.body_mut().frame().await {
         let frame = frame.map_err(|e| e.to_string())?;
         let Ok(data) = frame.into_data() else { continue };
         lines.push(&data)?;
         while let Some(line) = lines.next_line() {
-            let publication = serde_json::from_slice(&line).map_err(|e| format!("unreadable: {e}"))?;
-            if heard.send(publication).await.is_err() {
+            let publication = serde_json::from_slice(&line)
+                .map_err(|e| format!("the watch sent an invalid message: {e}"))?;
+            if publications.send(publication).await.is_err() {
                 return Ok(());
             }
         }
     }
-    Err("the watch ended".to_string())
+    Err("the publisher closed the watch".to_string())
 }
 
-/// What has come of a watch and is no whole line yet.
+/// Splits received data into lines; buffers an incomplete line.
 #[derive(Debug, Default)]
-struct Lines {
-    held: Vec<u8>,
-    /// How much of it holds no end of a line.
+struct LineBuffer {
+    buffered: Vec<u8>,
+    /// The length of the prefix that is known to contain no line end.
     searched: usize,
 }
 
-impl Lines {
+impl LineBuffer {
+    /// Buffers received data.
     fn push(&mut self, data: &[u8]) -> Result<(), String> {
-        if self.held.len() + data.len() > MESSAGE_MOST {
-            return Err(format!("a message of over {MESSAGE_MOST} bytes"));
+        if self.buffered.len() + data.len() > MAX_MESSAGE_BYTES {
+            return Err(format!("the watch sent a message of more than {MAX_MESSAGE_BYTES} bytes"));
         }
-        self.held.extend_from_slice(data);
+        self.buffered.extend_from_slice(data);
         Ok(())
     }
 
     /// The next line that is not blank.
     fn next_line(&mut self) -> Option<Vec<u8>> {
-        while let Some(end) = self.held[self.searched..].iter().position(|byte| *byte == b'\n') {
-            let rest = self.held.split_off(self.searched + end + 1);
-            let line = std::mem::replace(&mut self.held, rest);
+        while let Some(end) = self.buffered[self.searched..].iter().position(|byte| *byte == b'\n') {
+            let rest = self.buffered.split_off(self.searched + end + 1);
+            let line = std::mem::replace(&mut self.buffered, rest);
             self.searched = 0;
             if !line.trim_ascii().is_empty() {
                 return Some(line);
             }
         }
-        self.searched = self.held.len();
+        self.searched = self.buffered.len();
         None
     }
 }
@@ -167,10 +183,10 @@
     use super::*;
 
     #[test]
-    fn lines_are_cut_however_they_come() {
+    fn lines_are_split_independently_of_how_the_data_is_chunked() {
         let text = b"{\"a\":1}\n\n{\"b\":2}\r\n{\"c\"";
         for piece in 1..text.len() {
-            let (mut lines, mut all) = (Lines::default(), Vec::new());
+            let (mut lines, mut all) = (LineBuffer::default(), Vec::new());
             for data in text.chunks(piece) {
                 lines.push(data).expect("short");
                 all.extend(std::iter::from_fn(|| lines.next_line()));
@@ -180,9 +196,9 @@
     }
 
     #[test]
-    fn nothing_longer_than_a_message_is_held() {
-        let mut lines = Lines::default();
-        assert!(lines.push(&vec![b' '; MESSAGE_MOST]).is_ok());
+    fn data_beyond_the_maximum_message_length_is_rejected() {
+        let mut lines = LineBuffer::default();
+        assert!(lines.push(&vec![b' '; MAX_MESSAGE_BYTES]).is_ok());
         assert_eq!(lines.next_line(), None);
         assert!(lines.push(b" ").is_err());
     }
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -1,7 +1,9 @@
-//! The replica in a node: what the node has in force, and what is new and waits to be taken.
+//! The replica in a node: the configuration in force, and the pending changes that the node has not accepted
+//! yet.
 //!
-//! What is new is offered as a whole: every change since the version in force together, so that one that the node turned down counts
-//! again once a later change has mended it. Until the node accepts an offer, nothing of it counts.
+//! An offer contains all changes since the version in force. A change that the node rejected is therefore
+//! offered again together with a later change that corrects it. Nothing of an offer takes effect until the
+//! node accepts it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,34 +15,34 @@
 use crate::version::Version;
 use crate::Time;
 
-/// How often it says how far it is, in milliseconds, where nothing changes.
-const REPORT_MS: u64 = 10_000;
+/// Interval of the reports to the publisher while nothing changes, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 10_000;
 
-/// What is new since the version in force.
+/// All changes since the version in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// The version that it leads to.
+    /// The version that is in force once the offer is accepted.
     pub version: Version,
-    /// The resources that are otherwise, `None` for those that are no more; in the order of their keys.
+    /// The changed resources in key order; `None` for a removed one.
     pub changes: BTreeMap<Key, Option<Entry>>,
 }
 
-/// The replica in a node.
+/// A node's copy of the configuration within its scope.
 pub struct Replica {
     name: String,
     follower: Follower,
     resources: Resources,
     in_force: Option<Version>,
     pending: BTreeMap<Key, Option<Entry>>,
-    /// An offer is out, or is to be made.
-    offers: bool,
+    /// A change or snapshot has arrived since the last offer, so a new offer is to be made.
+    offer_due: bool,
     rejected: Option<Rejection>,
     next_report: Time,
     requests: VecDeque<Request>,
 }
 
 impl Replica {
-    /// One that has nothing yet, and may follow any of so many publishers, the nearest first.
+    /// Creates an empty replica. `publishers` is the number of publishers, ordered from the nearest.
     pub fn new(name: &str, scope: Scope, publishers: usize, seed: u64, now: Time) -> Self {
         Self {
             name: name.to_string(),
@@ -48,19 +50,19 @@
             resources: Resources::default(),
             in_force: None,
             pending: BTreeMap::new(),
-            offers: false,
+            offer_due: false,
             rejected: None,
-            next_report: now + REPORT_MS,
+            next_report: now + REPORT_INTERVAL_MS,
             requests: VecDeque::new(),
         }
     }
 
-    /// The version in force; `None` before the first.
+    /// The version in force; `None` until the first offer is accepted.
     pub fn in_force(&self) -> Option<Version> {
         self.in_force
     }
 
-    /// The last version that has come, in force or not.
+    /// The last version received, in force or not.
     pub fn received(&self) -> Option<Version> {
         self.follower.position().map(|position| position.version)
     }
@@ -70,32 +72,33 @@
         &self.resources
     }
 
-    /// What the node turned down, if nothing later has been accepted.
+    /// The last rejection by the node, if no offer has been accepted since.
     pub fn rejected(&self) -> Option<&Rejection> {
         self.rejected.as_ref()
     }
 
-    /// How long ago it was last known to have what the source has, in milliseconds; `None` before it first was.
+    /// The time since the received version was last known to be the source's, in milliseconds; `None` if it
+    /// never was.
     pub fn age(&self, now: Time) -> Option<u64> {
         self.follower.age(now)
     }
 
-    /// Which publisher it follows.
+    /// The index of the publisher that it follows.
     pub fn publisher(&self) -> usize {
         self.follower.publisher()
     }
 
-    /// The version of a publisher that is behind this one, if its last word was that.
+    /// The publisher's version, if it last reported that it is behind this replica.
     pub fn behind(&self) -> Option<Version> {
         self.follower.behind()
     }
 
-    /// When it wants to be woken.
+    /// When to call [`Self::tick`] next.
     pub fn due(&self) -> Time {
         self.follower.due().min(self.next_report)
     }
 
-    /// Does what is due by now.
+    /// Performs the timed work that is due: timeouts, subscribe requests and reports.
     pub fn tick(&mut self, now: Time) {
         self.requests.extend(self.follower.tick(now));
         if now >= self.next_report {
@@ -103,35 +106,35 @@
         }
     }
 
-    /// The connection to its publisher is gone.
+    /// Handles a failed or broken connection to the publisher.
     pub fn disconnected(&mut self, now: Time) {
         self.follower.disconnected(now);
     }
 
-    /// Its publisher has said something.
+    /// Handles a message from the publisher.
     pub fn receive(&mut self, now: Time, publication: Publication) {
         match self.follower.receive(now, publication) {
-            Some(Event::Change(change)) => self.take_change(&change),
-            Some(Event::Snapshot(_, resources)) => self.take_snapshot(&resources),
+            Some(Event::Change(change)) => self.add_change(&change),
+            Some(Event::Snapshot(_, resources)) => self.compare_snapshot(&resources),
             None => {}
         }
         self.requests.extend(self.follower.tick(now));
     }
 
-    fn take_change(&mut self, change: &Change) {
+    fn add_change(&mut self, change: &Change) {
         let scope = self.follower.scope();
         for operation in change.operations() {
             let value = match operation {
-                // Out of sight is gone.
+                // For this replica, a resource that leaves the scope is removed.
                 Operation::Put(entry) => scope.includes(&entry.name, &entry.body).then(|| entry.clone()),
                 Operation::Remove { .. } => None,
             };
             self.pending.insert(operation.key(), value);
         }
-        self.offers = true;
+        self.offer_due = true;
     }
 
-    fn take_snapshot(&mut self, next: &Resources) {
+    fn compare_snapshot(&mut self, next: &Resources) {
         self.pending.clear();
         for (key, entry) in next.iter() {
             if self.resources.get(key) != Some(entry) {
@@ -143,16 +146,17 @@
                 self.pending.insert(key.clone(), None);
             }
         }
-        self.offers = true;
+        self.offer_due = true;
     }
 
-    /// What is new, once for each version that has come. The node answers with [`Replica::accept`] or [`Replica::reject`].
+    /// All changes since the version in force; returned once after each received change or snapshot. The node
+    /// answers with [`Replica::accept`] or [`Replica::reject`].
     pub fn poll_offer(&mut self) -> Option<Offer> {
-        let version = self.received().filter(|_| std::mem::take(&mut self.offers))?;
+        let version = self.received().filter(|_| std::mem::take(&mut self.offer_due))?;
         Some(Offer { version, changes: self.pending.clone() })
     }
 
-    /// The node has taken an offer over, as a whole.
+    /// Puts an offer in force after the node has applied all of it.
     pub fn accept(&mut self, now: Time, offer: Offer) {
         for (key, entry) in offer.changes {
             if self.pending.get(&key) == Some(&entry) {
@@ -167,21 +171,22 @@
         self.report(now);
     }
 
-    /// The node has turned an offer down: what is in force stays.
+    /// Records that the node rejected an offer; the version in force stays.
     pub fn reject(&mut self, now: Time, version: Version, reason: String) {
         self.rejected = Some(Rejection { node: self.name.clone(), version, reason });
         self.report(now);
     }
 
+    /// Queues a report about this node for the publisher.
     fn report(&mut self, now: Time) {
-        self.next_report = now + REPORT_MS;
+        self.next_report = now + REPORT_INTERVAL_MS;
         let in_force = self.in_force.unwrap_or_default();
         let rejections = self.rejected.iter().cloned().collect();
         self.requests
             .push_back(Request::Report(Summary { in_force: BTreeMap::from([(in_force, 1)]), rejections }));
     }
 
-    /// The next thing to say to its publisher.
+    /// The next request to send to the publisher.
     pub fn poll_request(&mut self) -> Option<Request> {
         self.requests.pop_front()
     }
--- a/crates/configuration/src/resource.rs
+++ b/crates/configuration/src/resource.rs
@@ -1,20 +1,21 @@
-//! Typed resources. Each has a name that is unique among its kind, and one owner, who alone may change it.
+//! Typed resources. Each has a name that is unique within its kind, and one owner; no other owner may change
+//! it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name of anything, in bytes.
-pub const NAME_MOST: usize = 128;
-/// The most services that one resource may name.
-pub const SERVICES_MOST: usize = 64;
+/// Maximum length of a name, in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
+/// Maximum number of services that one resource may reference.
+pub const MAX_SERVICES: usize = 64;
 
-/// What a resource is.
+/// The kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A service; the other kinds name services, so it comes first.
+    /// A service. It is ordered first because the other kinds reference services.
     Service,
     /// A request class.
     Class,
@@ -24,33 +25,33 @@
     Server,
 }
 
-/// A resource's identity.
+/// Identifies a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Its kind.
+    /// The resource's kind.
     pub kind: Kind,
-    /// Its name.
+    /// The resource's name.
     pub name: String,
 }
 
-/// A service.
+/// A service; it has no settings of its own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {}
 
-/// May a request of a class run again?
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Effect {
-    /// Any number of times.
+    /// It may be executed any number of times.
     Safe,
-    /// All servers know its key for so long.
+    /// It carries a key that all servers remember for this time, so that a repeat is recognized.
     Keyed {
-        /// How long, in milliseconds.
+        /// How long the servers remember the key, in milliseconds.
         memory_ms: f64,
     },
-    /// Never.
+    /// It must not be executed again.
     Unsafe,
 }
 
@@ -58,15 +59,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// An answer within this time has its full worth, in milliseconds.
+    /// An answer within this time counts with its full worth, in milliseconds.
     pub aim_ms: f64,
-    /// How long a client waits in all, in milliseconds.
+    /// The client's total timeout, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of an answer in time.
+    /// The worth of an answer in time, relative to other classes.
     pub worth: f64,
-    /// May it run again?
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// The services that have it; none: all of them.
+    /// The services that have this class; if empty, all services.
     #[serde(default)]
     pub services: Vec<String>,
 }
@@ -75,9 +76,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Requests a second within its share, over all nodes.
+    /// The tenant's quota over all nodes, in requests per second.
     pub quota_per_s: f64,
-    /// The services that it uses; none: all of them.
+    /// The services that the tenant uses; if empty, all services.
     #[serde(default)]
     pub services: Vec<String>,
 }
@@ -86,17 +87,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
-    /// Its weight.
+    /// The server's weight in load balancing.
     pub weight: f64,
 }
 
-/// What a resource holds, by its kind.
+/// A resource's content, by kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
@@ -111,7 +112,7 @@
 }
 
 impl Body {
-    /// Its kind.
+    /// The kind of the resource.
     pub fn kind(&self) -> Kind {
         match self {
             Self::Service(_) => Kind::Service,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// The services that it names.
+    /// The services that the resource references.
     pub fn services(&self) -> &[String] {
         match self {
             Self::Service(_) => &[],
@@ -131,88 +132,90 @@
         }
     }
 
-    /// What is wrong with its values by themselves.
+    /// Checks the values of the resource without regard to other resources.
     ///
     /// # Errors
-    /// Names the field, and what is expected.
+    /// Returns the invalid field and what is expected there.
     pub fn check(&self) -> Result<(), String> {
-        let above = |field: &str, value: f64| {
-            let fits = value.is_finite() && value > 0.0;
-            fits.then_some(()).ok_or_else(|| format!("{field}: a number above 0 expected, not {value}"))
+        let check_positive = |field: &str, value: f64| {
+            let is_valid = value.is_finite() && value > 0.0;
+            is_valid.then_some(()).ok_or_else(|| format!("{field}: a number above 0 expected, not {value}"))
         };
-        let not_below = |field: &str, value: f64| {
-            let fits = value.is_finite() && value >= 0.0;
-            fits.then_some(()).ok_or_else(|| format!("{field}: a number from 0 on expected, not {value}"))
+        let check_not_negative = |field: &str, value: f64| {
+            let is_valid = value.is_finite() && value >= 0.0;
+            is_valid.then_some(()).ok_or_else(|| format!("{field}: a number from 0 on expected, not {value}"))
         };
-        if self.services().len() > SERVICES_MOST {
-            return Err(format!("services: {SERVICES_MOST} at most expected, not {}", self.services().len()));
+        if self.services().len() > MAX_SERVICES {
+            return Err(format!("services: {MAX_SERVICES} at most expected, not {}", self.services().len()));
         }
         let distinct: BTreeSet<&String> = self.services().iter().collect();
         if distinct.len() < self.services().len() {
-            return Err("services: one stands twice".to_string());
+            return Err("services: a service is listed twice".to_string());
         }
         match self {
             Self::Service(_) => Ok(()),
             Self::Class(class) => {
-                above("aim_ms", class.aim_ms)?;
-                above("deadline_ms", class.deadline_ms)?;
-                not_below("worth", class.worth)?;
+                check_positive("aim_ms", class.aim_ms)?;
+                check_positive("deadline_ms", class.deadline_ms)?;
+                check_not_negative("worth", class.worth)?;
                 match class.effect {
-                    Effect::Keyed { memory_ms } => not_below("memory_ms", memory_ms),
+                    Effect::Keyed { memory_ms } => check_not_negative("memory_ms", memory_ms),
                     Effect::Safe | Effect::Unsafe => Ok(()),
                 }
             }
-            Self::Tenant(tenant) => not_below("quota_per_s", tenant.quota_per_s),
+            Self::Tenant(tenant) => check_not_negative("quota_per_s", tenant.quota_per_s),
             Self::Server(server) => {
                 check_name("zone", &server.zone)?;
-                above("weight", server.weight)
+                check_positive("weight", server.weight)
             }
         }
     }
 }
 
-/// Is this a name?
+/// Checks that `name` is 1 to [`MAX_NAME_BYTES`] visible ASCII characters.
 ///
 /// # Errors
-/// Names the field, and what is expected.
+/// Returns the name of the field and what is expected there.
 pub fn check_name(field: &str, name: &str) -> Result<(), String> {
-    let fits =
-        !name.is_empty() && name.len() <= NAME_MOST && name.bytes().all(|byte| byte.is_ascii_graphic());
-    fits.then_some(())
-        .ok_or_else(|| format!("{field}: 1 to {NAME_MOST} visible ASCII characters expected, not {name:?}"))
+    let is_valid =
+        !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|byte| byte.is_ascii_graphic());
+    is_valid.then_some(()).ok_or_else(|| {
+        format!("{field}: 1 to {MAX_NAME_BYTES} visible ASCII characters expected, not {name:?}")
+    })
 }
 
 /// A resource with its name and owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Its name.
+    /// The resource's name.
     pub name: String,
-    /// Who alone may change it.
+    /// The resource's owner; no other owner may change it.
     pub owner: String,
-    /// What it holds.
+    /// The resource's content.
     pub body: Body,
 }
 
 impl Entry {
-    /// Its identity.
+    /// The key that identifies the resource.
     pub fn key(&self) -> Key {
         Key { kind: self.body.kind(), name: self.name.clone() }
     }
 }
 
-/// What a subscriber wants of the configuration.
+/// The part of the configuration that a subscriber follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// All of it.
+    /// All resources.
     All,
-    /// These services, and whatever names one of them, or names none and so means all.
+    /// These services, the resources that reference one of them, and the resources that reference none and so
+    /// apply to all services.
     Services(BTreeSet<String>),
 }
 
 impl Scope {
-    /// Does a resource of that name belong to it?
+    /// Returns whether the scope includes the resource with this name and content.
     pub fn includes(&self, name: &str, body: &Body) -> bool {
         let Self::Services(wanted) = self else { return true };
         match body {
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,56 +1,63 @@
-//! The source: it alone gives changes their numbers.
+//! The source: the only publisher that accepts changes and numbers them.
 
 use std::fmt;
 
 use crate::change::{Change, Operation};
 use crate::feed::{Currency, Feed, Settings, Subscriber};
 use crate::message::{Publication, Request, Summary};
-use crate::resources::{Invalid, Resources};
+use crate::resources::{InvalidChange, Resources};
 use crate::version::{Digest, Position, Version};
 use crate::Time;
 
-/// Why a change is not taken.
+/// Why the source rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// It is not valid.
-    Invalid(Invalid),
-    /// It builds on another version than the one that there is.
+pub enum PushError {
+    /// The change is invalid.
+    Invalid(InvalidChange),
+    /// The change was made for another version than the current one, which is given.
     Stale(Version),
-    /// A subscriber has a later version: this source came back with an older log, and an operator has to say what counts.
+    /// A subscriber has this later version: the source was restored with an older log, and an operator has to
+    /// decide which configuration is valid.
     SubscribersAhead(Version),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for PushError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid(invalid) => invalid.fmt(f),
-            Self::Stale(head) => write!(f, "the version is {head} by now"),
+            Self::Stale(head) => write!(f, "made for another version; the current version is {head}"),
             Self::SubscribersAhead(version) => write!(
                 f,
-                "subscribers have version {version}, which this source does not: it came back with an older log; \
-                 begin a new epoch if what it has is to count"
+                "subscribers have version {version}, which this source does not have: it has an older log; \
+                 begin a new epoch if the source's configuration is to be used"
             ),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for PushError {}
 
-/// The source of all changes.
+/// Accepts changes, numbers them and publishes them.
 pub struct Source {
     feed: Feed,
 }
 
 impl Source {
-    /// A source whose first version has these resources.
+    /// Creates a source whose first version has these resources.
     ///
     /// # Errors
-    /// Where they are not valid together.
-    pub fn new(settings: Settings, resources: Resources, epoch: u64, now: Time) -> Result<Self, Invalid> {
+    /// Returns an error if the resources are not valid together.
+    pub fn new(
+        settings: Settings,
+        resources: Resources,
+        epoch: u64,
+        now: Time,
+    ) -> Result<Self, InvalidChange> {
         let all: Vec<Operation> = resources.iter().map(|(_, entry)| Operation::Put(entry.clone())).collect();
-        // In pieces of what one change may hold; services come first, as the others name them.
+        // Validated in chunks of the maximum size of a change. Services come first, because the others
+        // reference them.
         let mut checked = Resources::default();
-        for operations in all.chunks(crate::change::OPERATIONS_MOST) {
+        for operations in all.chunks(crate::change::MAX_OPERATIONS) {
             checked.check(operations)?;
             operations.iter().for_each(|operation| drop(checked.apply(operation)));
         }
@@ -60,7 +67,7 @@
         Ok(Self { feed })
     }
 
-    /// The digest of an epoch's first version: of all that it holds.
+    /// Computes the digest of an epoch's first version from all its resources.
     fn first_digest(version: Version, resources: &Resources) -> Digest {
         let entries: Vec<Digest> =
             resources.iter().map(|(_, entry)| Operation::Put(entry.clone()).digest()).collect();
@@ -75,39 +82,42 @@
         self.feed.head()
     }
 
-    /// All resources.
+    /// All resources at the last change.
     pub fn resources(&self) -> &Resources {
         self.feed.resources()
     }
 
-    /// What all subscribers say of the nodes behind them.
+    /// The combined reports of all subscribers about the nodes behind them.
     pub fn summary(&self) -> Summary {
         self.feed.summary()
     }
 
-    /// Checks a change against the whole and gives it a number; `on`: the version that it was made for, if it may be no other.
+    /// Validates a change against the complete configuration, numbers it and publishes it. If `on` is given,
+    /// the change is accepted only if that is the current version.
     ///
     /// # Errors
-    /// Says why it is not taken; nothing has changed then.
-    pub fn push(&mut self, operations: Vec<Operation>, on: Option<Version>) -> Result<Position, Refused> {
+    /// Returns why the change is rejected; the configuration is then unchanged.
+    pub fn push(&mut self, operations: Vec<Operation>, on: Option<Version>) -> Result<Position, PushError> {
         let head = self.feed.head();
-        if let Some(ahead) = self.feed.ahead() {
-            return Err(Refused::SubscribersAhead(ahead));
+        if let Some(ahead) = self.feed.subscriber_ahead() {
+            return Err(PushError::SubscribersAhead(ahead));
         }
         if on.is_some_and(|on| on != head.version) {
-            return Err(Refused::Stale(head.version));
+            return Err(PushError::Stale(head.version));
         }
-        self.feed.resources().check(&operations).map_err(Refused::Invalid)?;
+        self.feed.resources().check(&operations).map_err(PushError::Invalid)?;
         let change = Change::following(head, operations);
         let position = change.position();
-        // It was made to follow.
+        // Cannot fail: the change was created to follow the head.
         let _ = self.feed.append(change);
         Ok(position)
     }
 
-    /// Begins a new epoch with what this source has, by an operator's word: subscribers that had a later version go back to it.
+    /// Begins a new epoch with this source's configuration, at an operator's request. Subscribers with a
+    /// later version of an earlier epoch return to this configuration.
     pub fn begin_epoch(&mut self) -> Position {
-        let highest = self.feed.ahead().map_or(0, |ahead| ahead.epoch).max(self.head().version.epoch);
+        let highest =
+            self.feed.subscriber_ahead().map_or(0, |ahead| ahead.epoch).max(self.head().version.epoch);
         let version = Version { epoch: highest + 1, number: 0 };
         let resources = self.feed.resources().clone();
         let position = Position { version, digest: Self::first_digest(version, &resources) };
@@ -120,9 +130,9 @@
         self.feed.receive(now, from, request);
     }
 
-    /// See [`Feed::leave`].
-    pub fn leave(&mut self, subscriber: Subscriber) {
-        self.feed.leave(subscriber);
+    /// See [`Feed::remove_subscriber`].
+    pub fn remove_subscriber(&mut self, subscriber: Subscriber) {
+        self.feed.remove_subscriber(subscriber);
     }
 
     /// See [`Feed::taken`].
--- a/crates/configuration/src/version.rs
+++ b/crates/configuration/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions, and digests that are chained over all changes.
+//! Versions, and the digests that are chained over all changes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::Digest as _;
 
-/// How many bytes of a SHA-256 are kept.
-const BYTES: usize = 16;
+/// Length of a digest: the first bytes of a SHA-256 hash.
+const DIGEST_BYTES: usize = 16;
 
-/// Which state of the configuration. Within an epoch the number goes up by one with each change; a new epoch begins by an operator's
-/// word alone.
+/// A version of the configuration. Within an epoch, each change increments the number by one. Only an
+/// operator can begin a new epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     /// The epoch.
     pub epoch: u64,
-    /// The change's number within it.
+    /// The number of the change within the epoch.
     pub number: u64,
 }
 
 impl Version {
-    /// The version that the next change makes.
+    /// The version after the next change of this epoch.
     #[must_use]
     pub fn next(self) -> Self {
         Self { number: self.number + 1, ..self }
@@ -37,30 +37,34 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let bad = || format!("EPOCH.NUMBER expected, not {text:?}");
-        let (epoch, number) = text.split_once('.').ok_or_else(bad)?;
-        Ok(Self { epoch: epoch.parse().map_err(|_| bad())?, number: number.parse().map_err(|_| bad())? })
+        let invalid = || format!("EPOCH.NUMBER expected, not {text:?}");
+        let (epoch, number) = text.split_once('.').ok_or_else(invalid)?;
+        Ok(Self {
+            epoch: epoch.parse().map_err(|_| invalid())?,
+            number: number.parse().map_err(|_| invalid())?,
+        })
     }
 }
 
-/// A digest of a change and of all before it.
+/// A digest of a change and all changes before it.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Digest([u8; BYTES]);
+pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of some pieces of bytes; where one ends and the next begins makes a difference.
+    /// Computes the digest of several byte strings. Each is hashed with its length, so the boundaries between
+    /// them matter.
     pub fn of(pieces: &[&[u8]]) -> Self {
         let mut hash = sha2::Sha256::new();
         for piece in pieces {
             hash.update((piece.len() as u64).to_be_bytes());
             hash.update(piece);
         }
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&hash.finalize()[..BYTES]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
         Self(bytes)
     }
 
-    /// Its bytes.
+    /// The bytes of the digest.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -82,18 +86,18 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let bad = || format!("{} hex digits expected, not {text:?}", 2 * BYTES);
-        let fits = text.len() == 2 * BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        fits.then_some(()).ok_or_else(bad)?;
-        let mut bytes = [0; BYTES];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * place..2 * place + 2], 16).map_err(|_| bad())?;
+        let invalid = || format!("{} hex digits expected, not {text:?}", 2 * DIGEST_BYTES);
+        let is_valid = text.len() == 2 * DIGEST_BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        is_valid.then_some(()).ok_or_else(invalid)?;
+        let mut bytes = [0; DIGEST_BYTES];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
 }
 
-/// Writes and reads a type as its text.
+/// Implements serialization and deserialization of a type as its text form.
 macro_rules! as_text {
     ($type:ty) => {
         impl Serialize for $type {
@@ -113,11 +117,11 @@
 as_text!(Version);
 as_text!(Digest);
 
-/// A version and the digest of all that made it: two positions are one only where both are.
+/// A version with the digest of all changes up to it. Two positions are equal only if both parts are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position {
     /// The version.
     pub version: Version,
-    /// The digest of its change and all before.
+    /// The digest of the version's change and all changes before it.
     pub digest: Digest,
 }
--- a/crates/configuration/tests/source.rs
+++ b/crates/configuration/tests/source.rs
@@ -1,11 +1,11 @@
-//! What a source takes, and what it turns down.
+//! The changes that a source accepts and rejects.
 
 use std::collections::BTreeSet;
 
 use glenwood_configuration::feed::Settings;
 use glenwood_configuration::resource::{Class, Effect, Server, Service, Tenant};
-use glenwood_configuration::resources::{Invalid, Resources};
-use glenwood_configuration::source::Refused;
+use glenwood_configuration::resources::{InvalidChange, Resources};
+use glenwood_configuration::source::PushError;
 use glenwood_configuration::*;
 
 fn entry(name: &str, owner: &str, body: Body) -> Entry {
@@ -34,16 +34,17 @@
     Source::new(Settings::default(), resources, 1, 0).expect("valid")
 }
 
-fn invalid(operations: Vec<Operation>) -> String {
+/// Pushes an invalid change, checks that the source is unchanged and returns the error message.
+fn push_invalid(operations: Vec<Operation>) -> String {
     let mut source = source();
     let (head, before) = (source.head(), source.resources().clone());
-    let refused = source.push(operations, None).expect_err("not valid");
+    let error = source.push(operations, None).expect_err("not valid");
     assert_eq!((source.head(), source.resources()), (head, &before), "nothing has changed");
-    refused.to_string()
+    error.to_string()
 }
 
 #[test]
-fn a_valid_change_gets_the_next_number_and_a_digest_that_is_chained() {
+fn a_valid_change_gets_the_next_number_and_a_chained_digest() {
     let mut source = source();
     let first = source.head();
     let second = source.push(vec![put(tenant("acme", 6.0, &["a", "b"]))], None).expect("valid");
@@ -52,12 +53,12 @@
     let mut other = self::source();
     let diverged = other.push(vec![put(tenant("acme", 7.0, &["a", "b"]))], None).expect("valid");
     assert_eq!(diverged.version, second.version);
-    assert_ne!(diverged.digest, second.digest, "another change, another digest");
+    assert_ne!(diverged.digest, second.digest, "different changes have different digests");
     assert_eq!(other.head().digest, diverged.digest);
 }
 
 #[test]
-fn what_makes_no_sense_is_turned_down_with_its_reason() {
+fn an_invalid_change_is_rejected_with_the_reason() {
     let class = |aim_ms: f64| Class {
         aim_ms,
         deadline_ms: 500.0,
@@ -71,7 +72,7 @@
         zone: "z1".into(),
         weight: 1.0,
     };
-    for (operations, words) in [
+    for (operations, message) in [
         (vec![], "1 to 1000 operations expected, not 0"),
         (vec![put(tenant("x", -1.0, &[]))], "tenant x: quota_per_s: a number from 0 on expected, not -1"),
         (
@@ -83,77 +84,85 @@
             "tenant : name: 1 to 128 visible ASCII characters expected, not \"\"",
         ),
         (vec![put(tenant("x", 1.0, &["c"]))], "tenant x: there is no service c"),
-        (vec![put(tenant("x", 1.0, &["a", "a"]))], "tenant x: services: one stands twice"),
-        (vec![put(tenant("x", 1.0, &[])), put(tenant("x", 2.0, &[]))], "tenant x: stands there twice"),
+        (vec![put(tenant("x", 1.0, &["a", "a"]))], "tenant x: services: a service is listed twice"),
+        (
+            vec![put(tenant("x", 1.0, &[])), put(tenant("x", 2.0, &[]))],
+            "tenant x: has more than one operation in this change",
+        ),
         (vec![put(entry("acme", "thief", tenant("acme", 1.0, &[]).body))], "tenant acme: belongs to sales"),
         (vec![remove(Kind::Tenant, "acme", "thief")], "tenant acme: belongs to sales"),
-        (vec![remove(Kind::Tenant, "nobody", "sales")], "tenant nobody: there is none"),
+        (vec![remove(Kind::Tenant, "nobody", "sales")], "tenant nobody: does not exist"),
         (vec![remove(Kind::Service, "a", "ops")], "service a: still named by 1 resources"),
         (
             vec![put(entry("look", "ops", Body::Class(class(0.0))))],
             "class look: aim_ms: a number above 0 expected, not 0",
         ),
         (vec![put(entry("s0", "ops", Body::Server(server("c"))))], "server s0: there is no service c"),
-        // One bad operation among good ones: none counts.
+        // One invalid operation among valid ones: none is applied.
         (vec![put(service("c")), put(tenant("x", 1.0, &["d"]))], "tenant x: there is no service d"),
     ] {
-        assert_eq!(invalid(operations), words);
+        assert_eq!(push_invalid(operations), message);
     }
 }
 
 #[test]
-fn references_are_those_after_the_whole_change() {
+fn references_are_checked_against_the_state_after_the_complete_change() {
     let mut source = source();
     let both = vec![put(tenant("x", 1.0, &["c"])), put(service("c"))];
-    source.push(both, None).expect("the service comes with its tenant");
+    source.push(both, None).expect("the service is added together with its tenant");
     let both = vec![remove(Kind::Service, "c", "ops"), remove(Kind::Tenant, "x", "sales")];
-    source.push(both, None).expect("and goes with it");
+    source.push(both, None).expect("the service is removed together with its tenant");
     let moved = vec![put(tenant("acme", 5.0, &["b"])), remove(Kind::Service, "a", "ops")];
-    source.push(moved, None).expect("nobody names it any more");
+    source.push(moved, None).expect("the service is no longer referenced");
     assert!(source.resources().get(&Key { kind: Kind::Service, name: "a".into() }).is_none());
 }
 
 #[test]
-fn a_change_made_for_another_version_is_turned_down_where_that_is_asked() {
+fn a_change_made_for_another_version_is_rejected_if_a_version_is_required() {
     let mut source = source();
     let seen = source.head().version;
-    source.push(vec![put(tenant("x", 1.0, &[]))], Some(seen)).expect("on what was seen");
-    let late = source.push(vec![put(tenant("y", 1.0, &[]))], Some(seen));
-    assert_eq!(late, Err(Refused::Stale(source.head().version)));
-    source.push(vec![put(tenant("y", 1.0, &[]))], None).expect("on whatever there is");
+    source.push(vec![put(tenant("x", 1.0, &[]))], Some(seen)).expect("made for the current version");
+    let outdated = source.push(vec![put(tenant("y", 1.0, &[]))], Some(seen));
+    assert_eq!(outdated, Err(PushError::Stale(source.head().version)));
+    source.push(vec![put(tenant("y", 1.0, &[]))], None).expect("made for any version");
 }
 
 #[test]
-fn a_first_version_that_is_not_valid_starts_no_source() {
+fn an_invalid_first_version_is_rejected() {
     let resources = Resources::of([tenant("acme", 5.0, &["a"])]);
-    let refused = Source::new(Settings::default(), resources, 1, 0).err();
+    let error = Source::new(Settings::default(), resources, 1, 0).err();
     let acme = Key { kind: Kind::Tenant, name: "acme".into() };
-    assert_eq!(refused, Some(Invalid::NoService(acme, "a".into())));
+    assert_eq!(error, Some(InvalidChange::UnknownService(acme, "a".into())));
 }
 
-/// A source that came back with an older log learns that by its subscribers, and takes nothing until an operator has decided.
+/// A source that was restored with an older log learns this from its subscribers. It must reject changes
+/// until an operator begins a new epoch.
 #[test]
-fn a_source_with_an_older_log_takes_nothing_without_an_operators_word() {
+fn a_source_with_an_older_log_rejects_changes_until_an_operator_begins_an_epoch() {
     let mut source = source();
     let later = source.push(vec![put(tenant("x", 1.0, &[]))], None).expect("valid");
     let mut older = self::source();
     let subscribe =
         Request::Subscribe { name: "relay".into(), from: Some(later), resume: None, scope: Scope::All };
     older.receive(10, 1, subscribe);
-    let (_, said) = older.poll_transmit(600).expect("it says so");
-    assert_eq!(said, Publication::Behind(older.head()));
-    let refused = older.push(vec![put(tenant("y", 1.0, &[]))], None);
-    assert_eq!(refused, Err(Refused::SubscribersAhead(later.version)));
-    let decided = older.begin_epoch();
-    assert_eq!(decided.version, Version { epoch: 2, number: 0 });
-    older.push(vec![put(tenant("y", 1.0, &[]))], None).expect("it counts now");
+    let (_, publication) = older.poll_transmit(600).expect("reports that it is behind");
+    assert_eq!(publication, Publication::Behind(older.head()));
+    let result = older.push(vec![put(tenant("y", 1.0, &[]))], None);
+    assert_eq!(result, Err(PushError::SubscribersAhead(later.version)));
+    let restarted = older.begin_epoch();
+    assert_eq!(restarted.version, Version { epoch: 2, number: 0 });
+    older.push(vec![put(tenant("y", 1.0, &[]))], None).expect("accepted in the new epoch");
 }
 
 #[test]
-fn scopes_include_what_names_one_of_their_services_or_none() {
+fn a_scope_includes_resources_that_reference_one_of_its_services_or_none() {
     let scope = Scope::Services(BTreeSet::from(["a".to_string()]));
-    let of = |entry: Entry| scope.includes(&entry.name, &entry.body);
-    assert!(of(service("a")) && !of(service("b")));
-    assert!(of(tenant("x", 1.0, &["b", "a"])) && of(tenant("x", 1.0, &[])) && !of(tenant("x", 1.0, &["b"])));
+    let is_included = |entry: Entry| scope.includes(&entry.name, &entry.body);
+    assert!(is_included(service("a")) && !is_included(service("b")));
+    assert!(
+        is_included(tenant("x", 1.0, &["b", "a"]))
+            && is_included(tenant("x", 1.0, &[]))
+            && !is_included(tenant("x", 1.0, &["b"]))
+    );
     assert!(Scope::All.includes("b", &service("b").body));
 }
--- a/crates/publisher/src/lib.rs
+++ b/crates/publisher/src/lib.rs
@@ -1,7 +1,7 @@
-//! The program `glenwood-configuration`: a source or a relay of configuration, on sockets.
+//! The program `glenwood-configuration`: runs a source or a relay of the configuration on sockets.
 //!
-//! `role` is which of the two it is; `server` is the HTTP side, for subscribers and operators. The machines themselves are
-//! those of `glenwood-configuration`.
+//! `role` selects between source and relay; `server` is the HTTP server for subscribers and operators. The
+//! state machines without I/O are in the library `glenwood-configuration`.
 #![warn(missing_docs)]
 
 mod role;
@@ -22,34 +22,34 @@
 use role::Role;
 use server::Publisher;
 
-/// A source or a relay of configuration in versions.
+/// A source or a relay of the versioned configuration.
 #[derive(Debug, Parser)]
 #[command(name = "glenwood-configuration", version)]
 pub struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
-    /// The source: it takes operators' changes and gives them their numbers
+enum Command {
+    /// Run the source, which accepts operators' changes and numbers them
     Source {
-        /// Where subscribers and operators connect
+        /// Address on which subscribers and operators connect
         #[arg(long)]
         listen: SocketAddr,
-        /// The resources of the first version, a JSON array; none without it
+        /// File with the resources of the first version, as a JSON array; without it there are none
         #[arg(long)]
         first: Option<PathBuf>,
         /// The epoch to begin with
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..))]
         epoch: u64,
     },
-    /// A relay: it follows another publisher and hands on what it has
+    /// Run a relay, which follows another publisher and publishes its configuration
     Relay {
-        /// Where subscribers connect
+        /// Address on which subscribers connect
         #[arg(long)]
         listen: SocketAddr,
-        /// Its name
+        /// Name of the relay
         #[arg(long)]
         name: String,
         /// Publishers to follow, the nearest first
@@ -58,54 +58,56 @@
     },
 }
 
-/// Runs it until it is told to stop; the exit code.
+/// Runs the publisher until a stop signal arrives; returns the exit code.
 pub fn run(arguments: &Arguments) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => return fail(&error.to_string()),
     };
-    match LocalSet::new().block_on(&runtime, serve(&arguments.what)) {
+    match LocalSet::new().block_on(&runtime, serve(&arguments.command)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => fail(&words),
+        Err(message) => fail(&message),
     }
 }
 
-fn fail(words: &str) -> ExitCode {
-    // The exit code tells as much where standard error takes nothing.
-    let _ = writeln!(std::io::stderr(), "glenwood-configuration: {}", words.replace('\n', " "));
+/// Prints an error message; returns the exit code of a failure.
+fn fail(message: &str) -> ExitCode {
+    // If standard error cannot be written, the exit code still reports the failure.
+    let _ = writeln!(std::io::stderr(), "glenwood-configuration: {}", message.replace('\n', " "));
     ExitCode::FAILURE
 }
 
-/// The resources of a first version.
-fn first(path: &Path) -> Result<Resources, String> {
-    let said = |words: String| format!("{}: {words}", path.display());
-    let text = std::fs::read(path).map_err(|e| said(e.to_string()))?;
-    let entries: Vec<Entry> = serde_json::from_slice(&text).map_err(|e| said(e.to_string()))?;
+/// Reads the resources of the first version from a file.
+fn read_first_resources(path: &Path) -> Result<Resources, String> {
+    let error_at = |message: String| format!("{}: {message}", path.display());
+    let text = std::fs::read(path).map_err(|e| error_at(e.to_string()))?;
+    let entries: Vec<Entry> = serde_json::from_slice(&text).map_err(|e| error_at(e.to_string()))?;
     let count = entries.len();
     let resources = Resources::of(entries);
     if resources.len() < count {
-        return Err(said("a name stands there twice".to_string()));
+        return Err(error_at("two resources of the same kind have the same name".to_string()));
     }
     Ok(resources)
 }
 
-async fn serve(what: &What) -> Result<(), String> {
-    let mut stops = Signals::new(Asks::Stop).map_err(|e| format!("signals: {e}"))?;
-    let (listen, role) = match what {
-        What::Source { listen, first: file, epoch } => {
-            let resources = file.as_deref().map_or(Ok(Resources::default()), first)?;
+/// Starts the publisher and serves until a stop signal arrives.
+async fn serve(command: &Command) -> Result<(), String> {
+    let mut stop_signals = Signals::new(Asks::Stop).map_err(|e| format!("signals: {e}"))?;
+    let (listen, role) = match command {
+        Command::Source { listen, first: file, epoch } => {
+            let resources = file.as_deref().map_or(Ok(Resources::default()), read_first_resources)?;
             (*listen, Role::source(resources, *epoch)?)
         }
-        What::Relay { listen, name, publisher } => (*listen, Role::relay(name, publisher.clone())),
+        Command::Relay { listen, name, publisher } => (*listen, Role::relay(name, publisher.clone())),
     };
     let listener = TcpListener::bind(listen).await.map_err(|e| format!("listen: {listen}: {e}"))?;
-    let at = listener.local_addr().map_err(|e| e.to_string())?;
-    // Whoever does not read it knows the address already.
-    let _ = writeln!(std::io::stdout(), "{} {at}", role.word());
+    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    // A failed write is ignored: a caller that does not read the output already knows the address.
+    let _ = writeln!(std::io::stdout(), "{} {address}", role.label());
     let publisher = Publisher::new(role);
     tokio::select! {
         () = publisher.run(listener) => {}
-        () = stops.recv() => {}
+        () = stop_signals.recv() => {}
     }
     Ok(())
 }
--- a/crates/publisher/src/main.rs
+++ b/crates/publisher/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `glenwood-configuration`; see the library.
+//! Entry point of the program `glenwood-configuration`; see the library.
 
 use std::process::ExitCode;
 
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a publisher: watches of subscribers, and operators' calls.
+//! The HTTP server of a publisher, for subscribers' watches and operators' calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenwood_configuration::feed::{Subscriber, CREDIT};
+use glenwood_configuration::feed::{Subscriber, MAX_CREDIT};
 use glenwood_configuration::message::Summary;
-use glenwood_configuration::net::{self, EPOCH, NAME, PUSH, REPORT, STATUS, WATCH};
+use glenwood_configuration::net::{self, EPOCH, PUSH, REPORT, STATUS, SUBSCRIBER_HEADER, WATCH};
 use glenwood_configuration::{Operation, Position, Publication, Request, Time, Version};
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::combinators::BoxBody;
@@ -28,30 +28,30 @@
 
 use crate::role::Role;
 
-/// The longest request of a subscriber or an operator, in bytes.
-const REQUEST_MOST: usize = 4 << 20;
-/// How many messages of the publisher that is followed may wait to be taken.
-const HEARD_MOST: usize = 16;
-/// How many messages may wait to be written to a subscriber: its credit, and signs of life.
-const PENDING_MOST: usize = CREDIT as usize + 4;
-/// How long no connection is accepted after one could not be.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// How long the publisher sleeps where nothing is due.
-const IDLE: Time = 1_000;
+/// Maximum length of a request body from a subscriber or an operator, in bytes.
+const MAX_REQUEST_BYTES: usize = 4 << 20;
+/// Maximum number of messages from the followed publisher that wait to be processed.
+const MAX_QUEUED_PUBLICATIONS: usize = 16;
+/// Maximum number of messages that wait to be written to a subscriber: its credit and a few keep-alives.
+const MAX_QUEUED_MESSAGES: usize = MAX_CREDIT as usize + 4;
+/// Delay before the next accept after a failed one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum sleep while nothing is scheduled, in milliseconds.
+const MAX_SLEEP_MS: Time = 1_000;
 
 type Body = BoxBody<Bytes, Infallible>;
 
-/// What an operator pushes.
+/// The body of an operator's push request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Push {
-    /// The version that it was made for, if it may be no other.
+    /// The version that the change was made for; if absent, the change applies to any version.
     #[serde(default)]
     on: Option<Version>,
     operations: Vec<Operation>,
 }
 
-/// What operators are shown.
+/// The answer to an operator's status request.
 #[derive(Debug, Serialize)]
 struct Status {
     role: &'static str,
@@ -63,22 +63,23 @@
     summary: Summary,
 }
 
-/// One who watches.
+/// A subscriber with an open watch.
 struct Watcher {
     subscriber: Subscriber,
     messages: mpsc::Sender<Publication>,
 }
 
-/// A publisher on sockets.
+/// Serves a source or a relay over HTTP.
 pub struct Publisher {
     role: RefCell<Role>,
     started: Instant,
-    /// Who watches, by name.
+    /// The open watches, by subscriber name.
     watchers: RefCell<HashMap<String, Watcher>>,
-    last: Cell<Subscriber>,
-    /// Something has happened that may have made something due.
+    /// The number of the last subscriber.
+    last_subscriber: Cell<Subscriber>,
+    /// Wakes the main loop after an event that may have made work due.
     changed: Notify,
-    /// The watch at the publisher that this one follows.
+    /// The task that watches the followed publisher.
     upstream: RefCell<Option<AbortHandle>>,
 }
 
@@ -93,13 +94,13 @@
 }
 
 impl Publisher {
-    /// A publisher that has not begun.
+    /// Creates a publisher that is not serving yet.
     pub fn new(role: Role) -> Rc<Self> {
         Rc::new(Self {
             role: RefCell::new(role),
             started: Instant::now(),
             watchers: RefCell::default(),
-            last: Cell::new(0),
+            last_subscriber: Cell::new(0),
             changed: Notify::new(),
             upstream: RefCell::default(),
         })
@@ -109,90 +110,92 @@
         self.started.elapsed().as_millis() as Time
     }
 
-    /// Serves whoever connects; never ends.
+    /// Accepts and serves connections; never returns.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        spawn_local(self.clone().pump());
+        spawn_local(self.clone().run_loop());
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
-                // No descriptor is free: one may be in a moment.
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Ok((stream, _)) => drop(spawn_local(self.clone().serve_connection(stream))),
+                // Most likely no file descriptor is free; one may be after a short delay.
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Sends what is to be sent and does what is due; never ends.
-    async fn pump(self: Rc<Self>) {
-        let (heard, mut incoming) = mpsc::channel(HEARD_MOST);
-        let mut call = 0;
+    /// The main loop: performs the work that is due and exchanges messages with subscribers and the followed
+    /// publisher; never returns.
+    async fn run_loop(self: Rc<Self>) {
+        let (publications, mut incoming) = mpsc::channel(MAX_QUEUED_PUBLICATIONS);
+        let mut watch_id = 0;
         loop {
             let now = self.now();
             self.role.borrow_mut().tick(now);
-            while let Some((to, publication)) = self.transmit(now) {
-                self.hand_over(to, publication);
+            while let Some((to, publication)) = self.poll_transmit(now) {
+                self.queue_message(to, publication);
             }
-            while let Some((to, name, request)) = self.request() {
-                call += u64::from(matches!(request, Request::Subscribe { .. }));
-                self.say(call, to, name, request, heard.clone());
+            while let Some((to, name, request)) = self.poll_request() {
+                watch_id += u64::from(matches!(request, Request::Subscribe { .. }));
+                self.send_upstream(watch_id, to, name, request, publications.clone());
             }
-            let due = self.role.borrow().due().unwrap_or(now + IDLE).max(now + 1);
+            let due = self.role.borrow().due().unwrap_or(now + MAX_SLEEP_MS).max(now + 1);
             let due = self.started + Duration::from_millis(due);
             tokio::select! {
                 () = sleep_until(due.into()) => {}
                 () = self.changed.notified() => {}
-                Some((of, said)) = incoming.recv() => self.heard(call, of, said),
+                Some((origin, received)) = incoming.recv() => self.receive_upstream(watch_id, origin, received),
             }
         }
     }
 
-    fn transmit(&self, now: Time) -> Option<(Subscriber, Publication)> {
+    fn poll_transmit(&self, now: Time) -> Option<(Subscriber, Publication)> {
         self.role.borrow_mut().poll_transmit(now)
     }
 
-    fn request(&self) -> Option<(SocketAddr, String, Request)> {
+    fn poll_request(&self) -> Option<(SocketAddr, String, Request)> {
         self.role.borrow_mut().poll_request()
     }
 
-    /// The publisher that is followed has said something in a call, or the call has ended.
-    fn heard(&self, call: u64, of: u64, said: Option<Publication>) {
-        if of != call {
+    /// Handles a message from the followed publisher, or the end of the watch (`None`). Anything from an
+    /// earlier watch than the current one is ignored.
+    fn receive_upstream(&self, watch_id: u64, origin: u64, received: Option<Publication>) {
+        if origin != watch_id {
             return;
         }
         let now = self.now();
-        match said {
-            Some(publication) => self.role.borrow_mut().heard(now, publication),
+        match received {
+            Some(publication) => self.role.borrow_mut().receive_publication(now, publication),
             None => self.role.borrow_mut().disconnected(now),
         }
     }
 
-    /// Says something to the publisher that is followed.
-    fn say(
+    /// Sends a request to the followed publisher. A subscription replaces the current watch.
+    fn send_upstream(
         &self,
-        call: u64,
+        watch_id: u64,
         to: SocketAddr,
         name: String,
         request: Request,
-        heard: mpsc::Sender<(u64, Option<Publication>)>,
+        publications: mpsc::Sender<(u64, Option<Publication>)>,
     ) {
         if let Request::Report(summary) = request {
             spawn_local(async move {
                 let body = serde_json::to_vec(&summary).unwrap_or_default();
-                // One that is lost is made good by the next.
+                // A lost report is superseded by the next one.
                 let _ = net::call(to, &name, REPORT, Some(body)).await;
             });
             return;
         }
         let watch = spawn_local(async move {
-            let (sender, mut publications) = mpsc::channel(1);
+            let (sender, mut received) = mpsc::channel(1);
             let forward = async {
-                while let Some(publication) = publications.recv().await {
-                    if heard.send((call, Some(publication))).await.is_err() {
+                while let Some(publication) = received.recv().await {
+                    if publications.send((watch_id, Some(publication))).await.is_err() {
                         break;
                     }
                 }
             };
             let (ended, ()) = tokio::join!(net::watch(to, &name, &request, sender), forward);
-            let _ = heard.send((call, None)).await;
+            let _ = publications.send((watch_id, None)).await;
             drop(ended);
         });
         if let Some(old) = self.upstream.borrow_mut().replace(watch.abort_handle()) {
@@ -200,33 +203,41 @@
         }
     }
 
-    /// Gives a message to the one who watches under that number.
-    fn hand_over(&self, to: Subscriber, publication: Publication) {
+    /// Queues a message for the watch of this subscriber.
+    fn queue_message(&self, to: Subscriber, publication: Publication) {
         let watchers = self.watchers.borrow();
         let watcher = watchers.values().find(|watcher| watcher.subscriber == to);
         match watcher.map(|watcher| watcher.messages.try_send(publication)) {
             Some(Ok(())) => {}
-            // Changes and pieces stay within the credit: it is a sign of life, for one who has more to read than that.
+            // Changes and pieces stay within the credit, so this is a keep-alive. Dropping it is harmless:
+            // the subscriber still has messages to read.
             Some(Err(TrySendError::Full(_))) => {}
-            Some(Err(TrySendError::Closed(_))) | None => self.role.borrow_mut().leave(to),
+            Some(Err(TrySendError::Closed(_))) | None => self.role.borrow_mut().remove_subscriber(to),
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream) {
+    /// Serves one connection.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
             let publisher = self.clone();
-            async move { Ok::<_, Infallible>(publisher.answer(request).await) }
+            async move { Ok::<_, Infallible>(publisher.handle(request).await) }
         });
-        // What breaks a connection is the other side's affair.
+        // Connection errors are ignored; the peer has to connect again.
         let _ =
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    async fn answer(self: Rc<Self>, request: hyper::Request<Incoming>) -> Response<Body> {
-        let name = request.headers().get(NAME).and_then(|name| name.to_str().ok()).unwrap_or("").to_string();
+    /// Handles one request.
+    async fn handle(self: Rc<Self>, request: hyper::Request<Incoming>) -> Response<Body> {
+        let name = request
+            .headers()
+            .get(SUBSCRIBER_HEADER)
+            .and_then(|name| name.to_str().ok())
+            .unwrap_or("")
+            .to_string();
         let (method, path) = (request.method().clone(), request.uri().path().to_string());
-        let body = match Limited::new(request.into_body(), REQUEST_MOST).collect().await {
+        let body = match Limited::new(request.into_body(), MAX_REQUEST_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(error) => return answer(StatusCode::BAD_REQUEST, error.to_string()),
         };
@@ -235,8 +246,8 @@
             (Method::POST, WATCH) => self.watch(name, &body),
             (Method::POST, REPORT) => self.report(&name, &body),
             (Method::POST, PUSH) => self.push(&body),
-            (Method::POST, EPOCH) => self.made(|role| role.begin_epoch()),
-            _ => answer(StatusCode::NOT_FOUND, "no such path"),
+            (Method::POST, EPOCH) => self.run_action(|role| role.begin_epoch()),
+            _ => answer(StatusCode::NOT_FOUND, "no such method and path"),
         }
     }
 
@@ -244,7 +255,7 @@
         let mut role = self.role.borrow_mut();
         let summary = role.summary();
         Status {
-            role: role.word(),
+            role: role.label(),
             at: role.head(),
             resources: role.resources(),
             subscribers: self.watchers.borrow().len(),
@@ -253,26 +264,28 @@
         }
     }
 
+    /// Handles an operator's push request.
     fn push(&self, body: &[u8]) -> Response<Body> {
         match serde_json::from_slice::<Push>(body) {
-            Ok(push) => self.made(|role| role.push(push.operations, push.on)),
+            Ok(push) => self.run_action(|role| role.push(push.operations, push.on)),
             Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 
-    /// Answers an operator with the position that was made, or why none was.
-    fn made(&self, make: impl FnOnce(&mut Role) -> Result<Position, String>) -> Response<Body> {
-        let made = make(&mut self.role.borrow_mut());
+    /// Runs an operator's action; answers with the new position, or the reason of the failure.
+    fn run_action(&self, action: impl FnOnce(&mut Role) -> Result<Position, String>) -> Response<Body> {
+        let result = action(&mut self.role.borrow_mut());
         self.changed.notify_one();
-        match made {
+        match result {
             Ok(position) => json(&position),
-            Err(words) => answer(StatusCode::CONFLICT, words),
+            Err(message) => answer(StatusCode::CONFLICT, message),
         }
     }
 
+    /// Handles a subscriber's report about the nodes behind it.
     fn report(&self, name: &str, body: &[u8]) -> Response<Body> {
         let Ok(summary) = serde_json::from_slice(body) else {
-            return answer(StatusCode::BAD_REQUEST, "a summary expected");
+            return answer(StatusCode::BAD_REQUEST, "the body is not a valid summary");
         };
         let subscriber = self.watchers.borrow().get(name).map(|watcher| watcher.subscriber);
         match subscriber {
@@ -280,33 +293,39 @@
                 self.role.borrow_mut().receive(self.now(), subscriber, Request::Report(summary));
                 answer(StatusCode::OK, "")
             }
-            None => answer(StatusCode::NOT_FOUND, "nobody watches under that name"),
+            None => answer(StatusCode::NOT_FOUND, "no watch is open under this subscriber name"),
         }
     }
 
+    /// Handles a subscribe request; the answer is a stream of publications.
     fn watch(self: Rc<Self>, name: String, body: &[u8]) -> Response<Body> {
         let subscribe = match serde_json::from_slice(body) {
             Ok(subscribe @ Request::Subscribe { .. }) if !name.is_empty() => subscribe,
-            Ok(_) => return answer(StatusCode::BAD_REQUEST, "a subscription with a name expected"),
+            Ok(_) => {
+                return answer(
+                    StatusCode::BAD_REQUEST,
+                    "expected a subscribe request and a subscriber name in the header",
+                )
+            }
             Err(error) => return answer(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        let subscriber = self.last.get() + 1;
-        self.last.set(subscriber);
-        let (messages, pending) = mpsc::channel(PENDING_MOST);
+        let subscriber = self.last_subscriber.get() + 1;
+        self.last_subscriber.set(subscriber);
+        let (messages, pending) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let watcher = Watcher { subscriber, messages };
         if let Some(old) = self.watchers.borrow_mut().insert(name.clone(), watcher) {
-            // It has come again: its last watch ends.
-            self.role.borrow_mut().leave(old.subscriber);
+            // The subscriber has reconnected: its earlier watch ends.
+            self.role.borrow_mut().remove_subscriber(old.subscriber);
         }
         self.role.borrow_mut().receive(self.now(), subscriber, subscribe);
         self.changed.notify_one();
         let (sender, channel) = Channel::<Bytes, Infallible>::new(1);
-        spawn_local(self.write(name, subscriber, pending, sender));
+        spawn_local(self.write_publications(name, subscriber, pending, sender));
         Response::new(channel.boxed())
     }
 
-    /// Writes what a subscriber is sent, for as long as it takes it.
-    async fn write(
+    /// Writes queued messages to a subscriber until its watch ends.
+    async fn write_publications(
         self: Rc<Self>,
         name: String,
         subscriber: Subscriber,
@@ -319,13 +338,13 @@
             if sender.send_data(line.into()).await.is_err() {
                 break;
             }
-            // Signs of life take no credit.
+            // Keep-alives use no credit.
             if matches!(publication, Publication::Change(_) | Publication::Piece(_)) {
                 self.role.borrow_mut().taken(subscriber);
                 self.changed.notify_one();
             }
         }
-        self.role.borrow_mut().leave(subscriber);
+        self.role.borrow_mut().remove_subscriber(subscriber);
         let mut watchers = self.watchers.borrow_mut();
         if watchers.get(&name).is_some_and(|watcher| watcher.subscriber == subscriber) {
             watchers.remove(&name);
