--- a/crates/configuration/src/feed.rs
+++ b/crates/configuration/src/feed.rs
@@ -27,14 +27,20 @@
     /// Rate limit for resources and changes sent to all subscribers together, per second.
     pub entries_per_s: u64,
     /// Interval of the keep-alive messages to each subscriber, in milliseconds.
-    pub alive_ms: u64,
+    pub keep_alive_ms: u64,
     /// A subscriber that sends nothing for this long is removed, in milliseconds.
-    pub forget_ms: u64,
+    pub subscriber_timeout_ms: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { log_most: 2_000, piece_entries: 200, entries_per_s: 200_000, alive_ms: 500, forget_ms: 30_000 }
+        Self {
+            log_most: 2_000,
+            piece_entries: 200,
+            entries_per_s: 200_000,
+            keep_alive_ms: 500,
+            subscriber_timeout_ms: 30_000,
+        }
     }
 }
 
@@ -69,7 +75,7 @@
     sending: Sending,
     credit: u32,
     last_seen: Time,
-    next_alive: Time,
+    next_keep_alive: Time,
     summary: Summary,
 }
 
@@ -175,8 +181,8 @@
         self.log.clear();
         self.pinned = None;
         self.subscriber_ahead = self.subscriber_ahead.filter(|ahead| *ahead > at.version);
-        let subscribers: Vec<Subscriber> = self.subscribers.keys().copied().collect();
-        for subscriber in subscribers {
+        let ids: Vec<Subscriber> = self.subscribers.keys().copied().collect();
+        for subscriber in ids {
             let sending = self.select_sending(None, None);
             if let Some(state) = self.subscribers.get_mut(&subscriber) {
                 state.sending = sending;
@@ -196,13 +202,13 @@
                 let sending = self.select_sending(position, resume);
                 let summary = self.subscribers.remove(&from).map(|state| state.summary).unwrap_or_default();
                 // Spreads the keep-alive messages of subscribers that arrive at the same time.
-                let next_alive = now + 1 + from % self.settings.alive_ms.max(1);
+                let next_keep_alive = now + 1 + from % self.settings.keep_alive_ms.max(1);
                 let state = SubscriberState {
                     scope,
                     sending,
                     credit: MAX_CREDIT,
                     last_seen: now,
-                    next_alive,
+                    next_keep_alive,
                     summary,
                 };
                 self.subscribers.insert(from, state);
@@ -277,8 +283,8 @@
         if position == self.head || position == self.base {
             return true;
         }
-        self.log_index_after(position.version).is_some_and(|index| {
-            self.log.get(index).is_some_and(|logged| logged.change.previous == position.digest)
+        self.log_index_after(position.version).is_some_and(|log_index| {
+            self.log.get(log_index).is_some_and(|logged| logged.change.previous == position.digest)
         })
     }
 
@@ -289,7 +295,9 @@
         if next.epoch != first.epoch {
             return None;
         }
-        usize::try_from(next.number.checked_sub(first.number)?).ok().filter(|index| *index < self.log.len())
+        usize::try_from(next.number.checked_sub(first.number)?)
+            .ok()
+            .filter(|log_index| *log_index < self.log.len())
     }
 
     /// The shared snapshot, or a new one if there is none or the log no longer reaches back to it.
@@ -305,7 +313,7 @@
 
     /// When to call [`Feed::tick`] and [`Feed::poll_transmit`] next; `None` if nothing is scheduled.
     pub fn due(&self) -> Option<Time> {
-        let alive = self.subscribers.values().map(|state| state.next_alive).min();
+        let alive = self.subscribers.values().map(|state| state.next_keep_alive).min();
         let has_backlog = self.subscribers.values().any(|state| state.credit > 0 && self.has_more(state));
         let refilled = has_backlog.then_some(self.refilled_at + 1);
         alive.into_iter().chain(refilled).min()
@@ -322,7 +330,7 @@
 
     /// Removes subscribers that have been silent for too long, and an unused shared snapshot.
     pub fn tick(&mut self, now: Time) {
-        let timeout_ms = self.settings.forget_ms;
+        let timeout_ms = self.settings.subscriber_timeout_ms;
         self.subscribers.retain(|_, state| now.saturating_sub(state.last_seen) < timeout_ms);
         if self.pinned.is_some()
             && !self.subscribers.values().any(|s| matches!(s.sending, Sending::Snapshot(_)))
@@ -346,16 +354,17 @@
 
     /// Returns whether something may be sent to this subscriber now.
     fn is_ready(&self, now: Time, state: &SubscriberState) -> bool {
-        now >= state.next_alive || (state.credit > 0 && self.tokens >= 1.0 && self.has_more(state))
+        now >= state.next_keep_alive || (state.credit > 0 && self.tokens >= 1.0 && self.has_more(state))
     }
 
     /// The next message for one subscriber.
     fn next_publication(&mut self, now: Time, subscriber: Subscriber) -> Option<Publication> {
-        let (head, alive_ms, entries) = (self.head, self.settings.alive_ms, self.settings.piece_entries);
+        let (head, keep_alive_ms, entries) =
+            (self.head, self.settings.keep_alive_ms, self.settings.piece_entries);
         let age_ms = self.currency.age(now);
         let state = self.subscribers.get_mut(&subscriber)?;
-        if now >= state.next_alive {
-            state.next_alive = now + alive_ms;
+        if now >= state.next_keep_alive {
+            state.next_keep_alive = now + keep_alive_ms;
             return Some(match state.sending {
                 Sending::Nothing => Publication::Behind(head),
                 _ => Publication::Alive { at: head, age_ms },
@@ -369,9 +378,9 @@
             Sending::Changes(version) if *version >= head.version => return None,
             Sending::Changes(version) => {
                 let version = *version;
-                let index = self.log_index_after(version);
+                let log_index = self.log_index_after(version);
                 let state = self.subscribers.get_mut(&subscriber)?;
-                let Some(logged) = index.and_then(|index| self.log.get(index)) else {
+                let Some(logged) = log_index.and_then(|log_index| self.log.get(log_index)) else {
                     // The log was truncated past this slow subscriber's position: send it a snapshot instead.
                     let sending = self.select_sending(None, None);
                     self.subscribers.get_mut(&subscriber)?.sending = sending;
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -121,6 +121,7 @@
         self.requests.extend(self.follower.tick(now));
     }
 
+    /// Adds a change to the pending changes.
     fn add_change(&mut self, change: &Change) {
         let scope = self.follower.scope();
         for operation in change.operations() {
@@ -134,6 +135,7 @@
         self.offer_due = true;
     }
 
+    /// Replaces the pending changes by the differences between the snapshot and the resources in force.
     fn compare_snapshot(&mut self, next: &Resources) {
         self.pending.clear();
         for (key, entry) in next.iter() {
--- a/crates/configuration/tests/following.rs
+++ b/crates/configuration/tests/following.rs
@@ -176,19 +176,19 @@
     for cut in 0..text.len() {
         assert!(serde_json::from_str::<Publication>(&text[..cut]).is_err(), "cut at {cut}");
     }
-    let mut rejected = 0;
-    for index in 0..text.len() {
+    let mut corrupted_count = 0;
+    for byte_index in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
-        bytes[index] = if bytes[index] == b'1' { b'2' } else { b'1' };
+        bytes[byte_index] = if bytes[byte_index] == b'1' { b'2' } else { b'1' };
         let Ok(corrupted) = serde_json::from_slice::<Publication>(&bytes) else { continue };
         if corrupted == message {
             continue;
         }
-        rejected += 1;
+        corrupted_count += 1;
         pair.replica.receive(pair.now, corrupted);
-        assert_eq!(pair.replica.poll_offer(), None, "byte {index}: {}", String::from_utf8_lossy(&bytes));
+        assert_eq!(pair.replica.poll_offer(), None, "byte {byte_index}: {}", String::from_utf8_lossy(&bytes));
     }
-    assert!(rejected > 50, "only {rejected} corrupted changes were still valid JSON messages");
+    assert!(corrupted_count > 50, "only {corrupted_count} corrupted changes were still valid JSON messages");
     pair.replica.receive(pair.now, message);
     assert!(pair.replica.poll_offer().is_some(), "the intact change is offered");
 }
--- a/crates/publisher/src/role.rs
+++ b/crates/publisher/src/role.rs
@@ -54,7 +54,7 @@
     }
 
     /// The number of resources.
-    pub fn resources(&mut self) -> usize {
+    pub fn resource_count(&mut self) -> usize {
         match self {
             Self::Source(source) => source.resources().len(),
             Self::Relay(relay, ..) => relay.feed().resources().len(),
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -115,7 +115,7 @@
         spawn_local(self.clone().run_loop());
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(self.clone().serve_connection(stream))),
+                Ok((stream, _)) => drop(spawn_local(self.clone().handle_connection(stream))),
                 // Most likely no file descriptor is free; one may be after a short delay.
                 Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
@@ -130,10 +130,10 @@
         loop {
             let now = self.now();
             self.role.borrow_mut().tick(now);
-            while let Some((to, publication)) = self.poll_transmit(now) {
+            while let Some((to, publication)) = self.next_message(now) {
                 self.queue_message(to, publication);
             }
-            while let Some((to, name, request)) = self.poll_request() {
+            while let Some((to, name, request)) = self.next_request() {
                 watch_id += u64::from(matches!(request, Request::Subscribe { .. }));
                 self.send_upstream(watch_id, to, name, request, publications.clone());
             }
@@ -142,27 +142,27 @@
             tokio::select! {
                 () = sleep_until(due.into()) => {}
                 () = self.changed.notified() => {}
-                Some((origin, received)) = incoming.recv() => self.receive_upstream(watch_id, origin, received),
+                Some((origin, publication)) = incoming.recv() => self.receive_upstream(watch_id, origin, publication),
             }
         }
     }
 
-    fn poll_transmit(&self, now: Time) -> Option<(Subscriber, Publication)> {
+    fn next_message(&self, now: Time) -> Option<(Subscriber, Publication)> {
         self.role.borrow_mut().poll_transmit(now)
     }
 
-    fn poll_request(&self) -> Option<(SocketAddr, String, Request)> {
+    fn next_request(&self) -> Option<(SocketAddr, String, Request)> {
         self.role.borrow_mut().poll_request()
     }
 
     /// Handles a message from the followed publisher, or the end of the watch (`None`). Anything from an
     /// earlier watch than the current one is ignored.
-    fn receive_upstream(&self, watch_id: u64, origin: u64, received: Option<Publication>) {
+    fn receive_upstream(&self, watch_id: u64, origin: u64, publication: Option<Publication>) {
         if origin != watch_id {
             return;
         }
         let now = self.now();
-        match received {
+        match publication {
             Some(publication) => self.role.borrow_mut().receive_publication(now, publication),
             None => self.role.borrow_mut().disconnected(now),
         }
@@ -217,7 +217,7 @@
     }
 
     /// Serves one connection.
-    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+    async fn handle_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
             let publisher = self.clone();
@@ -257,7 +257,7 @@
         Status {
             role: role.label(),
             at: role.head(),
-            resources: role.resources(),
+            resources: role.resource_count(),
             subscribers: self.watchers.borrow().len(),
             nodes: summary.nodes(),
             summary,
