--- a/crates/configuration/src/feed.rs
+++ b/crates/configuration/src/feed.rs
@@ -96,19 +96,19 @@
     refilled_at: Time,
     /// The highest version reported by a subscriber that is beyond this publisher's.
     subscriber_ahead: Option<Version>,
-    currency: Currency,
+    freshness: Freshness,
 }
 
 /// How recently the head was known to be the source's position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Currency {
+pub enum Freshness {
     /// This is the source.
     Source,
     /// This is a relay, and its head last matched the source at this time; `None` if it never has.
     Relay(Option<Time>),
 }
 
-impl Currency {
+impl Freshness {
     fn age(self, now: Time) -> Option<u64> {
         match self {
             Self::Source => Some(0),
@@ -119,9 +119,9 @@
 
 impl Feed {
     /// Creates an empty feed at the default position.
-    pub fn new(settings: Settings, currency: Currency, now: Time) -> Self {
+    pub fn new(settings: Settings, freshness: Freshness, now: Time) -> Self {
         Self {
-            currency,
+            freshness,
             settings,
             head: Position::default(),
             resources: Resources::default(),
@@ -191,8 +191,8 @@
     }
 
     /// Sets how recently the head was known to be the source's position.
-    pub fn set_currency(&mut self, currency: Currency) {
-        self.currency = currency;
+    pub fn set_freshness(&mut self, freshness: Freshness) {
+        self.freshness = freshness;
     }
 
     /// Handles a request from a subscriber.
@@ -361,7 +361,7 @@
     fn next_publication(&mut self, now: Time, subscriber: Subscriber) -> Option<Publication> {
         let (head, keep_alive_ms, entries) =
             (self.head, self.settings.keep_alive_ms, self.settings.piece_entries);
-        let age_ms = self.currency.age(now);
+        let age_ms = self.freshness.age(now);
         let state = self.subscribers.get_mut(&subscriber)?;
         if now >= state.next_keep_alive {
             state.next_keep_alive = now + keep_alive_ms;
--- a/crates/configuration/src/relay.rs
+++ b/crates/configuration/src/relay.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use crate::feed::{Currency, Feed, Settings, Subscriber};
+use crate::feed::{Feed, Freshness, Settings, Subscriber};
 use crate::follower::{Event, Follower};
 use crate::message::{Publication, Request, Summary};
 use crate::resource::Scope;
@@ -27,7 +27,7 @@
     pub fn new(name: &str, settings: Settings, publishers: usize, seed: u64, now: Time) -> Self {
         Self {
             follower: Follower::new(name, Scope::All, publishers, seed, now),
-            feed: Feed::new(settings, Currency::Relay(None), now),
+            feed: Feed::new(settings, Freshness::Relay(None), now),
             next_report: now + REPORT_INTERVAL_MS,
             requests: VecDeque::new(),
         }
@@ -84,7 +84,7 @@
             Some(Event::Snapshot(at, resources)) => self.feed.replace(at, resources),
             None => {}
         }
-        self.feed.set_currency(Currency::Relay(self.follower.current_at()));
+        self.feed.set_freshness(Freshness::Relay(self.follower.current_at()));
         self.requests.extend(self.follower.tick(now));
     }
 
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::change::{Change, Operation};
-use crate::feed::{Currency, Feed, Settings, Subscriber};
+use crate::feed::{Feed, Freshness, Settings, Subscriber};
 use crate::message::{Publication, Request, Summary};
 use crate::resources::{InvalidChange, Resources};
 use crate::version::{Digest, Position, Version};
@@ -62,7 +62,7 @@
             operations.iter().for_each(|operation| drop(checked.apply(operation)));
         }
         let version = Version { epoch, number: 0 };
-        let mut feed = Feed::new(settings, Currency::Source, now);
+        let mut feed = Feed::new(settings, Freshness::Source, now);
         feed.replace(Position { version, digest: Self::first_digest(version, &checked) }, checked);
         Ok(Self { feed })
     }
--- a/crates/configuration/tests/following.rs
+++ b/crates/configuration/tests/following.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use glenwood_configuration::feed::{Currency, Feed, Settings, MAX_CREDIT};
+use glenwood_configuration::feed::{Feed, Freshness, Settings, MAX_CREDIT};
 use glenwood_configuration::resource::{Service, Tenant};
 use glenwood_configuration::resources::Resources;
 use glenwood_configuration::*;
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_slow_subscriber_does_not_delay_the_others() {
-    let mut feed = Feed::new(settings(), Currency::Source, 0);
+    let mut feed = Feed::new(settings(), Freshness::Source, 0);
     feed.replace(
         Position { version: Version { epoch: 1, number: 0 }, digest: Digest::default() },
         Resources::default(),
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -142,7 +142,7 @@
             tokio::select! {
                 () = sleep_until(due.into()) => {}
                 () = self.changed.notified() => {}
-                Some((origin, publication)) = incoming.recv() => self.receive_upstream(watch_id, origin, publication),
+                Some((origin, event)) = incoming.recv() => self.receive_upstream(watch_id, origin, event),
             }
         }
     }
@@ -157,12 +157,12 @@
 
     /// Handles a message from the followed publisher, or the end of the watch (`None`). Anything from an
     /// earlier watch than the current one is ignored.
-    fn receive_upstream(&self, watch_id: u64, origin: u64, publication: Option<Publication>) {
+    fn receive_upstream(&self, watch_id: u64, origin: u64, event: Option<Publication>) {
         if origin != watch_id {
             return;
         }
         let now = self.now();
-        match publication {
+        match event {
             Some(publication) => self.role.borrow_mut().receive_publication(now, publication),
             None => self.role.borrow_mut().disconnected(now),
         }
