--- a/crates/configuration/src/resource.rs
+++ b/crates/configuration/src/resource.rs
@@ -150,7 +150,7 @@
         }
         let distinct: BTreeSet<&String> = self.services().iter().collect();
         if distinct.len() < self.services().len() {
-            return Err("services: a service is listed twice".to_string());
+            return Err("services: one stands twice".to_string());
         }
         match self {
             Self::Service(_) => Ok(()),
--- a/crates/configuration/src/resources.rs
+++ b/crates/configuration/src/resources.rs
@@ -35,11 +35,11 @@
                 write!(f, "1 to {MAX_OPERATIONS} operations expected, not {count}")
             }
             Self::DuplicateKey(key) => {
-                write!(f, "{}: has more than one operation in this change", label(key))
+                write!(f, "{}: stands there twice", label(key))
             }
             Self::InvalidValue(key, reason) => write!(f, "{}: {reason}", label(key)),
             Self::WrongOwner(key, owner) => write!(f, "{}: belongs to {owner}", label(key)),
-            Self::NotFound(key) => write!(f, "{}: does not exist", label(key)),
+            Self::NotFound(key) => write!(f, "{}: there is none", label(key)),
             Self::UnknownService(key, service) => write!(f, "{}: there is no service {service}", label(key)),
             Self::ServiceInUse(key, count) => {
                 write!(f, "{}: still named by {count} resources", label(key))
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -25,11 +25,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid(invalid) => invalid.fmt(f),
-            Self::Stale(head) => write!(f, "made for another version; the current version is {head}"),
+            Self::Stale(head) => write!(f, "the version is {head} by now"),
             Self::SubscribersAhead(version) => write!(
                 f,
-                "subscribers have version {version}, which this source does not have: it has an older log; \
-                 begin a new epoch if the source's configuration is to be used"
+                "subscribers have version {version}, which this source does not: it came back with an older log; \
+                 begin a new epoch if what it has is to count"
             ),
         }
     }
--- a/crates/publisher/src/role.rs
+++ b/crates/publisher/src/role.rs
@@ -145,7 +145,7 @@
     pub fn push(&mut self, operations: Vec<Operation>, on: Option<Version>) -> Result<Position, String> {
         match self {
             Self::Source(source) => source.push(operations, on).map_err(|e| e.to_string()),
-            Self::Relay(..) => Err("this publisher is a relay: changes are pushed to the source".to_string()),
+            Self::Relay(..) => Err("this is a relay: changes are pushed to the source".to_string()),
         }
     }
 
@@ -156,9 +156,7 @@
     pub fn begin_epoch(&mut self) -> Result<Position, String> {
         match self {
             Self::Source(source) => Ok(source.begin_epoch()),
-            Self::Relay(..) => {
-                Err("this publisher is a relay: a new epoch is begun at the source".to_string())
-            }
+            Self::Relay(..) => Err("this is a relay: epochs begin at the source".to_string()),
         }
     }
 }
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -247,7 +247,7 @@
             (Method::POST, REPORT) => self.report(&name, &body),
             (Method::POST, PUSH) => self.push(&body),
             (Method::POST, EPOCH) => self.run_action(|role| role.begin_epoch()),
-            _ => answer(StatusCode::NOT_FOUND, "no such method and path"),
+            _ => answer(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
@@ -285,7 +285,7 @@
     /// Handles a subscriber's report about the nodes behind it.
     fn report(&self, name: &str, body: &[u8]) -> Response<Body> {
         let Ok(summary) = serde_json::from_slice(body) else {
-            return answer(StatusCode::BAD_REQUEST, "the body is not a valid summary");
+            return answer(StatusCode::BAD_REQUEST, "a summary expected");
         };
         let subscriber = self.watchers.borrow().get(name).map(|watcher| watcher.subscriber);
         match subscriber {
@@ -293,7 +293,7 @@
                 self.role.borrow_mut().receive(self.now(), subscriber, Request::Report(summary));
                 answer(StatusCode::OK, "")
             }
-            None => answer(StatusCode::NOT_FOUND, "no watch is open under this subscriber name"),
+            None => answer(StatusCode::NOT_FOUND, "nobody watches under that name"),
         }
     }
 
@@ -301,12 +301,7 @@
     fn watch(self: Rc<Self>, name: String, body: &[u8]) -> Response<Body> {
         let subscribe = match serde_json::from_slice(body) {
             Ok(subscribe @ Request::Subscribe { .. }) if !name.is_empty() => subscribe,
-            Ok(_) => {
-                return answer(
-                    StatusCode::BAD_REQUEST,
-                    "expected a subscribe request and a subscriber name in the header",
-                )
-            }
+            Ok(_) => return answer(StatusCode::BAD_REQUEST, "a subscription with a name expected"),
             Err(error) => return answer(StatusCode::BAD_REQUEST, error.to_string()),
         };
         let subscriber = self.last_subscriber.get() + 1;
