--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -10,7 +10,9 @@
 
 use crate::keeper::{all_pieces_mask, piece_count, Reply, Request, LIVENESS_MS, MAX_BLOB_BYTES, PIECE_BYTES};
 use crate::proposer::{Proposer, RegisterOp, Step};
-use crate::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict, Work};
+use crate::register::{
+    Answer, Blob, Effect, Incarnation, IntendedAttempt, NodeId, Verdict, Work, WorkDescription,
+};
 use crate::roster::Rosters;
 
 /// Upper limit of the exponential backoff between resends, as a multiple of the initial interval.
@@ -94,7 +96,7 @@
         /// The work.
         ticket: Ticket,
         /// Attempts that earlier holders intended to send, each with its age in milliseconds.
-        earlier: Vec<(Sent, u64)>,
+        earlier: Vec<(IntendedAttempt, u64)>,
         /// Another node held the work before or released it.
         adopted: bool,
     },
@@ -103,9 +105,9 @@
         /// The work.
         ticket: Ticket,
         /// Attempts that earlier holders intended to send, each with its age in milliseconds.
-        earlier: Vec<(Sent, u64)>,
+        earlier: Vec<(IntendedAttempt, u64)>,
         /// The fixed properties of the work.
-        about: About,
+        about: WorkDescription,
         /// The request as it was stored at the keepers.
         body: Bytes,
         /// Time left until the client's deadline.
@@ -209,7 +211,7 @@
 /// Manages every work that this node is involved in.
 pub struct Coordinator {
     settings: Settings,
-    local: Life,
+    local: Incarnation,
     rosters: Rosters,
     random: fastrand::Rng,
     entries: BTreeMap<Ticket, Entry>,
@@ -217,7 +219,7 @@
     last_ticket: u64,
     /// The latest known incarnation of each node and whether it is alive.
     incarnations: BTreeMap<NodeId, (u64, bool)>,
-    last_seen: BTreeMap<Life, u64>,
+    last_seen: BTreeMap<Incarnation, u64>,
     timers: BTreeSet<(u64, Ticket)>,
     scheduled: BTreeMap<Ticket, u64>,
     next_announcement: u64,
@@ -233,7 +235,7 @@
 
 impl Coordinator {
     /// Creates a coordinator for this incarnation of the node.
-    pub fn new(settings: Settings, local: Life, rosters: Rosters, seed: u64, now: u64) -> Self {
+    pub fn new(settings: Settings, local: Incarnation, rosters: Rosters, seed: u64, now: u64) -> Self {
         Self {
             settings,
             local,
@@ -276,14 +278,14 @@
     }
 
     /// The last known holder of the work.
-    pub fn holder(&self, ticket: Ticket) -> Option<Life> {
+    pub fn holder(&self, ticket: Ticket) -> Option<Incarnation> {
         self.entries.get(&ticket).and_then(|entry| entry.proposer.holder())
     }
 
     // ---- Membership ----
 
     /// Records from membership the current incarnation of a node and whether it is alive.
-    pub fn life(&mut self, life: Life, alive: bool) {
+    pub fn life(&mut self, life: Incarnation, alive: bool) {
         let recorded = self.incarnations.get(&life.node).copied();
         // A late report that an older incarnation was lost says nothing about the current one.
         if alive || recorded.is_none_or(|(other, was_alive)| other == life.life || !was_alive) {
@@ -292,7 +294,7 @@
     }
 
     /// Whether this incarnation is considered lost.
-    pub fn is_lost(&self, now: u64, life: Life) -> bool {
+    pub fn is_lost(&self, now: u64, life: Incarnation) -> bool {
         let considered_dead = match self.incarnations.get(&life.node) {
             Some((other, alive)) => !(*alive && *other == life.life),
             None => false,
@@ -345,7 +347,7 @@
     fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, ask: Ask) {
         let effect = if ask.kind == Kind::Keyed { Effect::Keyed } else { Effect::Unsafe };
         let body = ask.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
-        let about = About {
+        let about = WorkDescription {
             effect,
             class: ask.class.clone(),
             remaining_ms: ask.remaining_ms,
@@ -412,7 +414,9 @@
         // By then the register may have expired at some keepers.
         let too_late = now + ttl / 2 > entry.expires;
         let is_full = number >= crate::wire::MAX_ATTEMPTS;
-        if too_late || is_full || !entry.proposer.write_intent(Sent { server, zone, cell, at, never: false })
+        if too_late
+            || is_full
+            || !entry.proposer.write_intent(IntendedAttempt { server, zone, cell, at, never: false })
         {
             self.figures.denied += 1;
             self.events.push_back(Event::Denied(ticket));
@@ -599,7 +603,7 @@
             match step {
                 Step::Acquired { earlier, adopted } => {
                     let began = entry.began;
-                    let earlier: Vec<(Sent, u64)> = earlier
+                    let earlier: Vec<(IntendedAttempt, u64)> = earlier
                         .into_iter()
                         .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at))))
                         .collect();
@@ -693,7 +697,7 @@
                     None => {
                         let Some(record) = entry.proposer.record() else { return };
                         let (about, began) = (record.about.clone(), entry.began);
-                        let ago = |sent: &Sent| (now - began).saturating_sub(u64::from(sent.at));
+                        let ago = |sent: &IntendedAttempt| (now - began).saturating_sub(u64::from(sent.at));
                         let earlier = record.sent.iter().map(|sent| (*sent, ago(sent))).collect();
                         let remaining_ms = u64::from(about.remaining_ms).saturating_sub(now - began);
                         let event = Event::Adopt { ticket, earlier, about, body: bytes, remaining_ms };
--- a/crates/custody/src/keeper.rs
+++ b/crates/custody/src/keeper.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::proposer::RegisterOp;
-use crate::register::{Acceptor, Answer, Blob, Life, Record, Verdict, Work};
+use crate::register::{Acceptor, Answer, Blob, Incarnation, Record, Verdict, Work};
 
 /// How long an incarnation counts as alive after its last message, even if membership reports it as lost.
 /// This lets a process that handed its address over to a successor finish its works.
@@ -124,7 +124,7 @@
     /// When each entry may have expired, in order of time.
     expiries: VecDeque<(u64, Work)>,
     /// When the last message of each incarnation was received.
-    last_seen: BTreeMap<Life, u64>,
+    last_seen: BTreeMap<Incarnation, u64>,
     figures: Figures,
 }
 
@@ -188,13 +188,13 @@
     }
 
     /// Records that a message of this incarnation was received.
-    pub fn heard_of(&mut self, now: u64, life: Life) {
+    pub fn heard_of(&mut self, now: u64, life: Incarnation) {
         if self.last_seen.insert(life, now).is_none() {
             self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
     }
 
-    fn is_alive(&self, now: u64, life: Life) -> bool {
+    fn is_alive(&self, now: u64, life: Incarnation) -> bool {
         self.last_seen.get(&life).is_some_and(|at| now - *at <= LIVENESS_MS)
     }
 
@@ -319,8 +319,8 @@
     /// Works without a verdict whose holder is lost and was not heard from recently. Only works younger
     /// than half the lifetime of an entry, the longest a client may wait, are included, since each
     /// takeover extends the entry and a work could otherwise be taken over forever.
-    pub fn orphans(&self, now: u64, lost: impl Fn(Life) -> bool) -> Vec<Work> {
-        let has_lost_holder = |holder: Life| lost(holder) && !self.is_alive(now, holder);
+    pub fn orphans(&self, now: u64, lost: impl Fn(Incarnation) -> bool) -> Vec<Work> {
+        let has_lost_holder = |holder: Incarnation| lost(holder) && !self.is_alive(now, holder);
         let is_orphan = |entry: &Entry| {
             let is_recent = now - entry.created < self.settings.life_ms / 2;
             is_recent
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -30,5 +30,7 @@
 pub use coordinator::{Ask, Conclusion, Coordinator, Event, Kind, Ticket};
 pub use keeper::Keeper;
 pub use proposer::Step;
-pub use register::{About, Ballot, Blob, Effect, Life, NodeId, Record, Sent, Stamp, Verdict, Work};
+pub use register::{
+    Ballot, Blob, Effect, Incarnation, IntendedAttempt, NodeId, Record, Stamp, Verdict, Work, WorkDescription,
+};
 pub use roster::{Keepers, Roster, Rosters};
--- a/crates/custody/src/proposer.rs
+++ b/crates/custody/src/proposer.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::register::{About, Answer, Ballot, Effect, Life, NodeId, Record, Sent, Stamp, Verdict};
+use crate::register::{
+    Answer, Ballot, Effect, Incarnation, IntendedAttempt, NodeId, Record, Stamp, Verdict, WorkDescription,
+};
 use crate::roster::Keepers;
 
 /// An operation that a proposer requests from a keeper's register.
@@ -26,7 +28,7 @@
     /// This node holds the work and may decide on attempts.
     Acquired {
         /// Attempts that were intended before.
-        earlier: Vec<Sent>,
+        earlier: Vec<IntendedAttempt>,
         /// Another incarnation held the work before.
         adopted: bool,
     },
@@ -84,10 +86,10 @@
 /// The protocol state of one work at one node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
-    local: Life,
+    local: Incarnation,
     keepers: Keepers,
     /// The fixed properties of the work, if it was submitted at this node.
-    about: Option<About>,
+    about: Option<WorkDescription>,
     /// The highest round seen.
     round: u64,
     state: State,
@@ -104,7 +106,7 @@
 
 impl Proposer {
     /// Creates a proposer for a request that was submitted at this node, and starts the first round.
-    pub fn for_request(local: Life, keepers: Keepers, about: About) -> Self {
+    pub fn for_request(local: Incarnation, keepers: Keepers, about: WorkDescription) -> Self {
         let mut proposer = Self::new(local, keepers);
         proposer.about = Some(about);
         proposer.prepare(false);
@@ -112,13 +114,13 @@
     }
 
     /// Creates a proposer for a work known only to have lost its holder, and starts a takeover.
-    pub fn for_orphan(local: Life, keepers: Keepers) -> Self {
+    pub fn for_orphan(local: Incarnation, keepers: Keepers) -> Self {
         let mut proposer = Self::new(local, keepers);
         proposer.prepare(true);
         proposer
     }
 
-    fn new(local: Life, keepers: Keepers) -> Self {
+    fn new(local: Incarnation, keepers: Keepers) -> Self {
         Self {
             local,
             keepers,
@@ -160,7 +162,7 @@
     }
 
     /// The last known holder of the work.
-    pub fn holder(&self) -> Option<Life> {
+    pub fn holder(&self) -> Option<Incarnation> {
         match &self.state {
             State::Watching { replies, .. } => latest_record(replies)?.1.holder,
             State::Holding { .. } => Some(self.local),
@@ -392,7 +394,7 @@
 
     /// Records the intent to send an attempt. [`Step::SendAllowed`] follows once it may be sent. Returns
     /// `false` if it may never be sent.
-    pub fn write_intent(&mut self, sent: Sent) -> bool {
+    pub fn write_intent(&mut self, sent: IntendedAttempt) -> bool {
         let must_not_send =
             self.record().is_none_or(|record| self.is_unsafe_to_resend(record) || record.verdict.is_some());
         !must_not_send && self.write_record(Purpose::Intent, |record| record.sent.push(sent))
@@ -401,7 +403,8 @@
     /// Whether the work is unsafe and may have run, taking into account what is proven but not written
     /// yet.
     fn is_unsafe_to_resend(&self, record: &Record) -> bool {
-        let may_have_run = |(n, sent): (usize, &Sent)| !sent.never && !self.proven_never_run.contains(&n);
+        let may_have_run =
+            |(n, sent): (usize, &IntendedAttempt)| !sent.never && !self.proven_never_run.contains(&n);
         record.about.effect == Effect::Unsafe && record.sent.iter().enumerate().any(may_have_run)
     }
 
--- a/crates/custody/src/register.rs
+++ b/crates/custody/src/register.rs
@@ -8,7 +8,7 @@
 
 /// One incarnation of a node, from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Life {
+pub struct Incarnation {
     /// The node.
     pub node: NodeId,
     /// Distinguishes this start from all other starts of any node.
@@ -71,7 +71,7 @@
 
 /// An attempt that a holder intended to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Sent {
+pub struct IntendedAttempt {
     /// Number of the target server, the same on all nodes.
     pub server: u64,
     /// The server's zone.
@@ -100,7 +100,7 @@
 
 /// The fixed properties of a work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct About {
+pub struct WorkDescription {
     /// The effect of its class.
     pub effect: Effect,
     /// Name of its class.
@@ -116,13 +116,13 @@
 pub struct Record {
     /// The incarnation that may start attempts, or `None` if the work was released to the next node that
     /// asks.
-    pub holder: Option<Life>,
+    pub holder: Option<Incarnation>,
     /// Attempts that any holder intended to send.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<IntendedAttempt>,
     /// The final verdict, if there is one.
     pub verdict: Option<Verdict>,
     /// The fixed properties.
-    pub about: About,
+    pub about: WorkDescription,
 }
 
 impl Record {
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -11,7 +11,8 @@
 use crate::keeper::{Reply, Request};
 use crate::proposer::RegisterOp;
 use crate::register::{
-    About, Answer, Ballot, Blob, Effect, Life, NodeId, Record, Sent, Stamp, Verdict, Work,
+    Answer, Ballot, Blob, Effect, Incarnation, IntendedAttempt, NodeId, Record, Stamp, Verdict, Work,
+    WorkDescription,
 };
 
 /// Marks a custody datagram ("GLC1" in ASCII).
@@ -39,7 +40,7 @@
     /// Number of the sender's cluster (see [`cluster_number`]).
     pub cluster: u32,
     /// The sender's incarnation.
-    pub life: Life,
+    pub life: Incarnation,
     /// The sender's roster epoch, and whether it also uses the previous roster.
     pub epoch: (u32, bool),
     /// The sender's clock, Unix time in milliseconds.
@@ -128,7 +129,7 @@
 fn read_record(r: &mut Reader) -> Option<Record> {
     let holder = match r.u8()? {
         0 => None,
-        _ => Some(Life { node: NodeId(r.u64()?), life: r.u64()? }),
+        _ => Some(Incarnation { node: NodeId(r.u64()?), life: r.u64()? }),
     };
     let count = usize::from(r.u8()?);
     if count > MAX_ATTEMPTS {
@@ -137,7 +138,7 @@
     let mut sent = Vec::with_capacity(count);
     for _ in 0..count {
         let (server, zone, cell) = (r.u64()?, r.u64()?, r.u64()?);
-        sent.push(Sent { server, zone, cell, at: r.u32()?, never: r.u8()? == 1 });
+        sent.push(IntendedAttempt { server, zone, cell, at: r.u32()?, never: r.u8()? == 1 });
     }
     let verdict = match r.u8()? {
         0 => None,
@@ -151,7 +152,7 @@
     let class = r.text()?.to_string();
     let remaining_ms = r.u32()?;
     let request = if r.u8()? == 1 { Some(read_blob(r)?) } else { None };
-    Some(Record { holder, sent, verdict, about: About { effect, class, remaining_ms, request } })
+    Some(Record { holder, sent, verdict, about: WorkDescription { effect, class, remaining_ms, request } })
 }
 
 fn write_prefixed(out: &mut Vec<u8>, bytes: &[u8]) {
@@ -345,7 +346,7 @@
         return Err(DecodeError::OtherCluster);
     }
     let mut parse = || {
-        let life = Life { node: NodeId(r.u64()?), life: r.u64()? };
+        let life = Incarnation { node: NodeId(r.u64()?), life: r.u64()? };
         let from = From { cluster, life, time: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
         let mut messages = Vec::new();
         while !r.is_empty() {
@@ -366,9 +367,10 @@
     }
 
     fn record() -> impl Strategy<Value = Record> {
-        let life = (any::<u64>(), any::<u64>()).prop_map(|(node, life)| Life { node: NodeId(node), life });
+        let life =
+            (any::<u64>(), any::<u64>()).prop_map(|(node, life)| Incarnation { node: NodeId(node), life });
         let sent = (any::<(u64, u64, u64)>(), any::<u32>(), any::<bool>())
-            .prop_map(|((server, zone, cell), at, never)| Sent { server, zone, cell, at, never });
+            .prop_map(|((server, zone, cell), at, never)| IntendedAttempt { server, zone, cell, at, never });
         let verdict = prop_oneof![
             blob().prop_map(Verdict::Served),
             Just(Verdict::ServedLong),
@@ -377,7 +379,7 @@
         ];
         let effect = prop_oneof![Just(Effect::Keyed), Just(Effect::Unsafe)];
         let about = (effect, "[a-z]{0,64}", any::<u32>(), proptest::option::of(blob())).prop_map(
-            |(effect, class, remaining_ms, request)| About { effect, class, remaining_ms, request },
+            |(effect, class, remaining_ms, request)| WorkDescription { effect, class, remaining_ms, request },
         );
         let attempts = proptest::collection::vec(sent, 0..=MAX_ATTEMPTS);
         (proptest::option::of(life), attempts, proptest::option::of(verdict), about)
@@ -441,7 +443,7 @@
             epoch in any::<(u32, bool)>(),
         ) {
             let secret = Secret::new(b"ours");
-            let from = From { cluster: 7, life: Life { node: NodeId(1), life: 2 }, epoch, time };
+            let from = From { cluster: 7, life: Incarnation { node: NodeId(1), life: 2 }, epoch, time };
             let datagrams = write(&from, &messages, &secret);
             let mut decoded = Vec::new();
             for bytes in &datagrams {
--- a/crates/custody/tests/explored.rs
+++ b/crates/custody/tests/explored.rs
@@ -10,7 +10,9 @@
 
 use glenwood_custody::proposer::{Proposer, RegisterOp};
 use glenwood_custody::register::Acceptor;
-use glenwood_custody::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict};
+use glenwood_custody::register::{
+    Answer, Blob, Effect, Incarnation, IntendedAttempt, NodeId, Verdict, WorkDescription,
+};
 use glenwood_custody::{Keepers, Step};
 use stateright::{Checker, Model, Property};
 
@@ -29,7 +31,7 @@
     /// Its intent is being written.
     WritingIntent,
     /// Its attempt has been sent.
-    Sent,
+    IntendedAttempt,
     /// It has finished.
     Done,
 }
@@ -101,8 +103,8 @@
     disabled: Disabled,
 }
 
-fn life(node: usize) -> Life {
-    Life { node: NodeId(100 + node as u64), life: node as u64 + 1 }
+fn life(node: usize) -> Incarnation {
+    Incarnation { node: NodeId(100 + node as u64), life: node as u64 + 1 }
 }
 
 impl Case {
@@ -119,11 +121,11 @@
             match step {
                 Step::Acquired { earlier, .. } => {
                     let at_limit = earlier.len() >= self.max_attempts;
-                    let sent = Sent { server: n as u64, zone: 0, cell: 0, at: 0, never: false };
+                    let sent = IntendedAttempt { server: n as u64, zone: 0, cell: 0, at: 0, never: false };
                     if !at_limit && proposer.write_intent(sent) {
                         *phase = Phase::WritingIntent;
                         if self.disabled == Disabled::IntentStorage {
-                            (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::Sent);
+                            (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::IntendedAttempt);
                         }
                     } else {
                         proposer.release();
@@ -131,7 +133,7 @@
                     }
                 }
                 Step::SendAllowed if *phase == Phase::WritingIntent => {
-                    (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::Sent)
+                    (sent_attempts[n], *phase) = (sent_attempts[n] + 1, Phase::IntendedAttempt)
                 }
                 Step::SendAllowed => {}
                 Step::Superseded if *phase != Phase::Done => *phase = Phase::Preparing,
@@ -239,7 +241,7 @@
                 Some(proposer) if proposer.is_preempted() => actions.push(Action::Retry(n)),
                 Some(_) => {}
             }
-            if node.phase == Phase::Sent {
+            if node.phase == Phase::IntendedAttempt {
                 actions.push(Action::Answered(n));
                 actions.push(Action::NeverRan(n));
             }
@@ -256,8 +258,12 @@
         }
         match action {
             Action::Begin(n) => {
-                let about =
-                    About { effect: self.effect, class: String::new(), remaining_ms: 1000, request: None };
+                let about = WorkDescription {
+                    effect: self.effect,
+                    class: String::new(),
+                    remaining_ms: 1000,
+                    request: None,
+                };
                 state.nodes[n].proposer = Some(Proposer::for_request(life(n), Self::keepers(), about));
                 state.nodes[n].phase = Phase::Preparing;
                 self.process_node(&mut state, n);
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -9,8 +9,8 @@
 use glenwood_custody::keeper::{self, Keeper, Request};
 use glenwood_custody::wire::{self, From, Say};
 use glenwood_custody::{
-    coordinator, Ask, Conclusion, Coordinator, Event, Kind, Life, NodeId, Roster, Rosters, Sent, Ticket,
-    Verdict,
+    coordinator, Ask, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, Kind, NodeId, Roster,
+    Rosters, Ticket, Verdict,
 };
 use glenwood_datagram::Secret;
 
@@ -28,8 +28,8 @@
     Deliver(usize, usize, Vec<u8>),
     /// A server has executed an attempt of this node's incarnation for this ticket.
     Served(usize, u64, Ticket, usize),
-    Lost(usize, Life),
-    Joined(usize, Life),
+    Lost(usize, Incarnation),
+    Joined(usize, Incarnation),
     Begin(usize),
     /// A client repeats its request at this node.
     Repeat(usize, usize),
@@ -63,7 +63,7 @@
 struct Node {
     coordinator: Coordinator,
     keeper: Keeper,
-    life: Life,
+    life: Incarnation,
     suspended: bool,
     queued: VecDeque<(usize, Vec<u8>)>,
     next_wake: u64,
@@ -128,7 +128,7 @@
 
     fn start(&mut self, n: usize) {
         self.last_incarnation += 1;
-        let life = Life { node: node_id(n), life: self.last_incarnation };
+        let life = Incarnation { node: node_id(n), life: self.last_incarnation };
         let settings = coordinator::Settings {
             patience_ms: MAJORITY_TIMEOUT_MS,
             resend_ms: 20,
@@ -161,7 +161,7 @@
         self.wake(n);
     }
 
-    fn report_loss(&mut self, life: Life) {
+    fn report_loss(&mut self, life: Incarnation) {
         for by in 0..self.nodes.len() {
             let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
             self.schedule(when, Action::Lost(by, life));
@@ -206,7 +206,7 @@
             }
             Fault::Partition(side) => {
                 // Each side of the partition considers the other lost.
-                let lives: Vec<(usize, Life)> = self
+                let lives: Vec<(usize, Incarnation)> = self
                     .nodes
                     .iter()
                     .enumerate()
@@ -224,7 +224,7 @@
             }
             Fault::Heal => {
                 self.partition = None;
-                let lives: Vec<Life> = self.nodes.iter().flatten().map(|node| node.life).collect();
+                let lives: Vec<Incarnation> = self.nodes.iter().flatten().map(|node| node.life).collect();
                 for by in 0..self.nodes.len() {
                     for life in &lives {
                         let when = self.now + MIN_LOSS_NOTICE_MS + 300 + self.random.u64(0..200);
@@ -287,7 +287,7 @@
 
     /// Decides as the policy module would: unsafe work that may have run fails, everything else is sent
     /// within its limit.
-    fn decide(&mut self, n: usize, ticket: Ticket, job: usize, earlier: &[(Sent, u64)]) {
+    fn decide(&mut self, n: usize, ticket: Ticket, job: usize, earlier: &[(IntendedAttempt, u64)]) {
         let now = self.now;
         let may_have_run = earlier.iter().any(|(sent, _)| !sent.never);
         let keyed = self.jobs[job].keyed;
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -20,7 +20,8 @@
 use glenwood_custody::keeper::{self, Keeper};
 use glenwood_custody::wire;
 use glenwood_custody::{
-    coordinator, Conclusion, Coordinator, Event, Kind, Life, NodeId, Sent, Ticket, Verdict, Work,
+    coordinator, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, Kind, NodeId, Ticket, Verdict,
+    Work,
 };
 use glenwood_datagram::Secret;
 use glenwood_members as members;
@@ -110,7 +111,7 @@
     table: Table,
     hub: Rc<Hub>,
     membership: Rc<Membership>,
-    me: Life,
+    me: Incarnation,
     cluster: u32,
     secret: Secret,
     coordinator: RefCell<Coordinator>,
@@ -161,7 +162,7 @@
             return Err(format!("custody: class {class:?} does not exist in the settings"));
         }
         let secret = identity::secret("members", &members_table.secret)?;
-        let me = Life { node: table::node_id(&config.name), life: membership.life() };
+        let me = Incarnation { node: table::node_id(&config.name), life: membership.life() };
         let now = hub.clock.now() as u64;
         let coordinator_settings = coordinator::Settings {
             patience_ms: table.patience_ms,
@@ -300,9 +301,9 @@
         }
     }
 
-    fn earlier_attempts(&self, earlier: &[(Sent, u64)]) -> Vec<Earlier> {
+    fn earlier_attempts(&self, earlier: &[(IntendedAttempt, u64)]) -> Vec<Earlier> {
         let now = self.hub.clock.now();
-        let to_earlier = |(sent, ago): &(Sent, u64)| Earlier {
+        let to_earlier = |(sent, ago): &(IntendedAttempt, u64)| Earlier {
             server: ServerId(sent.server),
             zone: sent.zone,
             cell: sent.cell,
@@ -315,7 +316,7 @@
     /// Decodes the request of a lost node; its deadline is what remains of its client's time.
     fn decode_request(
         &self,
-        about: &glenwood_custody::About,
+        about: &glenwood_custody::WorkDescription,
         body: &Bytes,
         remaining_ms: u64,
     ) -> Option<Incoming<Rc<Call>>> {
@@ -597,7 +598,8 @@
 
 impl MembershipObserver for Custody {
     fn on_member_event(&self, event: &members::Event) {
-        let incarnation = |member: &members::Member| Life { node: NodeId(member.id().0), life: member.life };
+        let incarnation =
+            |member: &members::Member| Incarnation { node: NodeId(member.id().0), life: member.life };
         match event {
             members::Event::Joined(member) => self.coordinator.borrow_mut().life(incarnation(member), true),
             members::Event::Lost(member) | members::Event::Left(member) => {
--- a/crates/scale/src/scenario/custody.rs
+++ b/crates/scale/src/scenario/custody.rs
@@ -6,7 +6,7 @@
 use glenwood_custody::keeper::{self, Keeper, Request};
 use glenwood_custody::wire::{self, From, Say};
 use glenwood_custody::{
-    coordinator, Ask, Conclusion, Coordinator, Event, Kind, Life, NodeId, Roster, Rosters, Ticket,
+    coordinator, Ask, Conclusion, Coordinator, Event, Incarnation, Kind, NodeId, Roster, Rosters, Ticket,
 };
 use glenwood_datagram::Secret;
 
@@ -41,7 +41,7 @@
 pub struct HollowCustody {
     coordinator: Coordinator,
     keeper: Keeper,
-    life: Life,
+    life: Incarnation,
     secret: Secret,
     random: fastrand::Rng,
     /// How far apart new works come, in milliseconds.
@@ -57,7 +57,7 @@
 
 impl HollowCustody {
     fn new(number: usize, rosters: Rosters, now: Time, every: Time) -> Self {
-        let life = Life { node: node_id(number), life: 1 };
+        let life = Incarnation { node: node_id(number), life: 1 };
         let settings = coordinator::Settings {
             patience_ms: 150,
             resend_ms: 20,
@@ -204,7 +204,8 @@
     let mut network = Network::new(nodes, 5);
     for number in 0..nodes {
         let mut node = HollowCustody::new(number, rosters.clone(), network.now, every);
-        (0..nodes).for_each(|other| node.coordinator.life(Life { node: node_id(other), life: 1 }, true));
+        (0..nodes)
+            .for_each(|other| node.coordinator.life(Incarnation { node: node_id(other), life: 1 }, true));
         network.start(number, node);
     }
     network
