--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -285,23 +285,23 @@
     // ---- Membership ----
 
     /// Records from membership the current incarnation of a node and whether it is alive.
-    pub fn life(&mut self, life: Incarnation, alive: bool) {
-        let recorded = self.incarnations.get(&life.node).copied();
+    pub fn life(&mut self, incarnation: Incarnation, alive: bool) {
+        let recorded = self.incarnations.get(&incarnation.node).copied();
         // A late report that an older incarnation was lost says nothing about the current one.
-        if alive || recorded.is_none_or(|(other, was_alive)| other == life.life || !was_alive) {
-            self.incarnations.insert(life.node, (life.life, alive));
+        if alive || recorded.is_none_or(|(other, was_alive)| other == incarnation.number || !was_alive) {
+            self.incarnations.insert(incarnation.node, (incarnation.number, alive));
         }
     }
 
     /// Whether this incarnation is considered lost.
-    pub fn is_lost(&self, now: u64, life: Incarnation) -> bool {
-        let considered_dead = match self.incarnations.get(&life.node) {
-            Some((other, alive)) => !(*alive && *other == life.life),
+    pub fn is_lost(&self, now: u64, incarnation: Incarnation) -> bool {
+        let considered_dead = match self.incarnations.get(&incarnation.node) {
+            Some((other, alive)) => !(*alive && *other == incarnation.number),
             None => false,
         };
         considered_dead
-            && life != self.local
-            && self.last_seen.get(&life).is_none_or(|at| now - at > LIVENESS_MS)
+            && incarnation != self.local
+            && self.last_seen.get(&incarnation).is_none_or(|at| now - at > LIVENESS_MS)
     }
 
     // ---- Caller interface ----
@@ -416,7 +416,13 @@
         let is_full = number >= crate::wire::MAX_ATTEMPTS;
         if too_late
             || is_full
-            || !entry.proposer.write_intent(IntendedAttempt { server, zone, cell, at, never: false })
+            || !entry.proposer.write_intent(IntendedAttempt {
+                server,
+                zone,
+                cell,
+                at_ms: at,
+                never_ran: false,
+            })
         {
             self.figures.denied += 1;
             self.events.push_back(Event::Denied(ticket));
@@ -605,7 +611,7 @@
                     let began = entry.began;
                     let earlier: Vec<(IntendedAttempt, u64)> = earlier
                         .into_iter()
-                        .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at))))
+                        .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at_ms))))
                         .collect();
                     entry.expires = now + settings.life_ms;
                     self.figures.adopted += u64::from(adopted);
@@ -697,7 +703,8 @@
                     None => {
                         let Some(record) = entry.proposer.record() else { return };
                         let (about, began) = (record.about.clone(), entry.began);
-                        let ago = |sent: &IntendedAttempt| (now - began).saturating_sub(u64::from(sent.at));
+                        let ago =
+                            |sent: &IntendedAttempt| (now - began).saturating_sub(u64::from(sent.at_ms));
                         let earlier = record.sent.iter().map(|sent| (*sent, ago(sent))).collect();
                         let remaining_ms = u64::from(about.remaining_ms).saturating_sub(now - began);
                         let event = Event::Adopt { ticket, earlier, about, body: bytes, remaining_ms };
@@ -750,7 +757,7 @@
         let (settings, jitter) = (self.settings, self.random.u64(0..=self.settings.poll_ms));
         let Some(entry) = self.entries.get(&ticket) else { return };
         let lost = entry.proposer.is_watching()
-            && entry.proposer.holder().is_some_and(|life| self.is_lost(now, life));
+            && entry.proposer.holder().is_some_and(|incarnation| self.is_lost(now, incarnation));
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         if entry.proposer.is_watching() {
             if entry.next_poll == u64::MAX {
--- a/crates/custody/src/keeper.rs
+++ b/crates/custody/src/keeper.rs
@@ -188,14 +188,14 @@
     }
 
     /// Records that a message of this incarnation was received.
-    pub fn heard_of(&mut self, now: u64, life: Incarnation) {
-        if self.last_seen.insert(life, now).is_none() {
+    pub fn heard_of(&mut self, now: u64, incarnation: Incarnation) {
+        if self.last_seen.insert(incarnation, now).is_none() {
             self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
     }
 
-    fn is_alive(&self, now: u64, life: Incarnation) -> bool {
-        self.last_seen.get(&life).is_some_and(|at| now - *at <= LIVENESS_MS)
+    fn is_alive(&self, now: u64, incarnation: Incarnation) -> bool {
+        self.last_seen.get(&incarnation).is_some_and(|at| now - *at <= LIVENESS_MS)
     }
 
     /// Handles a request about a work.
--- a/crates/custody/src/proposer.rs
+++ b/crates/custody/src/proposer.rs
@@ -208,7 +208,7 @@
 
     fn prepare(&mut self, takeover: bool) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, life: self.local.life };
+        let ballot = Ballot { round: self.round, incarnation: self.local.number };
         self.state =
             State::Preparing { ballot, takeover, promised: BTreeMap::new(), preempted: BTreeSet::new() };
     }
@@ -383,7 +383,7 @@
     fn write_record(&mut self, new_purpose: Purpose, change: impl FnOnce(&mut Record)) -> bool {
         let State::Holding { stamp, record, purpose, accepted, .. } = &mut self.state else { return false };
         for number in std::mem::take(&mut self.proven_never_run) {
-            record.sent.get_mut(number).into_iter().for_each(|sent| sent.never = true);
+            record.sent.get_mut(number).into_iter().for_each(|sent| sent.never_ran = true);
         }
         change(record);
         stamp.version += 1;
@@ -404,7 +404,7 @@
     /// yet.
     fn is_unsafe_to_resend(&self, record: &Record) -> bool {
         let may_have_run =
-            |(n, sent): (usize, &IntendedAttempt)| !sent.never && !self.proven_never_run.contains(&n);
+            |(n, sent): (usize, &IntendedAttempt)| !sent.never_ran && !self.proven_never_run.contains(&n);
         record.about.effect == Effect::Unsafe && record.sent.iter().enumerate().any(may_have_run)
     }
 
--- a/crates/custody/src/register.rs
+++ b/crates/custody/src/register.rs
@@ -12,7 +12,8 @@
     /// The node.
     pub node: NodeId,
     /// Distinguishes this start from all other starts of any node.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub number: u64,
 }
 
 /// Identity of a work: the operation and its caller and, if the request has no key, the first request for
@@ -38,7 +39,8 @@
     /// The round.
     pub round: u64,
     /// The incarnation that uses the ballot.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// A ballot and the version of the record written under it.
@@ -79,9 +81,11 @@
     /// The server's cell.
     pub cell: u64,
     /// Time of the intent in milliseconds since the work began.
-    pub at: u32,
+    #[serde(rename = "at")]
+    pub at_ms: u32,
     /// The attempt is proven never to have run.
-    pub never: bool,
+    #[serde(rename = "never")]
+    pub never_ran: bool,
 }
 
 /// The final outcome of a work.
@@ -128,7 +132,7 @@
 impl Record {
     /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
-        self.sent.iter().any(|sent| !sent.never)
+        self.sent.iter().any(|sent| !sent.never_ran)
     }
 
     /// Whether the work must not be sent again: it is unsafe and may have run.
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -40,11 +40,11 @@
     /// Number of the sender's cluster (see [`cluster_number`]).
     pub cluster: u32,
     /// The sender's incarnation.
-    pub life: Incarnation,
+    pub sender: Incarnation,
     /// The sender's roster epoch, and whether it also uses the previous roster.
     pub epoch: (u32, bool),
     /// The sender's clock, Unix time in milliseconds.
-    pub time: u64,
+    pub sent_at_ms: u64,
 }
 
 /// Why a datagram was rejected.
@@ -68,7 +68,7 @@
 }
 
 fn write_stamp(out: &mut Vec<u8>, stamp: Stamp) {
-    write_u64s(out, &[stamp.ballot.round, stamp.ballot.life]);
+    write_u64s(out, &[stamp.ballot.round, stamp.ballot.incarnation]);
     out.extend(stamp.version.to_be_bytes());
 }
 
@@ -81,7 +81,7 @@
     match record.holder {
         Some(holder) => {
             out.push(1);
-            write_u64s(out, &[holder.node.0, holder.life]);
+            write_u64s(out, &[holder.node.0, holder.number]);
         }
         None => out.push(0),
     }
@@ -89,8 +89,8 @@
     out.push(sent.len() as u8);
     for sent in sent {
         write_u64s(out, &[sent.server, sent.zone, sent.cell]);
-        out.extend(sent.at.to_be_bytes());
-        out.push(u8::from(sent.never));
+        out.extend(sent.at_ms.to_be_bytes());
+        out.push(u8::from(sent.never_ran));
     }
     match record.verdict {
         None => out.push(0),
@@ -119,7 +119,7 @@
 }
 
 fn read_ballot(r: &mut Reader) -> Option<Ballot> {
-    Some(Ballot { round: r.u64()?, life: r.u64()? })
+    Some(Ballot { round: r.u64()?, incarnation: r.u64()? })
 }
 
 fn read_blob(r: &mut Reader) -> Option<Blob> {
@@ -129,7 +129,7 @@
 fn read_record(r: &mut Reader) -> Option<Record> {
     let holder = match r.u8()? {
         0 => None,
-        _ => Some(Incarnation { node: NodeId(r.u64()?), life: r.u64()? }),
+        _ => Some(Incarnation { node: NodeId(r.u64()?), number: r.u64()? }),
     };
     let count = usize::from(r.u8()?);
     if count > MAX_ATTEMPTS {
@@ -138,7 +138,7 @@
     let mut sent = Vec::with_capacity(count);
     for _ in 0..count {
         let (server, zone, cell) = (r.u64()?, r.u64()?, r.u64()?);
-        sent.push(IntendedAttempt { server, zone, cell, at: r.u32()?, never: r.u8()? == 1 });
+        sent.push(IntendedAttempt { server, zone, cell, at_ms: r.u32()?, never_ran: r.u8()? == 1 });
     }
     let verdict = match r.u8()? {
         0 => None,
@@ -184,7 +184,7 @@
                 write_work(out, kind, *work);
                 match op {
                     RegisterOp::PrepareNew(ballot) | RegisterOp::Prepare(ballot) => {
-                        write_u64s(out, &[ballot.round, ballot.life]);
+                        write_u64s(out, &[ballot.round, ballot.incarnation]);
                     }
                     RegisterOp::Accept(stamp, record) => {
                         write_stamp(out, *stamp);
@@ -217,7 +217,7 @@
                 out.push(u8::from(*holder_alive));
                 match answer {
                     Answer::Promised(ballot, accepted) => {
-                        write_u64s(out, &[ballot.round, ballot.life]);
+                        write_u64s(out, &[ballot.round, ballot.incarnation]);
                         out.push(u8::from(accepted.is_some()));
                         if let Some((stamp, record)) = accepted {
                             write_stamp(out, *stamp);
@@ -230,7 +230,7 @@
                     }
                     Answer::Empty => {}
                     Answer::Accepted(stamp) => write_stamp(out, *stamp),
-                    Answer::Preempted(ballot) => write_u64s(out, &[ballot.round, ballot.life]),
+                    Answer::Preempted(ballot) => write_u64s(out, &[ballot.round, ballot.incarnation]),
                 }
             }
             Self::Reply(work, Reply::OtherWorks(nonces)) => {
@@ -312,7 +312,7 @@
         let mut out = Vec::with_capacity(LONGEST);
         out.extend(MAGIC.to_be_bytes());
         out.extend(from.cluster.to_be_bytes());
-        write_u64s(&mut out, &[from.life.node.0, from.life.life, from.time]);
+        write_u64s(&mut out, &[from.sender.node.0, from.sender.number, from.sent_at_ms]);
         out.extend(from.epoch.0.to_be_bytes());
         out.push(u8::from(from.epoch.1));
         out
@@ -346,8 +346,8 @@
         return Err(DecodeError::OtherCluster);
     }
     let mut parse = || {
-        let life = Incarnation { node: NodeId(r.u64()?), life: r.u64()? };
-        let from = From { cluster, life, time: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
+        let sender = Incarnation { node: NodeId(r.u64()?), number: r.u64()? };
+        let from = From { cluster, sender, sent_at_ms: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
         let mut messages = Vec::new();
         while !r.is_empty() {
             messages.push(Say::read(&mut r)?);
@@ -367,10 +367,17 @@
     }
 
     fn record() -> impl Strategy<Value = Record> {
-        let life =
-            (any::<u64>(), any::<u64>()).prop_map(|(node, life)| Incarnation { node: NodeId(node), life });
-        let sent = (any::<(u64, u64, u64)>(), any::<u32>(), any::<bool>())
-            .prop_map(|((server, zone, cell), at, never)| IntendedAttempt { server, zone, cell, at, never });
+        let incarnation = (any::<u64>(), any::<u64>())
+            .prop_map(|(node, incarnation)| Incarnation { node: NodeId(node), number: incarnation });
+        let sent = (any::<(u64, u64, u64)>(), any::<u32>(), any::<bool>()).prop_map(
+            |((server, zone, cell), at, never)| IntendedAttempt {
+                server,
+                zone,
+                cell,
+                at_ms: at,
+                never_ran: never,
+            },
+        );
         let verdict = prop_oneof![
             blob().prop_map(Verdict::Served),
             Just(Verdict::ServedLong),
@@ -382,12 +389,12 @@
             |(effect, class, remaining_ms, request)| WorkDescription { effect, class, remaining_ms, request },
         );
         let attempts = proptest::collection::vec(sent, 0..=MAX_ATTEMPTS);
-        (proptest::option::of(life), attempts, proptest::option::of(verdict), about)
+        (proptest::option::of(incarnation), attempts, proptest::option::of(verdict), about)
             .prop_map(|(holder, sent, verdict, about)| Record { holder, sent, verdict, about })
     }
 
     fn ballot() -> impl Strategy<Value = Ballot> {
-        any::<(u64, u64)>().prop_map(|(round, life)| Ballot { round, life })
+        any::<(u64, u64)>().prop_map(|(round, incarnation)| Ballot { round, incarnation })
     }
 
     fn stamp() -> impl Strategy<Value = Stamp> {
@@ -443,7 +450,7 @@
             epoch in any::<(u32, bool)>(),
         ) {
             let secret = Secret::new(b"ours");
-            let from = From { cluster: 7, life: Incarnation { node: NodeId(1), life: 2 }, epoch, time };
+            let from = From { cluster: 7, sender: Incarnation { node: NodeId(1), number: 2 }, epoch, sent_at_ms: time };
             let datagrams = write(&from, &messages, &secret);
             let mut decoded = Vec::new();
             for bytes in &datagrams {
--- a/crates/custody/tests/explored.rs
+++ b/crates/custody/tests/explored.rs
@@ -103,8 +103,8 @@
     disabled: Disabled,
 }
 
-fn life(node: usize) -> Incarnation {
-    Incarnation { node: NodeId(100 + node as u64), life: node as u64 + 1 }
+fn incarnation(node: usize) -> Incarnation {
+    Incarnation { node: NodeId(100 + node as u64), number: node as u64 + 1 }
 }
 
 impl Case {
@@ -121,7 +121,8 @@
             match step {
                 Step::Acquired { earlier, .. } => {
                     let at_limit = earlier.len() >= self.max_attempts;
-                    let sent = IntendedAttempt { server: n as u64, zone: 0, cell: 0, at: 0, never: false };
+                    let sent =
+                        IntendedAttempt { server: n as u64, zone: 0, cell: 0, at_ms: 0, never_ran: false };
                     if !at_limit && proposer.write_intent(sent) {
                         *phase = Phase::WritingIntent;
                         if self.disabled == Disabled::IntentStorage {
@@ -264,7 +265,7 @@
                     remaining_ms: 1000,
                     request: None,
                 };
-                state.nodes[n].proposer = Some(Proposer::for_request(life(n), Self::keepers(), about));
+                state.nodes[n].proposer = Some(Proposer::for_request(incarnation(n), Self::keepers(), about));
                 state.nodes[n].phase = Phase::Preparing;
                 self.process_node(&mut state, n);
             }
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -63,7 +63,7 @@
 struct Node {
     coordinator: Coordinator,
     keeper: Keeper,
-    life: Incarnation,
+    incarnation: Incarnation,
     suspended: bool,
     queued: VecDeque<(usize, Vec<u8>)>,
     next_wake: u64,
@@ -128,7 +128,7 @@
 
     fn start(&mut self, n: usize) {
         self.last_incarnation += 1;
-        let life = Incarnation { node: node_id(n), life: self.last_incarnation };
+        let incarnation = Incarnation { node: node_id(n), number: self.last_incarnation };
         let settings = coordinator::Settings {
             patience_ms: MAJORITY_TIMEOUT_MS,
             resend_ms: 20,
@@ -139,14 +139,14 @@
         let keeper_settings =
             keeper::Settings { life_ms: ENTRY_LIFETIME_MS, works_most: 10_000, bytes_most: 10_000_000 };
         let mut coordinator =
-            Coordinator::new(settings, life, self.rosters.clone(), self.random.u64(..), self.now);
+            Coordinator::new(settings, incarnation, self.rosters.clone(), self.random.u64(..), self.now);
         for node in self.nodes.iter().flatten() {
-            coordinator.life(node.life, true);
+            coordinator.life(node.incarnation, true);
         }
         let node = Node {
             coordinator,
             keeper: Keeper::new(keeper_settings, self.now),
-            life,
+            incarnation,
             suspended: false,
             queued: VecDeque::new(),
             next_wake: u64::MAX,
@@ -156,15 +156,15 @@
         self.nodes[n] = Some(node);
         for by in 0..self.nodes.len() {
             let when = self.now + self.random.u64(10..200);
-            self.schedule(when, Action::Joined(by, life));
+            self.schedule(when, Action::Joined(by, incarnation));
         }
         self.wake(n);
     }
 
-    fn report_loss(&mut self, life: Incarnation) {
+    fn report_loss(&mut self, incarnation: Incarnation) {
         for by in 0..self.nodes.len() {
             let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
-            self.schedule(when, Action::Lost(by, life));
+            self.schedule(when, Action::Lost(by, incarnation));
         }
     }
 
@@ -172,7 +172,7 @@
         match fault {
             Fault::Kill(n) => {
                 if let Some(node) = self.nodes[n].take() {
-                    self.report_loss(node.life);
+                    self.report_loss(node.incarnation);
                     // The connections of waiting clients break, and the clients repeat their requests at
                     // other nodes.
                     for (job, waiting_clients) in node.jobs.into_values() {
@@ -187,17 +187,17 @@
             Fault::Suspend(n) => {
                 let Some(node) = &mut self.nodes[n] else { return };
                 node.suspended = true;
-                let life = node.life;
+                let incarnation = node.incarnation;
                 // Membership reports a suspended node as lost if it stays suspended long enough.
-                self.report_loss(life);
+                self.report_loss(incarnation);
             }
             Fault::Resume(n) => {
                 let Some(node) = &mut self.nodes[n] else { return };
                 node.suspended = false;
-                let (life, queued) = (node.life, std::mem::take(&mut node.queued));
+                let (incarnation, queued) = (node.incarnation, std::mem::take(&mut node.queued));
                 for by in 0..self.nodes.len() {
                     let when = self.now + MIN_LOSS_NOTICE_MS + 300;
-                    self.schedule(when, Action::Joined(by, life));
+                    self.schedule(when, Action::Joined(by, incarnation));
                 }
                 for (from, bytes) in queued {
                     self.receive(n, from, &bytes);
@@ -206,17 +206,17 @@
             }
             Fault::Partition(side) => {
                 // Each side of the partition considers the other lost.
-                let lives: Vec<(usize, Incarnation)> = self
+                let incarnations: Vec<(usize, Incarnation)> = self
                     .nodes
                     .iter()
                     .enumerate()
-                    .filter_map(|(n, node)| Some((n, node.as_ref()?.life)))
+                    .filter_map(|(n, node)| Some((n, node.as_ref()?.incarnation)))
                     .collect();
                 for by in 0..self.nodes.len() {
-                    for (n, life) in &lives {
+                    for (n, incarnation) in &incarnations {
                         if side.contains(&by) != side.contains(n) {
                             let when = self.now + MIN_LOSS_NOTICE_MS + self.random.u64(0..200);
-                            self.schedule(when, Action::Lost(by, *life));
+                            self.schedule(when, Action::Lost(by, *incarnation));
                         }
                     }
                 }
@@ -224,11 +224,12 @@
             }
             Fault::Heal => {
                 self.partition = None;
-                let lives: Vec<Incarnation> = self.nodes.iter().flatten().map(|node| node.life).collect();
+                let incarnations: Vec<Incarnation> =
+                    self.nodes.iter().flatten().map(|node| node.incarnation).collect();
                 for by in 0..self.nodes.len() {
-                    for life in &lives {
+                    for incarnation in &incarnations {
                         let when = self.now + MIN_LOSS_NOTICE_MS + 300 + self.random.u64(0..200);
-                        self.schedule(when, Action::Joined(by, *life));
+                        self.schedule(when, Action::Joined(by, *incarnation));
                     }
                 }
             }
@@ -289,7 +290,7 @@
     /// within its limit.
     fn decide(&mut self, n: usize, ticket: Ticket, job: usize, earlier: &[(IntendedAttempt, u64)]) {
         let now = self.now;
-        let may_have_run = earlier.iter().any(|(sent, _)| !sent.never);
+        let may_have_run = earlier.iter().any(|(sent, _)| !sent.never_ran);
         let keyed = self.jobs[job].keyed;
         let may_send = if keyed { earlier.len() < MAX_KEYED_ATTEMPTS } else { !may_have_run };
         let server = self.random.u64(0..20);
@@ -328,13 +329,13 @@
             }
             Event::Go(ticket) => {
                 let Some(job) = job_of(self, ticket) else { return };
-                let life = self.nodes[n].as_ref().map_or(0, |node| node.life.life);
+                let incarnation = self.nodes[n].as_ref().map_or(0, |node| node.incarnation.number);
                 self.jobs[job].sends += 1;
                 let attempt_number = self.jobs[job].sends;
                 // Some servers never answer.
                 if self.random.f64() < 0.9 {
                     let when = self.now + self.random.u64(1..400);
-                    self.schedule(when, Action::Served(n, life, ticket, attempt_number));
+                    self.schedule(when, Action::Served(n, incarnation, ticket, attempt_number));
                 }
             }
             Event::Denied(ticket) => {
@@ -376,7 +377,7 @@
 
     fn send(&mut self, n: usize, to: usize, messages: &[Say]) {
         let Some(node) = &self.nodes[n] else { return };
-        let from = From { cluster: 1, life: node.life, epoch: (1, false), time: self.now };
+        let from = From { cluster: 1, sender: node.incarnation, epoch: (1, false), sent_at_ms: self.now };
         for bytes in wire::write(&from, messages, &self.secret) {
             let is_partitioned =
                 self.partition.as_ref().is_some_and(|side| side.contains(&n) != side.contains(&to));
@@ -396,10 +397,10 @@
         let mut replies = Vec::new();
         {
             let Some(node) = &mut self.nodes[n] else { return };
-            if by.time.abs_diff(now) > ENTRY_LIFETIME_MS / 4 {
+            if by.sent_at_ms.abs_diff(now) > ENTRY_LIFETIME_MS / 4 {
                 return;
             }
-            node.keeper.heard_of(now, by.life);
+            node.keeper.heard_of(now, by.sender);
             for message in messages {
                 match message {
                     Say::Request(work, Request::Get(blob, want)) => {
@@ -409,7 +410,7 @@
                     Say::Request(work, request) => {
                         replies.push(Say::Reply(work, node.keeper.hear(now, work, request)));
                     }
-                    Say::Reply(work, reply) => node.coordinator.hear(now, by.life.node, work, reply),
+                    Say::Reply(work, reply) => node.coordinator.hear(now, by.sender.node, work, reply),
                     Say::Here => {}
                 }
             }
@@ -428,10 +429,10 @@
         if now >= node.next_orphans {
             node.next_orphans = now + 50;
             let coordinator = &node.coordinator;
-            let works = node.keeper.orphans(now, |life| coordinator.is_lost(now, life));
+            let works = node.keeper.orphans(now, |incarnation| coordinator.is_lost(now, incarnation));
             for work in works {
                 // The first keeper adopts the work at once, the others later with some probability.
-                let position = keepers.keepers(work.slot).place(node.life.node).unwrap_or(3);
+                let position = keepers.keepers(work.slot).place(node.incarnation.node).unwrap_or(3);
                 if position == 0 || self.random.f64() < 0.2 {
                     node.coordinator.adopt(now, work);
                 }
@@ -505,26 +506,26 @@
                         self.receive(n, from, &bytes);
                     }
                 }
-                Action::Served(n, life, ticket, attempt_number) => {
+                Action::Served(n, incarnation, ticket, attempt_number) => {
                     let now = self.now;
                     let Some(node) = &mut self.nodes[n] else { continue };
                     if node.suspended {
-                        self.schedule(now + 50, Action::Served(n, life, ticket, attempt_number));
-                    } else if node.life.life == life {
+                        self.schedule(now + 50, Action::Served(n, incarnation, ticket, attempt_number));
+                    } else if node.incarnation.number == incarnation {
                         let answer = Bytes::from(vec![attempt_number as u8; 1 + 1500 * (attempt_number % 2)]);
                         node.coordinator.conclude(now, ticket, Conclusion::Served(Some(answer)));
                         self.process_outputs(n);
                     }
                 }
-                Action::Lost(by, life) => {
+                Action::Lost(by, incarnation) => {
                     if let Some(node) = &mut self.nodes[by] {
-                        node.coordinator.life(life, false);
+                        node.coordinator.life(incarnation, false);
                     }
                 }
-                Action::Joined(by, life) => {
-                    let is_running = self.nodes.iter().flatten().any(|node| node.life == life);
+                Action::Joined(by, incarnation) => {
+                    let is_running = self.nodes.iter().flatten().any(|node| node.incarnation == incarnation);
                     if let Some(node) = self.nodes[by].as_mut().filter(|_| is_running) {
-                        node.coordinator.life(life, true);
+                        node.coordinator.life(incarnation, true);
                     }
                 }
                 Action::Begin(job) => {
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -162,7 +162,7 @@
             return Err(format!("custody: class {class:?} does not exist in the settings"));
         }
         let secret = identity::secret("members", &members_table.secret)?;
-        let me = Incarnation { node: table::node_id(&config.name), life: membership.life() };
+        let me = Incarnation { node: table::node_id(&config.name), number: membership.life() };
         let now = hub.clock.now() as u64;
         let coordinator_settings = coordinator::Settings {
             patience_ms: table.patience_ms,
@@ -184,7 +184,7 @@
                 coordinator_settings,
                 me,
                 table.rosters.clone(),
-                me.life,
+                me.number,
                 now,
             )),
             keeper: RefCell::new(Keeper::new(keeper_settings, now)),
@@ -308,7 +308,7 @@
             zone: sent.zone,
             cell: sent.cell,
             sent: now - *ago as Millis,
-            outcome: if sent.never { Outcome::NotSent } else { Outcome::Unheard },
+            outcome: if sent.never_ran { Outcome::NotSent } else { Outcome::Unheard },
         };
         earlier.iter().map(to_earlier).collect()
     }
@@ -599,7 +599,7 @@
 impl MembershipObserver for Custody {
     fn on_member_event(&self, event: &members::Event) {
         let incarnation =
-            |member: &members::Member| Incarnation { node: NodeId(member.id().0), life: member.life };
+            |member: &members::Member| Incarnation { node: NodeId(member.id().0), number: member.life };
         match event {
             members::Event::Joined(member) => self.coordinator.borrow_mut().life(incarnation(member), true),
             members::Event::Lost(member) | members::Event::Left(member) => {
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -30,7 +30,7 @@
                     "class": record.map(|record| record.about.class.clone()),
                     "effect": record.map(|record| record.about.effect),
                     "holder": holder.map(|life| name.map_or(format!("{:016x}", life.node.0), |(m, _)| m.name)),
-                    "life": holder.map(|life| format!("{:016x}", life.life)),
+                    "life": holder.map(|life| format!("{:016x}", life.number)),
                     "lost": holder.map(|life| coordinator.is_lost(now, life)),
                     "sent": record.map(|record| record.sent.clone()),
                     "verdict": record.and_then(|record| record.verdict),
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -135,17 +135,17 @@
         if !self.table.rosters.meets(from.epoch.0, from.epoch.1) {
             return self.count(|counts| counts.other_epoch += 1);
         }
-        if from.time.abs_diff(self.hub.clock.unix_now()) > self.table.life_ms / CLOCK_SKEW_DIVISOR {
+        if from.sent_at_ms.abs_diff(self.hub.clock.unix_now()) > self.table.life_ms / CLOCK_SKEW_DIVISOR {
             return self.count(|counts| counts.stale += 1);
         }
         let now = self.now();
-        self.keeper.borrow_mut().heard_of(now, from.life);
+        self.keeper.borrow_mut().heard_of(now, from.sender);
         let mut replies = Vec::new();
         for message in messages {
             match message {
                 Say::Request(work, request) => replies.extend(self.handle_request(now, work, request)),
                 Say::Reply(work, reply) => {
-                    self.coordinator.borrow_mut().hear(now, from.life.node, work, reply)
+                    self.coordinator.borrow_mut().hear(now, from.sender.node, work, reply)
                 }
                 Say::Here => {}
             }
@@ -172,7 +172,7 @@
         }
         let epoch = (self.table.rosters.epoch, self.table.rosters.before.is_some());
         let time = self.hub.clock.unix_now();
-        let from = wire::From { cluster: self.cluster, life: self.me, epoch, time };
+        let from = wire::From { cluster: self.cluster, sender: self.me, epoch, sent_at_ms: time };
         for bytes in wire::write(&from, messages, &self.secret) {
             self.count(|counts| {
                 counts.sent += 1;
--- a/crates/scale/src/scenario/custody.rs
+++ b/crates/scale/src/scenario/custody.rs
@@ -57,7 +57,7 @@
 
 impl HollowCustody {
     fn new(number: usize, rosters: Rosters, now: Time, every: Time) -> Self {
-        let life = Incarnation { node: node_id(number), life: 1 };
+        let life = Incarnation { node: node_id(number), number: 1 };
         let settings = coordinator::Settings {
             patience_ms: 150,
             resend_ms: 20,
@@ -152,7 +152,7 @@
     }
 
     fn send(&self, now: Time, to: usize, says: &[Say], out: &mut Outbox) {
-        let from = From { cluster: 1, life: self.life, epoch: (1, false), time: now };
+        let from = From { cluster: 1, sender: self.life, epoch: (1, false), sent_at_ms: now };
         wire::write(&from, says, &self.secret).into_iter().for_each(|bytes| out.send(to, bytes));
     }
 }
@@ -174,7 +174,7 @@
 
     fn receive(&mut self, now: Time, from: usize, bytes: &[u8], out: &mut Outbox) {
         let Ok((by, says)) = wire::read(bytes, 1, &self.secret) else { return };
-        self.keeper.heard_of(now, by.life);
+        self.keeper.heard_of(now, by.sender);
         let mut replies = Vec::new();
         for say in says {
             match say {
@@ -185,7 +185,7 @@
                 Say::Request(work, request) => {
                     replies.push(Say::Reply(work, self.keeper.hear(now, work, request)));
                 }
-                Say::Reply(work, reply) => self.coordinator.hear(now, by.life.node, work, reply),
+                Say::Reply(work, reply) => self.coordinator.hear(now, by.sender.node, work, reply),
                 Say::Here => {}
             }
         }
@@ -205,7 +205,7 @@
     for number in 0..nodes {
         let mut node = HollowCustody::new(number, rosters.clone(), network.now, every);
         (0..nodes)
-            .for_each(|other| node.coordinator.life(Incarnation { node: node_id(other), life: 1 }, true));
+            .for_each(|other| node.coordinator.life(Incarnation { node: node_id(other), number: 1 }, true));
         network.start(number, node);
     }
     network
