--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -22,23 +22,23 @@
 /// Interval between announcements to keepers that this incarnation is alive and holds works.
 const ALIVE_INTERVAL_MS: u64 = 100;
 /// How long a work whose verdict missed its timeout keeps resending it to the keepers, as a multiple of
-/// `patience_ms`.
+/// `majority_timeout_ms`.
 const LINGER_FACTOR: u64 = 4;
 
 /// Timing and capacity limits of a coordinator. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Timeout for reaching a majority of keepers.
-    pub patience_ms: u64,
+    pub majority_timeout_ms: u64,
     /// Initial interval before an unanswered request is resent.
     pub resend_ms: u64,
     /// Polling interval for a work that another node holds.
     pub poll_ms: u64,
     /// How long a register lives after its last use. No attempt starts later than half of this time after
     /// the node acquired the work.
-    pub life_ms: u64,
+    pub entry_lifetime_ms: u64,
     /// Maximum number of works at a time.
-    pub most: usize,
+    pub max_works: usize,
 }
 
 /// Handle of one work, valid for as long as this node is involved in it.
@@ -47,7 +47,7 @@
 
 /// How the identity of a request is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestIdentity {
     /// The request is identified by its idempotency key.
     Keyed,
     /// The request has no key. Each one is a work of its own, unless it is marked as a repeat of an
@@ -56,17 +56,17 @@
         /// Derived from the request id that the client sent.
         nonce: u64,
         /// The client marked the request as a repeat.
-        marked: bool,
+        is_marked_repeat: bool,
     },
 }
 
 /// A request to be guarded by custody.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SubmittedRequest {
     /// Digest of the requested operation and its caller.
     pub slot: (u64, u64),
     /// How the request is identified.
-    pub kind: Kind,
+    pub kind: RequestIdentity,
     /// Name of the request's class.
     pub class: String,
     /// Time left until the client's deadline.
@@ -84,7 +84,7 @@
     Rejected,
     /// Releases the work without a verdict. The next node may take it over, unless it is unsafe and may
     /// have run.
-    LetGo,
+    Release,
 }
 
 /// Notifications from the coordinator to its caller.
@@ -92,7 +92,7 @@
 pub enum Event {
     /// This node holds the work. The caller decides how to proceed, given what is known of earlier
     /// attempts.
-    Yours {
+    Acquired {
         /// The work.
         ticket: Ticket,
         /// Attempts that earlier holders intended to send, each with its age in milliseconds.
@@ -101,7 +101,7 @@
         adopted: bool,
     },
     /// This node took over an orphaned work that no client here waits for.
-    Adopt {
+    OrphanAdopted {
         /// The work.
         ticket: Ticket,
         /// Attempts that earlier holders intended to send, each with its age in milliseconds.
@@ -114,26 +114,26 @@
         remaining_ms: u64,
     },
     /// The intended attempt may be sent now.
-    Go(Ticket),
+    SendAllowed(Ticket),
     /// The intended attempt must not be sent.
-    Denied(Ticket),
+    SendDenied(Ticket),
     /// The final verdict on the work, with the answer if a server gave one that was stored.
     Verdict(Ticket, Verdict, Option<Bytes>),
     /// A verdict was not stored at a majority in time, or its answer could not be fetched. It must not be
     /// reported to any client.
-    Unkept(Ticket),
+    VerdictNotStored(Ticket),
     /// No majority answered in time, so the holder of the work is not known.
-    Unknown(Ticket),
+    NoMajority(Ticket),
     /// An equal request marked as a repeat is in progress. It may be a repeat of this request, which must
     /// therefore not be sent as well.
-    Twin(Ticket),
+    ConcurrentRepeat(Ticket),
     /// The marked repeat could belong to more than one earlier request.
-    Ambiguous(Ticket),
+    AmbiguousRepeat(Ticket),
     /// The marked repeat (first ticket) repeats a work that this node already has under the second
     /// ticket.
-    Same(Ticket, Ticket),
+    AlreadyHere(Ticket, Ticket),
     /// The work has ended. No further events follow for this ticket.
-    Over(Ticket),
+    Ended(Ticket),
 }
 
 /// Counters since the start.
@@ -186,7 +186,7 @@
     work: Work,
     proposer: Proposer,
     /// The request, if one was submitted at this node. `None` if the work was adopted as an orphan.
-    submitted: Option<Ask>,
+    submitted: Option<SubmittedRequest>,
     /// When the work began, estimated from the ages that keepers report.
     began: u64,
     /// Nonces of other works of the same slot, as reported by each keeper.
@@ -204,7 +204,7 @@
     fetch: Option<Fetch>,
     /// The answer that this node submitted with its verdict.
     own_answer: Option<(Blob, Bytes)>,
-    /// [`Event::Unkept`] was already emitted for this work.
+    /// [`Event::VerdictNotStored`] was already emitted for this work.
     unkept_reported: bool,
 }
 
@@ -273,7 +273,7 @@
     }
 
     /// Whether this node holds the work.
-    pub fn holds(&self, ticket: Ticket) -> bool {
+    pub fn is_holder(&self, ticket: Ticket) -> bool {
         self.entries.get(&ticket).is_some_and(|entry| entry.proposer.is_holder())
     }
 
@@ -285,7 +285,7 @@
     // ---- Membership ----
 
     /// Records from membership the current incarnation of a node and whether it is alive.
-    pub fn life(&mut self, incarnation: Incarnation, alive: bool) {
+    pub fn update_membership(&mut self, incarnation: Incarnation, alive: bool) {
         let recorded = self.incarnations.get(&incarnation.node).copied();
         // A late report that an older incarnation was lost says nothing about the current one.
         if alive || recorded.is_none_or(|(other, was_alive)| other == incarnation.number || !was_alive) {
@@ -319,19 +319,19 @@
 
     /// Submits a request. Returns its ticket and whether it joined a work already in progress here, or
     /// `None` if there are too many works.
-    pub fn ask(&mut self, now: u64, ask: Ask) -> Option<(Ticket, bool)> {
+    pub fn submit(&mut self, now: u64, ask: SubmittedRequest) -> Option<(Ticket, bool)> {
         self.figures.asked += 1;
         let nonce = match ask.kind {
-            Kind::Keyed => 0,
-            Kind::Unsafe { marked: true, .. } => Work::REPEAT,
-            Kind::Unsafe { nonce, .. } => nonce.max(Work::REPEAT + 1),
+            RequestIdentity::Keyed => 0,
+            RequestIdentity::Unsafe { is_marked_repeat: true, .. } => Work::REPEAT,
+            RequestIdentity::Unsafe { nonce, .. } => nonce.max(Work::REPEAT + 1),
         };
         let work = Work { slot: ask.slot, nonce };
         if let Some(ticket) = self.by_work.get(&work) {
             self.figures.joined += 1;
             return Some((*ticket, true));
         }
-        if self.entries.len() >= self.settings.most {
+        if self.entries.len() >= self.settings.max_works {
             return None;
         }
         let ticket = self.next_ticket();
@@ -344,8 +344,8 @@
         Ticket(self.last_ticket)
     }
 
-    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, ask: Ask) {
-        let effect = if ask.kind == Kind::Keyed { Effect::Keyed } else { Effect::Unsafe };
+    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, ask: SubmittedRequest) {
+        let effect = if ask.kind == RequestIdentity::Keyed { Effect::Keyed } else { Effect::Unsafe };
         let body = ask.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
         let about = WorkDescription {
             effect,
@@ -360,7 +360,7 @@
     /// Takes over a work whose holder is lost, as found by a keeper, unless this node is involved in it
     /// already.
     pub fn adopt(&mut self, now: u64, work: Work) {
-        if self.by_work.contains_key(&work) || self.entries.len() >= self.settings.most {
+        if self.by_work.contains_key(&work) || self.entries.len() >= self.settings.max_works {
             return;
         }
         let ticket = self.next_ticket();
@@ -374,7 +374,7 @@
         ticket: Ticket,
         work: Work,
         proposer: Proposer,
-        submitted: Option<Ask>,
+        submitted: Option<SubmittedRequest>,
     ) {
         let entry = Entry {
             work,
@@ -382,8 +382,8 @@
             submitted,
             began: now,
             reported_nonces: BTreeMap::new(),
-            deadline: now + self.settings.patience_ms,
-            expires: now + self.settings.life_ms,
+            deadline: now + self.settings.majority_timeout_ms,
+            expires: now + self.settings.entry_lifetime_ms,
             next_send: now,
             resend_wait: self.settings.resend_ms,
             next_poll: u64::MAX,
@@ -399,14 +399,21 @@
         self.advance(now, ticket);
     }
 
-    /// Starts to store the intent to send an attempt. [`Event::Go`] or [`Event::Denied`] follows and must
+    /// Starts to store the intent to send an attempt. [`Event::SendAllowed`] or [`Event::SendDenied`] follows and must
     /// be awaited before the next call. Returns the index of the attempt among those of all holders, or
     /// `None` if no intent was recorded.
-    pub fn intend(&mut self, now: u64, ticket: Ticket, server: u64, zone: u64, cell: u64) -> Option<usize> {
-        let ttl = self.settings.life_ms;
-        let majority_timeout = self.settings.patience_ms;
+    pub fn write_intent(
+        &mut self,
+        now: u64,
+        ticket: Ticket,
+        server: u64,
+        zone: u64,
+        cell: u64,
+    ) -> Option<usize> {
+        let ttl = self.settings.entry_lifetime_ms;
+        let majority_timeout = self.settings.majority_timeout_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else {
-            self.events.push_back(Event::Denied(ticket));
+            self.events.push_back(Event::SendDenied(ticket));
             return None;
         };
         let at = u32::try_from(now - entry.began).unwrap_or(u32::MAX);
@@ -425,7 +432,7 @@
             })
         {
             self.figures.denied += 1;
-            self.events.push_back(Event::Denied(ticket));
+            self.events.push_back(Event::SendDenied(ticket));
             return None;
         }
         (entry.pending_attempt, entry.deadline) = (Some(number), now + majority_timeout);
@@ -434,14 +441,14 @@
     }
 
     /// Records that this attempt, by its index among those of all holders, is proven never to have run.
-    pub fn never_ran(&mut self, ticket: Ticket, number: usize) {
+    pub fn mark_never_ran(&mut self, ticket: Ticket, number: usize) {
         self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.mark_never_ran(number));
     }
 
-    /// Submits the result of a work. [`Event::Verdict`] or [`Event::Unkept`] follows, or neither if the
+    /// Submits the result of a work. [`Event::Verdict`] or [`Event::VerdictNotStored`] follows, or neither if the
     /// work is released.
-    pub fn conclude(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
-        let majority_timeout = self.settings.patience_ms;
+    pub fn submit_result(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
+        let majority_timeout = self.settings.majority_timeout_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         let was_holder = match conclusion {
             Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= MAX_BLOB_BYTES) {
@@ -457,7 +464,7 @@
                 None => entry.proposer.write_verdict(Verdict::ServedLong),
             },
             Conclusion::Rejected => entry.proposer.write_verdict(Verdict::Rejected),
-            Conclusion::LetGo => entry.proposer.release(),
+            Conclusion::Release => entry.proposer.release(),
         };
         if was_holder {
             (entry.deadline, entry.pending_attempt) = (now + majority_timeout, None);
@@ -466,7 +473,7 @@
     }
 
     /// No client at this node waits for the work any more. If this node holds it, it continues.
-    pub fn give_up(&mut self, now: u64, ticket: Ticket) {
+    pub fn abandon(&mut self, now: u64, ticket: Ticket) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
             entry.proposer.abandon();
             self.advance(now, ticket);
@@ -476,7 +483,7 @@
     // ---- Keeper replies ----
 
     /// Handles a keeper's reply.
-    pub fn hear(&mut self, now: u64, keeper: NodeId, work: Work, reply: Reply) {
+    pub fn handle_reply(&mut self, now: u64, keeper: NodeId, work: Work, reply: Reply) {
         let Some(ticket) = self.by_work.get(&work).copied() else { return };
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         match reply {
@@ -517,11 +524,11 @@
     fn handle_other_works(&mut self, now: u64, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
         let Some(ask) = entry.submitted.clone() else { return };
-        if !matches!(ask.kind, Kind::Unsafe { marked: true, .. }) {
+        if !matches!(ask.kind, RequestIdentity::Unsafe { is_marked_repeat: true, .. }) {
             // Keepers report only marked repeats to an unmarked request. The repeat may be of this
             // request.
             self.remove_entry(ticket);
-            self.events.push_back(Event::Twin(ticket));
+            self.events.push_back(Event::ConcurrentRepeat(ticket));
             return;
         }
         let all: BTreeSet<u64> = entry.reported_nonces.values().flatten().copied().collect();
@@ -532,11 +539,11 @@
         }
         self.remove_entry(ticket);
         match all.first().copied().filter(|_| all.len() == 1) {
-            None => self.events.push_back(Event::Ambiguous(ticket)),
+            None => self.events.push_back(Event::AmbiguousRepeat(ticket)),
             Some(nonce) => {
                 let work = Work { slot: ask.slot, nonce };
                 match self.by_work.get(&work) {
-                    Some(other) => self.events.push_back(Event::Same(ticket, *other)),
+                    Some(other) => self.events.push_back(Event::AlreadyHere(ticket, *other)),
                     None => {
                         self.figures.joined += 1;
                         self.start_work(now, ticket, work, ask);
@@ -548,15 +555,15 @@
 
     // ---- Time ----
 
-    /// When [`Coordinator::tick`] should be called next.
-    pub fn due(&self) -> Option<u64> {
+    /// When [`Coordinator::handle_timeout`] should be called next.
+    pub fn next_timeout(&self) -> Option<u64> {
         let announcement = (!self.entries.is_empty()).then_some(self.next_announcement);
         let timer = self.timers.first().map(|(at, _)| *at);
         announcement.into_iter().chain(timer).min()
     }
 
     /// Processes expired timers.
-    pub fn tick(&mut self, now: u64) {
+    pub fn handle_timeout(&mut self, now: u64) {
         if now >= self.next_announcement {
             self.next_announcement = now + ALIVE_INTERVAL_MS;
             let held = self.entries.values().filter(|entry| entry.proposer.is_holder());
@@ -590,7 +597,7 @@
         entry.send_due(now, &self.settings, &mut self.outgoing, &mut self.random);
         if entry.is_done(now) {
             self.remove_entry(ticket);
-            self.events.push_back(Event::Over(ticket));
+            self.events.push_back(Event::Ended(ticket));
             return;
         }
         let due = entry.due();
@@ -613,7 +620,7 @@
                         .into_iter()
                         .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at_ms))))
                         .collect();
-                    entry.expires = now + settings.life_ms;
+                    entry.expires = now + settings.entry_lifetime_ms;
                     self.figures.adopted += u64::from(adopted);
                     if let Some(ask) = &entry.submitted {
                         if let Some(body) = ask.body.clone().filter(|body| body.len() <= MAX_BLOB_BYTES) {
@@ -624,14 +631,14 @@
                             }
                         }
                         let adopted = adopted || !earlier.is_empty();
-                        self.events.push_back(Event::Yours { ticket, earlier, adopted });
+                        self.events.push_back(Event::Acquired { ticket, earlier, adopted });
                         continue;
                     }
                     self.figures.orphans += 1;
                     let request = entry.proposer.record().and_then(|record| record.about.request);
                     match request {
                         Some(blob) => {
-                            let deadline = now + settings.patience_ms;
+                            let deadline = now + settings.majority_timeout_ms;
                             entry.fetch =
                                 Some(Fetch { blob, pieces: BTreeMap::new(), verdict: None, deadline });
                             entry.next_send = now;
@@ -646,21 +653,21 @@
                     let Some(number) = entry.pending_attempt.take() else { continue };
                     if now < entry.deadline {
                         self.figures.intents += 1;
-                        self.events.push_back(Event::Go(ticket));
+                        self.events.push_back(Event::SendAllowed(ticket));
                     } else {
                         // The majority came after the timeout, for instance because this process was
                         // suspended. Another node may have taken the work over since, so the attempt is
                         // not sent.
                         entry.proposer.mark_never_ran(number);
                         self.figures.denied += 1;
-                        self.events.push_back(Event::Denied(ticket));
+                        self.events.push_back(Event::SendDenied(ticket));
                     }
                 }
                 Step::Superseded => {
                     self.figures.ousted += 1;
                     if entry.pending_attempt.take().is_some() {
                         self.figures.denied += 1;
-                        self.events.push_back(Event::Denied(ticket));
+                        self.events.push_back(Event::SendDenied(ticket));
                     }
                     entry.next_poll = now;
                 }
@@ -676,7 +683,7 @@
                                 self.events.push_back(Event::Verdict(ticket, verdict, Some(bytes)));
                             }
                             None => {
-                                let deadline = now + settings.patience_ms;
+                                let deadline = now + settings.majority_timeout_ms;
                                 let verdict = Some(verdict);
                                 entry.fetch =
                                     Some(Fetch { blob, pieces: BTreeMap::new(), verdict, deadline });
@@ -707,18 +714,19 @@
                             |sent: &IntendedAttempt| (now - began).saturating_sub(u64::from(sent.at_ms));
                         let earlier = record.sent.iter().map(|sent| (*sent, ago(sent))).collect();
                         let remaining_ms = u64::from(about.remaining_ms).saturating_sub(now - began);
-                        let event = Event::Adopt { ticket, earlier, about, body: bytes, remaining_ms };
+                        let event =
+                            Event::OrphanAdopted { ticket, earlier, about, body: bytes, remaining_ms };
                         self.events.push_back(event);
                     }
                 }
             } else if now >= fetch.deadline {
                 match fetch.verdict {
                     // The work was served, but its answer can't be fetched.
-                    Some(_) => self.events.push_back(Event::Unkept(ticket)),
+                    Some(_) => self.events.push_back(Event::VerdictNotStored(ticket)),
                     None => {
                         self.figures.bodiless += 1;
                         entry.proposer.release();
-                        entry.deadline = now + settings.patience_ms;
+                        entry.deadline = now + settings.majority_timeout_ms;
                     }
                 }
                 entry.fetch = None;
@@ -730,13 +738,13 @@
         if entry.pending_attempt.take().is_some() {
             entry.proposer.cancel_intent();
             self.figures.denied += 1;
-            self.events.push_back(Event::Denied(ticket));
+            self.events.push_back(Event::SendDenied(ticket));
         } else if entry.proposer.is_holder() {
             // Keeps resending the verdict for a while, so that other nodes can learn it.
             if !std::mem::replace(&mut entry.unkept_reported, true) {
                 self.figures.unkept += 1;
-                self.events.push_back(Event::Unkept(ticket));
-                entry.deadline = now + LINGER_FACTOR * settings.patience_ms;
+                self.events.push_back(Event::VerdictNotStored(ticket));
+                entry.deadline = now + LINGER_FACTOR * settings.majority_timeout_ms;
             } else {
                 entry.expires = now;
             }
@@ -744,11 +752,11 @@
             // At least one keeper reported other works, but no majority did. Sending the request could
             // send it twice.
             self.remove_entry(ticket);
-            self.events.push_back(Event::Ambiguous(ticket));
+            self.events.push_back(Event::AmbiguousRepeat(ticket));
         } else {
             self.figures.unknown += 1;
             self.remove_entry(ticket);
-            self.events.push_back(Event::Unknown(ticket));
+            self.events.push_back(Event::NoMajority(ticket));
         }
     }
 
@@ -771,7 +779,7 @@
                 }
                 // The repeated read equals the last request, so `send_due` would not treat it as new.
                 (entry.next_send, entry.resend_wait) = (now, settings.resend_ms);
-                entry.deadline = now + settings.patience_ms;
+                entry.deadline = now + settings.majority_timeout_ms;
             }
         } else {
             entry.next_poll = u64::MAX;
@@ -822,8 +830,10 @@
         if !is_new && now < self.next_send {
             return;
         }
-        let marked = matches!(&self.submitted, Some(Ask { kind: Kind::Unsafe { marked: true, .. }, .. }))
-            && self.work.nonce == Work::REPEAT;
+        let marked = matches!(
+            &self.submitted,
+            Some(SubmittedRequest { kind: RequestIdentity::Unsafe { is_marked_repeat: true, .. }, .. })
+        ) && self.work.nonce == Work::REPEAT;
         let before = outgoing.len();
         // Blobs are sent first, because keepers accept a verdict only if they have its answer.
         let answered = self.own_answer.is_some();
@@ -849,7 +859,10 @@
         if let Some(fetch) = &self.fetch {
             let all: Vec<NodeId> = self.proposer.keepers().all().into_iter().collect();
             if let Some(id) = random.choice(&all) {
-                outgoing.push_back((*id, Some((self.work, Request::Get(fetch.blob, fetch.missing_mask())))));
+                outgoing.push_back((
+                    *id,
+                    Some((self.work, Request::FetchPieces(fetch.blob, fetch.missing_mask()))),
+                ));
             }
         }
         let sent_any = outgoing.len() > before;
--- a/crates/custody/src/keeper.rs
+++ b/crates/custody/src/keeper.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// How long an entry lives after its last use, in milliseconds.
-    pub life_ms: u64,
+    pub entry_lifetime_ms: u64,
     /// Maximum number of works.
-    pub works_most: usize,
+    pub max_works: usize,
     /// Maximum number of bytes, for entries and blobs together.
-    pub bytes_most: usize,
+    pub max_bytes: usize,
 }
 
 /// A request to a keeper about one work.
@@ -45,7 +45,7 @@
     /// Store this piece of a blob.
     StorePiece(Blob, u8, Bytes),
     /// Return some of the pieces selected by the bitmask.
-    Get(Blob, u128),
+    FetchPieces(Blob, u128),
 }
 
 /// A keeper's reply.
@@ -133,7 +133,7 @@
     pub fn new(settings: Settings, now: u64) -> Self {
         Self {
             settings,
-            votes_from: now + settings.life_ms,
+            votes_from: now + settings.entry_lifetime_ms,
             works: BTreeMap::new(),
             blobs: BTreeMap::new(),
             bytes: 0,
@@ -144,7 +144,7 @@
     }
 
     /// Whether the keeper gives votes yet.
-    pub fn votes(&self, now: u64) -> bool {
+    pub fn is_voting(&self, now: u64) -> bool {
         now >= self.votes_from
     }
 
@@ -153,16 +153,17 @@
         Figures { works: self.works.len() as u64, bytes: self.bytes as u64, ..self.figures }
     }
 
-    /// When [`Keeper::tick`] should be called next, or `None` if no entry can expire.
-    pub fn due(&self) -> Option<u64> {
+    /// When [`Keeper::handle_timeout`] should be called next, or `None` if no entry can expire.
+    pub fn next_timeout(&self) -> Option<u64> {
         self.expiries.front().map(|(at, _)| *at)
     }
 
     /// Removes expired entries.
-    pub fn tick(&mut self, now: u64) {
+    pub fn handle_timeout(&mut self, now: u64) {
         while let Some((_, work)) = self.expiries.front().copied().filter(|(at, _)| *at <= now) {
             self.expiries.pop_front();
-            let Some(expires_at) = self.works.get(&work).map(|entry| entry.last_used + self.settings.life_ms)
+            let Some(expires_at) =
+                self.works.get(&work).map(|entry| entry.last_used + self.settings.entry_lifetime_ms)
             else {
                 continue;
             };
@@ -188,7 +189,7 @@
     }
 
     /// Records that a message of this incarnation was received.
-    pub fn heard_of(&mut self, now: u64, incarnation: Incarnation) {
+    pub fn mark_alive(&mut self, now: u64, incarnation: Incarnation) {
         if self.last_seen.insert(incarnation, now).is_none() {
             self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
@@ -199,9 +200,9 @@
     }
 
     /// Handles a request about a work.
-    pub fn hear(&mut self, now: u64, work: Work, request: Request) -> Reply {
-        self.tick(now);
-        if !self.votes(now) {
+    pub fn handle_request(&mut self, now: u64, work: Work, request: Request) -> Reply {
+        self.handle_timeout(now);
+        if !self.is_voting(now) {
             self.figures.quiet += 1;
             return Reply::NotVoting;
         }
@@ -210,7 +211,7 @@
             Request::StorePiece(blob, piece, bytes) => {
                 self.store_piece(work, blob, usize::from(piece), bytes)
             }
-            Request::Get(blob, want) => {
+            Request::FetchPieces(blob, want) => {
                 self.find_piece(work, blob, want).unwrap_or(Reply::HavePieces(blob, 0))
             }
         }
@@ -238,15 +239,15 @@
             }
         }
         if !self.works.contains_key(&work) {
-            if self.works.len() >= self.settings.works_most
-                || self.bytes + ENTRY_BYTES > self.settings.bytes_most
+            if self.works.len() >= self.settings.max_works
+                || self.bytes + ENTRY_BYTES > self.settings.max_bytes
             {
                 self.figures.full += 1;
                 return Reply::AtCapacity;
             }
             self.bytes += ENTRY_BYTES;
             self.works.insert(work, Entry { acceptor: Acceptor::default(), created: now, last_used: now });
-            self.expiries.push_back((now + self.settings.life_ms, work));
+            self.expiries.push_back((now + self.settings.entry_lifetime_ms, work));
         }
         let Some(entry) = self.works.get_mut(&work) else { return Reply::AtCapacity };
         entry.last_used = now;
@@ -283,7 +284,7 @@
             return Reply::HavePieces(blob, 0);
         }
         // A blob without a register would never expire.
-        if !self.works.contains_key(&work) || self.bytes + bytes.len() > self.settings.bytes_most {
+        if !self.works.contains_key(&work) || self.bytes + bytes.len() > self.settings.max_bytes {
             self.figures.full += 1;
             return Reply::AtCapacity;
         }
@@ -303,15 +304,15 @@
     }
 
     /// Returns the replies to a request for pieces.
-    pub fn give(&self, now: u64, work: Work, blob: Blob, mut want: u128) -> Vec<Reply> {
+    pub fn fetch_pieces(&self, now: u64, work: Work, blob: Blob, mut want: u128) -> Vec<Reply> {
         let mut replies = Vec::new();
-        while self.votes(now) && replies.len() < MAX_PIECES_PER_REPLY {
+        while self.is_voting(now) && replies.len() < MAX_PIECES_PER_REPLY {
             let Some(Reply::Piece(blob, piece, bytes)) = self.find_piece(work, blob, want) else { break };
             want &= !(1 << piece);
             replies.push(Reply::Piece(blob, piece, bytes));
         }
         if replies.is_empty() {
-            replies.push(if self.votes(now) { Reply::HavePieces(blob, 0) } else { Reply::NotVoting });
+            replies.push(if self.is_voting(now) { Reply::HavePieces(blob, 0) } else { Reply::NotVoting });
         }
         replies
     }
@@ -322,7 +323,7 @@
     pub fn orphans(&self, now: u64, lost: impl Fn(Incarnation) -> bool) -> Vec<Work> {
         let has_lost_holder = |holder: Incarnation| lost(holder) && !self.is_alive(now, holder);
         let is_orphan = |entry: &Entry| {
-            let is_recent = now - entry.created < self.settings.life_ms / 2;
+            let is_recent = now - entry.created < self.settings.entry_lifetime_ms / 2;
             is_recent
                 && entry
                     .acceptor
@@ -333,7 +334,7 @@
     }
 
     /// All works with the last accepted record and their age in milliseconds.
-    pub fn all(&self, now: u64) -> impl Iterator<Item = (&Work, Option<&Record>, u32)> {
+    pub fn works(&self, now: u64) -> impl Iterator<Item = (&Work, Option<&Record>, u32)> {
         self.works.iter().map(move |(work, entry)| (work, entry.acceptor.record(), age(now, entry)))
     }
 }
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod roster;
 pub mod wire;
 
-pub use coordinator::{Ask, Conclusion, Coordinator, Event, Kind, Ticket};
+pub use coordinator::{Conclusion, Coordinator, Event, RequestIdentity, SubmittedRequest, Ticket};
 pub use keeper::Keeper;
 pub use proposer::Step;
 pub use register::{
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -199,7 +199,7 @@
                 out.push(*piece);
                 write_prefixed(out, bytes);
             }
-            Self::Request(work, Request::Get(blob, want)) => {
+            Self::Request(work, Request::FetchPieces(blob, want)) => {
                 write_work(out, 6, *work);
                 write_blob(out, *blob);
                 out.extend(want.to_be_bytes());
@@ -268,7 +268,7 @@
             3 => register_request(RegisterOp::Accept(read_stamp(r)?, read_record(r)?), false),
             4 => register_request(RegisterOp::Read, false),
             5 => Self::Request(work, Request::StorePiece(read_blob(r)?, r.u8()?, read_prefixed(r)?)),
-            6 => Self::Request(work, Request::Get(read_blob(r)?, read_u128(r)?)),
+            6 => Self::Request(work, Request::FetchPieces(read_blob(r)?, read_u128(r)?)),
             10..=14 => {
                 let (age, holder_alive) = (r.u32()?, r.u8()? == 1);
                 let answer = match kind {
@@ -413,7 +413,7 @@
             (stamp(), record()).prop_map(|(s, r)| Request::Register(RegisterOp::Accept(s, r), false)),
             Just(Request::Register(RegisterOp::Read, false)),
             (blob(), any::<u8>(), bytes()).prop_map(|(b, n, bytes)| Request::StorePiece(b, n, bytes)),
-            (blob(), any::<u128>()).prop_map(|(b, want)| Request::Get(b, want)),
+            (blob(), any::<u128>()).prop_map(|(b, want)| Request::FetchPieces(b, want)),
         ];
         let answer = prop_oneof![
             (ballot(), proptest::option::of((stamp(), record()))).prop_map(|(b, a)| Answer::Promised(b, a)),
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -9,8 +9,8 @@
 use glenwood_custody::keeper::{self, Keeper, Request};
 use glenwood_custody::wire::{self, From, Say};
 use glenwood_custody::{
-    coordinator, Ask, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, Kind, NodeId, Roster,
-    Rosters, Ticket, Verdict,
+    coordinator, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, NodeId, RequestIdentity,
+    Roster, Rosters, SubmittedRequest, Ticket, Verdict,
 };
 use glenwood_datagram::Secret;
 
@@ -130,18 +130,21 @@
         self.last_incarnation += 1;
         let incarnation = Incarnation { node: node_id(n), number: self.last_incarnation };
         let settings = coordinator::Settings {
-            patience_ms: MAJORITY_TIMEOUT_MS,
+            majority_timeout_ms: MAJORITY_TIMEOUT_MS,
             resend_ms: 20,
             poll_ms: 50,
-            life_ms: ENTRY_LIFETIME_MS,
-            most: 10_000,
+            entry_lifetime_ms: ENTRY_LIFETIME_MS,
+            max_works: 10_000,
+        };
+        let keeper_settings = keeper::Settings {
+            entry_lifetime_ms: ENTRY_LIFETIME_MS,
+            max_works: 10_000,
+            max_bytes: 10_000_000,
         };
-        let keeper_settings =
-            keeper::Settings { life_ms: ENTRY_LIFETIME_MS, works_most: 10_000, bytes_most: 10_000_000 };
         let mut coordinator =
             Coordinator::new(settings, incarnation, self.rosters.clone(), self.random.u64(..), self.now);
         for node in self.nodes.iter().flatten() {
-            coordinator.life(node.incarnation, true);
+            coordinator.update_membership(node.incarnation, true);
         }
         let node = Node {
             coordinator,
@@ -261,14 +264,18 @@
         if node.suspended {
             return;
         }
-        let ask = Ask {
+        let ask = SubmittedRequest {
             slot: (job as u64, 7),
-            kind: if keyed { Kind::Keyed } else { Kind::Unsafe { nonce, marked } },
+            kind: if keyed {
+                RequestIdentity::Keyed
+            } else {
+                RequestIdentity::Unsafe { nonce, is_marked_repeat: marked }
+            },
             class: "c".into(),
             remaining_ms: CLIENT_DEADLINE_MS as u32,
             body: Some(Bytes::from(vec![job as u8; 10 + 400 * (job % 7)])),
         };
-        let Some((ticket, _)) = node.coordinator.ask(now, ask) else { return };
+        let Some((ticket, _)) = node.coordinator.submit(now, ask) else { return };
         node.jobs.entry(ticket).or_insert((job, 0)).1 += 1;
         self.process_outputs(n);
     }
@@ -296,9 +303,9 @@
         let server = self.random.u64(0..20);
         let Some(node) = &mut self.nodes[n] else { return };
         if may_send {
-            node.coordinator.intend(now, ticket, server, 0, 0);
+            node.coordinator.write_intent(now, ticket, server, 0, 0);
         } else {
-            node.coordinator.conclude(now, ticket, Conclusion::LetGo);
+            node.coordinator.submit_result(now, ticket, Conclusion::Release);
             let outcome = if keyed { None } else { Some("may have run".to_string()) };
             self.report_outcome(n, ticket, outcome);
         }
@@ -307,12 +314,12 @@
     fn handle_event(&mut self, n: usize, event: Event) {
         let job_of = |fleet: &Self, ticket| fleet.nodes[n].as_ref()?.jobs.get(&ticket).map(|(job, _)| *job);
         match event {
-            Event::Yours { ticket, earlier, .. } => {
+            Event::Acquired { ticket, earlier, .. } => {
                 if let Some(job) = job_of(self, ticket) {
                     self.decide(n, ticket, job, &earlier);
                 }
             }
-            Event::Adopt { ticket, earlier, body, remaining_ms, .. } => {
+            Event::OrphanAdopted { ticket, earlier, body, remaining_ms, .. } => {
                 let Some(node) = &mut self.nodes[n] else { return };
                 let Some(work) = node.coordinator.work(ticket) else { return };
                 let job = work.slot.0 as usize;
@@ -324,10 +331,10 @@
                 } else {
                     let now = self.now;
                     let Some(node) = &mut self.nodes[n] else { return };
-                    node.coordinator.conclude(now, ticket, Conclusion::LetGo);
+                    node.coordinator.submit_result(now, ticket, Conclusion::Release);
                 }
             }
-            Event::Go(ticket) => {
+            Event::SendAllowed(ticket) => {
                 let Some(job) = job_of(self, ticket) else { return };
                 let incarnation = self.nodes[n].as_ref().map_or(0, |node| node.incarnation.number);
                 self.jobs[job].sends += 1;
@@ -338,12 +345,12 @@
                     self.schedule(when, Action::Served(n, incarnation, ticket, attempt_number));
                 }
             }
-            Event::Denied(ticket) => {
+            Event::SendDenied(ticket) => {
                 // The policy module would refuse the request, which is not a final outcome.
                 let now = self.now;
                 let Some(node) = &mut self.nodes[n] else { return };
-                if node.coordinator.holds(ticket) {
-                    node.coordinator.conclude(now, ticket, Conclusion::LetGo);
+                if node.coordinator.is_holder(ticket) {
+                    node.coordinator.submit_result(now, ticket, Conclusion::Release);
                     self.report_outcome(n, ticket, None);
                 }
             }
@@ -357,13 +364,15 @@
                 };
                 self.report_outcome(n, ticket, Some(outcome));
             }
-            Event::Unkept(ticket) => self.report_outcome(n, ticket, None),
-            Event::Unknown(ticket) => {
+            Event::VerdictNotStored(ticket) => self.report_outcome(n, ticket, None),
+            Event::NoMajority(ticket) => {
                 self.without_majority += 1;
                 self.report_outcome(n, ticket, None);
             }
-            Event::Twin(ticket) | Event::Ambiguous(ticket) => self.report_outcome(n, ticket, None),
-            Event::Same(ticket, other) => {
+            Event::ConcurrentRepeat(ticket) | Event::AmbiguousRepeat(ticket) => {
+                self.report_outcome(n, ticket, None)
+            }
+            Event::AlreadyHere(ticket, other) => {
                 let Some(node) = &mut self.nodes[n] else { return };
                 if let (Some((_, waiting_clients)), Some(to)) =
                     (node.jobs.remove(&ticket), node.jobs.get_mut(&other))
@@ -371,7 +380,7 @@
                     to.1 += waiting_clients;
                 }
             }
-            Event::Over(ticket) => self.report_outcome(n, ticket, None),
+            Event::Ended(ticket) => self.report_outcome(n, ticket, None),
         }
     }
 
@@ -400,17 +409,19 @@
             if by.sent_at_ms.abs_diff(now) > ENTRY_LIFETIME_MS / 4 {
                 return;
             }
-            node.keeper.heard_of(now, by.sender);
+            node.keeper.mark_alive(now, by.sender);
             for message in messages {
                 match message {
-                    Say::Request(work, Request::Get(blob, want)) => {
-                        let pieces = node.keeper.give(now, work, blob, want);
+                    Say::Request(work, Request::FetchPieces(blob, want)) => {
+                        let pieces = node.keeper.fetch_pieces(now, work, blob, want);
                         replies.extend(pieces.into_iter().map(|reply| Say::Reply(work, reply)));
                     }
                     Say::Request(work, request) => {
-                        replies.push(Say::Reply(work, node.keeper.hear(now, work, request)));
+                        replies.push(Say::Reply(work, node.keeper.handle_request(now, work, request)));
+                    }
+                    Say::Reply(work, reply) => {
+                        node.coordinator.handle_reply(now, by.sender.node, work, reply)
                     }
-                    Say::Reply(work, reply) => node.coordinator.hear(now, by.sender.node, work, reply),
                     Say::Here => {}
                 }
             }
@@ -424,8 +435,8 @@
     fn tick(&mut self, n: usize) {
         let (now, keepers) = (self.now, self.rosters.clone());
         let Some(node) = &mut self.nodes[n] else { return };
-        node.keeper.tick(now);
-        node.coordinator.tick(now);
+        node.keeper.handle_timeout(now);
+        node.coordinator.handle_timeout(now);
         if now >= node.next_orphans {
             node.next_orphans = now + 50;
             let coordinator = &node.coordinator;
@@ -450,11 +461,13 @@
                 match action {
                     Some((work, request)) if to == n => {
                         let replies = match request {
-                            Request::Get(blob, want) => node.keeper.give(self.now, work, blob, want),
-                            request => vec![node.keeper.hear(self.now, work, request)],
+                            Request::FetchPieces(blob, want) => {
+                                node.keeper.fetch_pieces(self.now, work, blob, want)
+                            }
+                            request => vec![node.keeper.handle_request(self.now, work, request)],
                         };
                         for reply in replies {
-                            node.coordinator.hear(self.now, node_id(n), work, reply);
+                            node.coordinator.handle_reply(self.now, node_id(n), work, reply);
                         }
                     }
                     Some((work, request)) => out.entry(to).or_default().push(Say::Request(work, request)),
@@ -478,7 +491,10 @@
         let now = self.now;
         let Some(node) = &mut self.nodes[n] else { return };
         let orphans = (node.keeper.figures().works > 0).then_some(node.next_orphans);
-        let due = [node.coordinator.due(), node.keeper.due(), orphans].into_iter().flatten().min();
+        let due = [node.coordinator.next_timeout(), node.keeper.next_timeout(), orphans]
+            .into_iter()
+            .flatten()
+            .min();
         let due = due.unwrap_or(now + 1000).max(now + 1);
         if due < node.next_wake || node.next_wake <= now {
             node.next_wake = due;
@@ -513,19 +529,19 @@
                         self.schedule(now + 50, Action::Served(n, incarnation, ticket, attempt_number));
                     } else if node.incarnation.number == incarnation {
                         let answer = Bytes::from(vec![attempt_number as u8; 1 + 1500 * (attempt_number % 2)]);
-                        node.coordinator.conclude(now, ticket, Conclusion::Served(Some(answer)));
+                        node.coordinator.submit_result(now, ticket, Conclusion::Served(Some(answer)));
                         self.process_outputs(n);
                     }
                 }
                 Action::Lost(by, incarnation) => {
                     if let Some(node) = &mut self.nodes[by] {
-                        node.coordinator.life(incarnation, false);
+                        node.coordinator.update_membership(incarnation, false);
                     }
                 }
                 Action::Joined(by, incarnation) => {
                     let is_running = self.nodes.iter().flatten().any(|node| node.incarnation == incarnation);
                     if let Some(node) = self.nodes[by].as_mut().filter(|_| is_running) {
-                        node.coordinator.life(incarnation, true);
+                        node.coordinator.update_membership(incarnation, true);
                     }
                 }
                 Action::Begin(job) => {
--- a/crates/node/src/custody/attempts.rs
+++ b/crates/node/src/custody/attempts.rs
@@ -48,7 +48,7 @@
             }
         };
         let (zone, cell) = self.hub.zone_and_cell(next.1).unwrap_or_default();
-        let number = self.coordinator.borrow_mut().intend(self.now(), ticket, next.1 .0, zone, cell);
+        let number = self.coordinator.borrow_mut().write_intent(self.now(), ticket, next.1 .0, zone, cell);
         if let (Some(number), Some(local)) = (number, self.local_works.borrow_mut().get_mut(&ticket)) {
             local.numbers.insert(next.0, number);
         }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -20,8 +20,8 @@
 use glenwood_custody::keeper::{self, Keeper};
 use glenwood_custody::wire;
 use glenwood_custody::{
-    coordinator, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, Kind, NodeId, Ticket, Verdict,
-    Work,
+    coordinator, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, NodeId, RequestIdentity,
+    Ticket, Verdict, Work,
 };
 use glenwood_datagram::Secret;
 use glenwood_members as members;
@@ -165,16 +165,16 @@
         let me = Incarnation { node: table::node_id(&config.name), number: membership.life() };
         let now = hub.clock.now() as u64;
         let coordinator_settings = coordinator::Settings {
-            patience_ms: table.patience_ms,
+            majority_timeout_ms: table.patience_ms,
             resend_ms: table.resend_ms,
             poll_ms: table.poll_ms,
-            life_ms: table.life_ms,
-            most: MAX_WORKS,
+            entry_lifetime_ms: table.life_ms,
+            max_works: MAX_WORKS,
         };
         let keeper_settings = keeper::Settings {
-            life_ms: table.life_ms,
-            works_most: table.works_most,
-            bytes_most: table.memory_mb << 20,
+            entry_lifetime_ms: table.life_ms,
+            max_works: table.works_most,
+            max_bytes: table.memory_mb << 20,
         };
         Ok(Some(Rc::new_cyclic(|weak| Self {
             weak_self: weak.clone(),
@@ -239,7 +239,7 @@
 
     fn handle_event(&self, event: Event) {
         match event {
-            Event::Yours { ticket, earlier, adopted } => {
+            Event::Acquired { ticket, earlier, adopted } => {
                 // The client may have left while the holder was looked up: the request is not started
                 // then.
                 let take_incoming =
@@ -255,7 +255,7 @@
                     None => self.release_work(ticket),
                 }
             }
-            Event::Adopt { ticket, earlier, about, body, remaining_ms } => {
+            Event::OrphanAdopted { ticket, earlier, about, body, remaining_ms } => {
                 let earlier = self.earlier_attempts(&earlier);
                 match self.decode_request(&about, &body, remaining_ms) {
                     Some(incoming) => {
@@ -267,7 +267,7 @@
                     None => self.release_work(ticket),
                 }
             }
-            Event::Go(ticket) => {
+            Event::SendAllowed(ticket) => {
                 let pending = self.take_pending(ticket);
                 // If there is none, the attempt was abandoned meanwhile and is not sent.
                 if let (Some(pending), Some(inner)) = (pending, self.inner.get()) {
@@ -275,22 +275,22 @@
                 }
                 self.request_next_intent(ticket);
             }
-            Event::Denied(ticket) => {
+            Event::SendDenied(ticket) => {
                 if let Some(pending) = self.take_pending(ticket) {
                     self.hub.attempt_ended(pending.attempt, glenwood_core::Ended::Without(Outcome::NotSent));
                 }
                 self.request_next_intent(ticket);
             }
             Event::Verdict(ticket, verdict, bytes) => self.on_verdict(ticket, verdict, bytes.as_ref()),
-            Event::Unkept(ticket) => self.answer(ticket, &|| Final::Overdue),
-            Event::Unknown(ticket) => self.on_no_majority(ticket),
-            Event::Twin(ticket) | Event::Ambiguous(ticket) => {
+            Event::VerdictNotStored(ticket) => self.answer(ticket, &|| Final::Overdue),
+            Event::NoMajority(ticket) => self.on_no_majority(ticket),
+            Event::ConcurrentRepeat(ticket) | Event::AmbiguousRepeat(ticket) => {
                 self.count(|counts| counts.doubtful += 1);
                 self.answer(ticket, &|| Final::Failed);
                 self.drop_local(ticket);
             }
-            Event::Same(ticket, other) => self.merge_waiters(ticket, other),
-            Event::Over(ticket) => {
+            Event::AlreadyHere(ticket, other) => self.merge_waiters(ticket, other),
+            Event::Ended(ticket) => {
                 let open =
                     self.local_works.borrow().get(&ticket).is_some_and(|local| local.request.is_some());
                 if !open {
@@ -376,7 +376,7 @@
     }
 
     fn release_work(&self, ticket: Ticket) {
-        self.coordinator.borrow_mut().conclude(self.now(), ticket, Conclusion::LetGo);
+        self.coordinator.borrow_mut().submit_result(self.now(), ticket, Conclusion::Release);
     }
 
     /// Handles the core's final answer for a work. A served answer is stored by the keepers before any
@@ -388,7 +388,7 @@
             local.request = None;
             local.numbers.clear();
         }
-        if guarded && !self.coordinator.borrow().holds(ticket) {
+        if guarded && !self.coordinator.borrow().is_holder(ticket) {
             // Another node holds it by now; clients that wait here get the verdict of that node.
             return self.pump_and_notify();
         }
@@ -396,7 +396,7 @@
         match final_answer {
             Final::Served(reply) => match form::write_reply(&reply) {
                 Some(bytes) if guarded => {
-                    self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Served(Some(bytes)));
+                    self.coordinator.borrow_mut().submit_result(now, ticket, Conclusion::Served(Some(bytes)));
                 }
                 Some(bytes) => {
                     self.answer(ticket, &|| form::read_reply(&bytes).map_or(Final::Failed, Final::Served));
@@ -406,7 +406,7 @@
                     // The body is streamed to the first client, so no other client can get it.
                     self.count(|counts| counts.long += 1);
                     let first = self.take_first_waiter(ticket);
-                    self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Served(None));
+                    self.coordinator.borrow_mut().submit_result(now, ticket, Conclusion::Served(None));
                     if let Some(waiter) = first {
                         waiter(Final::Served(reply));
                     }
@@ -414,7 +414,7 @@
                 }
             },
             Final::Rejected if guarded => {
-                self.coordinator.borrow_mut().conclude(now, ticket, Conclusion::Rejected);
+                self.coordinator.borrow_mut().submit_result(now, ticket, Conclusion::Rejected);
             }
             Final::Rejected => self.answer(ticket, &|| Final::Rejected),
             Final::Refused { stay_away } => {
@@ -519,9 +519,9 @@
         let name = call.of.0.name.to_string();
         let kind = match effect {
             Some(policy::Effect::Unsafe) => {
-                Kind::Unsafe { nonce: form::nonce(call), marked: form::is_marked(call) }
+                RequestIdentity::Unsafe { nonce: form::nonce(call), is_marked_repeat: form::is_marked(call) }
             }
-            Some(policy::Effect::Keyed { .. }) if call.key.is_some() => Kind::Keyed,
+            Some(policy::Effect::Keyed { .. }) if call.key.is_some() => RequestIdentity::Keyed,
             _ => return Err((incoming, waiter)),
         };
         if self.table.unguarded_classes.contains(&name) {
@@ -529,7 +529,7 @@
         }
         let now = self.now();
         let left = (incoming.deadline - self.hub.clock.now()).max(0.0);
-        let ask = glenwood_custody::Ask {
+        let ask = glenwood_custody::SubmittedRequest {
             slot: form::slot(call),
             kind,
             class: name.clone(),
@@ -538,7 +538,7 @@
         };
         self.count(|counts| counts.guarded += 1);
         let class = incoming.class;
-        let accepted = self.coordinator.borrow_mut().ask(now, ask);
+        let accepted = self.coordinator.borrow_mut().submit(now, ask);
         let Some((ticket, _)) = accepted else {
             // The coordinator is full: treated like a missing majority, as nothing is known of the work.
             if self.no_majority_rule(class, &name) == NoMajorityRule::Serve {
@@ -582,7 +582,7 @@
             .iter_mut()
             .find_map(|(ticket, local)| Some((*ticket, number(local)?)));
         if let Some((ticket, number)) = found {
-            self.coordinator.borrow_mut().never_ran(ticket, number);
+            self.coordinator.borrow_mut().mark_never_ran(ticket, number);
         }
     }
 
@@ -601,9 +601,11 @@
         let incarnation =
             |member: &members::Member| Incarnation { node: NodeId(member.id().0), number: member.life };
         match event {
-            members::Event::Joined(member) => self.coordinator.borrow_mut().life(incarnation(member), true),
+            members::Event::Joined(member) => {
+                self.coordinator.borrow_mut().update_membership(incarnation(member), true)
+            }
             members::Event::Lost(member) | members::Event::Left(member) => {
-                self.coordinator.borrow_mut().life(incarnation(member), false);
+                self.coordinator.borrow_mut().update_membership(incarnation(member), false);
             }
             _ => return,
         }
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -19,7 +19,7 @@
         let (coordinator, keeper) = (self.coordinator.borrow(), self.keeper.borrow());
         let (known_here, held_here) = coordinator.counts();
         let works: Vec<Value> = keeper
-            .all(now)
+            .works(now)
             .take(MAX_REPORTED_WORKS)
             .map(|(work, record, age)| {
                 let holder = record.and_then(|record| record.holder);
@@ -40,7 +40,7 @@
         json!({
             "epoch": self.table.rosters.epoch,
             "joint": self.table.rosters.before.is_some(),
-            "votes": keeper.votes(now),
+            "votes": keeper.is_voting(now),
             "here": known_here,
             "mine": held_here,
             "counts": *self.counts.borrow(),
@@ -61,7 +61,7 @@
             gauge("custody_bytes", kept.bytes, "Bytes that this node stores as a keeper."),
             gauge(
                 "custody_votes",
-                u64::from(keeper.votes(self.now())),
+                u64::from(keeper.is_voting(self.now())),
                 "1 if this node votes as a keeper, else 0.",
             ),
             counter("custody_guarded", counts.guarded, "Requests of guarded classes."),
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -69,14 +69,15 @@
         let waiting = self.local_works.borrow();
         let until = waiting.values().flat_map(|local| local.waiting.iter().map(|w| w.until)).min();
         let orphans = (self.keeper.borrow().figures().works > 0).then(|| self.next_orphans.get());
-        let all = [self.coordinator.borrow().due(), self.keeper.borrow().due(), until, orphans];
+        let all =
+            [self.coordinator.borrow().next_timeout(), self.keeper.borrow().next_timeout(), until, orphans];
         all.into_iter().flatten().min().unwrap_or(self.now() + 1000)
     }
 
     fn tick(&self) {
         let now = self.now();
-        self.keeper.borrow_mut().tick(now);
-        self.coordinator.borrow_mut().tick(now);
+        self.keeper.borrow_mut().handle_timeout(now);
+        self.coordinator.borrow_mut().handle_timeout(now);
         self.adopt_orphans(now);
         self.pump();
         self.answer_overdue(now);
@@ -139,13 +140,13 @@
             return self.count(|counts| counts.stale += 1);
         }
         let now = self.now();
-        self.keeper.borrow_mut().heard_of(now, from.sender);
+        self.keeper.borrow_mut().mark_alive(now, from.sender);
         let mut replies = Vec::new();
         for message in messages {
             match message {
                 Say::Request(work, request) => replies.extend(self.handle_request(now, work, request)),
                 Say::Reply(work, reply) => {
-                    self.coordinator.borrow_mut().hear(now, from.sender.node, work, reply)
+                    self.coordinator.borrow_mut().handle_reply(now, from.sender.node, work, reply)
                 }
                 Say::Here => {}
             }
@@ -160,8 +161,8 @@
     fn handle_request(&self, now: u64, work: Work, request: Request) -> Vec<Say> {
         let mut keeper = self.keeper.borrow_mut();
         let replies = match request {
-            Request::Get(blob, want) => keeper.give(now, work, blob, want),
-            request => vec![keeper.hear(now, work, request)],
+            Request::FetchPieces(blob, want) => keeper.fetch_pieces(now, work, blob, want),
+            request => vec![keeper.handle_request(now, work, request)],
         };
         replies.into_iter().map(|reply| Say::Reply(work, reply)).collect()
     }
@@ -193,7 +194,7 @@
                     let now = self.now();
                     for message in self.handle_request(now, work, request) {
                         if let Say::Reply(work, reply) = message {
-                            self.coordinator.borrow_mut().hear(now, to, work, reply);
+                            self.coordinator.borrow_mut().handle_reply(now, to, work, reply);
                         }
                     }
                 }
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -68,8 +68,8 @@
                 self.release_work(ticket);
                 self.drop_local(ticket);
             }
-            None if !self.coordinator.borrow().holds(ticket) => {
-                self.coordinator.borrow_mut().give_up(self.now(), ticket);
+            None if !self.coordinator.borrow().is_holder(ticket) => {
+                self.coordinator.borrow_mut().abandon(self.now(), ticket);
             }
             _ => {}
         }
--- a/crates/scale/src/scenario/custody.rs
+++ b/crates/scale/src/scenario/custody.rs
@@ -6,7 +6,8 @@
 use glenwood_custody::keeper::{self, Keeper, Request};
 use glenwood_custody::wire::{self, From, Say};
 use glenwood_custody::{
-    coordinator, Ask, Conclusion, Coordinator, Event, Incarnation, Kind, NodeId, Roster, Rosters, Ticket,
+    coordinator, Conclusion, Coordinator, Event, Incarnation, NodeId, RequestIdentity, Roster, Rosters,
+    SubmittedRequest, Ticket,
 };
 use glenwood_datagram::Secret;
 
@@ -59,13 +60,13 @@
     fn new(number: usize, rosters: Rosters, now: Time, every: Time) -> Self {
         let life = Incarnation { node: node_id(number), number: 1 };
         let settings = coordinator::Settings {
-            patience_ms: 150,
+            majority_timeout_ms: 150,
             resend_ms: 20,
             poll_ms: 50,
-            life_ms: LIFE_MS,
-            most: 10_000,
+            entry_lifetime_ms: LIFE_MS,
+            max_works: 10_000,
         };
-        let kept = keeper::Settings { life_ms: LIFE_MS, works_most: 20_000, bytes_most: 64_000_000 };
+        let kept = keeper::Settings { entry_lifetime_ms: LIFE_MS, max_works: 20_000, max_bytes: 64_000_000 };
         let seed = 1 + number as u64;
         let mut random = fastrand::Rng::with_seed(seed);
         let next_work = now + LIFE_MS + 200 + random.u64(0..every.max(1));
@@ -87,14 +88,14 @@
     /// A client's request: guarded, sent at once when it may be, and answered at once.
     fn begin(&mut self, now: Time) {
         self.asked += 1;
-        let ask = Ask {
+        let ask = SubmittedRequest {
             slot: (self.random.u64(..), self.asked),
-            kind: Kind::Keyed,
+            kind: RequestIdentity::Keyed,
             class: "pay".into(),
             remaining_ms: 1_500,
             body: Some(Bytes::from(vec![1; BODY_BYTES])),
         };
-        if self.coordinator.ask(now, ask).is_none() {
+        if self.coordinator.submit(now, ask).is_none() {
             self.unserved += 1;
         }
     }
@@ -102,19 +103,19 @@
     fn happened(&mut self, now: Time, event: Event) {
         let answer = || Conclusion::Served(Some(Bytes::from(vec![2; ANSWER_BYTES])));
         match event {
-            Event::Yours { ticket, .. } => drop(self.coordinator.intend(now, ticket, 1, 0, 0)),
-            Event::Go(ticket) => self.coordinator.conclude(now, ticket, answer()),
+            Event::Acquired { ticket, .. } => drop(self.coordinator.write_intent(now, ticket, 1, 0, 0)),
+            Event::SendAllowed(ticket) => self.coordinator.submit_result(now, ticket, answer()),
             Event::Verdict(..) => self.served += 1,
-            Event::Denied(ticket) => self.let_go(now, ticket),
-            Event::Unkept(_) | Event::Unknown(_) => self.unserved += 1,
+            Event::SendDenied(ticket) => self.let_go(now, ticket),
+            Event::VerdictNotStored(_) | Event::NoMajority(_) => self.unserved += 1,
             _ => {}
         }
     }
 
     fn let_go(&mut self, now: Time, ticket: Ticket) {
         self.unserved += 1;
-        if self.coordinator.holds(ticket) {
-            self.coordinator.conclude(now, ticket, Conclusion::LetGo);
+        if self.coordinator.is_holder(ticket) {
+            self.coordinator.submit_result(now, ticket, Conclusion::Release);
         }
     }
 
@@ -126,7 +127,7 @@
                 None => break,
             }
         }
-        let due = [self.coordinator.due(), self.keeper.due()].into_iter().flatten().min();
+        let due = [self.coordinator.next_timeout(), self.keeper.next_timeout()].into_iter().flatten().min();
         self.next_wake = due.unwrap_or(now + IDLE_WAKE).max(now + 1);
     }
 
@@ -136,10 +137,10 @@
             match what {
                 Some((work, request)) if to == self.life.node => {
                     let replies = match request {
-                        Request::Get(blob, want) => self.keeper.give(now, work, blob, want),
-                        request => vec![self.keeper.hear(now, work, request)],
+                        Request::FetchPieces(blob, want) => self.keeper.fetch_pieces(now, work, blob, want),
+                        request => vec![self.keeper.handle_request(now, work, request)],
                     };
-                    replies.into_iter().for_each(|reply| self.coordinator.hear(now, to, work, reply));
+                    replies.into_iter().for_each(|reply| self.coordinator.handle_reply(now, to, work, reply));
                 }
                 Some((work, request)) => {
                     says.entry(to.0 as usize - 1).or_default().push(Say::Request(work, request));
@@ -167,25 +168,25 @@
             self.next_work = now + self.every.max(1);
             self.begin(now);
         }
-        self.keeper.tick(now);
-        self.coordinator.tick(now);
+        self.keeper.handle_timeout(now);
+        self.coordinator.handle_timeout(now);
         self.after(now, out);
     }
 
     fn receive(&mut self, now: Time, from: usize, bytes: &[u8], out: &mut Outbox) {
         let Ok((by, says)) = wire::read(bytes, 1, &self.secret) else { return };
-        self.keeper.heard_of(now, by.sender);
+        self.keeper.mark_alive(now, by.sender);
         let mut replies = Vec::new();
         for say in says {
             match say {
-                Say::Request(work, Request::Get(blob, want)) => {
-                    let given = self.keeper.give(now, work, blob, want);
+                Say::Request(work, Request::FetchPieces(blob, want)) => {
+                    let given = self.keeper.fetch_pieces(now, work, blob, want);
                     replies.extend(given.into_iter().map(|reply| Say::Reply(work, reply)));
                 }
                 Say::Request(work, request) => {
-                    replies.push(Say::Reply(work, self.keeper.hear(now, work, request)));
+                    replies.push(Say::Reply(work, self.keeper.handle_request(now, work, request)));
                 }
-                Say::Reply(work, reply) => self.coordinator.hear(now, by.sender.node, work, reply),
+                Say::Reply(work, reply) => self.coordinator.handle_reply(now, by.sender.node, work, reply),
                 Say::Here => {}
             }
         }
@@ -204,8 +205,9 @@
     let mut network = Network::new(nodes, 5);
     for number in 0..nodes {
         let mut node = HollowCustody::new(number, rosters.clone(), network.now, every);
-        (0..nodes)
-            .for_each(|other| node.coordinator.life(Incarnation { node: node_id(other), number: 1 }, true));
+        (0..nodes).for_each(|other| {
+            node.coordinator.update_membership(Incarnation { node: node_id(other), number: 1 }, true)
+        });
         network.start(number, node);
     }
     network
