--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -319,14 +319,14 @@
 
     /// Submits a request. Returns its ticket and whether it joined a work already in progress here, or
     /// `None` if there are too many works.
-    pub fn submit(&mut self, now: u64, ask: SubmittedRequest) -> Option<(Ticket, bool)> {
+    pub fn submit(&mut self, now: u64, submitted: SubmittedRequest) -> Option<(Ticket, bool)> {
         self.figures.asked += 1;
-        let nonce = match ask.kind {
+        let nonce = match submitted.kind {
             RequestIdentity::Keyed => 0,
             RequestIdentity::Unsafe { is_marked_repeat: true, .. } => Work::REPEAT,
             RequestIdentity::Unsafe { nonce, .. } => nonce.max(Work::REPEAT + 1),
         };
-        let work = Work { slot: ask.slot, nonce };
+        let work = Work { slot: submitted.slot, nonce };
         if let Some(ticket) = self.by_work.get(&work) {
             self.figures.joined += 1;
             return Some((*ticket, true));
@@ -335,7 +335,7 @@
             return None;
         }
         let ticket = self.next_ticket();
-        self.start_work(now, ticket, work, ask);
+        self.start_work(now, ticket, work, submitted);
         Some((ticket, false))
     }
 
@@ -344,17 +344,17 @@
         Ticket(self.last_ticket)
     }
 
-    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, ask: SubmittedRequest) {
-        let effect = if ask.kind == RequestIdentity::Keyed { Effect::Keyed } else { Effect::Unsafe };
-        let body = ask.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
+    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, submitted: SubmittedRequest) {
+        let effect = if submitted.kind == RequestIdentity::Keyed { Effect::Keyed } else { Effect::Unsafe };
+        let body = submitted.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
         let about = WorkDescription {
             effect,
-            class: ask.class.clone(),
-            remaining_ms: ask.remaining_ms,
+            class: submitted.class.clone(),
+            remaining_ms: submitted.remaining_ms,
             request: body.map(|body| blob_of(body)),
         };
         let proposer = Proposer::for_request(self.local, self.rosters.keepers(work.slot), about);
-        self.insert_entry(now, ticket, work, proposer, Some(ask));
+        self.insert_entry(now, ticket, work, proposer, Some(submitted));
     }
 
     /// Takes over a work whose holder is lost, as found by a keeper, unless this node is involved in it
@@ -523,8 +523,8 @@
     /// Handles reports that keepers know other works of the same slot.
     fn handle_other_works(&mut self, now: u64, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
-        let Some(ask) = entry.submitted.clone() else { return };
-        if !matches!(ask.kind, RequestIdentity::Unsafe { is_marked_repeat: true, .. }) {
+        let Some(submitted) = entry.submitted.clone() else { return };
+        if !matches!(submitted.kind, RequestIdentity::Unsafe { is_marked_repeat: true, .. }) {
             // Keepers report only marked repeats to an unmarked request. The repeat may be of this
             // request.
             self.remove_entry(ticket);
@@ -541,12 +541,12 @@
         match all.first().copied().filter(|_| all.len() == 1) {
             None => self.events.push_back(Event::AmbiguousRepeat(ticket)),
             Some(nonce) => {
-                let work = Work { slot: ask.slot, nonce };
+                let work = Work { slot: submitted.slot, nonce };
                 match self.by_work.get(&work) {
                     Some(other) => self.events.push_back(Event::AlreadyHere(ticket, *other)),
                     None => {
                         self.figures.joined += 1;
-                        self.start_work(now, ticket, work, ask);
+                        self.start_work(now, ticket, work, submitted);
                     }
                 }
             }
@@ -622,8 +622,9 @@
                         .collect();
                     entry.expires = now + settings.entry_lifetime_ms;
                     self.figures.adopted += u64::from(adopted);
-                    if let Some(ask) = &entry.submitted {
-                        if let Some(body) = ask.body.clone().filter(|body| body.len() <= MAX_BLOB_BYTES) {
+                    if let Some(submitted) = &entry.submitted {
+                        if let Some(body) = submitted.body.clone().filter(|body| body.len() <= MAX_BLOB_BYTES)
+                        {
                             let blob = blob_of(&body);
                             let recorded = entry.proposer.record().and_then(|record| record.about.request);
                             if recorded == Some(blob) {
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -14,7 +14,7 @@
 use crate::register::NodeId;
 
 /// Number of keepers of a work.
-pub const KEEPERS: usize = 3;
+pub const KEEPERS_PER_WORK: usize = 3;
 
 /// The nodes that may be keepers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,14 +26,14 @@
     /// Creates a roster from nodes with their zones.
     ///
     /// # Errors
-    /// If there are fewer than [`KEEPERS`] nodes, or a node is listed twice.
+    /// If there are fewer than [`KEEPERS_PER_WORK`] nodes, or a node is listed twice.
     pub fn new(nodes: Vec<(NodeId, String)>) -> Result<Self, String> {
         let distinct: BTreeSet<NodeId> = nodes.iter().map(|(id, _)| *id).collect();
         if distinct.len() < nodes.len() {
             return Err("a name stands twice".into());
         }
-        if nodes.len() < KEEPERS {
-            return Err(format!("{KEEPERS} at the least expected, not {}", nodes.len()));
+        if nodes.len() < KEEPERS_PER_WORK {
+            return Err(format!("{KEEPERS_PER_WORK} at the least expected, not {}", nodes.len()));
         }
         Ok(Self { nodes })
     }
@@ -45,12 +45,12 @@
         let mut order: Vec<(u64, NodeId, &str)> =
             self.nodes.iter().map(|(id, zone)| (rank(*id), *id, zone.as_str())).collect();
         order.sort_unstable();
-        let mut chosen: Vec<(NodeId, &str)> = Vec::with_capacity(KEEPERS);
+        let mut chosen: Vec<(NodeId, &str)> = Vec::with_capacity(KEEPERS_PER_WORK);
         for distinct in [true, false] {
             for (_, id, zone) in &order {
                 let taken = chosen.iter().any(|(other, _)| other == id);
                 let same_zone = distinct && chosen.iter().any(|(_, other)| other == zone);
-                if chosen.len() < KEEPERS && !taken && !same_zone {
+                if chosen.len() < KEEPERS_PER_WORK && !taken && !same_zone {
                     chosen.push((*id, zone));
                 }
             }
@@ -65,22 +65,22 @@
     /// The number of the current roster. Each change increments it.
     pub epoch: u32,
     /// The current roster.
-    pub now: Roster,
+    pub current: Roster,
     /// The previous roster, during the first step of a change.
-    pub before: Option<Roster>,
+    pub previous: Option<Roster>,
 }
 
 impl Rosters {
     /// The keepers of a slot.
     pub fn keepers(&self, slot: (u64, u64)) -> Keepers {
-        let all = [Some(&self.now), self.before.as_ref()];
+        let all = [Some(&self.current), self.previous.as_ref()];
         Keepers { groups: all.into_iter().flatten().map(|roster| roster.keepers(slot)).collect() }
     }
 
     /// Whether every majority of a node at this epoch shares a keeper with every majority of these
     /// rosters. `joint`: the other node also uses its previous roster.
-    pub fn meets(&self, epoch: u32, joint: bool) -> bool {
-        let own = [Some(self.epoch), self.before.as_ref().map(|_| self.epoch.wrapping_sub(1))];
+    pub fn shares_majority_with(&self, epoch: u32, joint: bool) -> bool {
+        let own = [Some(self.epoch), self.previous.as_ref().map(|_| self.epoch.wrapping_sub(1))];
         let theirs = [Some(epoch), joint.then(|| epoch.wrapping_sub(1))];
         own.iter().flatten().any(|own| theirs.iter().flatten().any(|their| own == their))
     }
@@ -115,7 +115,7 @@
 
     /// Position of a keeper in the first group. It determines the order in which keepers take over an
     /// orphaned work.
-    pub fn place(&self, id: NodeId) -> Option<usize> {
+    pub fn position(&self, id: NodeId) -> Option<usize> {
         self.groups.first()?.iter().position(|other| *other == id)
     }
 }
@@ -146,15 +146,15 @@
         let (old, new) = (roster(0..6, 2), roster(3..9, 2));
         let step = |epoch, now: &Roster, before: Option<&Roster>| Rosters {
             epoch,
-            now: now.clone(),
-            before: before.cloned(),
+            current: now.clone(),
+            previous: before.cloned(),
         };
         let steps = [step(6, &old, None), step(7, &new, Some(&old)), step(7, &new, None)];
         for (n, one) in steps.iter().enumerate() {
             for (m, other) in steps.iter().enumerate() {
-                let meets = one.meets(other.epoch, other.before.is_some());
+                let shares_majority = one.shares_majority_with(other.epoch, other.previous.is_some());
                 // The first and the last step may have disjoint majorities.
-                assert_eq!(meets, n.abs_diff(m) < 2, "{n} and {m}");
+                assert_eq!(shares_majority, n.abs_diff(m) < 2, "{n} and {m}");
             }
         }
         // Any majorities of two adjacent steps share a keeper.
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -24,19 +24,19 @@
 
 /// One message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum Message {
     /// A request to a keeper.
     Request(Work, Request),
     /// A keeper's reply.
     Reply(Work, Reply),
     /// The sender's incarnation is alive and holds works, even if its membership may have passed to a
     /// successor.
-    Here,
+    Alive,
 }
 
 /// The header of a datagram: its sender and when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct From {
+pub struct Header {
     /// Number of the sender's cluster (see [`cluster_number`]).
     pub cluster: u32,
     /// The sender's incarnation.
@@ -170,7 +170,7 @@
     write_u64s(out, &[work.slot.0, work.slot.1, work.nonce]);
 }
 
-impl Say {
+impl Message {
     fn write(&self, out: &mut Vec<u8>) {
         match self {
             Self::Request(work, Request::Register(op, marked)) => {
@@ -251,14 +251,14 @@
             }
             Self::Reply(work, Reply::NotVoting) => write_work(out, 18, *work),
             Self::Reply(work, Reply::AtCapacity) => write_work(out, 19, *work),
-            Self::Here => out.push(20),
+            Self::Alive => out.push(20),
         }
     }
 
     fn read(r: &mut Reader) -> Option<Self> {
         let kind = r.u8()?;
         if kind == 20 {
-            return Some(Self::Here);
+            return Some(Self::Alive);
         }
         let work = Work { slot: (r.u64()?, r.u64()?), nonce: r.u64()? };
         let register_request = |op, marked| Self::Request(work, Request::Register(op, marked));
@@ -307,14 +307,14 @@
 }
 
 /// Encodes messages to one receiver, with as many as fit in each datagram.
-pub fn write(from: &From, messages: &[Say], secret: &Secret) -> Vec<Vec<u8>> {
+pub fn write(header: &Header, messages: &[Message], secret: &Secret) -> Vec<Vec<u8>> {
     let header_bytes = {
         let mut out = Vec::with_capacity(LONGEST);
         out.extend(MAGIC.to_be_bytes());
-        out.extend(from.cluster.to_be_bytes());
-        write_u64s(&mut out, &[from.sender.node.0, from.sender.number, from.sent_at_ms]);
-        out.extend(from.epoch.0.to_be_bytes());
-        out.push(u8::from(from.epoch.1));
+        out.extend(header.cluster.to_be_bytes());
+        write_u64s(&mut out, &[header.sender.node.0, header.sender.number, header.sent_at_ms]);
+        out.extend(header.epoch.0.to_be_bytes());
+        out.push(u8::from(header.epoch.1));
         out
     };
     let (mut sealed, mut out, mut encoded) = (Vec::new(), header_bytes.clone(), Vec::new());
@@ -336,7 +336,7 @@
 ///
 /// # Errors
 /// If it belongs to another cluster, was not made with the secret, or can't be parsed.
-pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<(From, Vec<Say>), DecodeError> {
+pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<(Header, Vec<Message>), DecodeError> {
     let payload = secret.open(bytes).map_err(|_| DecodeError::InvalidTag)?;
     let mut r = Reader::new(payload);
     if r.u32() != Some(MAGIC) {
@@ -347,12 +347,12 @@
     }
     let mut parse = || {
         let sender = Incarnation { node: NodeId(r.u64()?), number: r.u64()? };
-        let from = From { cluster, sender, sent_at_ms: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
+        let header = Header { cluster, sender, sent_at_ms: r.u64()?, epoch: (r.u32()?, r.u8()? == 1) };
         let mut messages = Vec::new();
         while !r.is_empty() {
-            messages.push(Say::read(&mut r)?);
+            messages.push(Message::read(&mut r)?);
         }
-        Some((from, messages))
+        Some((header, messages))
     };
     parse().ok_or(DecodeError::Malformed)
 }
@@ -405,7 +405,7 @@
         proptest::collection::vec(any::<u8>(), 0..1000).prop_map(Bytes::from)
     }
 
-    fn message() -> impl Strategy<Value = Say> {
+    fn message() -> impl Strategy<Value = Message> {
         let request = prop_oneof![
             (ballot(), any::<bool>())
                 .prop_map(|(b, marked)| Request::Register(RegisterOp::PrepareNew(b), marked)),
@@ -436,9 +436,9 @@
         ];
         let work = any::<(u64, u64, u64)>().prop_map(|(a, b, nonce)| Work { slot: (a, b), nonce });
         prop_oneof![
-            (work.clone(), request).prop_map(|(work, request)| Say::Request(work, request)),
-            (work, reply).prop_map(|(work, reply)| Say::Reply(work, reply)),
-            Just(Say::Here),
+            (work.clone(), request).prop_map(|(work, request)| Message::Request(work, request)),
+            (work, reply).prop_map(|(work, reply)| Message::Reply(work, reply)),
+            Just(Message::Alive),
         ]
     }
 
@@ -450,7 +450,7 @@
             epoch in any::<(u32, bool)>(),
         ) {
             let secret = Secret::new(b"ours");
-            let from = From { cluster: 7, sender: Incarnation { node: NodeId(1), number: 2 }, epoch, sent_at_ms: time };
+            let from = Header { cluster: 7, sender: Incarnation { node: NodeId(1), number: 2 }, epoch, sent_at_ms: time };
             let datagrams = write(&from, &messages, &secret);
             let mut decoded = Vec::new();
             for bytes in &datagrams {
--- a/crates/custody/tests/fleet.rs
+++ b/crates/custody/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use glenwood_custody::keeper::{self, Keeper, Request};
-use glenwood_custody::wire::{self, From, Say};
+use glenwood_custody::wire::{self, Header, Message};
 use glenwood_custody::{
     coordinator, Conclusion, Coordinator, Event, Incarnation, IntendedAttempt, NodeId, RequestIdentity,
     Roster, Rosters, SubmittedRequest, Ticket, Verdict,
@@ -101,7 +101,7 @@
         let mut fleet = Self {
             now: 100_000,
             nodes: (0..nodes).map(|_| None).collect(),
-            rosters: Rosters { epoch: 1, now: roster, before: None },
+            rosters: Rosters { epoch: 1, current: roster, previous: None },
             random: fastrand::Rng::with_seed(seed),
             loss: 0.0,
             duplication: 0.0,
@@ -384,9 +384,9 @@
         }
     }
 
-    fn send(&mut self, n: usize, to: usize, messages: &[Say]) {
+    fn send(&mut self, n: usize, to: usize, messages: &[Message]) {
         let Some(node) = &self.nodes[n] else { return };
-        let from = From { cluster: 1, sender: node.incarnation, epoch: (1, false), sent_at_ms: self.now };
+        let from = Header { cluster: 1, sender: node.incarnation, epoch: (1, false), sent_at_ms: self.now };
         for bytes in wire::write(&from, messages, &self.secret) {
             let is_partitioned =
                 self.partition.as_ref().is_some_and(|side| side.contains(&n) != side.contains(&to));
@@ -412,17 +412,17 @@
             node.keeper.mark_alive(now, by.sender);
             for message in messages {
                 match message {
-                    Say::Request(work, Request::FetchPieces(blob, want)) => {
+                    Message::Request(work, Request::FetchPieces(blob, want)) => {
                         let pieces = node.keeper.fetch_pieces(now, work, blob, want);
-                        replies.extend(pieces.into_iter().map(|reply| Say::Reply(work, reply)));
+                        replies.extend(pieces.into_iter().map(|reply| Message::Reply(work, reply)));
                     }
-                    Say::Request(work, request) => {
-                        replies.push(Say::Reply(work, node.keeper.handle_request(now, work, request)));
+                    Message::Request(work, request) => {
+                        replies.push(Message::Reply(work, node.keeper.handle_request(now, work, request)));
                     }
-                    Say::Reply(work, reply) => {
+                    Message::Reply(work, reply) => {
                         node.coordinator.handle_reply(now, by.sender.node, work, reply)
                     }
-                    Say::Here => {}
+                    Message::Alive => {}
                 }
             }
         }
@@ -443,7 +443,7 @@
             let works = node.keeper.orphans(now, |incarnation| coordinator.is_lost(now, incarnation));
             for work in works {
                 // The first keeper adopts the work at once, the others later with some probability.
-                let position = keepers.keepers(work.slot).place(node.incarnation.node).unwrap_or(3);
+                let position = keepers.keepers(work.slot).position(node.incarnation.node).unwrap_or(3);
                 if position == 0 || self.random.f64() < 0.2 {
                     node.coordinator.adopt(now, work);
                 }
@@ -454,7 +454,7 @@
 
     fn process_outputs(&mut self, n: usize) {
         loop {
-            let mut out: BTreeMap<usize, Vec<Say>> = BTreeMap::new();
+            let mut out: BTreeMap<usize, Vec<Message>> = BTreeMap::new();
             let Some(node) = &mut self.nodes[n] else { return };
             while let Some((to, action)) = node.coordinator.poll_transmit() {
                 let to = to.0 as usize - 1;
@@ -470,8 +470,8 @@
                             node.coordinator.handle_reply(self.now, node_id(n), work, reply);
                         }
                     }
-                    Some((work, request)) => out.entry(to).or_default().push(Say::Request(work, request)),
-                    None if to != n => out.entry(to).or_default().push(Say::Here),
+                    Some((work, request)) => out.entry(to).or_default().push(Message::Request(work, request)),
+                    None if to != n => out.entry(to).or_default().push(Message::Alive),
                     None => {}
                 }
             }
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -39,7 +39,7 @@
             .collect();
         json!({
             "epoch": self.table.rosters.epoch,
-            "joint": self.table.rosters.before.is_some(),
+            "joint": self.table.rosters.previous.is_some(),
             "votes": keeper.is_voting(now),
             "here": known_here,
             "mine": held_here,
--- a/crates/node/src/custody/table.rs
+++ b/crates/node/src/custody/table.rs
@@ -77,7 +77,7 @@
             }
         }
         let parsed = Self {
-            rosters: Rosters { epoch, now, before },
+            rosters: Rosters { epoch, current: now, previous: before },
             patience_ms: f.within("patience_ms", 10..=10_000, 150)? as u64,
             resend_ms: f.within("resend_ms", 5..=1000, 20)? as u64,
             poll_ms: f.within("poll_ms", 10..=10_000, 50)? as u64,
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -7,7 +7,7 @@
 
 use glenwood_core::Final;
 use glenwood_custody::keeper::Request;
-use glenwood_custody::wire::{self, Say};
+use glenwood_custody::wire::{self, Message};
 use glenwood_custody::{NodeId, Work};
 use glenwood_datagram::LONGEST;
 use glenwood_members as members;
@@ -30,7 +30,7 @@
 
 /// The number of keepers of a work: a position after all of them.
 fn keeper_count() -> usize {
-    glenwood_custody::roster::KEEPERS
+    glenwood_custody::roster::KEEPERS_PER_WORK
 }
 
 impl Custody {
@@ -114,9 +114,11 @@
         for work in works {
             let since = *orphans.entry(work).or_insert(now);
             let keepers = self.table.rosters.keepers(work.slot);
-            let own_position = keepers.place(self.me.node).unwrap_or(keeper_count());
-            let before =
-                keepers.all().into_iter().filter(|id| keepers.place(*id).is_some_and(|p| p < own_position));
+            let own_position = keepers.position(self.me.node).unwrap_or(keeper_count());
+            let before = keepers
+                .all()
+                .into_iter()
+                .filter(|id| keepers.position(*id).is_some_and(|p| p < own_position));
             let rank = before.filter(|id| self.is_member_living(*id)).count() as u64;
             if now >= since + rank * KEEPER_TAKEOVER_DELAY_MS {
                 self.coordinator.borrow_mut().adopt(now, work);
@@ -133,7 +135,7 @@
         let Ok((from, messages)) = wire::read(bytes, self.cluster, &self.secret) else {
             return self.count(|counts| counts.forged += 1);
         };
-        if !self.table.rosters.meets(from.epoch.0, from.epoch.1) {
+        if !self.table.rosters.shares_majority_with(from.epoch.0, from.epoch.1) {
             return self.count(|counts| counts.other_epoch += 1);
         }
         if from.sent_at_ms.abs_diff(self.hub.clock.unix_now()) > self.table.life_ms / CLOCK_SKEW_DIVISOR {
@@ -144,11 +146,11 @@
         let mut replies = Vec::new();
         for message in messages {
             match message {
-                Say::Request(work, request) => replies.extend(self.handle_request(now, work, request)),
-                Say::Reply(work, reply) => {
+                Message::Request(work, request) => replies.extend(self.handle_request(now, work, request)),
+                Message::Reply(work, reply) => {
                     self.coordinator.borrow_mut().handle_reply(now, from.sender.node, work, reply)
                 }
-                Say::Here => {}
+                Message::Alive => {}
             }
         }
         self.send_messages(source, &replies, &|bytes, to| {
@@ -158,22 +160,22 @@
     }
 
     /// Handles a request as a keeper and returns the replies.
-    fn handle_request(&self, now: u64, work: Work, request: Request) -> Vec<Say> {
+    fn handle_request(&self, now: u64, work: Work, request: Request) -> Vec<Message> {
         let mut keeper = self.keeper.borrow_mut();
         let replies = match request {
             Request::FetchPieces(blob, want) => keeper.fetch_pieces(now, work, blob, want),
             request => vec![keeper.handle_request(now, work, request)],
         };
-        replies.into_iter().map(|reply| Say::Reply(work, reply)).collect()
+        replies.into_iter().map(|reply| Message::Reply(work, reply)).collect()
     }
 
-    fn send_messages(&self, to: SocketAddr, messages: &[Say], send: &dyn Fn(&[u8], SocketAddr)) {
+    fn send_messages(&self, to: SocketAddr, messages: &[Message], send: &dyn Fn(&[u8], SocketAddr)) {
         if messages.is_empty() {
             return;
         }
-        let epoch = (self.table.rosters.epoch, self.table.rosters.before.is_some());
+        let epoch = (self.table.rosters.epoch, self.table.rosters.previous.is_some());
         let time = self.hub.clock.unix_now();
-        let from = wire::From { cluster: self.cluster, sender: self.me, epoch, sent_at_ms: time };
+        let from = wire::Header { cluster: self.cluster, sender: self.me, epoch, sent_at_ms: time };
         for bytes in wire::write(&from, messages, &self.secret) {
             self.count(|counts| {
                 counts.sent += 1;
@@ -184,7 +186,7 @@
     }
 
     pub(super) fn transmit(&self) {
-        let mut by_node: BTreeMap<NodeId, Vec<Say>> = BTreeMap::new();
+        let mut by_node: BTreeMap<NodeId, Vec<Message>> = BTreeMap::new();
         loop {
             let next = self.coordinator.borrow_mut().poll_transmit();
             let Some((to, what)) = next else { break };
@@ -193,14 +195,14 @@
                     // The keeper in this process is called without a datagram.
                     let now = self.now();
                     for message in self.handle_request(now, work, request) {
-                        if let Say::Reply(work, reply) = message {
+                        if let Message::Reply(work, reply) = message {
                             self.coordinator.borrow_mut().handle_reply(now, to, work, reply);
                         }
                     }
                 }
-                Some((work, request)) => by_node.entry(to).or_default().push(Say::Request(work, request)),
+                Some((work, request)) => by_node.entry(to).or_default().push(Message::Request(work, request)),
                 None if to == self.me.node => {}
-                None => by_node.entry(to).or_default().push(Say::Here),
+                None => by_node.entry(to).or_default().push(Message::Alive),
             }
         }
         let Some(socket) = self.socket.get() else { return };
--- a/crates/scale/src/scenario/custody.rs
+++ b/crates/scale/src/scenario/custody.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use glenwood_custody::keeper::{self, Keeper, Request};
-use glenwood_custody::wire::{self, From, Say};
+use glenwood_custody::wire::{self, Header, Message};
 use glenwood_custody::{
     coordinator, Conclusion, Coordinator, Event, Incarnation, NodeId, RequestIdentity, Roster, Rosters,
     SubmittedRequest, Ticket,
@@ -132,7 +132,7 @@
     }
 
     fn transmit(&mut self, now: Time, out: &mut Outbox) {
-        let mut says: BTreeMap<usize, Vec<Say>> = BTreeMap::new();
+        let mut says: BTreeMap<usize, Vec<Message>> = BTreeMap::new();
         while let Some((to, what)) = self.coordinator.poll_transmit() {
             match what {
                 Some((work, request)) if to == self.life.node => {
@@ -143,17 +143,19 @@
                     replies.into_iter().for_each(|reply| self.coordinator.handle_reply(now, to, work, reply));
                 }
                 Some((work, request)) => {
-                    says.entry(to.0 as usize - 1).or_default().push(Say::Request(work, request));
+                    says.entry(to.0 as usize - 1).or_default().push(Message::Request(work, request));
+                }
+                None if to != self.life.node => {
+                    says.entry(to.0 as usize - 1).or_default().push(Message::Alive)
                 }
-                None if to != self.life.node => says.entry(to.0 as usize - 1).or_default().push(Say::Here),
                 None => {}
             }
         }
         says.into_iter().for_each(|(to, says)| self.send(now, to, &says, out));
     }
 
-    fn send(&self, now: Time, to: usize, says: &[Say], out: &mut Outbox) {
-        let from = From { cluster: 1, sender: self.life, epoch: (1, false), sent_at_ms: now };
+    fn send(&self, now: Time, to: usize, says: &[Message], out: &mut Outbox) {
+        let from = Header { cluster: 1, sender: self.life, epoch: (1, false), sent_at_ms: now };
         wire::write(&from, says, &self.secret).into_iter().for_each(|bytes| out.send(to, bytes));
     }
 }
@@ -179,15 +181,17 @@
         let mut replies = Vec::new();
         for say in says {
             match say {
-                Say::Request(work, Request::FetchPieces(blob, want)) => {
+                Message::Request(work, Request::FetchPieces(blob, want)) => {
                     let given = self.keeper.fetch_pieces(now, work, blob, want);
-                    replies.extend(given.into_iter().map(|reply| Say::Reply(work, reply)));
+                    replies.extend(given.into_iter().map(|reply| Message::Reply(work, reply)));
+                }
+                Message::Request(work, request) => {
+                    replies.push(Message::Reply(work, self.keeper.handle_request(now, work, request)));
                 }
-                Say::Request(work, request) => {
-                    replies.push(Say::Reply(work, self.keeper.handle_request(now, work, request)));
+                Message::Reply(work, reply) => {
+                    self.coordinator.handle_reply(now, by.sender.node, work, reply)
                 }
-                Say::Reply(work, reply) => self.coordinator.handle_reply(now, by.sender.node, work, reply),
-                Say::Here => {}
+                Message::Alive => {}
             }
         }
         if !replies.is_empty() {
@@ -201,7 +205,7 @@
 pub fn fleet(nodes: usize, every: Time) -> Network<HollowCustody> {
     let names = (0..nodes).map(|n| (node_id(n), format!("z{}", n % crate::deployment::ZONES)));
     let roster = Roster::new(names.collect()).expect("a roster");
-    let rosters = Rosters { epoch: 1, now: roster, before: None };
+    let rosters = Rosters { epoch: 1, current: roster, previous: None };
     let mut network = Network::new(nodes, 5);
     for number in 0..nodes {
         let mut node = HollowCustody::new(number, rosters.clone(), network.now, every);
