--- a/crates/configuration/src/feed.rs
+++ b/crates/configuration/src/feed.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Maximum number of changes in the log.
-    pub log_most: usize,
+    pub max_log_changes: usize,
     /// Maximum number of resources in one piece of a snapshot.
     pub piece_entries: usize,
     /// Rate limit for resources and changes sent to all subscribers together, per second.
-    pub entries_per_s: u64,
+    pub max_entries_per_s: u64,
     /// Interval of the keep-alive messages to each subscriber, in milliseconds.
     pub keep_alive_ms: u64,
     /// A subscriber that sends nothing for this long is removed, in milliseconds.
@@ -35,9 +35,9 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            log_most: 2_000,
+            max_log_changes: 2_000,
             piece_entries: 200,
-            entries_per_s: 200_000,
+            max_entries_per_s: 200_000,
             keep_alive_ms: 500,
             subscriber_timeout_ms: 30_000,
         }
@@ -167,7 +167,7 @@
         self.head = change.position();
         let before = change.operations().map(|operation| self.resources.apply(operation)).collect();
         self.log.push_back(LoggedChange { change, before });
-        while self.log.len() > self.settings.log_most {
+        while self.log.len() > self.settings.max_log_changes {
             if let Some(first) = self.log.pop_front() {
                 self.base = first.change.position();
             }
@@ -227,7 +227,7 @@
     }
 
     /// Returns credit for messages that the subscriber has received, so that as many more may be sent.
-    pub fn taken(&mut self, subscriber: Subscriber, messages: u32) {
+    pub fn release_credit(&mut self, subscriber: Subscriber, messages: u32) {
         if let Some(state) = self.subscribers.get_mut(&subscriber) {
             state.credit = (state.credit + messages).min(MAX_CREDIT);
         }
@@ -312,7 +312,7 @@
     }
 
     /// When to call [`Feed::tick`] and [`Feed::poll_transmit`] next; `None` if nothing is scheduled.
-    pub fn due(&self) -> Option<Time> {
+    pub fn next_wakeup(&self) -> Option<Time> {
         let alive = self.subscribers.values().map(|state| state.next_keep_alive).min();
         let has_backlog = self.subscribers.values().any(|state| state.credit > 0 && self.has_more(state));
         let refilled = has_backlog.then_some(self.refilled_at + 1);
@@ -341,7 +341,7 @@
 
     /// The next message and the subscriber to send it to; `None` if there is nothing to send now.
     pub fn poll_transmit(&mut self, now: Time) -> Option<(Subscriber, Publication)> {
-        let rate = self.settings.entries_per_s as f64 / 1e3;
+        let rate = self.settings.max_entries_per_s as f64 / 1e3;
         let elapsed = now.saturating_sub(self.refilled_at) as f64;
         self.tokens = (self.tokens + rate * elapsed).min((rate * BURST_MS as f64).max(1.0));
         self.refilled_at = now;
--- a/crates/configuration/src/follower.rs
+++ b/crates/configuration/src/follower.rs
@@ -86,7 +86,7 @@
     }
 
     /// The index of the publisher that it follows.
-    pub fn publisher(&self) -> usize {
+    pub fn publisher_index(&self) -> usize {
         self.publisher
     }
 
@@ -97,7 +97,7 @@
 
     /// The time since its position was last known to be the source's, in milliseconds; `None` if it never
     /// was.
-    pub fn age(&self, now: Time) -> Option<u64> {
+    pub fn age_ms(&self, now: Time) -> Option<u64> {
         self.current_at.map(|at| now.saturating_sub(at))
     }
 
@@ -107,12 +107,12 @@
     }
 
     /// The publisher's version, if it last reported that it is behind this subscriber.
-    pub fn behind(&self) -> Option<Version> {
+    pub fn publisher_behind(&self) -> Option<Version> {
         self.behind
     }
 
     /// When to call [`Self::tick`] next.
-    pub fn due(&self) -> Time {
+    pub fn next_wakeup(&self) -> Time {
         let silence_end = self.last_seen + SILENCE_TIMEOUT_MS;
         if self.needs_subscribe {
             self.next_subscribe.min(silence_end)
@@ -255,6 +255,6 @@
         let staging = self.staging.take()?;
         self.position = Some(staging.position);
         self.mark_up_to_date();
-        Some(Event::Snapshot(staging.position, Resources::of(staging.entries)))
+        Some(Event::Snapshot(staging.position, Resources::from_entries(staging.entries)))
     }
 }
--- a/crates/configuration/src/net.rs
+++ b/crates/configuration/src/net.rs
@@ -18,15 +18,15 @@
 use crate::message::{Publication, Request};
 
 /// Path on which a subscriber watches for publications.
-pub const WATCH: &str = "/v1/configuration/watch";
+pub const WATCH_PATH: &str = "/v1/configuration/watch";
 /// Path on which a subscriber reports the state of the nodes behind it.
-pub const REPORT: &str = "/v1/configuration/report";
+pub const REPORT_PATH: &str = "/v1/configuration/report";
 /// Path on which operators read the publisher's status.
-pub const STATUS: &str = "/v1/configuration/status";
+pub const STATUS_PATH: &str = "/v1/configuration/status";
 /// Path on which operators push a change.
-pub const PUSH: &str = "/v1/configuration/push";
+pub const PUSH_PATH: &str = "/v1/configuration/push";
 /// Path on which an operator begins a new epoch.
-pub const EPOCH: &str = "/v1/configuration/epoch";
+pub const EPOCH_PATH: &str = "/v1/configuration/epoch";
 /// The header with the subscriber's name.
 pub const SUBSCRIBER_HEADER: &str = "x-subscriber";
 
@@ -125,7 +125,7 @@
     publications: mpsc::Sender<Publication>,
 ) -> Result<(), String> {
     let body = serde_json::to_vec(subscribe).map_err(|e| e.to_string())?;
-    let mut response = send_request(to, name, WATCH, Some(body)).await?;
+    let mut response = send_request(to, name, WATCH_PATH, Some(body)).await?;
     if response.answer.status() != StatusCode::OK {
         return Err(format!("the watch was answered with status {}", response.answer.status()));
     }
--- a/crates/configuration/src/relay.rs
+++ b/crates/configuration/src/relay.rs
@@ -44,8 +44,8 @@
     }
 
     /// The index of the publisher that it follows.
-    pub fn publisher(&self) -> usize {
-        self.follower.publisher()
+    pub fn publisher_index(&self) -> usize {
+        self.follower.publisher_index()
     }
 
     /// The combined reports of its subscribers about the nodes behind them.
@@ -54,9 +54,9 @@
     }
 
     /// When to call [`Self::tick`] next.
-    pub fn due(&self) -> Time {
-        let due = self.follower.due().min(self.next_report);
-        self.feed.due().map_or(due, |feed| feed.min(due))
+    pub fn next_wakeup(&self) -> Time {
+        let due = self.follower.next_wakeup().min(self.next_report);
+        self.feed.next_wakeup().map_or(due, |feed| feed.min(due))
     }
 
     /// Performs the timed work that is due: timeouts, subscribe requests and reports.
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -58,12 +58,12 @@
     }
 
     /// The version in force; `None` until the first offer is accepted.
-    pub fn in_force(&self) -> Option<Version> {
+    pub fn version_in_force(&self) -> Option<Version> {
         self.in_force
     }
 
     /// The last version received, in force or not.
-    pub fn received(&self) -> Option<Version> {
+    pub fn received_version(&self) -> Option<Version> {
         self.follower.position().map(|position| position.version)
     }
 
@@ -73,29 +73,29 @@
     }
 
     /// The last rejection by the node, if no offer has been accepted since.
-    pub fn rejected(&self) -> Option<&Rejection> {
+    pub fn last_rejection(&self) -> Option<&Rejection> {
         self.rejected.as_ref()
     }
 
     /// The time since the received version was last known to be the source's, in milliseconds; `None` if it
     /// never was.
-    pub fn age(&self, now: Time) -> Option<u64> {
-        self.follower.age(now)
+    pub fn age_ms(&self, now: Time) -> Option<u64> {
+        self.follower.age_ms(now)
     }
 
     /// The index of the publisher that it follows.
-    pub fn publisher(&self) -> usize {
-        self.follower.publisher()
+    pub fn publisher_index(&self) -> usize {
+        self.follower.publisher_index()
     }
 
     /// The publisher's version, if it last reported that it is behind this replica.
-    pub fn behind(&self) -> Option<Version> {
-        self.follower.behind()
+    pub fn publisher_behind(&self) -> Option<Version> {
+        self.follower.publisher_behind()
     }
 
     /// When to call [`Self::tick`] next.
-    pub fn due(&self) -> Time {
-        self.follower.due().min(self.next_report)
+    pub fn next_wakeup(&self) -> Time {
+        self.follower.next_wakeup().min(self.next_report)
     }
 
     /// Performs the timed work that is due: timeouts, subscribe requests and reports.
@@ -154,7 +154,7 @@
     /// All changes since the version in force; returned once after each received change or snapshot. The node
     /// answers with [`Replica::accept`] or [`Replica::reject`].
     pub fn poll_offer(&mut self) -> Option<Offer> {
-        let version = self.received().filter(|_| std::mem::take(&mut self.offer_due))?;
+        let version = self.received_version().filter(|_| std::mem::take(&mut self.offer_due))?;
         Some(Offer { version, changes: self.pending.clone() })
     }
 
--- a/crates/configuration/src/resources.rs
+++ b/crates/configuration/src/resources.rs
@@ -66,7 +66,7 @@
 
 impl Resources {
     /// Creates a set of these resources without validation.
-    pub fn of(entries: impl IntoIterator<Item = Entry>) -> Self {
+    pub fn from_entries(entries: impl IntoIterator<Item = Entry>) -> Self {
         let mut resources = Self::default();
         entries.into_iter().for_each(|entry| drop(resources.put(entry)));
         resources
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -135,14 +135,14 @@
         self.feed.remove_subscriber(subscriber);
     }
 
-    /// See [`Feed::taken`].
-    pub fn taken(&mut self, subscriber: Subscriber, messages: u32) {
-        self.feed.taken(subscriber, messages);
+    /// See [`Feed::release_credit`].
+    pub fn release_credit(&mut self, subscriber: Subscriber, messages: u32) {
+        self.feed.release_credit(subscriber, messages);
     }
 
-    /// See [`Feed::due`].
-    pub fn due(&self) -> Option<Time> {
-        self.feed.due()
+    /// See [`Feed::next_wakeup`].
+    pub fn next_wakeup(&self) -> Option<Time> {
+        self.feed.next_wakeup()
     }
 
     /// See [`Feed::tick`].
--- a/crates/configuration/tests/following.rs
+++ b/crates/configuration/tests/following.rs
@@ -20,12 +20,12 @@
 }
 
 fn settings() -> Settings {
-    Settings { log_most: 50, piece_entries: 10, ..Settings::default() }
+    Settings { max_log_changes: 50, piece_entries: 10, ..Settings::default() }
 }
 
 fn source(tenants: usize) -> Source {
     let tenants = (0..tenants).map(|n| tenant(n, 1.0, if n % 2 == 0 { "a" } else { "b" }));
-    let resources = Resources::of([service("a"), service("b")].into_iter().chain(tenants));
+    let resources = Resources::from_entries([service("a"), service("b")].into_iter().chain(tenants));
     Source::new(settings(), resources, 1, 0).expect("valid")
 }
 
@@ -70,7 +70,7 @@
         let mut all = Vec::new();
         while let Some((to, publication)) = self.source.poll_transmit(self.now) {
             assert_eq!(to, NODE);
-            self.source.taken(NODE, 1);
+            self.source.release_credit(NODE, 1);
             all.push(publication);
         }
         all
@@ -93,7 +93,7 @@
     /// Returns whether the replica has in force exactly the source's resources within the scope.
     fn is_in_sync(&self, scope: &Scope) -> bool {
         let wanted = self.source.resources().iter().filter(|(key, e)| scope.includes(&key.name, &e.body));
-        self.replica.in_force() == Some(self.source.head().version)
+        self.replica.version_in_force() == Some(self.source.head().version)
             && wanted.eq(self.replica.resources().iter())
     }
 }
@@ -136,7 +136,7 @@
             3..5 => vec![message.clone(), message],
             _ => vec![message],
         });
-        assert!(pair.is_in_sync(&scope_a()), "seed {seed}: {:?}", pair.replica.in_force());
+        assert!(pair.is_in_sync(&scope_a()), "seed {seed}: {:?}", pair.replica.version_in_force());
     }
 }
 
@@ -149,13 +149,13 @@
     pair.now += 1;
     let mut changes = pair.drain_publications();
     changes.reverse();
-    let before = pair.replica.in_force();
+    let before = pair.replica.version_in_force();
     let last = changes.pop().expect("five changes");
     for early_change in changes {
         pair.replica.receive(pair.now, early_change);
         assert_eq!(pair.replica.poll_offer(), None, "a change that does not follow is not offered");
     }
-    assert_eq!(pair.replica.in_force(), before);
+    assert_eq!(pair.replica.version_in_force(), before);
     pair.replica.receive(pair.now, last);
     pair.accept_all();
     pair.run_ten_seconds(|message| vec![message]);
@@ -238,7 +238,7 @@
         pair.deliver_requests();
         // Delivers one message at a time, with a change between any two.
         if let Some((to, publication)) = pair.source.poll_transmit(pair.now) {
-            pair.source.taken(to, 1);
+            pair.source.release_credit(to, 1);
             pair.replica.receive(pair.now, publication);
         }
         if next < 40 {
@@ -254,7 +254,7 @@
 #[test]
 fn a_rejected_change_takes_effect_only_once_a_later_change_corrects_it() {
     let mut pair = Pair::new(10, Scope::All);
-    let accepted = pair.replica.in_force();
+    let accepted = pair.replica.version_in_force();
     let rejected_change = change(&mut pair.source, 1, 666.0);
     pair.now += 1;
     for message in pair.drain_publications() {
@@ -263,7 +263,7 @@
     let offer = pair.replica.poll_offer().expect("offered");
     assert_eq!(offer.version, rejected_change.version);
     pair.replica.reject(pair.now, offer.version, "too many".into());
-    assert_eq!(pair.replica.in_force(), accepted);
+    assert_eq!(pair.replica.version_in_force(), accepted);
     assert_eq!(pair.replica.poll_offer(), None, "not offered again without a new change");
     pair.deliver_requests();
     assert_eq!(pair.source.summary().rejections.len(), 1);
@@ -287,7 +287,7 @@
     let offer = pair.replica.poll_offer().expect("offered with the correction");
     assert_eq!((offer.version, offer.changes.len()), (corrected.version, 2));
     pair.replica.accept(pair.now, offer);
-    assert!(pair.is_in_sync(&Scope::All) && pair.replica.rejected().is_none());
+    assert!(pair.is_in_sync(&Scope::All) && pair.replica.last_rejection().is_none());
     pair.deliver_requests();
     assert!(pair.source.summary().rejections.is_empty());
 }
@@ -299,16 +299,16 @@
         change(&mut pair.source, n, 5.0);
     }
     pair.run_ten_seconds(|message| vec![message]);
-    let (later, kept) = (pair.replica.in_force(), pair.replica.resources().clone());
+    let (later, kept) = (pair.replica.version_in_force(), pair.replica.resources().clone());
     pair.source = source(10);
     change(&mut pair.source, 9, 1.5);
     pair.run_ten_seconds(|message| vec![message]);
-    assert_eq!((pair.replica.in_force(), pair.replica.resources()), (later, &kept));
-    assert_eq!(pair.replica.behind(), Some(Version { epoch: 1, number: 1 }));
+    assert_eq!((pair.replica.version_in_force(), pair.replica.resources()), (later, &kept));
+    assert_eq!(pair.replica.publisher_behind(), Some(Version { epoch: 1, number: 1 }));
     pair.source.begin_epoch();
     pair.run_ten_seconds(|message| vec![message]);
     assert!(pair.is_in_sync(&Scope::All), "the replica follows the new epoch");
-    assert_eq!(pair.replica.in_force(), Some(Version { epoch: 2, number: 0 }));
+    assert_eq!(pair.replica.version_in_force(), Some(Version { epoch: 2, number: 0 }));
 }
 
 #[test]
@@ -332,14 +332,14 @@
             sent[to as usize - 1] += 1;
             // The first subscriber never acknowledges anything.
             if to == 2 {
-                feed.taken(2, 1);
+                feed.release_credit(2, 1);
             }
         }
     }
     assert_eq!(sent[0], MAX_CREDIT);
     assert!(sent[1] >= 200, "{sent:?}");
-    assert!(feed.log_len() <= settings().log_most);
-    feed.taken(1, MAX_CREDIT);
+    assert!(feed.log_len() <= settings().max_log_changes);
+    feed.release_credit(1, MAX_CREDIT);
     let next = std::iter::from_fn(|| feed.poll_transmit(1_000))
         .find(|(to, p)| *to == 1 && !matches!(p, Publication::Alive { .. }));
     assert!(matches!(next, Some((1, Publication::Piece(_)))), "the log has been truncated by then: {next:?}");
@@ -348,12 +348,12 @@
 #[test]
 fn a_disconnected_replica_keeps_its_configuration_and_reports_its_age() {
     let mut pair = Pair::new(10, Scope::All);
-    let (now, in_force) = (pair.now, pair.replica.in_force());
-    assert!(pair.replica.age(now).is_some_and(|age| age < 600));
+    let (now, in_force) = (pair.now, pair.replica.version_in_force());
+    assert!(pair.replica.age_ms(now).is_some_and(|age| age < 600));
     pair.now += 3_600_000;
     pair.replica.tick(pair.now);
-    assert_eq!(pair.replica.in_force(), in_force);
-    assert!(pair.replica.age(pair.now).is_some_and(|age| age >= 3_600_000));
+    assert_eq!(pair.replica.version_in_force(), in_force);
+    assert!(pair.replica.age_ms(pair.now).is_some_and(|age| age >= 3_600_000));
 }
 
 /// Two diverging histories use the same version numbers. A change from the other history has the expected
@@ -365,10 +365,10 @@
     change(&mut pair.source, 1, 5.0);
     pair.run_ten_seconds(|message| vec![message]);
     let diverged = change(&mut other, 1, 6.0);
-    let (version, kept) = (pair.replica.in_force(), pair.replica.resources().clone());
+    let (version, kept) = (pair.replica.version_in_force(), pair.replica.resources().clone());
     assert_eq!(version, Some(diverged.version));
     let next = Change::following(diverged, vec![Operation::Put(tenant(2, 7.0, "a"))]);
     pair.replica.receive(pair.now, Publication::Change(next));
     assert_eq!(pair.replica.poll_offer(), None);
-    assert_eq!((pair.replica.in_force(), pair.replica.resources()), (version, &kept));
+    assert_eq!((pair.replica.version_in_force(), pair.replica.resources()), (version, &kept));
 }
--- a/crates/configuration/tests/source.rs
+++ b/crates/configuration/tests/source.rs
@@ -30,7 +30,7 @@
 }
 
 fn source() -> Source {
-    let resources = Resources::of([service("a"), service("b"), tenant("acme", 5.0, &["a"])]);
+    let resources = Resources::from_entries([service("a"), service("b"), tenant("acme", 5.0, &["a"])]);
     Source::new(Settings::default(), resources, 1, 0).expect("valid")
 }
 
@@ -126,7 +126,7 @@
 
 #[test]
 fn an_invalid_first_version_is_rejected() {
-    let resources = Resources::of([tenant("acme", 5.0, &["a"])]);
+    let resources = Resources::from_entries([tenant("acme", 5.0, &["a"])]);
     let error = Source::new(Settings::default(), resources, 1, 0).err();
     let acme = Key { kind: Kind::Tenant, name: "acme".into() };
     assert_eq!(error, Some(InvalidChange::UnknownService(acme, "a".into())));
--- a/crates/glenctl/src/configuration.rs
+++ b/crates/glenctl/src/configuration.rs
@@ -99,11 +99,11 @@
             if let Some(on) = on {
                 push["on"] = json!(on);
             }
-            let made = call(source, net::PUSH, Some(&push))?;
+            let made = call(source, net::PUSH_PATH, Some(&push))?;
             println!("{}", text(&made["version"]));
         }
         What::Status { publisher, json } => {
-            let status = call(publisher, net::STATUS, None)?;
+            let status = call(publisher, net::STATUS_PATH, None)?;
             if json {
                 println!("{status}");
             } else {
@@ -111,7 +111,7 @@
             }
         }
         What::BeginEpoch { source, .. } => {
-            let made = call(source, net::EPOCH, Some(&json!({})))?;
+            let made = call(source, net::EPOCH_PATH, Some(&json!({})))?;
             println!("{}", text(&made["version"]));
         }
     }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -76,7 +76,7 @@
             while let Some(request) = self.poll_request() {
                 self.send_request(request, &received_messages);
             }
-            let due = self.replica.borrow().due().saturating_sub(now).max(1);
+            let due = self.replica.borrow().next_wakeup().saturating_sub(now).max(1);
             tokio::select! {
                 () = sleep(Duration::from_millis(due)) => {}
                 Some((call, message)) = incoming.recv() => self.on_message(call, message),
@@ -102,13 +102,13 @@
 
     /// Sends a request to the followed publisher. A subscription replaces the current call.
     fn send_request(&self, request: Request, received_messages: &mpsc::Sender<ReceivedMessage>) {
-        let to = self.table.publishers[self.replica.borrow().publisher()];
+        let to = self.table.publishers[self.replica.borrow().publisher_index()];
         let name = self.hub.config.name.clone();
         if let Request::Report(summary) = request {
             spawn_local(async move {
                 let body = serde_json::to_vec(&summary).unwrap_or_default();
                 // A lost report is made up for by the next one.
-                let _ = net::call(to, &name, net::REPORT, Some(body)).await;
+                let _ = net::call(to, &name, net::REPORT_PATH, Some(body)).await;
             });
             return;
         }
@@ -189,12 +189,12 @@
         let servers =
             replica.resources().iter().filter(|(_, entry)| matches!(entry.body, Body::Server(_))).count();
         json!({
-            "in_force": replica.in_force(),
-            "received": replica.received(),
-            "age_ms": replica.age(self.now()),
-            "publisher": self.table.publishers[replica.publisher()],
-            "behind": replica.behind(),
-            "rejected": replica.rejected(),
+            "in_force": replica.version_in_force(),
+            "received": replica.received_version(),
+            "age_ms": replica.age_ms(self.now()),
+            "publisher": self.table.publishers[replica.publisher_index()],
+            "behind": replica.publisher_behind(),
+            "rejected": replica.last_rejection(),
             "resources": replica.resources().len(),
             "servers": servers,
         })
@@ -202,9 +202,9 @@
 
     fn figures(&self) -> Vec<Figure> {
         let replica = self.replica.borrow();
-        let in_force = replica.in_force().unwrap_or_default();
-        let age = replica.age(self.now()).unwrap_or(0);
-        let rejected = u64::from(replica.rejected().is_some());
+        let in_force = replica.version_in_force().unwrap_or_default();
+        let age = replica.age_ms(self.now()).unwrap_or(0);
+        let rejected = u64::from(replica.last_rejection().is_some());
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         vec![
             gauge("configuration_epoch", in_force.epoch, "Epoch of the version in force."),
--- a/crates/publisher/src/lib.rs
+++ b/crates/publisher/src/lib.rs
@@ -83,7 +83,7 @@
     let text = std::fs::read(path).map_err(|e| error_at(e.to_string()))?;
     let entries: Vec<Entry> = serde_json::from_slice(&text).map_err(|e| error_at(e.to_string()))?;
     let count = entries.len();
-    let resources = Resources::of(entries);
+    let resources = Resources::from_entries(entries);
     if resources.len() < count {
         return Err(error_at("two resources of the same kind have the same name".to_string()));
     }
--- a/crates/publisher/src/role.rs
+++ b/crates/publisher/src/role.rs
@@ -88,8 +88,8 @@
     /// Returns the credit for one message that was written to the subscriber.
     pub fn taken(&mut self, subscriber: Subscriber) {
         match self {
-            Self::Source(source) => source.taken(subscriber, 1),
-            Self::Relay(relay, ..) => relay.feed().taken(subscriber, 1),
+            Self::Source(source) => source.release_credit(subscriber, 1),
+            Self::Relay(relay, ..) => relay.feed().release_credit(subscriber, 1),
         }
     }
 
@@ -104,8 +104,8 @@
     /// When to call [`Self::tick`] next; `None` if nothing is scheduled.
     pub fn due(&self) -> Option<Time> {
         match self {
-            Self::Source(source) => source.due(),
-            Self::Relay(relay, ..) => Some(relay.due()),
+            Self::Source(source) => source.next_wakeup(),
+            Self::Relay(relay, ..) => Some(relay.next_wakeup()),
         }
     }
 
@@ -121,7 +121,7 @@
     pub fn poll_request(&mut self) -> Option<(SocketAddr, String, Request)> {
         let Self::Relay(relay, name, publishers) = self else { return None };
         let request = relay.poll_request()?;
-        Some((publishers[relay.publisher()], name.clone(), request))
+        Some((publishers[relay.publisher_index()], name.clone(), request))
     }
 
     /// Handles a message from the followed publisher.
--- a/crates/publisher/src/server.rs
+++ b/crates/publisher/src/server.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use glenwood_configuration::feed::{Subscriber, MAX_CREDIT};
 use glenwood_configuration::message::Summary;
-use glenwood_configuration::net::{self, EPOCH, PUSH, REPORT, STATUS, SUBSCRIBER_HEADER, WATCH};
+use glenwood_configuration::net::{
+    self, EPOCH_PATH, PUSH_PATH, REPORT_PATH, STATUS_PATH, SUBSCRIBER_HEADER, WATCH_PATH,
+};
 use glenwood_configuration::{Operation, Position, Publication, Request, Time, Version};
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::combinators::BoxBody;
@@ -181,7 +183,7 @@
             spawn_local(async move {
                 let body = serde_json::to_vec(&summary).unwrap_or_default();
                 // A lost report is superseded by the next one.
-                let _ = net::call(to, &name, REPORT, Some(body)).await;
+                let _ = net::call(to, &name, REPORT_PATH, Some(body)).await;
             });
             return;
         }
@@ -242,11 +244,11 @@
             Err(error) => return answer(StatusCode::BAD_REQUEST, error.to_string()),
         };
         match (method, path.as_str()) {
-            (Method::GET, STATUS) => json(&self.status()),
-            (Method::POST, WATCH) => self.watch(name, &body),
-            (Method::POST, REPORT) => self.report(&name, &body),
-            (Method::POST, PUSH) => self.push(&body),
-            (Method::POST, EPOCH) => self.run_action(|role| role.begin_epoch()),
+            (Method::GET, STATUS_PATH) => json(&self.status()),
+            (Method::POST, WATCH_PATH) => self.watch(name, &body),
+            (Method::POST, REPORT_PATH) => self.report(&name, &body),
+            (Method::POST, PUSH_PATH) => self.push(&body),
+            (Method::POST, EPOCH_PATH) => self.run_action(|role| role.begin_epoch()),
             _ => answer(StatusCode::NOT_FOUND, "no such path"),
         }
     }
--- a/crates/scale/src/scenario/configuration.rs
+++ b/crates/scale/src/scenario/configuration.rs
@@ -90,22 +90,22 @@
             Self::Source(source) => {
                 while let Some((to, publication)) = source.poll_transmit(now) {
                     out.send(to as usize, bytes(&Message::Down(publication)));
-                    source.taken(to, 1);
+                    source.release_credit(to, 1);
                 }
             }
             Self::Relay(relay, publishers) => {
                 while let Some((to, publication)) = relay.poll_transmit(now) {
                     out.send(to as usize, bytes(&Message::Down(publication)));
-                    relay.feed().taken(to, 1);
+                    relay.feed().release_credit(to, 1);
                 }
-                let publisher = publishers[relay.publisher()];
+                let publisher = publishers[relay.publisher_index()];
                 while let Some(request) = relay.poll_request() {
                     out.send(publisher, bytes(&Message::Up(request)));
                 }
             }
             Self::Node(node) => {
                 node.decide(now);
-                let publisher = node.publishers[node.replica.publisher()];
+                let publisher = node.publishers[node.replica.publisher_index()];
                 while let Some(request) = node.replica.poll_request() {
                     out.send(publisher, bytes(&Message::Up(request)));
                 }
@@ -117,9 +117,9 @@
 impl Process for HollowConfiguration {
     fn due(&self) -> Option<Time> {
         match self {
-            Self::Source(source) => source.due(),
-            Self::Relay(relay, _) => Some(relay.due()),
-            Self::Node(node) => Some(node.replica.due()),
+            Self::Source(source) => source.next_wakeup(),
+            Self::Relay(relay, _) => Some(relay.next_wakeup()),
+            Self::Node(node) => Some(node.replica.next_wakeup()),
         }
     }
 
@@ -141,12 +141,12 @@
             }
             // What a publisher that was left still sends is not heard.
             (Self::Relay(relay, publishers), Message::Down(publication))
-                if publishers[relay.publisher()] == from =>
+                if publishers[relay.publisher_index()] == from =>
             {
                 relay.receive(now, publication);
             }
             (Self::Node(node), Message::Down(publication))
-                if node.publishers[node.replica.publisher()] == from =>
+                if node.publishers[node.replica.publisher_index()] == from =>
             {
                 node.replica.receive(now, publication);
             }
@@ -195,7 +195,7 @@
     let service = |n| Entry { name: service_name(n), owner: "ops".into(), body: Body::Service(Service {}) };
     let services_all = (0..services).map(service);
     let tenants_all = (0..tenants).map(|n| tenant(n, 5.0, services));
-    Resources::of(services_all.chain(tenants_all).chain((0..servers).map(|n| server(n, services))))
+    Resources::from_entries(services_all.chain(tenants_all).chain((0..servers).map(|n| server(n, services))))
 }
 
 impl Fleet {
@@ -320,7 +320,7 @@
     pub fn lagging(&self) -> usize {
         let head = self.head().version;
         let running = (0..self.nodes).filter_map(|node| self.hollow(node));
-        running.filter(|node| node.replica.in_force() != Some(head)).count()
+        running.filter(|node| node.replica.version_in_force() != Some(head)).count()
     }
 
     /// Lets time pass until every running node has the source's version; how long that took, `None` where it took too long.
@@ -492,7 +492,7 @@
     let mut now = 0;
     let (mut replica, kept) = measure(|| Replica::new("n0", Scope::All, 1, 1, 0));
     let (_, taken) = measure(|| {
-        while replica.in_force() != Some(source.head().version) {
+        while replica.version_in_force() != Some(source.head().version) {
             now += 10;
             replica.tick(now);
             exchange(&mut source, &mut replica, now);
@@ -506,7 +506,7 @@
         now += 1;
         let text = loop {
             let (_, publication) = source.poll_transmit(now).expect("the change");
-            source.taken(1, 1);
+            source.release_credit(1, 1);
             if matches!(publication, Publication::Change(_)) {
                 break serde_json::to_vec(&publication).expect("JSON");
             }
@@ -543,7 +543,7 @@
     // What was pinned for a snapshot is let go.
     source.tick(now);
     while let Some((to, publication)) = source.poll_transmit(now) {
-        source.taken(to, 1);
+        source.release_credit(to, 1);
         replica.receive(now, publication);
         while let Some(offer) = replica.poll_offer() {
             replica.accept(now, offer);
--- a/crates/scale/tests/configuration.rs
+++ b/crates/scale/tests/configuration.rs
@@ -84,8 +84,8 @@
 }
 
 /// A region is cut off for an hour and misses 75 changes; then it is back at once.
-fn region_back(log_most: usize) -> Fleet {
-    let mut fleet = fleet(130, Settings { log_most, ..Settings::default() }, 4);
+fn region_back(max_log_changes: usize) -> Fleet {
+    let mut fleet = fleet(130, Settings { max_log_changes, ..Settings::default() }, 4);
     let lost: Vec<usize> = (1..fleet.network.len()).filter(|n| fleet.region(*n) == REGIONS - 1).collect();
     fleet.network.partition(1, lost.iter().copied());
     for number in 0..75 {
@@ -96,8 +96,8 @@
     assert_eq!(fleet.lagging(), cut_off, "the others have all of it, the region none");
     let node = (0..fleet.nodes).find(|node| lost.contains(&fleet.node(*node))).expect("one is cut off");
     let replica = &fleet.hollow(node).expect("it runs").replica;
-    assert_eq!(replica.in_force(), Some(Version { epoch: 1, number: 0 }), "it runs on what it had");
-    assert!(replica.age(fleet.network.now).is_some_and(|age| age > 3_500_000), "and says how old that is");
+    assert_eq!(replica.version_in_force(), Some(Version { epoch: 1, number: 0 }), "it runs on what it had");
+    assert!(replica.age_ms(fleet.network.now).is_some_and(|age| age > 3_500_000), "and says how old that is");
     fleet.network.partition(0, lost);
     let took = fleet.settle(30_000).expect("all have it");
     assert!(took <= budget(), "{took} ms after the return");
@@ -154,8 +154,9 @@
     let later = fleet.head().version;
     fleet.start_source(300);
     fleet.network.run(20_000);
-    let kept =
-        |fleet: &Fleet| (0..60).filter_map(|n| fleet.hollow(n)).all(|n| n.replica.in_force() == Some(later));
+    let kept = |fleet: &Fleet| {
+        (0..60).filter_map(|n| fleet.hollow(n)).all(|n| n.replica.version_in_force() == Some(later))
+    };
     assert!(kept(&fleet), "every node keeps what it had");
     let refused = fleet.with_source(|source| source.push(Vec::new(), None)).expect("it runs");
     assert!(refused.is_err_and(|refused| refused.to_string().contains("older log")));
@@ -167,7 +168,7 @@
 /// All nodes come back within a second: they are served, and no publisher sends faster than it is set to.
 #[test]
 fn very_many_that_come_back_at_once_are_spread() {
-    let settings = Settings { entries_per_s: 20_000, ..Settings::default() };
+    let settings = Settings { max_entries_per_s: 20_000, ..Settings::default() };
     let mut fleet = fleet(1_300, settings, 7);
     fleet.network.reset_traffic();
     let began = fleet.network.now;
@@ -194,7 +195,7 @@
 fn faults_of_all_kinds_at_once_break_nothing() {
     for seed in 0..20 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut fleet = fleet(40, Settings { log_most: 15, ..Settings::default() }, seed);
+        let mut fleet = fleet(40, Settings { max_log_changes: 15, ..Settings::default() }, seed);
         fleet.network.link.loss = 0.05 * random.f64();
         fleet.network.link.duplicated = 0.05;
         fleet.network.link.delay = 1..=random.u64(5..200);
@@ -233,7 +234,7 @@
     assert!(fleet.settle(5_000).is_some());
     let received = fleet.network.traffic(fleet.node(0)).received_bytes - before;
     assert!(received < 2_000, "{received} bytes for one change");
-    assert_eq!(fleet.hollow(0).expect("it runs").replica.in_force(), Some(version));
+    assert_eq!(fleet.hollow(0).expect("it runs").replica.version_in_force(), Some(version));
     assert_ne!(fleet.hollow(0).expect("it runs").replica.resources(), &Default::default());
     let _ = Scope::All;
 }
