--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -1,5 +1,6 @@
-//! All works of a node: it drives their proposers by time, sends again what is not answered, gives up what takes too long, keeps bytes
-//! beside registers and fetches them, and knows who lives as far as it is told.
+//! The coordinator manages every work that a node is involved in. It drives the proposers by time,
+//! resends unanswered requests, enforces timeouts, stores blobs at keepers and fetches them, and tracks
+//! which node incarnations membership reports as alive.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,504 +8,545 @@
 use glenwood_datagram::number_of;
 use serde::Serialize;
 
-use crate::keeper::{all_pieces, pieces_of, Reply, Request, BLOB_MOST, HEARD_MS, PIECE};
-use crate::proposer::{Proposer, Question, Step};
-use crate::register::{About, Answer, Blob, Effect, Life, NodeId, Sent, Verdict, Work};
+use crate::keeper::{all_pieces_mask, piece_count, Reply, Request, LIVENESS_MS, MAX_BLOB_BYTES, PIECE_BYTES};
+use crate::proposer::{Proposer, RegisterOp, Step};
+use crate::register::{
+    Answer, Blob, Effect, Incarnation, IntendedAttempt, NodeId, Verdict, Work, WorkDescription,
+};
 use crate::roster::Rosters;
 
-/// The longest wait between two sendings of one thing, in times the first.
-const BACK_OFF: u64 = 8;
-/// How many pieces go to a keeper at a time.
-const PIECES_AT_ONCE: usize = 16;
-/// How often a life with works in hand says that it is there.
-const HERE_MS: u64 = 100;
-/// How long after its last word a work is held here for its keepers to hear of it, in times the patience.
-const LINGER: u64 = 4;
-
-/// How a coordinator works. All times are in milliseconds.
+/// Upper limit of the exponential backoff between resends, as a multiple of the initial interval.
+const MAX_BACKOFF_FACTOR: u64 = 8;
+/// Number of blob pieces sent to one keeper per round of sending.
+const PIECES_PER_ROUND: usize = 16;
+/// Interval between announcements to keepers that this incarnation is alive and holds works.
+const ALIVE_INTERVAL_MS: u64 = 100;
+/// How long a work whose verdict missed its timeout keeps resending it to the keepers, as a multiple of
+/// `majority_timeout_ms`.
+const LINGER_FACTOR: u64 = 4;
+
+/// Timing and capacity limits of a coordinator. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a majority may take.
-    pub patience_ms: u64,
-    /// After how long what was not answered is sent again, at first.
+    /// Timeout for reaching a majority of keepers.
+    pub majority_timeout_ms: u64,
+    /// Initial interval before an unanswered request is resent.
     pub resend_ms: u64,
-    /// How often another's work is looked at.
+    /// Polling interval for a work that another node holds.
     pub poll_ms: u64,
-    /// How long a register lives after its last use; no attempt is begun later than half of it after the last asking.
-    pub life_ms: u64,
-    /// The most works at a time.
-    pub most: usize,
+    /// How long a register lives after its last use. No attempt starts later than half of this time after
+    /// the node acquired the work.
+    pub entry_lifetime_ms: u64,
+    /// Maximum number of works at a time.
+    pub max_works: usize,
 }
 
-/// One work, for as long as this node has to do with it.
+/// Handle of one work, valid for as long as this node is involved in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Ticket(pub u64);
 
-/// What a request is, as far as its identity goes.
+/// How the identity of a request is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Its key says what it is.
+pub enum RequestIdentity {
+    /// The request is identified by its idempotency key.
     Keyed,
-    /// It has none: it is this asking's alone, and where it is marked, that of an earlier one that is equal.
+    /// The request has no key. Each one is a work of its own, unless it is marked as a repeat of an
+    /// earlier equal request.
     Unsafe {
-        /// A number made of the client's id for it.
+        /// Derived from the request id that the client sent.
         nonce: u64,
-        /// Its client says that it repeats another.
-        marked: bool,
+        /// The client marked the request as a repeat.
+        is_marked_repeat: bool,
     },
 }
 
-/// A request that is to be guarded.
+/// A request to be guarded by custody.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// A digest of what is asked for, and by whom.
+pub struct SubmittedRequest {
+    /// Digest of the requested operation and its caller.
     pub slot: (u64, u64),
-    /// What it is.
-    pub kind: Kind,
-    /// Its class, by name.
+    /// How the request is identified.
+    pub kind: RequestIdentity,
+    /// Name of the request's class.
     pub class: String,
-    /// How long its client waits.
+    /// Time left until the client's deadline.
     pub remaining_ms: u32,
-    /// It as bytes, where it is to go along.
+    /// The serialized request, if it is to be stored at the keepers.
     pub body: Option<Bytes>,
 }
 
-/// What a node's holder of a work comes to.
+/// The result that the holder of a work reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// A server's answer, as bytes; `None` where it is too long to be kept.
+    /// A server's answer. `None` if the answer is too long to be stored.
     Served(Option<Bytes>),
-    /// The server found the request itself bad.
+    /// The server rejected the request as invalid.
     Rejected,
-    /// Nothing is said for good; whoever comes next may take it, unless it is unsafe and may have run.
-    LetGo,
+    /// Releases the work without a verdict. The next node may take it over, unless it is unsafe and may
+    /// have run.
+    Release,
 }
 
-/// What happened.
+/// Notifications from the coordinator to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The work is this node's: hand it to the module, with what is known of earlier attempts.
-    Yours {
+    /// This node holds the work. The caller decides how to proceed, given what is known of earlier
+    /// attempts.
+    Acquired {
         /// The work.
         ticket: Ticket,
-        /// Attempts that were meant to be sent before, with how long ago.
-        earlier: Vec<(Sent, u64)>,
-        /// It was another's, or was let go.
+        /// Attempts that earlier holders intended to send, each with its age in milliseconds.
+        earlier: Vec<(IntendedAttempt, u64)>,
+        /// Another node held the work before or released it.
         adopted: bool,
     },
-    /// The same of a work that nobody asks for here.
-    Adopt {
+    /// This node took over an orphaned work that no client here waits for.
+    OrphanAdopted {
         /// The work.
         ticket: Ticket,
-        /// As above.
-        earlier: Vec<(Sent, u64)>,
-        /// What it is.
-        about: About,
-        /// The request as it was given to the keepers.
+        /// Attempts that earlier holders intended to send, each with its age in milliseconds.
+        earlier: Vec<(IntendedAttempt, u64)>,
+        /// The fixed properties of the work.
+        about: WorkDescription,
+        /// The request as it was stored at the keepers.
         body: Bytes,
-        /// How much of its client's time is left.
+        /// Time left until the client's deadline.
         remaining_ms: u64,
     },
-    /// The attempt that was meant may be sent now.
-    Go(Ticket),
-    /// The attempt that was meant must not be sent.
-    Denied(Ticket),
-    /// What is said of the work for good, with the answer where it was served.
+    /// The intended attempt may be sent now.
+    SendAllowed(Ticket),
+    /// The intended attempt must not be sent.
+    SendDenied(Ticket),
+    /// The final verdict on the work, with the answer if a server gave one that was stored.
     Verdict(Ticket, Verdict, Option<Bytes>),
-    /// A verdict could not be kept at a majority in time: nobody may be told of it.
-    Unkept(Ticket),
-    /// The question who has the work found no majority in time: nothing is known.
-    Unknown(Ticket),
-    /// An equal request, marked as a repeat, is under way: this one may be what it repeats, and must not be sent too.
-    Twin(Ticket),
-    /// A marked repeat could be that of several.
-    Ambiguous(Ticket),
-    /// The work that this one repeats is already here, under another ticket.
-    Same(Ticket, Ticket),
-    /// Nothing more is to come.
-    Over(Ticket),
+    /// A verdict was not stored at a majority in time, or its answer could not be fetched. It must not be
+    /// reported to any client.
+    VerdictNotStored(Ticket),
+    /// No majority answered in time, so the holder of the work is not known.
+    NoMajority(Ticket),
+    /// An equal request marked as a repeat is in progress. It may be a repeat of this request, which must
+    /// therefore not be sent as well.
+    ConcurrentRepeat(Ticket),
+    /// The marked repeat could belong to more than one earlier request.
+    AmbiguousRepeat(Ticket),
+    /// The marked repeat (first ticket) repeats a work that this node already has under the second
+    /// ticket.
+    AlreadyHere(Ticket, Ticket),
+    /// The work has ended. No further events follow for this ticket.
+    Ended(Ticket),
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Figures {
-    /// Works that were asked for, and those of them that another had.
+    /// Requests that were submitted.
     pub asked: u64,
-    /// See `asked`.
+    /// Requests that joined a work that was already in progress.
     pub joined: u64,
-    /// Works that were taken over from another holder, and those of them for which nobody asked here.
+    /// Works taken over from another holder.
     pub adopted: u64,
-    /// See `adopted`.
+    /// Works acquired that no client at this node waits for.
     pub orphans: u64,
-    /// Works that could not be taken over, as no keeper had the request.
+    /// Works that were released because no keeper had the request's bytes.
     pub bodiless: u64,
-    /// Intents written, and those that came to nothing.
+    /// Intents that were stored at a majority.
     pub intents: u64,
-    /// See `intents`.
+    /// Attempts that were denied.
     pub denied: u64,
-    /// Works of which another became holder.
+    /// Works that another node took over from this one.
     pub ousted: u64,
-    /// Questions that found no majority in time.
+    /// Works for which no majority answered in time.
     pub unknown: u64,
-    /// Verdicts that were kept, and those that could not be in time.
+    /// Verdicts stored at a majority.
     pub kept: u64,
-    /// See `kept`.
+    /// Verdicts that were not stored in time.
     pub unkept: u64,
-    /// Verdicts "may have run".
+    /// "May have run" verdicts.
     pub may_have_run: u64,
 }
 
-/// A blob that is on its way to keepers.
-struct Put {
+/// A blob being stored at the keepers.
+struct Upload {
     blob: Blob,
     bytes: Bytes,
-    /// Which pieces each keeper has.
+    /// Bitmask of the pieces that each keeper has.
     have: BTreeMap<NodeId, u128>,
 }
 
-/// A blob that is being fetched.
+/// A blob being fetched from the keepers.
 struct Fetch {
     blob: Blob,
     pieces: BTreeMap<u8, Bytes>,
-    /// What it is for; `None`: the request itself.
+    /// The verdict whose answer is fetched. `None` if the request itself is fetched.
     verdict: Option<Verdict>,
-    until: u64,
+    deadline: u64,
 }
 
 struct Entry {
     work: Work,
     proposer: Proposer,
-    /// Somebody here asked for it, or the module has it: not just an orphan's adoption.
-    asked: Option<Ask>,
-    /// When the work began, by what keepers say of its age.
+    /// The request, if one was submitted at this node. `None` if the work was adopted as an orphan.
+    submitted: Option<SubmittedRequest>,
+    /// When the work began, estimated from the ages that keepers report.
     began: u64,
-    /// Others of its slot, as keepers tell a marked repeat.
-    others: BTreeMap<NodeId, Vec<u64>>,
-    /// When what is waited for is given up.
-    until: u64,
-    /// When it is to be ended in any case.
-    ends: u64,
+    /// Nonces of other works of the same slot, as reported by each keeper.
+    reported_nonces: BTreeMap<NodeId, Vec<u64>>,
+    /// Deadline of the pending operation.
+    deadline: u64,
+    /// When the entry is removed in any case.
+    expires: u64,
     next_send: u64,
-    wait: u64,
+    resend_wait: u64,
     next_poll: u64,
-    asked_last: Option<Question>,
-    meant: Option<usize>,
-    puts: Vec<Put>,
+    last_request: Option<RegisterOp>,
+    pending_attempt: Option<usize>,
+    uploads: Vec<Upload>,
     fetch: Option<Fetch>,
-    /// The verdict's own bytes, where they are this node's.
-    answer: Option<(Blob, Bytes)>,
-    /// The waiter was told that its verdict is not kept.
-    unkept: bool,
+    /// The answer that this node submitted with its verdict.
+    own_answer: Option<(Blob, Bytes)>,
+    /// [`Event::VerdictNotStored`] was already emitted for this work.
+    unkept_reported: bool,
 }
 
-/// All works of a node.
+/// Manages every work that this node is involved in.
 pub struct Coordinator {
-    set: Settings,
-    me: Life,
+    settings: Settings,
+    local: Incarnation,
     rosters: Rosters,
     random: fastrand::Rng,
     entries: BTreeMap<Ticket, Entry>,
     by_work: BTreeMap<Work, Ticket>,
-    last: u64,
-    /// By node, which life was heard of last, and whether it lives.
-    lives: BTreeMap<NodeId, (u64, bool)>,
-    heard: BTreeMap<Life, u64>,
+    last_ticket: u64,
+    /// The latest known incarnation of each node and whether it is alive.
+    incarnations: BTreeMap<NodeId, (u64, bool)>,
+    last_seen: BTreeMap<Incarnation, u64>,
     timers: BTreeSet<(u64, Ticket)>,
-    set_for: BTreeMap<Ticket, u64>,
-    next_here: u64,
-    out: VecDeque<(NodeId, Option<(Work, Request)>)>,
+    scheduled: BTreeMap<Ticket, u64>,
+    next_announcement: u64,
+    outgoing: VecDeque<(NodeId, Option<(Work, Request)>)>,
     events: VecDeque<Event>,
     figures: Figures,
 }
 
-/// The blob of these bytes.
+/// Returns the digest and length of these bytes.
 pub fn blob_of(bytes: &[u8]) -> Blob {
     Blob { digest: number_of(&[b"blob", bytes]), length: bytes.len() as u32 }
 }
 
 impl Coordinator {
-    /// A coordinator of this life.
-    pub fn new(set: Settings, me: Life, rosters: Rosters, seed: u64, now: u64) -> Self {
+    /// Creates a coordinator for this incarnation of the node.
+    pub fn new(settings: Settings, local: Incarnation, rosters: Rosters, seed: u64, now: u64) -> Self {
         Self {
-            set,
-            me,
+            settings,
+            local,
             rosters,
             random: fastrand::Rng::with_seed(seed),
             entries: BTreeMap::new(),
             by_work: BTreeMap::new(),
-            last: 0,
-            lives: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_ticket: 0,
+            incarnations: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             timers: BTreeSet::new(),
-            set_for: BTreeMap::new(),
-            next_here: now,
-            out: VecDeque::new(),
+            scheduled: BTreeMap::new(),
+            next_announcement: now,
+            outgoing: VecDeque::new(),
             events: VecDeque::new(),
             figures: Figures::default(),
         }
     }
 
-    // ---- What it knows ----
+    // ---- State queries ----
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn figures(&self) -> Figures {
         self.figures
     }
 
-    /// How many works it has to do with, and how many of them are this node's.
+    /// Number of works this node is involved in, and number of them that it holds.
     pub fn counts(&self) -> (usize, usize) {
-        (self.entries.len(), self.entries.values().filter(|entry| entry.proposer.holds()).count())
+        (self.entries.len(), self.entries.values().filter(|entry| entry.proposer.is_holder()).count())
     }
 
-    /// The work of a ticket.
+    /// The identity of the work with this ticket.
     pub fn work(&self, ticket: Ticket) -> Option<Work> {
         self.entries.get(&ticket).map(|entry| entry.work)
     }
 
-    /// Does this node have it?
-    pub fn holds(&self, ticket: Ticket) -> bool {
-        self.entries.get(&ticket).is_some_and(|entry| entry.proposer.holds())
+    /// Whether this node holds the work.
+    pub fn is_holder(&self, ticket: Ticket) -> bool {
+        self.entries.get(&ticket).is_some_and(|entry| entry.proposer.is_holder())
     }
 
-    /// Who has it, as far as was heard.
-    pub fn holder(&self, ticket: Ticket) -> Option<Life> {
+    /// The last known holder of the work.
+    pub fn holder(&self, ticket: Ticket) -> Option<Incarnation> {
         self.entries.get(&ticket).and_then(|entry| entry.proposer.holder())
     }
 
-    // ---- Who lives ----
+    // ---- Membership ----
 
-    /// Membership says that this is the life of its node now, and whether it lives.
-    pub fn life(&mut self, life: Life, lives: bool) {
-        let known = self.lives.get(&life.node).copied();
-        // The loss of an older life, heard late, says nothing of the one that is there.
-        if lives || known.is_none_or(|(other, there)| other == life.life || !there) {
-            self.lives.insert(life.node, (life.life, lives));
+    /// Records from membership the current incarnation of a node and whether it is alive.
+    pub fn update_membership(&mut self, incarnation: Incarnation, alive: bool) {
+        let recorded = self.incarnations.get(&incarnation.node).copied();
+        // A late report that an older incarnation was lost says nothing about the current one.
+        if alive || recorded.is_none_or(|(other, was_alive)| other == incarnation.number || !was_alive) {
+            self.incarnations.insert(incarnation.node, (incarnation.number, alive));
         }
     }
 
-    /// Is that life lost, by what is known?
-    pub fn is_lost(&self, now: u64, life: Life) -> bool {
-        let gone = match self.lives.get(&life.node) {
-            Some((other, lives)) => !(*lives && *other == life.life),
+    /// Whether this incarnation is considered lost.
+    pub fn is_lost(&self, now: u64, incarnation: Incarnation) -> bool {
+        let considered_dead = match self.incarnations.get(&incarnation.node) {
+            Some((other, alive)) => !(*alive && *other == incarnation.number),
             None => false,
         };
-        gone && life != self.me && self.heard.get(&life).is_none_or(|at| now - at > HEARD_MS)
+        considered_dead
+            && incarnation != self.local
+            && self.last_seen.get(&incarnation).is_none_or(|at| now - at > LIVENESS_MS)
     }
 
-    // ---- The node's side ----
+    // ---- Caller interface ----
 
-    /// The next thing that happened.
+    /// Returns the next event.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// The next thing to be said: to whom, and about what; nothing but that this life is there, where that is `None`.
+    /// Returns the next message to send and its receiver. `None` in place of a work and request stands
+    /// for the announcement that this incarnation is alive.
     pub fn poll_transmit(&mut self) -> Option<(NodeId, Option<(Work, Request)>)> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
-    /// A request came. Gives its ticket, and whether others here wait by it already; `None` where there are too many.
-    pub fn ask(&mut self, now: u64, ask: Ask) -> Option<(Ticket, bool)> {
+    /// Submits a request. Returns its ticket and whether it joined a work already in progress here, or
+    /// `None` if there are too many works.
+    pub fn submit(&mut self, now: u64, submitted: SubmittedRequest) -> Option<(Ticket, bool)> {
         self.figures.asked += 1;
-        let nonce = match ask.kind {
-            Kind::Keyed => 0,
-            Kind::Unsafe { marked: true, .. } => Work::REPEAT,
-            Kind::Unsafe { nonce, .. } => nonce.max(Work::REPEAT + 1),
+        let nonce = match submitted.kind {
+            RequestIdentity::Keyed => 0,
+            RequestIdentity::Unsafe { is_marked_repeat: true, .. } => Work::REPEAT,
+            RequestIdentity::Unsafe { nonce, .. } => nonce.max(Work::REPEAT + 1),
         };
-        let work = Work { slot: ask.slot, nonce };
+        let work = Work { slot: submitted.slot, nonce };
         if let Some(ticket) = self.by_work.get(&work) {
             self.figures.joined += 1;
             return Some((*ticket, true));
         }
-        if self.entries.len() >= self.set.most {
+        if self.entries.len() >= self.settings.max_works {
             return None;
         }
-        let ticket = self.next();
-        self.begin(now, ticket, work, ask);
+        let ticket = self.next_ticket();
+        self.start_work(now, ticket, work, submitted);
         Some((ticket, false))
     }
 
-    fn next(&mut self) -> Ticket {
-        self.last += 1;
-        Ticket(self.last)
+    fn next_ticket(&mut self) -> Ticket {
+        self.last_ticket += 1;
+        Ticket(self.last_ticket)
     }
 
-    fn begin(&mut self, now: u64, ticket: Ticket, work: Work, ask: Ask) {
-        let effect = if ask.kind == Kind::Keyed { Effect::Keyed } else { Effect::Unsafe };
-        let body = ask.body.as_ref().filter(|body| body.len() <= BLOB_MOST);
-        let about = About {
+    fn start_work(&mut self, now: u64, ticket: Ticket, work: Work, submitted: SubmittedRequest) {
+        let effect = if submitted.kind == RequestIdentity::Keyed { Effect::Keyed } else { Effect::Unsafe };
+        let body = submitted.body.as_ref().filter(|body| body.len() <= MAX_BLOB_BYTES);
+        let about = WorkDescription {
             effect,
-            class: ask.class.clone(),
-            remaining_ms: ask.remaining_ms,
+            class: submitted.class.clone(),
+            remaining_ms: submitted.remaining_ms,
             request: body.map(|body| blob_of(body)),
         };
-        let proposer = Proposer::asked(self.me, self.rosters.keepers(work.slot), about);
-        self.put_entry(now, ticket, work, proposer, Some(ask));
+        let proposer = Proposer::for_request(self.local, self.rosters.keepers(work.slot), about);
+        self.insert_entry(now, ticket, work, proposer, Some(submitted));
     }
 
-    /// A work whose holder is lost, as a keeper knows: this node takes it up, unless it has to do with it already.
+    /// Takes over a work whose holder is lost, as found by a keeper, unless this node is involved in it
+    /// already.
     pub fn adopt(&mut self, now: u64, work: Work) {
-        if self.by_work.contains_key(&work) || self.entries.len() >= self.set.most {
+        if self.by_work.contains_key(&work) || self.entries.len() >= self.settings.max_works {
             return;
         }
-        let ticket = self.next();
-        let proposer = Proposer::orphaned(self.me, self.rosters.keepers(work.slot));
-        self.put_entry(now, ticket, work, proposer, None);
+        let ticket = self.next_ticket();
+        let proposer = Proposer::for_orphan(self.local, self.rosters.keepers(work.slot));
+        self.insert_entry(now, ticket, work, proposer, None);
     }
 
-    fn put_entry(&mut self, now: u64, ticket: Ticket, work: Work, proposer: Proposer, asked: Option<Ask>) {
+    fn insert_entry(
+        &mut self,
+        now: u64,
+        ticket: Ticket,
+        work: Work,
+        proposer: Proposer,
+        submitted: Option<SubmittedRequest>,
+    ) {
         let entry = Entry {
             work,
             proposer,
-            asked,
+            submitted,
             began: now,
-            others: BTreeMap::new(),
-            until: now + self.set.patience_ms,
-            ends: now + self.set.life_ms,
+            reported_nonces: BTreeMap::new(),
+            deadline: now + self.settings.majority_timeout_ms,
+            expires: now + self.settings.entry_lifetime_ms,
             next_send: now,
-            wait: self.set.resend_ms,
+            resend_wait: self.settings.resend_ms,
             next_poll: u64::MAX,
-            asked_last: None,
-            meant: None,
-            puts: Vec::new(),
+            last_request: None,
+            pending_attempt: None,
+            uploads: Vec::new(),
             fetch: None,
-            answer: None,
-            unkept: false,
+            own_answer: None,
+            unkept_reported: false,
         };
         self.entries.insert(ticket, entry);
         self.by_work.insert(work, ticket);
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
-    /// An attempt is meant to be sent: [`Event::Go`] or [`Event::Denied`] follows, before the next may be meant. Gives its number
-    /// among those of all holders, where it was written down at all.
-    pub fn intend(&mut self, now: u64, ticket: Ticket, server: u64, zone: u64, cell: u64) -> Option<usize> {
-        let life = self.set.life_ms;
-        let patience = self.set.patience_ms;
+    /// Starts to store the intent to send an attempt. [`Event::SendAllowed`] or [`Event::SendDenied`] follows and must
+    /// be awaited before the next call. Returns the index of the attempt among those of all holders, or
+    /// `None` if no intent was recorded.
+    pub fn write_intent(
+        &mut self,
+        now: u64,
+        ticket: Ticket,
+        server: u64,
+        zone: u64,
+        cell: u64,
+    ) -> Option<usize> {
+        let ttl = self.settings.entry_lifetime_ms;
+        let majority_timeout = self.settings.majority_timeout_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else {
-            self.events.push_back(Event::Denied(ticket));
+            self.events.push_back(Event::SendDenied(ticket));
             return None;
         };
         let at = u32::try_from(now - entry.began).unwrap_or(u32::MAX);
         let number = entry.proposer.record().map_or(0, |record| record.sent.len());
-        // So late a register may have ended at some keepers.
-        let late = now + life / 2 > entry.ends;
-        let full = number >= crate::wire::SENT_MOST;
-        if late || full || !entry.proposer.intend(Sent { server, zone, cell, at, never: false }) {
+        // By then the register may have expired at some keepers.
+        let too_late = now + ttl / 2 > entry.expires;
+        let is_full = number >= crate::wire::MAX_ATTEMPTS;
+        if too_late
+            || is_full
+            || !entry.proposer.write_intent(IntendedAttempt {
+                server,
+                zone,
+                cell,
+                at_ms: at,
+                never_ran: false,
+            })
+        {
             self.figures.denied += 1;
-            self.events.push_back(Event::Denied(ticket));
+            self.events.push_back(Event::SendDenied(ticket));
             return None;
         }
-        (entry.meant, entry.until) = (Some(number), now + patience);
-        self.work_on(now, ticket);
+        (entry.pending_attempt, entry.deadline) = (Some(number), now + majority_timeout);
+        self.advance(now, ticket);
         Some(number)
     }
 
-    /// It is proven that this attempt, counted over all holders, never ran.
-    pub fn never_ran(&mut self, ticket: Ticket, number: usize) {
-        self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.never_ran(number));
+    /// Records that this attempt, by its index among those of all holders, is proven never to have run.
+    pub fn mark_never_ran(&mut self, ticket: Ticket, number: usize) {
+        self.entries.get_mut(&ticket).into_iter().for_each(|entry| entry.proposer.mark_never_ran(number));
     }
 
-    /// What the work has come to here. [`Event::Verdict`] follows, or [`Event::Unkept`]; of what is let go, nothing.
-    pub fn conclude(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
-        let patience = self.set.patience_ms;
+    /// Submits the result of a work. [`Event::Verdict`] or [`Event::VerdictNotStored`] follows, or neither if the
+    /// work is released.
+    pub fn submit_result(&mut self, now: u64, ticket: Ticket, conclusion: Conclusion) {
+        let majority_timeout = self.settings.majority_timeout_ms;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        let held = match conclusion {
-            Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= BLOB_MOST) {
+        let was_holder = match conclusion {
+            Conclusion::Served(bytes) => match bytes.filter(|bytes| bytes.len() <= MAX_BLOB_BYTES) {
                 Some(bytes) => {
                     let blob = blob_of(&bytes);
-                    let held = entry.proposer.conclude(Verdict::Served(blob));
-                    if held {
-                        entry.puts.push(Put { blob, bytes: bytes.clone(), have: BTreeMap::new() });
-                        entry.answer = Some((blob, bytes));
+                    let was_holder = entry.proposer.write_verdict(Verdict::Served(blob));
+                    if was_holder {
+                        entry.uploads.push(Upload { blob, bytes: bytes.clone(), have: BTreeMap::new() });
+                        entry.own_answer = Some((blob, bytes));
                     }
-                    held
+                    was_holder
                 }
-                None => entry.proposer.conclude(Verdict::ServedLong),
+                None => entry.proposer.write_verdict(Verdict::ServedLong),
             },
-            Conclusion::Rejected => entry.proposer.conclude(Verdict::Rejected),
-            Conclusion::LetGo => entry.proposer.let_go(),
+            Conclusion::Rejected => entry.proposer.write_verdict(Verdict::Rejected),
+            Conclusion::Release => entry.proposer.release(),
         };
-        if held {
-            (entry.until, entry.meant) = (now + patience, None);
+        if was_holder {
+            (entry.deadline, entry.pending_attempt) = (now + majority_timeout, None);
         }
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
-    /// Nobody here waits for it any more. What this node has goes on.
-    pub fn give_up(&mut self, now: u64, ticket: Ticket) {
+    /// No client at this node waits for the work any more. If this node holds it, it continues.
+    pub fn abandon(&mut self, now: u64, ticket: Ticket) {
         if let Some(entry) = self.entries.get_mut(&ticket) {
-            entry.proposer.give_up();
-            self.work_on(now, ticket);
+            entry.proposer.abandon();
+            self.advance(now, ticket);
         }
     }
 
-    // ---- The keepers' side ----
+    // ---- Keeper replies ----
 
-    /// A keeper answered.
-    pub fn hear(&mut self, now: u64, by: NodeId, work: Work, reply: Reply) {
+    /// Handles a keeper's reply.
+    pub fn handle_reply(&mut self, now: u64, keeper: NodeId, work: Work, reply: Reply) {
         let Some(ticket) = self.by_work.get(&work).copied() else { return };
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         match reply {
-            Reply::Answer { answer, age, fresh } => {
+            Reply::Answer { answer, age, holder_alive } => {
                 let record = match &answer {
-                    Answer::Promised(_, Some((_, record))) | Answer::Known(_, record) => Some(record),
+                    Answer::Promised(_, Some((_, record))) | Answer::Stored(_, record) => Some(record),
                     _ => None,
                 };
-                if let Some(holder) = record.and_then(|record| record.holder).filter(|_| fresh) {
-                    self.heard.insert(holder, now);
+                if let Some(holder) = record.and_then(|record| record.holder).filter(|_| holder_alive) {
+                    self.last_seen.insert(holder, now);
                 }
                 if record.is_some() {
-                    // The oldest word of its age is the nearest to its beginning.
+                    // The highest reported age is the closest to the actual start of the work.
                     entry.began = entry.began.min(now.saturating_sub(u64::from(age)));
                 }
-                entry.proposer.heard(by, answer);
+                entry.proposer.handle_answer(keeper, answer);
             }
-            Reply::Others(nonces) => {
-                entry.others.insert(by, nonces);
-                self.other_works(now, ticket);
+            Reply::OtherWorks(nonces) => {
+                entry.reported_nonces.insert(keeper, nonces);
+                self.handle_other_works(now, ticket);
                 return;
             }
-            Reply::Have(blob, have) => {
-                let put = entry.puts.iter_mut().find(|put| put.blob == blob);
-                put.into_iter().for_each(|put| *put.have.entry(by).or_default() |= have);
+            Reply::HavePieces(blob, have) => {
+                let upload = entry.uploads.iter_mut().find(|upload| upload.blob == blob);
+                upload.into_iter().for_each(|upload| *upload.have.entry(keeper).or_default() |= have);
             }
             Reply::Piece(blob, piece, bytes) => {
                 if let Some(fetch) = entry.fetch.as_mut().filter(|fetch| fetch.blob == blob) {
                     fetch.pieces.insert(piece, bytes);
                 }
             }
-            Reply::Quiet | Reply::Full => {}
+            Reply::NotVoting | Reply::AtCapacity => {}
         }
-        self.work_on(now, ticket);
+        self.advance(now, ticket);
     }
 
-    /// Keepers know other works of this one's slot.
-    fn other_works(&mut self, now: u64, ticket: Ticket) {
+    /// Handles reports that keepers know other works of the same slot.
+    fn handle_other_works(&mut self, now: u64, ticket: Ticket) {
         let Some(entry) = self.entries.get(&ticket) else { return };
-        let Some(ask) = entry.asked.clone() else { return };
-        if !matches!(ask.kind, Kind::Unsafe { marked: true, .. }) {
-            // Only a marked repeat is told to others; it may be this one's.
-            self.finish(ticket);
-            self.events.push_back(Event::Twin(ticket));
+        let Some(submitted) = entry.submitted.clone() else { return };
+        if !matches!(submitted.kind, RequestIdentity::Unsafe { is_marked_repeat: true, .. }) {
+            // Keepers report only marked repeats to an unmarked request. The repeat may be of this
+            // request.
+            self.remove_entry(ticket);
+            self.events.push_back(Event::ConcurrentRepeat(ticket));
             return;
         }
-        let all: BTreeSet<u64> = entry.others.values().flatten().copied().collect();
-        if !entry.proposer.keepers().majority(|id| entry.others.contains_key(&id)) {
-            // One that one keeper knows is enough to go by, and a second would be a doubt: the others are heard first, or
-            // the patience ends.
+        let all: BTreeSet<u64> = entry.reported_nonces.values().flatten().copied().collect();
+        if !entry.proposer.keepers().is_majority(|id| entry.reported_nonces.contains_key(&id)) {
+            // A single keeper may know the only earlier work, and further keepers may know others, which
+            // makes the repeat ambiguous. So a majority of reports is awaited, up to the timeout.
             return;
         }
-        self.finish(ticket);
+        self.remove_entry(ticket);
         match all.first().copied().filter(|_| all.len() == 1) {
-            None => self.events.push_back(Event::Ambiguous(ticket)),
+            None => self.events.push_back(Event::AmbiguousRepeat(ticket)),
             Some(nonce) => {
-                let work = Work { slot: ask.slot, nonce };
+                let work = Work { slot: submitted.slot, nonce };
                 match self.by_work.get(&work) {
-                    Some(other) => self.events.push_back(Event::Same(ticket, *other)),
+                    Some(other) => self.events.push_back(Event::AlreadyHere(ticket, *other)),
                     None => {
                         self.figures.joined += 1;
-                        self.begin(now, ticket, work, ask);
+                        self.start_work(now, ticket, work, submitted);
                     }
                 }
             }
@@ -513,124 +555,128 @@
 
     // ---- Time ----
 
-    /// When [`Coordinator::tick`] is to be called.
-    pub fn due(&self) -> Option<u64> {
-        let here = (!self.entries.is_empty()).then_some(self.next_here);
+    /// When [`Coordinator::handle_timeout`] should be called next.
+    pub fn next_timeout(&self) -> Option<u64> {
+        let announcement = (!self.entries.is_empty()).then_some(self.next_announcement);
         let timer = self.timers.first().map(|(at, _)| *at);
-        here.into_iter().chain(timer).min()
+        announcement.into_iter().chain(timer).min()
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: u64) {
-        if now >= self.next_here {
-            self.next_here = now + HERE_MS;
-            let held = self.entries.values().filter(|entry| entry.proposer.holds());
+    /// Processes expired timers.
+    pub fn handle_timeout(&mut self, now: u64) {
+        if now >= self.next_announcement {
+            self.next_announcement = now + ALIVE_INTERVAL_MS;
+            let held = self.entries.values().filter(|entry| entry.proposer.is_holder());
             let keepers: BTreeSet<NodeId> = held.flat_map(|entry| entry.proposer.keepers().all()).collect();
-            self.out.extend(keepers.into_iter().map(|id| (id, None)));
-            self.heard.retain(|_, at| now - *at <= HEARD_MS);
+            self.outgoing.extend(keepers.into_iter().map(|id| (id, None)));
+            self.last_seen.retain(|_, at| now - *at <= LIVENESS_MS);
         }
         while let Some((_, ticket)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.set_for.remove(&ticket);
-            self.work_on(now, ticket);
+            self.scheduled.remove(&ticket);
+            self.advance(now, ticket);
         }
     }
 
-    fn finish(&mut self, ticket: Ticket) {
+    fn remove_entry(&mut self, ticket: Ticket) {
         if let Some(entry) = self.entries.remove(&ticket) {
             self.by_work.remove(&entry.work);
         }
-        if let Some(at) = self.set_for.remove(&ticket) {
+        if let Some(at) = self.scheduled.remove(&ticket) {
             self.timers.remove(&(at, ticket));
         }
     }
 
-    /// Takes a work as far as it goes now.
-    fn work_on(&mut self, now: u64, ticket: Ticket) {
-        self.steps(now, ticket);
-        self.give_up_what_is_late(now, ticket);
-        self.look_on(now, ticket);
-        self.steps(now, ticket);
+    /// Advances a work as far as possible at this time.
+    fn advance(&mut self, now: u64, ticket: Ticket) {
+        self.process_steps(now, ticket);
+        self.handle_timeouts(now, ticket);
+        self.poll_holder(now, ticket);
+        self.process_steps(now, ticket);
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        entry.send(now, &self.set, &mut self.out, &mut self.random);
+        entry.send_due(now, &self.settings, &mut self.outgoing, &mut self.random);
         if entry.is_done(now) {
-            self.finish(ticket);
-            self.events.push_back(Event::Over(ticket));
+            self.remove_entry(ticket);
+            self.events.push_back(Event::Ended(ticket));
             return;
         }
         let due = entry.due();
-        if let Some(before) = self.set_for.insert(ticket, due) {
+        if let Some(before) = self.scheduled.insert(ticket, due) {
             self.timers.remove(&(before, ticket));
         }
         self.timers.insert((due, ticket));
     }
 
-    /// What the proposer has come to.
-    fn steps(&mut self, now: u64, ticket: Ticket) {
-        let set = self.set;
+    /// Processes the pending steps of the proposer.
+    fn process_steps(&mut self, now: u64, ticket: Ticket) {
+        let settings = self.settings;
         loop {
             let Some(entry) = self.entries.get_mut(&ticket) else { return };
-            let Some(step) = entry.proposer.poll() else { return };
+            let Some(step) = entry.proposer.poll_step() else { return };
             match step {
-                Step::Yours { earlier, adopted } => {
+                Step::Acquired { earlier, adopted } => {
                     let began = entry.began;
-                    let earlier: Vec<(Sent, u64)> = earlier
+                    let earlier: Vec<(IntendedAttempt, u64)> = earlier
                         .into_iter()
-                        .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at))))
+                        .map(|sent| (sent, (now - began).saturating_sub(u64::from(sent.at_ms))))
                         .collect();
-                    entry.ends = now + set.life_ms;
+                    entry.expires = now + settings.entry_lifetime_ms;
                     self.figures.adopted += u64::from(adopted);
-                    if let Some(ask) = &entry.asked {
-                        if let Some(body) = ask.body.clone().filter(|body| body.len() <= BLOB_MOST) {
+                    if let Some(submitted) = &entry.submitted {
+                        if let Some(body) = submitted.body.clone().filter(|body| body.len() <= MAX_BLOB_BYTES)
+                        {
                             let blob = blob_of(&body);
-                            let known = entry.proposer.record().and_then(|record| record.about.request);
-                            if known == Some(blob) {
-                                entry.puts.push(Put { blob, bytes: body, have: BTreeMap::new() });
+                            let recorded = entry.proposer.record().and_then(|record| record.about.request);
+                            if recorded == Some(blob) {
+                                entry.uploads.push(Upload { blob, bytes: body, have: BTreeMap::new() });
                             }
                         }
                         let adopted = adopted || !earlier.is_empty();
-                        self.events.push_back(Event::Yours { ticket, earlier, adopted });
+                        self.events.push_back(Event::Acquired { ticket, earlier, adopted });
                         continue;
                     }
                     self.figures.orphans += 1;
                     let request = entry.proposer.record().and_then(|record| record.about.request);
                     match request {
                         Some(blob) => {
-                            let until = now + set.patience_ms;
-                            entry.fetch = Some(Fetch { blob, pieces: BTreeMap::new(), verdict: None, until });
+                            let deadline = now + settings.majority_timeout_ms;
+                            entry.fetch =
+                                Some(Fetch { blob, pieces: BTreeMap::new(), verdict: None, deadline });
                             entry.next_send = now;
                         }
                         None => {
                             self.figures.bodiless += 1;
-                            entry.proposer.let_go();
+                            entry.proposer.release();
                         }
                     }
                 }
-                Step::Go => {
-                    let Some(number) = entry.meant.take() else { continue };
-                    if now < entry.until {
+                Step::SendAllowed => {
+                    let Some(number) = entry.pending_attempt.take() else { continue };
+                    if now < entry.deadline {
                         self.figures.intents += 1;
-                        self.events.push_back(Event::Go(ticket));
+                        self.events.push_back(Event::SendAllowed(ticket));
                     } else {
-                        // This node stood still meanwhile: another may have come through since.
-                        entry.proposer.never_ran(number);
+                        // The majority came after the timeout, for instance because this process was
+                        // suspended. Another node may have taken the work over since, so the attempt is
+                        // not sent.
+                        entry.proposer.mark_never_ran(number);
                         self.figures.denied += 1;
-                        self.events.push_back(Event::Denied(ticket));
+                        self.events.push_back(Event::SendDenied(ticket));
                     }
                 }
-                Step::Ousted => {
+                Step::Superseded => {
                     self.figures.ousted += 1;
-                    if entry.meant.take().is_some() {
+                    if entry.pending_attempt.take().is_some() {
                         self.figures.denied += 1;
-                        self.events.push_back(Event::Denied(ticket));
+                        self.events.push_back(Event::SendDenied(ticket));
                     }
                     entry.next_poll = now;
                 }
-                Step::LetGo => {}
+                Step::Released => {}
                 Step::Verdict(verdict) => {
                     self.figures.kept += 1;
                     self.figures.may_have_run += u64::from(verdict == Verdict::MayHaveRun);
-                    let own = entry.answer.as_ref();
+                    let own = entry.own_answer.as_ref();
                     match verdict {
                         Verdict::Served(blob) => match own.filter(|(own, _)| *own == blob) {
                             Some((_, bytes)) => {
@@ -638,9 +684,10 @@
                                 self.events.push_back(Event::Verdict(ticket, verdict, Some(bytes)));
                             }
                             None => {
-                                let until = now + set.patience_ms;
+                                let deadline = now + settings.majority_timeout_ms;
                                 let verdict = Some(verdict);
-                                entry.fetch = Some(Fetch { blob, pieces: BTreeMap::new(), verdict, until });
+                                entry.fetch =
+                                    Some(Fetch { blob, pieces: BTreeMap::new(), verdict, deadline });
                                 entry.next_send = now;
                             }
                         },
@@ -651,12 +698,12 @@
         }
     }
 
-    /// What is waited for too long.
-    fn give_up_what_is_late(&mut self, now: u64, ticket: Ticket) {
-        let set = self.set;
+    /// Handles completed fetches and expired timeouts.
+    fn handle_timeouts(&mut self, now: u64, ticket: Ticket) {
+        let settings = self.settings;
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         if let Some(fetch) = &entry.fetch {
-            if let Some(bytes) = fetch.whole() {
+            if let Some(bytes) = fetch.complete_bytes() {
                 let verdict = fetch.verdict;
                 entry.fetch = None;
                 match verdict {
@@ -664,80 +711,83 @@
                     None => {
                         let Some(record) = entry.proposer.record() else { return };
                         let (about, began) = (record.about.clone(), entry.began);
-                        let ago = |sent: &Sent| (now - began).saturating_sub(u64::from(sent.at));
+                        let ago =
+                            |sent: &IntendedAttempt| (now - began).saturating_sub(u64::from(sent.at_ms));
                         let earlier = record.sent.iter().map(|sent| (*sent, ago(sent))).collect();
                         let remaining_ms = u64::from(about.remaining_ms).saturating_sub(now - began);
-                        let event = Event::Adopt { ticket, earlier, about, body: bytes, remaining_ms };
+                        let event =
+                            Event::OrphanAdopted { ticket, earlier, about, body: bytes, remaining_ms };
                         self.events.push_back(event);
                     }
                 }
-            } else if now >= fetch.until {
+            } else if now >= fetch.deadline {
                 match fetch.verdict {
-                    // It is known to be served, and not with what.
-                    Some(_) => self.events.push_back(Event::Unkept(ticket)),
+                    // The work was served, but its answer can't be fetched.
+                    Some(_) => self.events.push_back(Event::VerdictNotStored(ticket)),
                     None => {
                         self.figures.bodiless += 1;
-                        entry.proposer.let_go();
-                        entry.until = now + set.patience_ms;
+                        entry.proposer.release();
+                        entry.deadline = now + settings.majority_timeout_ms;
                     }
                 }
                 entry.fetch = None;
             }
         }
-        if !entry.proposer.waits() || now < entry.until {
+        if !entry.proposer.is_waiting() || now < entry.deadline {
             return;
         }
-        if entry.meant.take().is_some() {
-            entry.proposer.deny();
+        if entry.pending_attempt.take().is_some() {
+            entry.proposer.cancel_intent();
             self.figures.denied += 1;
-            self.events.push_back(Event::Denied(ticket));
-        } else if entry.proposer.holds() {
-            // It is still said to the keepers for a while, so that others learn of it.
-            if !std::mem::replace(&mut entry.unkept, true) {
+            self.events.push_back(Event::SendDenied(ticket));
+        } else if entry.proposer.is_holder() {
+            // Keeps resending the verdict for a while, so that other nodes can learn it.
+            if !std::mem::replace(&mut entry.unkept_reported, true) {
                 self.figures.unkept += 1;
-                self.events.push_back(Event::Unkept(ticket));
-                entry.until = now + LINGER * set.patience_ms;
+                self.events.push_back(Event::VerdictNotStored(ticket));
+                entry.deadline = now + LINGER_FACTOR * settings.majority_timeout_ms;
             } else {
-                entry.ends = now;
+                entry.expires = now;
             }
-        } else if let (Some(_), false) = (&entry.asked, entry.others.is_empty()) {
-            // No majority told of other works, but one keeper knows some: who sends it all the same may send it twice.
-            self.finish(ticket);
-            self.events.push_back(Event::Ambiguous(ticket));
+        } else if let (Some(_), false) = (&entry.submitted, entry.reported_nonces.is_empty()) {
+            // At least one keeper reported other works, but no majority did. Sending the request could
+            // send it twice.
+            self.remove_entry(ticket);
+            self.events.push_back(Event::AmbiguousRepeat(ticket));
         } else {
             self.figures.unknown += 1;
-            self.finish(ticket);
-            self.events.push_back(Event::Unknown(ticket));
+            self.remove_entry(ticket);
+            self.events.push_back(Event::NoMajority(ticket));
         }
     }
 
-    /// Looks at another's work again, and takes its place where its holder is lost.
-    fn look_on(&mut self, now: u64, ticket: Ticket) {
-        let (set, jitter) = (self.set, self.random.u64(0..=self.set.poll_ms));
+    /// Polls a work that another node holds and takes it over if the holder is lost.
+    fn poll_holder(&mut self, now: u64, ticket: Ticket) {
+        let (settings, jitter) = (self.settings, self.random.u64(0..=self.settings.poll_ms));
         let Some(entry) = self.entries.get(&ticket) else { return };
-        let lost =
-            entry.proposer.watches() && entry.proposer.holder().is_some_and(|life| self.is_lost(now, life));
+        let lost = entry.proposer.is_watching()
+            && entry.proposer.holder().is_some_and(|incarnation| self.is_lost(now, incarnation));
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        if entry.proposer.watches() {
+        if entry.proposer.is_watching() {
             if entry.next_poll == u64::MAX {
                 entry.next_poll = now + jitter;
             } else if now >= entry.next_poll {
-                entry.next_poll = now + set.poll_ms;
+                entry.next_poll = now + settings.poll_ms;
                 if lost {
                     entry.proposer.holder_lost();
                 } else {
-                    entry.proposer.again();
+                    entry.proposer.retry();
                 }
-                // To look once more is the same question.
-                (entry.next_send, entry.wait) = (now, set.resend_ms);
-                entry.until = now + set.patience_ms;
+                // The repeated read equals the last request, so `send_due` would not treat it as new.
+                (entry.next_send, entry.resend_wait) = (now, settings.resend_ms);
+                entry.deadline = now + settings.majority_timeout_ms;
             }
         } else {
             entry.next_poll = u64::MAX;
-            if entry.proposer.is_outbid() {
-                // Not at once: whoever was faster should come through.
+            if entry.proposer.is_preempted() {
+                // Waits before the next round, so that the competing node can finish.
                 if entry.next_send <= now {
-                    entry.proposer.again();
+                    entry.proposer.retry();
                 } else {
                     entry.next_send = entry.next_send.min(now + 1 + jitter / 2);
                 }
@@ -747,8 +797,8 @@
 }
 
 impl Fetch {
-    fn whole(&self) -> Option<Bytes> {
-        let count = pieces_of(self.blob);
+    fn complete_bytes(&self) -> Option<Bytes> {
+        let count = piece_count(self.blob);
         if self.pieces.len() < count {
             return None;
         }
@@ -756,74 +806,87 @@
         Some(Bytes::from(bytes)).filter(|bytes| blob_of(bytes) == self.blob)
     }
 
-    fn want(&self) -> u128 {
+    fn missing_mask(&self) -> u128 {
         let have: u128 = self.pieces.keys().map(|n| 1u128 << n).sum();
-        all_pieces(self.blob) & !have
+        all_pieces_mask(self.blob) & !have
     }
 }
 
 impl Entry {
-    /// Sends what a keeper has not answered, when its time has come; what is new at once.
-    fn send(
+    /// Sends a new request at once and resends an unanswered one when its resend time has come.
+    fn send_due(
         &mut self,
         now: u64,
-        set: &Settings,
-        out: &mut VecDeque<(NodeId, Option<(Work, Request)>)>,
+        settings: &Settings,
+        outgoing: &mut VecDeque<(NodeId, Option<(Work, Request)>)>,
         random: &mut fastrand::Rng,
     ) {
-        let messages = self.proposer.messages();
-        let question = messages.first().map(|(_, question)| question.clone());
-        let new = question.is_some() && question != self.asked_last;
-        if new {
-            self.wait = set.resend_ms;
-            self.asked_last = question;
+        let pending = self.proposer.pending_requests();
+        let op = pending.first().map(|(_, op)| op.clone());
+        let is_new = op.is_some() && op != self.last_request;
+        if is_new {
+            self.resend_wait = settings.resend_ms;
+            self.last_request = op;
         }
-        if !new && now < self.next_send {
+        if !is_new && now < self.next_send {
             return;
         }
-        let marked = matches!(&self.asked, Some(Ask { kind: Kind::Unsafe { marked: true, .. }, .. }))
-            && self.work.nonce == Work::REPEAT;
-        let before = out.len();
-        // Bytes go first, so that the word that rests on them finds them there.
-        let answered = self.answer.is_some();
-        for put in
-            self.puts.iter().filter(|put| !answered || self.answer.as_ref().is_some_and(|a| a.0 == put.blob))
+        let marked = matches!(
+            &self.submitted,
+            Some(SubmittedRequest { kind: RequestIdentity::Unsafe { is_marked_repeat: true, .. }, .. })
+        ) && self.work.nonce == Work::REPEAT;
+        let before = outgoing.len();
+        // Blobs are sent first, because keepers accept a verdict only if they have its answer.
+        let answered = self.own_answer.is_some();
+        for upload in self
+            .uploads
+            .iter()
+            .filter(|upload| !answered || self.own_answer.as_ref().is_some_and(|a| a.0 == upload.blob))
         {
             for id in self.proposer.keepers().all() {
-                let missing = all_pieces(put.blob) & !put.have.get(&id).copied().unwrap_or(0);
-                let missing = (0..pieces_of(put.blob)).filter(|n| missing >> n & 1 == 1);
-                for n in missing.take(PIECES_AT_ONCE) {
-                    let piece = put.bytes.slice(n * PIECE..put.bytes.len().min((n + 1) * PIECE));
-                    out.push_back((id, Some((self.work, Request::Put(put.blob, n as u8, piece)))));
+                let missing = all_pieces_mask(upload.blob) & !upload.have.get(&id).copied().unwrap_or(0);
+                let missing = (0..piece_count(upload.blob)).filter(|n| missing >> n & 1 == 1);
+                for n in missing.take(PIECES_PER_ROUND) {
+                    let piece =
+                        upload.bytes.slice(n * PIECE_BYTES..upload.bytes.len().min((n + 1) * PIECE_BYTES));
+                    outgoing
+                        .push_back((id, Some((self.work, Request::StorePiece(upload.blob, n as u8, piece)))));
                 }
             }
         }
-        for (id, question) in messages {
-            out.push_back((id, Some((self.work, Request::Ask(question, marked)))));
+        for (id, op) in pending {
+            outgoing.push_back((id, Some((self.work, Request::Register(op, marked)))));
         }
         if let Some(fetch) = &self.fetch {
             let all: Vec<NodeId> = self.proposer.keepers().all().into_iter().collect();
             if let Some(id) = random.choice(&all) {
-                out.push_back((*id, Some((self.work, Request::Get(fetch.blob, fetch.want())))));
+                outgoing.push_back((
+                    *id,
+                    Some((self.work, Request::FetchPieces(fetch.blob, fetch.missing_mask()))),
+                ));
             }
         }
-        let any = out.len() > before;
-        self.next_send = if any { now + self.wait } else { u64::MAX };
-        let fetches = self.fetch.is_some();
-        self.wait = if fetches { set.resend_ms } else { (2 * self.wait).min(BACK_OFF * set.resend_ms) };
+        let sent_any = outgoing.len() > before;
+        self.next_send = if sent_any { now + self.resend_wait } else { u64::MAX };
+        let is_fetching = self.fetch.is_some();
+        self.resend_wait = if is_fetching {
+            settings.resend_ms
+        } else {
+            (2 * self.resend_wait).min(MAX_BACKOFF_FACTOR * settings.resend_ms)
+        };
     }
 
     fn is_done(&self, now: u64) -> bool {
-        (self.proposer.is_over() && self.fetch.is_none()) || now >= self.ends
+        (self.proposer.has_ended() && self.fetch.is_none()) || now >= self.expires
     }
 
     fn due(&self) -> u64 {
-        let mut due = self.ends.min(self.next_send).min(self.next_poll);
-        if self.proposer.waits() {
-            due = due.min(self.until);
+        let mut due = self.expires.min(self.next_send).min(self.next_poll);
+        if self.proposer.is_waiting() {
+            due = due.min(self.deadline);
         }
         if let Some(fetch) = &self.fetch {
-            due = due.min(fetch.until);
+            due = due.min(fetch.deadline);
         }
         due
     }
--- a/crates/glenctl/src/configuration.rs
+++ b/crates/glenctl/src/configuration.rs
@@ -105,11 +105,11 @@
             if let Some(on) = on {
                 push["on"] = json!(on);
             }
-            let response = call(source, net::PUSH, Some(&push))?;
+            let response = call(source, net::PUSH_PATH, Some(&push))?;
             println!("{}", text(&response["version"]));
         }
         Action::Status { publisher, json } => {
-            let status = call(publisher, net::STATUS, None)?;
+            let status = call(publisher, net::STATUS_PATH, None)?;
             if json {
                 println!("{status}");
             } else {
@@ -117,7 +117,7 @@
             }
         }
         Action::BeginEpoch { source, .. } => {
-            let response = call(source, net::EPOCH, Some(&json!({})))?;
+            let response = call(source, net::EPOCH_PATH, Some(&json!({})))?;
             println!("{}", text(&response["version"]));
         }
     }
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -19,7 +19,7 @@
         let (coordinator, keeper) = (self.coordinator.borrow(), self.keeper.borrow());
         let (known_here, held_here) = coordinator.counts();
         let works: Vec<Value> = keeper
-            .all(now)
+            .works(now)
             .take(MAX_REPORTED_WORKS)
             .map(|(work, record, age)| {
                 let holder = record.and_then(|record| record.holder);
@@ -30,7 +30,7 @@
                     "class": record.map(|record| record.about.class.clone()),
                     "effect": record.map(|record| record.about.effect),
                     "holder": holder.map(|life| name.map_or(format!("{:016x}", life.node.0), |(m, _)| m.name)),
-                    "life": holder.map(|life| format!("{:016x}", life.life)),
+                    "life": holder.map(|life| format!("{:016x}", life.number)),
                     "lost": holder.map(|life| coordinator.is_lost(now, life)),
                     "sent": record.map(|record| record.sent.clone()),
                     "verdict": record.and_then(|record| record.verdict),
@@ -39,8 +39,8 @@
             .collect();
         json!({
             "epoch": self.table.rosters.epoch,
-            "joint": self.table.rosters.before.is_some(),
-            "votes": keeper.votes(now),
+            "joint": self.table.rosters.previous.is_some(),
+            "votes": keeper.is_voting(now),
             "here": known_here,
             "mine": held_here,
             "counts": *self.counts.borrow(),
@@ -59,7 +59,7 @@
             gauge("custody_mine", coordinator.counts().1 as u64, "Works that this node has in hand."),
             gauge("custody_kept", kept.works, "Works that it keeps for others."),
             gauge("custody_bytes", kept.bytes, "Bytes that it keeps for others."),
-            gauge("custody_votes", u64::from(keeper.votes(self.now())), "It gives votes as a keeper."),
+            gauge("custody_votes", u64::from(keeper.is_voting(self.now())), "It gives votes as a keeper."),
             counter("custody_guarded", counts.guarded, "Requests of guarded classes."),
             counter("custody_unguarded", counts.unguarded, "Those that went on without a majority."),
             counter("custody_refused", counts.refused, "Those that were refused without one."),
