--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,11 +1,14 @@
-//! Which nodes there are, without a leader and without a full list anywhere: a few seeds, a common secret, probes (direct, and by
-//! others), suspicion that its object can refute, gossip and anti-entropy. SWIM with what Lifeguard adds to it.
+//! Cluster membership without a leader: a SWIM implementation with the Lifeguard extensions. It uses a few
+//! seed addresses, a shared secret, direct and indirect probes, suspicions that the suspect can refute,
+//! gossip and anti-entropy.
 //!
-//! Nothing here does I/O or reads a clock: [`Members`] is told the time and what came, and says what to send and what happened.
-//! The time is in milliseconds, starts anywhere and never runs backwards.
+//! Nothing here does I/O or reads a clock: the caller passes the time and received datagrams to [`Members`]
+//! and polls it for datagrams to send and for events. Times are in milliseconds from an arbitrary origin and
+//! never decrease.
 //!
-//! What it says is an opinion: two nodes may hold different ones at any moment, and a node that is cut off is lost to the others
-//! and they to it. Whoever builds on it must be safe whatever it says, and live when it is right.
+//! The view is eventually consistent: two nodes may disagree at any moment, and a node that is cut off
+//! considers the others lost while they consider it lost. Callers must be safe with any view; they may rely
+//! on a correct view only for progress.
 #![warn(missing_docs)]
 
 mod machine;
--- a/crates/members/src/machine.rs
+++ b/crates/members/src/machine.rs
@@ -1,4 +1,4 @@
-//! One member: whom it probes, whom it believes, and what it passes on.
+//! The state machine of one member: probing, suspicion, gossip and anti-entropy.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,91 +12,95 @@
 use crate::table::{Change, Table};
 use crate::wire::{cluster_number, Bad, Draft, Message, Word, ACCUSERS_MOST, MAGIC, PARTS};
 
-/// How many others are asked to try who did not answer.
+/// Number of members asked to probe a target that did not answer the direct probe.
 const HELPERS: usize = 3;
-/// How many rumours go to at a time.
+/// Number of members that each gossip round is sent to.
 const FAN_OUT: usize = 3;
-/// About how many of all members look for themselves when they hear of a suspect: that is what makes a loss known soon, and at
-/// a cost that does not grow with the members.
+/// Expected number of members, over the whole cluster, that probe a suspect themselves when they learn of the
+/// suspicion. This confirms a loss quickly at a cost that is independent of the cluster size.
 const LOOK: usize = 8;
-/// How bad a member may think of its own hearing: all its times grow by one more than this.
+/// Upper limit of the local health penalty; probe intervals and timeouts are multiplied by the penalty plus
+/// one.
 const HEALTH_MOST: u32 = 8;
-/// The most datagrams that answer a comparison.
+/// Maximum number of datagrams sent in answer to a comparison.
 const RECORDS_MOST: usize = 8;
-/// Whoever goes tells so many times [`FAN_OUT`] members at once.
+/// A leaving member notifies this many times [`FAN_OUT`] members at once.
 const FAREWELL: usize = 4;
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// Where to.
+    /// The destination.
     pub to: SocketAddr,
-    /// What.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
-/// Something that happened.
+/// A change reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is there: for the first time, in a new life, or again after it was taken for lost.
+    /// A member joined: for the first time, after a restart, or again after it was declared lost.
     Joined(Member),
-    /// A life of a member is taken for lost; or another life of it is there.
+    /// A process of a member was declared lost or was replaced by a restarted one.
     Lost(Member),
-    /// A member said that it goes.
+    /// A member announced that it leaves.
     Left(Member),
-    /// This one refuted a suspicion of itself.
+    /// This member refuted a suspicion of itself.
     Refuted,
-    /// This one stood still for so many milliseconds, and takes nothing from that time for the others' silence.
+    /// This process was stalled for this many milliseconds; that time does not count against the other
+    /// members.
     Stalled(u64),
-    /// Another process goes by this one's name.
+    /// Another process, with this address, uses this member's name.
     NameTaken(SocketAddr),
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Figures {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes in the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were heard.
+    /// Datagrams received and accepted.
     pub heard: u64,
-    /// Datagrams that were turned down: not this cluster's, not made with the secret, or not to be read.
+    /// Datagrams rejected: from another cluster, not authenticated, or malformed.
     pub refused: u64,
     /// Probes that failed.
     pub failed: u64,
-    /// Members that this one took for lost by its own clock.
+    /// Members that this one declared lost when a suspicion timed out here.
     pub declared: u64,
     /// Suspicions of itself that it refuted.
     pub refuted: u64,
-    /// How often it stood still.
+    /// Stalls of this process.
     pub stalls: u64,
-    /// Datagrams of another process by its name.
+    /// Datagrams of another process that uses this member's name.
     pub taken: u64,
-    /// Words about members beyond the most.
+    /// Records ignored because the table of members was full.
     pub beyond: u64,
 }
 
-/// One member, for who inspects.
+/// One member as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Shown {
-    /// It.
+    /// The member.
     #[serde(flatten)]
     pub member: Member,
-    /// How it is.
+    /// Its state.
     pub state: State,
-    /// The incarnation of the last word about it.
+    /// The incarnation of the latest record about it.
     pub incarnation: u64,
 }
 
+/// The stage of an outgoing probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Its own answer is awaited.
+    /// Waiting for the target's answer.
     Direct,
-    /// These try too; so many of them have said that they had none.
+    /// The members in `asked` probe the target too; `refusals` of them reported that it did not answer.
     ByOthers { asked: Vec<Id>, refusals: usize },
 }
 
+/// An outgoing probe that has not been answered yet.
 struct Probe {
     target: Id,
     life: u64,
@@ -106,7 +110,7 @@
     stage: Stage,
 }
 
-/// A probe on another's behalf.
+/// A probe made on behalf of another member.
 struct Errand {
     number: u64,
     target: Id,
@@ -115,7 +119,7 @@
     until: u64,
 }
 
-/// One member's view of all. See the crate's page.
+/// One member's view of the cluster. See the crate documentation.
 pub struct Members {
     set: Settings,
     cluster: u32,
@@ -125,21 +129,22 @@
     random: fastrand::Rng,
     table: Table,
     rumours: Rumours,
-    /// Who is probed, in turns; shuffled anew after each round.
+    /// The order in which members are probed; reshuffled after each round.
     order: Vec<Id>,
     turn: usize,
     probes: Vec<Probe>,
     errands: Vec<Errand>,
-    /// How bad its own hearing seems: 0 is good.
+    /// Local health penalty (Lifeguard): 0 is healthy, higher values mean that this member may itself be at
+    /// fault.
     health: u32,
     next_probe: u64,
     next_gossip: u64,
     next_compare: u64,
     next_again: u64,
     next_forget: u64,
-    /// When it was last told the time.
+    /// The latest time passed in.
     seen: u64,
-    /// The last number of a probe.
+    /// The number of the last probe.
     number: u64,
     out: VecDeque<Transmit>,
     events: VecDeque<Event>,
@@ -147,15 +152,16 @@
 }
 
 impl Members {
-    /// A member that knows none of the others. `incarnation` should be larger than in an earlier life, as the time of the
-    /// start is; where it is not, the others' word of that life raises it. `seed` is for its random choices.
+    /// Creates a member that knows no others. `incarnation` should be larger than in any earlier run, as the
+    /// start time is; if it is not, the records that others hold of the earlier run raise it. `seed` seeds
+    /// the random choices.
     ///
     /// # Errors
-    /// The field of the settings, and what is expected.
+    /// The invalid setting and what was expected.
     pub fn new(set: Settings, secret: Secret, incarnation: u64, seed: u64, now: u64) -> Result<Self, String> {
         set.check()?;
         let mut random = fastrand::Rng::with_seed(seed);
-        // They need not begin in step.
+        // A random offset keeps members that start together from probing in step.
         let first = now + random.u64(0..set.probe_ms);
         let me = Record { member: set.me.clone(), incarnation, state: State::Alive };
         Ok(Self {
@@ -185,30 +191,30 @@
         })
     }
 
-    /// Do these bytes say that they are membership's? Others may share its address.
+    /// Whether these bytes begin like a membership datagram; other protocols may share the socket.
     pub fn is_own(bytes: &[u8]) -> bool {
         bytes.starts_with(&MAGIC.to_be_bytes())
     }
 
-    // ---- What it knows ----
+    // ---- Queries ----
 
-    /// This one.
+    /// This member.
     pub fn me(&self) -> &Member {
         &self.me.member
     }
 
-    /// The others that are taken for living, in no order.
+    /// The other members considered alive, in no particular order.
     pub fn living(&self) -> impl Iterator<Item = &Member> {
         self.table.living().iter().filter_map(|id| self.table.get(*id)).map(|entry| &entry.record.member)
     }
 
-    /// A member that is known by its short name, and how it is. Of itself it knows what it says.
+    /// The member with this id and its state, this member included.
     pub fn get(&self, id: Id) -> Option<(&Member, State)> {
         let record = if id == self.id { &self.me } else { &self.table.get(id)?.record };
         Some((&record.member, record.state))
     }
 
-    /// All that is known of the others, by their short names.
+    /// All other known members, ordered by id.
     pub fn all(&self) -> Vec<Shown> {
         let shown = |record: &Record| Shown {
             member: record.member.clone(),
@@ -218,29 +224,29 @@
         self.table.iter().map(|(_, entry)| shown(&entry.record)).collect()
     }
 
-    /// What was counted.
+    /// The counters.
     pub fn figures(&self) -> Figures {
         self.figures
     }
 
-    /// How bad its own hearing seems, 0 to 8.
+    /// The local health penalty: 0 (healthy) to 8.
     pub fn health(&self) -> u32 {
         self.health
     }
 
-    // ---- What drives it ----
+    // ---- Driving the state machine ----
 
     /// The next datagram to be sent.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.out.pop_front()
     }
 
-    /// The next thing that happened.
+    /// The next event.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// When [`Members::tick`] is to be called.
+    /// The time at which [`Members::tick`] is to be called next.
     pub fn due(&self) -> u64 {
         let mut due = self.next_compare.min(self.next_again).min(self.next_forget);
         if self.me.state == State::Alive {
@@ -261,7 +267,7 @@
         due
     }
 
-    /// Does what is due by now.
+    /// Runs everything that is due at `now`.
     pub fn tick(&mut self, now: u64) {
         self.catch_up(now);
         self.end_errands(now);
@@ -276,7 +282,7 @@
             self.gossip(FAN_OUT);
         }
         if now >= self.next_compare {
-            // Between half and one and a half of it, so that all do not speak at once.
+            // Jitter of 0.5 to 1.5 intervals spreads the comparisons of all members.
             self.next_compare = now + self.random.u64(0..=self.set.compare_ms()) + self.set.compare_ms() / 2;
             self.compare(now);
         }
@@ -290,10 +296,11 @@
         }
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     ///
     /// # Errors
-    /// Where it is not this cluster's, was not made with the secret, or can't be read; nothing changes then.
+    /// When it is from another cluster, is not authenticated or is malformed. Nothing but the counter of
+    /// rejected datagrams changes then.
     pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), Bad> {
         self.catch_up(now);
         let message =
@@ -329,7 +336,7 @@
         Ok(())
     }
 
-    /// It goes, and says so. It answers on, until its driver ends.
+    /// Leaves the cluster and announces it. The member keeps answering until the caller stops driving it.
     pub fn leave(&mut self, now: u64) {
         self.catch_up(now);
         if self.me.state == State::Alive {
@@ -340,9 +347,10 @@
         }
     }
 
-    // ---- Its own time ----
+    // ---- Stalls and local health ----
 
-    /// Time in which it did not run is no time in which others were silent.
+    /// Detects that this process was stalled. Members that did not answer during the stall are not blamed for
+    /// it: pending probes are dropped and suspicions are extended by the length of the stall.
     fn catch_up(&mut self, now: u64) {
         let late = now.saturating_sub(self.due().max(self.seen));
         self.seen = now.max(self.seen);
@@ -352,12 +360,13 @@
         self.figures.stalls += 1;
         self.health = (self.health + 1).min(HEALTH_MOST);
         self.probes.clear();
-        // Whoever they were for has long had no answer.
+        // The members that asked for these probes have given up on them by now.
         self.errands.clear();
         self.table.put_off(late);
         self.events.push_back(Event::Stalled(late));
     }
 
+    /// Multiplies a duration by the local health penalty plus one.
     fn scaled(&self, span: u64) -> u64 {
         span * u64::from(self.health + 1)
     }
@@ -382,7 +391,7 @@
             }
             let Some(target) = self.order.get(self.turn).copied() else { return };
             self.turn += 1;
-            // Some of a round may have gone meanwhile.
+            // Members may have been lost since the order was shuffled.
             if self.is_living(target) {
                 self.probe(now, target);
                 return;
@@ -432,8 +441,9 @@
         }
     }
 
-    /// Others who are asked to try: one beside the target, one beside this member, one elsewhere, as far as there are such, so
-    /// that a broken link between two zones is not taken for a loss.
+    /// Chooses the members asked to probe `target`: one in the target's zone, one in this member's zone and
+    /// one in another zone, as far as they exist, so that a broken link between two zones is not mistaken for
+    /// a loss.
     fn helpers(&mut self, target: Id) -> Vec<Id> {
         let zone_of = |id: Id| self.table.get(id).map(|entry| entry.record.member.zone.as_str());
         let theirs = zone_of(target).unwrap_or_default().to_string();
@@ -455,7 +465,8 @@
 
     fn failed(&mut self, now: u64, probe: &Probe) {
         self.figures.failed += 1;
-        // Helpers that live would at least have said no: where they are silent too it may be this member that is deaf.
+        // A live helper sends a nack even if the target is silent. Missing nacks suggest that this member
+        // does not receive datagrams.
         let missing = match &probe.stage {
             Stage::ByOthers { asked, refusals } => asked.len().saturating_sub(*refusals),
             Stage::Direct => 0,
@@ -464,7 +475,7 @@
         let Some(entry) = self.table.get(probe.target) else { return };
         let record = &entry.record;
         let same = record.member.life == probe.life && record.incarnation == probe.incarnation;
-        // What it said of itself since then is as good as an answer.
+        // A newer incarnation of the target, received meanwhile, is as good as an answer.
         if same && record.state.is_living() {
             let suspect = Record { state: State::Suspect, ..record.clone() };
             self.take(now, &suspect, &[self.id]);
@@ -515,13 +526,14 @@
 
     // ---- Suspicion ----
 
-    /// When a suspect is taken for lost: the sooner, the more have found it silent by themselves.
+    /// The time at which a suspect is declared lost. The timeout shrinks logarithmically from the maximum to
+    /// the minimum as more members confirm the suspicion independently.
     fn suspect_due(&self, id: Id) -> u64 {
         let Some(suspicion) = self.table.get(id).and_then(|entry| entry.suspicion.as_ref()) else {
             return u64::MAX;
         };
         let (least, most) = (self.set.suspect_least_ms(), self.set.suspect_most_ms());
-        // Besides the first accuser there are so many others who could find it out.
+        // The number of possible accusers besides the first.
         let others = (ACCUSERS_MOST - 1).min(self.table.living().len().saturating_sub(1));
         let more = suspicion.accusers.len().saturating_sub(1).min(others);
         let part = if others == 0 { 1.0 } else { (more as f64 + 1.0).ln() / (others as f64 + 1.0).ln() };
@@ -539,7 +551,7 @@
         }
     }
 
-    /// Takes a word about a member, and passes it on where it is new.
+    /// Applies a record about a member, queues it for gossip if it is new, and reports the resulting events.
     fn take(&mut self, now: u64, record: &Record, accusers: &[Id]) {
         let id = record.member.id();
         if id == self.id {
@@ -565,7 +577,7 @@
                     self.events.push_back(Event::Joined(record.member.clone()));
                     self.insert_turn(id);
                 }
-                // A few look for themselves.
+                // A few randomly selected members probe the suspect themselves.
                 let looks = self.random.usize(0..self.table.living().len().max(1)) < LOOK;
                 if record.state == State::Suspect && self.me.state == State::Alive && looks {
                     self.probe(now, id);
@@ -581,7 +593,7 @@
         }
     }
 
-    /// A new member comes up in this round, anywhere in what is left of it.
+    /// Inserts a new member at a random position in the rest of the current probe round.
     fn insert_turn(&mut self, id: Id) {
         if !self.order.get(self.turn..).is_some_and(|left| left.contains(&id)) {
             let at = self.random.usize(self.turn.min(self.order.len())..=self.order.len());
@@ -589,7 +601,7 @@
         }
     }
 
-    /// What others say of this member: where that is not what it is, it says so with a newer word.
+    /// Handles a record about this member: a wrong one is refuted with a higher incarnation.
     fn about_me(&mut self, record: &Record) {
         if self.me.state != State::Alive || record.member.name != self.me.member.name {
             return;
@@ -609,7 +621,7 @@
         self.rumours.tell(self.id, self.me.clone(), &[]);
     }
 
-    // ---- Passing on ----
+    // ---- Gossip and anti-entropy ----
 
     fn gossip(&mut self, to: usize) {
         if self.rumours.is_empty() {
@@ -641,7 +653,7 @@
         match self.some_living(1).first().and_then(|id| self.table.get(*id)) {
             Some(entry) => self.send(entry.record.member.address, &word, None),
             None => {
-                // Nobody is known: all seeds are asked, and soon again.
+                // No member is known: ask all seeds and try again soon.
                 self.next_compare = now + self.random.u64(0..=self.set.probe_ms) + self.set.probe_ms;
                 for seed in self.set.seeds.clone() {
                     if seed != self.me.member.address {
@@ -652,7 +664,7 @@
         }
     }
 
-    /// Another's table, by its digests: it is sent what it may not know.
+    /// Handles another member's table digests: sends it the records of the buckets that differ.
     fn compared(&mut self, now: u64, to: SocketAddr, theirs: &[u32; PARTS], back: bool) {
         let own = self.table.digests(&self.me);
         let mut differ = [false; PARTS];
@@ -662,11 +674,11 @@
         if !differ.contains(&true) {
             return;
         }
-        // There is more to be known than rumours bring.
+        // The tables differ by more than gossip has delivered, so compare again soon.
         self.next_compare = self.next_compare.min(now + self.set.probe_ms);
         let mut drafts = vec![Draft::new(self.cluster, &self.me, &Word::Rumours)];
         let known: Vec<_> = self.table.in_parts(&differ).collect();
-        // Where they do not all fit, others go the next time.
+        // A random start, so that records that do not fit this time are sent another time.
         let first = self.random.usize(0..known.len().max(1));
         for (_, entry) in known[first.min(known.len())..].iter().chain(&known[..first.min(known.len())]) {
             let accusers = entry.suspicion.as_ref().map_or(Vec::new(), |s| s.accusers.clone());
@@ -687,7 +699,7 @@
         }
     }
 
-    /// One of those that are gone without a word, or a seed that is not among the living, may be there again.
+    /// Contacts a random lost member, or a seed that is not alive, in case it is back.
     fn try_again(&mut self) {
         let gone = self.table.iter().filter(|(_, entry)| entry.record.state == State::Lost);
         let gone = gone.map(|(id, entry)| (Some(*id), entry.record.member.address));
@@ -702,7 +714,8 @@
         }
     }
 
-    /// Sends something, with what this member thinks of the receiver where it does not take it for alive, and rumours.
+    /// Sends a message together with queued rumours. If the receiver is not considered alive, its own record
+    /// goes first, so that it can refute it.
     fn send(&mut self, to: SocketAddr, word: &Word, receiver: Option<Id>) {
         let mut draft = Draft::new(self.cluster, &self.me, word);
         let entry = receiver.and_then(|id| self.table.get(id));
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -1,21 +1,21 @@
-//! What is said of one member.
+//! Records about one member and the rules by which one record supersedes another.
 
 use std::net::SocketAddr;
 
 use glenwood_datagram::number_of;
 use serde::Serialize;
 
-/// The longest name, and the longest name of a zone, in bytes.
+/// Maximum length of a member's name, in bytes.
 pub const NAME_MOST: usize = 48;
-/// See [`NAME_MOST`].
+/// Maximum length of a zone's name, in bytes.
 pub const ZONE_MOST: usize = 24;
 
-/// What a member is called for short: a digest of its name.
+/// The id of a member: a digest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Id(pub u64);
 
 impl Id {
-    /// Of the member with this name.
+    /// The id of the member with this name.
     pub fn of(name: &str) -> Self {
         Self(number_of(&[b"member", name.as_bytes()]))
     }
@@ -24,72 +24,74 @@
 /// A member, as it describes itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Member {
-    /// Its name, which stays over restarts.
+    /// Its name, which stays the same across restarts.
     pub name: String,
-    /// Which start of it this is: a number that no other start has.
+    /// Identifies the process: a number that differs for each start.
     pub life: u64,
-    /// Where it takes datagrams.
+    /// The address that it receives datagrams at.
     pub address: SocketAddr,
-    /// Its zone; empty where there are none.
+    /// Its zone; empty if zones are not used.
     pub zone: String,
 }
 
 impl Member {
-    /// What it is called for short.
+    /// The id of this member.
     pub fn id(&self) -> Id {
         Id::of(&self.name)
     }
 }
 
-/// How a member is, in the order in which one word goes before another about the same incarnation.
+/// The state of a member. Of two records about the same incarnation, the later variant supersedes the
+/// earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// Somebody has had no answer; it has some time to say that it lives.
+    /// It did not answer a probe; it can still refute the suspicion before the timeout.
     Suspect,
-    /// It has not said so.
+    /// It did not refute the suspicion in time.
     Lost,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
 impl State {
-    /// Is it taken for one that is there?
+    /// Whether the member counts as alive; a suspect does.
     pub fn is_living(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One word about a member.
+/// What is known or claimed about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The member.
     pub member: Member,
-    /// Which word of its own this rests on: only the member raises it.
+    /// The incarnation of the member that this refers to; only the member itself raises it.
     pub incarnation: u64,
-    /// How it is.
+    /// The state of the member.
     pub state: State,
 }
 
 impl Record {
-    /// What goes before what: the newer incarnation, of equal ones the larger life, then the worse state.
+    /// Precedence of a record: by incarnation, then by `life`, then by state.
     fn rank(&self) -> (u64, u64, State) {
         (self.incarnation, self.member.life, self.state)
     }
 
-    /// Does it go before the other one?
+    /// Whether this record replaces the other one.
     pub fn beats(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
-    /// Is it of one incarnation of one life with the other?
+    /// Whether both records refer to the same incarnation of the same process.
     pub fn is_of(&self, other: &Self) -> bool {
         (self.incarnation, self.member.life) == (other.incarnation, other.member.life)
     }
 
-    /// A digest of what all should agree on: that this incarnation lives. A suspicion passes by itself.
+    /// A digest of what all members should agree on: that this incarnation is alive. The state is left out,
+    /// as a suspicion is resolved without anti-entropy.
     pub fn digest(&self) -> u64 {
         let numbers = [self.incarnation.to_be_bytes(), self.member.life.to_be_bytes()];
         number_of(&[self.member.name.as_bytes(), &numbers[0], &numbers[1]])
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/rumours.rs
@@ -1,11 +1,11 @@
-//! What is to be passed on, and how often that was done.
+//! The queue of rumours to gossip, with the number of transmissions of each.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Id, Record, State};
 use crate::wire::{Draft, Rumour, ACCUSERS_MOST};
 
-/// How often a rumour is passed on, for each power of ten of the members.
+/// Number of transmissions of a rumour for each power of ten of the cluster size.
 const OFTEN: u32 = 4;
 
 struct Passed {
@@ -13,27 +13,27 @@
     times: u32,
 }
 
-/// The rumours that a member still passes on: the newest word about each.
+/// The rumours that a member still transmits: the newest record about each member.
 #[derive(Default)]
 pub struct Rumours {
     about: BTreeMap<Id, Passed>,
 }
 
 impl Rumours {
-    /// There is new word about a member, in place of what there was.
+    /// Queues a new record about a member, replacing any older one.
     pub fn tell(&mut self, id: Id, record: Record, accusers: &[Id]) {
         let named = if record.state == State::Suspect { accusers } else { &[] };
         let named = named[..named.len().min(ACCUSERS_MOST)].to_vec();
         self.about.insert(id, Passed { rumour: (record, named), times: 0 });
     }
 
-    /// Is there nothing to pass on?
+    /// Whether there is nothing to transmit.
     pub fn is_empty(&self) -> bool {
         self.about.is_empty()
     }
 
-    /// Puts into a datagram what was passed on least, as far as there is room, and forgets what all of so many members
-    /// are likely to have.
+    /// Fills a datagram with the rumours that were transmitted least, as far as there is room, and drops
+    /// those that have been transmitted often enough to reach all `members`.
     pub fn fill(&mut self, draft: &mut Draft, members: usize) {
         if self.about.is_empty() {
             return;
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -1,31 +1,31 @@
-//! How members watch one another.
+//! Settings of the membership protocol and the intervals derived from them.
 
 use std::net::SocketAddr;
 
 use crate::record::{Member, NAME_MOST, ZONE_MOST};
 
-/// How members watch one another. All times are in milliseconds.
+/// Settings of the membership protocol. All times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Whose members these are: who says another name is not heard.
+    /// The name of the cluster; datagrams of other clusters are rejected.
     pub cluster: String,
-    /// This one.
+    /// This member.
     pub me: Member,
-    /// Addresses of a few members that are likely to be there; this one's own may be among them.
+    /// Addresses of a few members that are likely to run; this member's own may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// How often it probes one of the others, 20 to 10,000. All other times follow from it.
+    /// Interval between probes of other members, 20 to 10,000. Most other intervals are derived from it.
     pub probe_ms: u64,
-    /// The most members, 2 to 4,096.
+    /// Maximum number of members, 2 to 4,096.
     pub most: usize,
-    /// How long one that is gone is remembered, 10,000 to 86,400,000.
+    /// How long a lost member or one that left is remembered, 10,000 to 86,400,000.
     pub forget_ms: u64,
 }
 
 impl Settings {
-    /// Checks that they make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The field, and what is expected.
+    /// The invalid field and what was expected.
     pub fn check(&self) -> Result<(), String> {
         let within = |name: &str, n: u64, least: u64, most: u64| {
             let fits = (least..=most).contains(&n);
@@ -46,37 +46,38 @@
         within("forget_ms", self.forget_ms, 10_000, 86_400_000)
     }
 
-    /// How long a probe's answer may take before others are asked to try; the probe has failed after three of these.
+    /// Time to wait for the answer to a probe before other members are asked to probe the target; the probe
+    /// fails after three times this.
     pub(crate) fn answer_ms(&self) -> u64 {
         self.probe_ms / 2
     }
 
-    /// How often rumours go out, while there are any.
+    /// Interval between gossip rounds while there are rumours to send.
     pub(crate) fn gossip_ms(&self) -> u64 {
         self.probe_ms / 2
     }
 
-    /// How often the table is compared with another member's.
+    /// Mean interval between comparisons of the table with another member's.
     pub(crate) fn compare_ms(&self) -> u64 {
         10 * self.probe_ms
     }
 
-    /// How often one that is gone, or a seed, is tried again.
+    /// Mean interval between attempts to reach a lost member or a seed again.
     pub(crate) fn again_ms(&self) -> u64 {
         10 * self.probe_ms
     }
 
-    /// How long a suspect has when nobody else suspects it ...
+    /// Time until a suspect is declared lost if no other member confirms the suspicion.
     pub(crate) fn suspect_most_ms(&self) -> u64 {
         20 * self.probe_ms
     }
 
-    /// ... and when enough do.
+    /// Time until a suspect is declared lost if enough other members confirm the suspicion.
     pub(crate) fn suspect_least_ms(&self) -> u64 {
         3 * self.probe_ms
     }
 
-    /// A call that comes so much later than was asked for tells that this node itself stood still.
+    /// A call that comes more than this after it was due means that this process was stalled.
     pub(crate) fn stall_ms(&self) -> u64 {
         self.probe_ms
     }
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -1,47 +1,47 @@
-//! All that is known of the members.
+//! The table of known members.
 
 use std::collections::BTreeMap;
 
 use crate::record::{Id, Record, State};
 use crate::wire::{ACCUSERS_MOST, PARTS};
 
-/// A suspicion of this node, or one that it heard of.
+/// A suspicion of a member, raised here or received from others.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// Since when.
+    /// When it began.
     pub since: u64,
-    /// Who suspects it.
+    /// The members that suspect it.
     pub accusers: Vec<Id>,
 }
 
-/// What is known of one member.
+/// The table's entry for one member.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The best word about it.
+    /// The record that supersedes all others seen.
     pub record: Record,
-    /// While it is a suspect.
+    /// The suspicion, while the member is a suspect.
     pub suspicion: Option<Suspicion>,
-    /// Since when it is gone, where it is.
+    /// When the record was applied; for a lost member or one that left, the time since when it is gone.
     pub gone_since: u64,
 }
 
-/// What a word did to the table.
+/// The effect of a record on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it was known, or something newer was.
+    /// No effect: this record or a newer one was already known.
     Nothing,
-    /// There was no room.
+    /// Ignored: the table is full, or another name has the same digest.
     Full,
-    /// Another one suspects it too.
+    /// A known suspicion has a new accuser.
     Confirmed,
-    /// The word is new.
+    /// The record is new.
     New {
-        /// The state before, and the life that it was of; `None`: the member was not known.
+        /// The previous state and `life`; `None` if the member was not known.
         before: Option<(State, u64)>,
     },
 }
 
-/// All that is known of the other members.
+/// The known members other than this one.
 #[derive(Debug, Default)]
 pub struct Table {
     all: BTreeMap<Id, Entry>,
@@ -60,40 +60,40 @@
         self.all.get(&id)
     }
 
-    /// Those that are taken for living, in no order.
+    /// The members considered alive, in no particular order.
     pub fn living(&self) -> &[Id] {
         &self.living
     }
 
-    /// Those that are under suspicion, in no order.
+    /// The suspects, in no particular order.
     pub fn suspects(&self) -> &[Id] {
         &self.suspects
     }
 
-    /// All that is known.
+    /// All entries.
     pub fn iter(&self) -> impl Iterator<Item = (&Id, &Entry)> {
         self.all.iter()
     }
 
-    /// Digests of who lives, by parts of the names: order does not matter, and suspicion does not count.
+    /// Digests of the living members by bucket of ids, independent of order and of suspicions.
     pub fn digests(&self, me: &Record) -> [u32; PARTS] {
         let mut parts = self.parts;
         parts[part_of(me.member.id())] ^= me.digest();
         parts.map(|part| (part ^ (part >> 32)) as u32)
     }
 
-    /// The records in those parts in which the other side's digests differ.
+    /// The entries in the buckets whose digests differ from the other side's.
     pub fn in_parts<'a>(&'a self, differ: &'a [bool; PARTS]) -> impl Iterator<Item = (Id, &'a Entry)> {
         self.all.iter().filter(|(id, _)| differ[part_of(**id)]).map(|(id, entry)| (*id, entry))
     }
 
-    /// Takes a word about another member. `most` bounds those that live.
+    /// Applies a record about another member. `most` limits the number of living members, this one included.
     pub fn take(&mut self, now: u64, record: &Record, accusers: &[Id], most: usize) -> Change {
         let id = record.member.id();
         let suspected = record.state == State::Suspect;
         if let Some(known) = self.all.get_mut(&id) {
             if known.record.member.name != record.member.name {
-                // Two names with one digest: the first one stays.
+                // Two names with the same digest: the first one stays.
                 return Change::Full;
             }
             if let Some(suspicion) =
@@ -139,14 +139,14 @@
         Change::New { before }
     }
 
-    /// A suspicion began later than it was taken to: this node stood still for so long.
+    /// Extends all suspicions by the time that this process was stalled.
     pub fn put_off(&mut self, by: u64) {
         for suspicion in self.all.values_mut().filter_map(|entry| entry.suspicion.as_mut()) {
             suspicion.since += by;
         }
     }
 
-    /// Forgets those that are gone since before this, and beyond `most` of them the oldest.
+    /// Removes members that have been gone since before `before`, and the oldest of the rest beyond `most`.
     pub fn forget(&mut self, before: u64, most: usize) {
         let gone = |entry: &Entry| !entry.record.state.is_living();
         let mut since: Vec<u64> = self.all.values().filter(|e| gone(e)).map(|e| e.gone_since).collect();
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -1,7 +1,7 @@
-//! Datagrams: what members say to one another.
+//! The datagrams that members exchange.
 //!
-//! Each begins with what its sender says of itself, and ends with rumours as far as there is room. Whoever replays one can say
-//! nothing that was not said: rumours are ordered by their incarnation, and answers carry the number of what they answer.
+//! Each begins with the sender's own record and ends with as many rumours as fit. Replayed datagrams do no
+//! harm: records are ordered by incarnation, and answers carry the number of the probe that they answer.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,59 +9,59 @@
 
 use crate::record::{Id, Member, Record, State, NAME_MOST, ZONE_MOST};
 
-/// What each datagram begins with.
+/// The first four bytes of each datagram.
 pub const MAGIC: u32 = 0x474c_4d31;
-/// The largest incarnation that is heard: there is always room for a newer one.
+/// The largest incarnation accepted, so that there is always room for a newer one.
 const INCARNATION_MOST: u64 = 1 << 62;
-/// How many parts a table is compared by.
+/// Number of buckets that a table is divided into for comparison.
 pub const PARTS: usize = 32;
-/// The most accusers that are named with a suspect.
+/// Maximum number of accusers listed with a suspect.
 pub const ACCUSERS_MOST: usize = 4;
 
-/// Why a datagram is not taken.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
-    /// Too long, or not made with the key.
+    /// Too long, or not authenticated by the shared secret.
     Forged,
-    /// It can't be read.
+    /// Malformed.
     Unreadable,
     /// Its sender belongs to another cluster.
     OtherCluster,
 }
 
-/// What a datagram is for.
+/// The type and contents of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Word {
-    /// Answer this with its number.
+    /// Asks for an [`Word::Ack`] with the same number.
     Ping(u64),
-    /// Probe that member for the sender, and pass its answer on.
+    /// Asks the receiver to probe another member and to forward its answer.
     PingFor(u64, Id),
     /// The answer to a ping.
     Ack(u64),
-    /// That member did not answer whoever was asked to try; the word "no" comes even so.
+    /// The answer to a `PingFor` whose target did not answer. It shows that the helper itself is alive.
     Nack(u64),
-    /// Digests of the parts of the sender's table; where they differ, its records are wanted, and, if told so, the
-    /// receiver's digests.
+    /// Digests of the buckets of the sender's table. The receiver sends its records of the buckets that
+    /// differ and, if the flag is set, its own digests.
     Compare([u32; PARTS], bool),
     /// Nothing but rumours.
     Rumours,
 }
 
-/// A record, with those who suspect the member where it is a suspect.
+/// A record and, if the member is a suspect, its accusers.
 pub type Rumour = (Record, Vec<Id>);
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its sender, as it is.
+    /// The sender's record of itself.
     pub from: Record,
-    /// What it is for.
+    /// The message itself.
     pub word: Word,
-    /// Rumours.
+    /// The rumours sent along.
     pub rumours: Vec<Rumour>,
 }
 
-/// The number of a cluster's name.
+/// The number that identifies a cluster on the wire, derived from its name.
 pub fn cluster_number(name: &str) -> u32 {
     number_of(&[b"cluster", name.as_bytes()]) as u32
 }
@@ -142,7 +142,7 @@
     Some((record, accusers))
 }
 
-/// A datagram that is being written: rumours go in while there is room.
+/// A datagram under construction; rumours are added while there is room.
 #[derive(Debug)]
 pub struct Draft {
     out: Vec<u8>,
@@ -150,7 +150,7 @@
 }
 
 impl Draft {
-    /// One from this sender for this purpose.
+    /// Starts a datagram from this sender.
     pub fn new(cluster: u32, from: &Record, word: &Word) -> Self {
         let mut out = Vec::with_capacity(256);
         out.extend(MAGIC.to_be_bytes());
@@ -186,7 +186,7 @@
         Self { out, count_at }
     }
 
-    /// Adds a rumour; `false` where there is no room.
+    /// Adds a rumour; returns `false` if there is no room.
     pub fn add(&mut self, rumour: &Rumour) -> bool {
         let before = self.out.len();
         if self.out[self.count_at] == u8::MAX {
@@ -201,22 +201,22 @@
         true
     }
 
-    /// Has it any rumour?
+    /// Whether it contains no rumours.
     pub fn is_empty(&self) -> bool {
         self.out[self.count_at] == 0
     }
 
-    /// Its bytes.
+    /// Finishes and authenticates the datagram and returns its bytes.
     pub fn seal(self, secret: &Secret) -> Vec<u8> {
         secret.seal(self.out)
     }
 }
 
 impl Message {
-    /// Reads one.
+    /// Authenticates and parses a datagram.
     ///
     /// # Errors
-    /// Where it is not this cluster's, was not made with the key, or can't be read.
+    /// When it is from another cluster, is not authenticated or is malformed.
     pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, Bad> {
         let said = secret.open(bytes).map_err(|unsealed| match unsealed {
             Unsealed::Long | Unsealed::Forged => Bad::Forged,
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,12 +1,12 @@
-//! Rights to spend: what an instance holds of an allowance in a window, and how rights change hands.
+//! Rights to spend: how much of an allowance an instance holds in a window, and how rights are transferred.
 
 use std::collections::BTreeMap;
 
-/// One life of an instance: a number that no two of its starts have in common.
+/// Identifies one run of an instance: a number that differs for each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Boot(pub u64);
 
-/// A tenant and a dimension of its usage, as all instances name it.
+/// Identifies a tenant and a dimension of its usage; the same at all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
@@ -17,43 +17,44 @@
     x ^ (x >> 31)
 }
 
-/// The part of `total` that is number `who`'s of `n`. The parts add up to the total; what does not divide falls to others by
-/// `turn`, so that nobody is short of it for ever.
+/// The part of `total` that instance `who` of `n` owns. The parts add up to the total. The remainder of the
+/// division goes to different instances depending on `turn`, so that none is always short of it.
 pub fn part(total: u32, n: usize, who: usize, turn: u64) -> u32 {
     let (n, who) = (n.max(1) as u64, who as u64);
     let rest = u64::from(total) % n;
     (u64::from(total) / n) as u32 + u32::from((who + turn % n) % n < rest)
 }
 
-/// What an instance holds by itself in a window: its own part, and its parts of those that are gone.
+/// The rights that an instance owns in a window without any transfer: its own part, and its share of the
+/// parts of the instances that are gone.
 pub fn base(total: u32, key: Key, window: u64, me: usize, n: usize, own: bool, gone: &[usize]) -> u32 {
     let turn = mix(key.0 ^ mix(window));
     let mine = if own { part(total, n, me, turn) } else { 0 };
     let taken = gone.iter().filter(|g| **g != me).map(|g| {
         let of = part(total, n, *g, turn);
-        // My place among the others.
+        // The index of this instance among all but `g`.
         let place = if me > *g { me - 1 } else { me };
         part(of, n - 1, place, turn >> 32)
     });
     mine + taken.sum::<u32>()
 }
 
-/// What one life of an instance has said of its part in one window. Its own numbers never go down, so that the larger one is
+/// Counters reported by one run of an instance for one window. They never decrease, so the larger value is
 /// the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slot {
-    /// What it has spent.
+    /// The amount it has spent.
     pub spent: u32,
-    /// What it has handed on to this instance.
+    /// The amount it has transferred to this instance.
     pub given: u32,
 }
 
-/// The slots of all others.
+/// The slots of all other instances, a state-based CRDT.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Slots(BTreeMap<(u16, Boot), Slot>);
 
 impl Slots {
-    /// Takes over what is said of one slot; true where that is news.
+    /// Merges reported counters into one slot; returns whether it changed.
     pub fn hear(&mut self, instance: u16, boot: Boot, said: Slot) -> bool {
         let slot = self.0.entry((instance, boot)).or_default();
         let before = *slot;
@@ -61,24 +62,24 @@
         *slot != before
     }
 
-    /// Takes over what another copy knows.
+    /// Merges another copy of the slots.
     pub fn merge(&mut self, other: &Self) {
         for ((instance, boot), slot) in &other.0 {
             self.hear(*instance, *boot, *slot);
         }
     }
 
-    /// What was handed to this instance.
+    /// The amount transferred to this instance.
     pub fn got(&self) -> u32 {
         self.0.values().fold(0, |sum, slot| sum.saturating_add(slot.given))
     }
 
-    /// What the others have spent, as far as they said.
+    /// The amount that the others have reported as spent.
     pub fn spent(&self) -> u32 {
         self.0.values().fold(0, |sum, slot| sum.saturating_add(slot.spent))
     }
 
-    /// What an instance has spent in all its lives, and how much it has handed on to this one.
+    /// The totals of one instance over all its runs.
     pub fn of(&self, instance: u16) -> Slot {
         let range = (instance, Boot(0))..=(instance, Boot(u64::MAX));
         self.0.range(range).fold(Slot::default(), |sum, (_, slot)| Slot {
@@ -87,56 +88,57 @@
         })
     }
 
-    /// What one life has handed on.
+    /// The amount that one run of an instance has transferred to this one.
     pub fn said(&self, instance: u16, boot: Boot) -> u32 {
         self.0.get(&(instance, boot)).map_or(0, |slot| slot.given)
     }
 
-    /// How many there are.
+    /// The number of slots.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// None.
+    /// Whether there are no slots.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// The rights to one key in one window, beyond what is spent from the part that an instance has by itself.
+/// The transfers of rights to one key in one window, to and from this instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rights {
     /// The window.
     pub window: u64,
-    /// What others have said, and handed on to this one.
+    /// What the other instances have reported, and transferred to this one.
     pub slots: Slots,
-    /// What this one has handed on, to each life of the others.
+    /// The amount transferred to each run of the other instances.
     given: BTreeMap<(u16, Boot), u32>,
 }
 
 impl Rights {
-    /// Nothing has changed hands yet.
+    /// Rights for a window in which nothing was transferred yet.
     pub fn new(window: u64) -> Self {
         Self { window, ..Self::default() }
     }
 
-    /// What this one has handed on.
+    /// The total amount transferred to others.
     pub fn given(&self) -> u32 {
         self.given.values().fold(0, |sum, given| sum.saturating_add(*given))
     }
 
-    /// What it has handed on to one life of another.
+    /// The amount transferred to one run of another instance.
     pub fn given_to(&self, instance: u16, boot: Boot) -> u32 {
         self.given.get(&(instance, boot)).copied().unwrap_or(0)
     }
 
-    /// What is left of the part `base` and of what came, when so much is spent and handed on.
+    /// The rights that remain: `base` plus what was received, less `spent` and what was transferred to
+    /// others.
     pub fn held(&self, base: u32, spent: u32) -> u32 {
         let all = u64::from(base) + u64::from(self.slots.got());
         all.saturating_sub(u64::from(spent) + u64::from(self.given())).min(u64::from(u32::MAX)) as u32
     }
 
-    /// Hands on so much, or as much as is held of it; what was handed on.
+    /// Transfers up to `amount`, limited by the rights that remain; returns the amount transferred.
     pub fn give(&mut self, instance: u16, boot: Boot, amount: u32, base: u32, spent: u32) -> u32 {
         let amount = amount.min(self.held(base, spent));
         if amount > 0 {
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -1,4 +1,4 @@
-//! One instance: what it holds and spends, and what it says to the others.
+//! The state machine of one instance: its rights and spending, and its exchange with the other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,44 +8,47 @@
 use crate::votes::{Lives, Replay, Votes};
 use crate::wire::{room, Bad, Entry, Message, Secret, INSTANCES_MOST};
 
-/// How much more than it expects to need an instance asks for.
+/// An instance requests this many times its expected need.
 const AHEAD: f64 = 1.1;
-/// The part of a window after which rights of the next are asked for.
+/// The share of a window after which rights for the next window are requested.
 const EARLY: f64 = 0.4;
-/// How many datagrams go out by turns at an exchange, at the least, and how often each pair should speak in a window.
+/// Minimum number of datagrams sent to peers in rotation at each exchange.
 const FAN_OUT: usize = 8;
+/// Minimum number of messages from each instance to each other one in a window.
 const WORDS_A_WINDOW: u64 = 4;
-/// One place of so many in a datagram is for wishes by turns, as the largest come first at the others.
+/// One of this many entry slots of a datagram is reserved for wants in rotation; the others go to the largest
+/// wants first.
 const BY_TURNS: usize = 4;
-/// One datagram in so many carries a digest.
+/// One datagram in this many carries a digest.
 const DIGEST_EVERY: u64 = 16;
-/// The most slots of others that are kept for all keys together: 2.5 MB.
+/// Maximum number of slots of other instances kept over all keys, about 2.5 MB.
 const SLOTS_MOST: usize = 1 << 16;
 
-/// How instances share.
+/// Settings of the exchange between instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The number of the list of instances: those who go by another list are not heard.
+    /// The number of the list of instances; datagrams from instances with another list are rejected.
     pub list: u32,
-    /// How many instances there are.
+    /// The number of instances.
     pub instances: usize,
-    /// Which of them this is, from 0.
+    /// The index of this instance, from 0.
     pub number: usize,
-    /// How long a window is, in milliseconds.
+    /// Length of a window, in milliseconds.
     pub window_ms: u64,
-    /// How often instances speak.
+    /// Interval between exchanges, in milliseconds.
     pub exchange_ms: u64,
-    /// After how long without a word an instance counts as gone.
+    /// An instance that was silent for this long counts as gone, in milliseconds.
     pub gone_ms: u64,
-    /// How many keys may be shared at a time; the others keep to the parts that each instance has by itself.
+    /// Maximum number of keys whose rights are transferred at a time; for other keys each instance is limited
+    /// to its own part.
     pub shared_most: usize,
 }
 
 impl Settings {
-    /// Checks that they make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The field, and what is expected.
+    /// The invalid field and what was expected.
     pub fn check(&self) -> Result<(), String> {
         let within = |name: &str, n: u64, least: u64, most: u64| {
             let fits = (least..=most).contains(&n);
@@ -63,43 +66,43 @@
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// To which instance.
+    /// The index of the receiving instance.
     pub to: usize,
     /// Its bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What is known of every key, of which there may be very many.
+/// The counters kept for every key. There may be very many keys, so this is kept small.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     key: u64,
-    /// Allowed in a window, over all instances.
+    /// The allowance in a window, over all instances.
     allowance: u32,
-    /// Which window the counts are of, as far as it was touched.
+    /// The window of the counters; they are rolled over lazily, when the key is next used.
     window: u64,
     spent: u32,
-    /// Asked for, in vain too.
+    /// Requested, whether granted or not.
     asked: u32,
-    /// The same of the window before.
+    /// `spent` and `asked` of the previous window.
     before: (u32, u32),
-    /// What is left to be spent in this window, as it was last reckoned.
+    /// Cached amount that can still be spent in this window.
     held: u32,
-    /// For which view of the votes `held` was reckoned.
+    /// The `Usage::view` that `held` was computed for.
     view: u64,
 }
 
-/// A key whose rights change hands.
+/// A key whose rights are transferred between instances.
 #[derive(Clone, Debug)]
 struct Shared {
-    /// Of the present window and the next.
+    /// The rights in the current window and the next.
     rights: [Rights; 2],
-    /// What others last said that they hold of these, and by which of their versions.
+    /// The rights that each other instance last reported to hold, and the version of that report.
     others: [BTreeMap<u16, (u32, u64)>; 2],
-    /// What is wanted of each.
+    /// The amount wanted from the others in each window.
     wants: [u32; 2],
-    /// What all of them are thought to hold.
+    /// The estimated rights that all others hold together in each window.
     thought: [u64; 2],
-    /// By which change something of it was handed on last.
+    /// The version of the last transfer of this key.
     version: u64,
 }
 
@@ -108,79 +111,80 @@
 struct Peer {
     lives: Lives,
     replay: Replay,
-    /// When it last proved that it runs.
+    /// When it last proved to be running.
     heard_at: Option<u64>,
-    /// By how much its clock seemed ahead of this one's, and this one's of its: either is too small by the time that the
-    /// datagram took.
+    /// By how much its clock appeared ahead of this one's, and this one's ahead of its clock. Each is too
+    /// small by the network delay of the datagram.
     ahead: (i64, i64),
-    /// Up to which version it has been heard.
+    /// The latest version of the peer that was received here.
     theirs: u64,
-    /// Up to which version it has heard.
+    /// The latest version of this instance that the peer acknowledged.
     acked: u64,
-    /// Numbers the datagrams to it.
+    /// The number of the last datagram sent to it.
     turn: u64,
-    /// It waits for rights, or its word is due.
+    /// A datagram is to be sent to it: it waits for rights, or it is its turn in the rotation.
     urgent: bool,
-    /// Keys of which something was handed on to it since.
+    /// Handles of the keys with transfers to it since the last datagram.
     due: Vec<usize>,
 }
 
 impl Peer {
-    /// By how much its clock is ahead at the least; 0 where the delays of the network may explain all of it.
+    /// The least amount by which its clock must be ahead; 0 if network delays can explain all of the
+    /// difference.
     fn surely_ahead(&self) -> i64 {
         let (least, most) = (self.ahead.0, self.ahead.1.saturating_neg());
         0.clamp(least.min(most), most.max(least))
     }
 }
 
-/// What an instance says of one key.
+/// The state of one key at this instance, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Share {
     /// The key.
     pub key: u64,
     /// The window.
     pub window: u64,
-    /// Allowed in a window, over all instances.
+    /// The allowance in a window, over all instances.
     pub allowance: u32,
-    /// Spent here.
+    /// The amount spent here.
     pub spent: u32,
-    /// Held here, to be spent.
+    /// The amount that can still be spent here.
     pub held: u32,
-    /// Asked for here.
+    /// The amount requested here, whether granted or not.
     pub asked: u32,
-    /// Spent by the others, as far as they said.
+    /// The amount that the others have reported as spent.
     pub others: u32,
-    /// Spent and asked for here in the window before.
+    /// The amounts spent and requested here in the previous window.
     pub before: (u32, u32),
-    /// Its rights change hands.
+    /// Whether its rights are transferred between instances.
     pub shared: bool,
 }
 
-/// What an instance knows of one key at another.
+/// What this instance knows of one key at another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Explained {
     /// The instance.
     pub instance: usize,
-    /// What it has spent.
+    /// The amount it has spent.
     pub spent: u32,
-    /// What it held when it last said.
+    /// The amount it last reported to hold.
     pub held: Option<u32>,
-    /// What it has handed on to this one, and this one to it.
+    /// The amounts transferred from it to this instance and from this instance to it.
     pub given: (u32, u32),
 }
 
-/// What an instance knows of another.
+/// What this instance knows of another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Peers {
     /// The instance.
     pub instance: usize,
-    /// How long ago it last proved that it runs, in milliseconds.
+    /// Time since it last proved to be running, in milliseconds.
     pub age_ms: Option<u64>,
-    /// By how much its clock is ahead.
+    /// By how much its clock is ahead, in milliseconds.
     pub ahead_ms: i64,
-    /// How many changes it has not heard yet.
+    /// The number of changes that it has not acknowledged yet.
     pub behind: u64,
-    /// Its part is divided among the others in this window.
+    /// Whether its part is divided among the others in this window.
     pub gone: bool,
 }
 
@@ -190,45 +194,47 @@
     set: Settings,
     secret: Secret,
     boot: Boot,
-    /// The last time that was told, by the clock as it was set right.
+    /// The latest time passed in, corrected by `offset`, in milliseconds.
     now: u64,
-    /// What the others' clocks say of this one.
+    /// The correction of the local clock by the other instances' clocks, in milliseconds.
     offset: i64,
     began: u64,
     window: u64,
     votes: Votes,
-    /// Raised with each vote, as parts may have changed.
+    /// Incremented with each vote, as the parts may have changed.
     view: u64,
-    /// Whether it has its own part, and whose it divides: of the present window and the next.
+    /// Whether this instance owns its part, and the instances whose parts are divided, in the current window
+    /// and the next.
     parts: [(bool, Vec<usize>); 2],
     counts: Vec<Count>,
     by_key: HashMap<u64, usize>,
-    /// Those that were asked for in this window or the one before.
+    /// Handles of the keys requested in this window or the previous one.
     active: Vec<usize>,
     shared: BTreeMap<usize, Shared>,
     slots: usize,
-    /// Counts the times that wishes were reckoned.
+    /// Counts the times that wants were computed.
     round: u64,
-    /// The keys that something is wanted of, the largest wish first.
+    /// Handles of the keys that rights are wanted of, the largest want first.
     wishes: Vec<usize>,
-    /// By which version something of which key was handed on last.
+    /// Maps the version of the last transfer of a key to the key's handle.
     changed: BTreeMap<u64, usize>,
     version: u64,
     peers: Vec<Peer>,
-    /// Others may go by another list: one was heard, or not all of this one were in this life.
+    /// Whether instances with another list may be running: one was seen, or not all of this list have been
+    /// seen in this run.
     strictly: bool,
-    /// Whose turn it is to be spoken to.
+    /// The peer last served by the rotation.
     turn: usize,
     spoke: u64,
-    /// Datagrams that were turned down.
+    /// The number of rejected datagrams.
     pub refused: u64,
 }
 
 impl Usage {
-    /// An instance at its start. `boot` must differ from that of every start before.
+    /// Creates an instance. `boot` must differ from that of every earlier start.
     ///
     /// # Errors
-    /// Where the settings make no sense.
+    /// The invalid field of the settings and what was expected.
     pub fn new(set: Settings, secret: Secret, boot: Boot, now: u64) -> Result<Self, String> {
         set.check()?;
         let window = now / set.window_ms;
@@ -260,7 +266,8 @@
         })
     }
 
-    /// Takes a key in, or its new allowance, which counts from the next window on for what is not spent yet; its handle.
+    /// Registers a key, or changes its allowance; returns its handle. The new allowance counts at once, less
+    /// what is already spent in the current window.
     pub fn allow(&mut self, key: Key, allowance: u32) -> usize {
         let handle = *self.by_key.entry(key.0).or_insert_with(|| {
             self.counts.push(Count { key: key.0, ..Count::default() });
@@ -273,7 +280,7 @@
         handle
     }
 
-    /// The window by now.
+    /// The number of the current window.
     pub fn window(&self) -> u64 {
         self.window
     }
@@ -285,7 +292,7 @@
         base(count.allowance, Key(count.key), window, me, n, *own, gone)
     }
 
-    /// What is held of a key in the present window (0) or the next (1).
+    /// The amount held of a key in the current window (0) or the next (1).
     fn held(&self, handle: usize, which: usize) -> u32 {
         let window = self.window + which as u64;
         let (base, count) = (self.base(handle, window), &self.counts[handle]);
@@ -296,7 +303,7 @@
         }
     }
 
-    /// Counts of the present window.
+    /// Rolls the counters of a key over to the current window and refreshes `held`.
     fn turned(&mut self, handle: usize) {
         let (window, count) = (self.window, &mut self.counts[handle]);
         if count.window != window {
@@ -312,7 +319,7 @@
         }
     }
 
-    /// May so much be spent of all these together? All of it is, or nothing.
+    /// Spends the given amounts of all these keys, or nothing at all; returns whether they were spent.
     pub fn spend(&mut self, wants: &[(usize, u32)]) -> bool {
         for (handle, amount) in wants {
             self.turned(*handle);
@@ -328,10 +335,10 @@
         within
     }
 
-    /// Tells the time; what is to be sent is appended.
+    /// Advances the time and appends the datagrams to be sent.
     pub fn tick(&mut self, clock: u64, out: &mut Vec<Datagram>) {
         self.now = clock.saturating_add_signed(self.offset).max(1);
-        // Not for each datagram that comes, of which whoever forges them may send very many.
+        // Only at exchanges, not for each datagram: an attacker may send very many forged ones.
         let due = self.now.abs_diff(self.spoke) >= self.set.exchange_ms;
         if due {
             self.set_clock();
@@ -344,15 +351,16 @@
         }
     }
 
-    /// When to tell the time again.
+    /// Milliseconds until [`Usage::tick`] is to be called again.
     pub fn due_in(&self) -> u64 {
         let end = (self.window + 1) * self.set.window_ms;
         let speaks = (self.spoke + self.set.exchange_ms).saturating_sub(self.now);
         speaks.min(end.saturating_sub(self.now)).clamp(1, self.set.exchange_ms)
     }
 
-    /// Goes by the others' clocks where more than half of all, this one among them, agree that this one is far off. Where they
-    /// are divided evenly nobody moves: both halves would, and be as far apart as before.
+    /// Adjusts the clock to the median of the running instances if they are a majority of all, this one
+    /// included, and the median differs by more than half a window. With the clocks evenly divided no
+    /// instance moves: otherwise both halves would, and would be as far apart as before.
     fn set_clock(&mut self) {
         let alive = |p: &&Peer| p.heard_at.is_some_and(|at| self.now.abs_diff(at) < self.set.gone_ms);
         let mut ahead: Vec<i64> = self.peers.iter().filter(alive).map(Peer::surely_ahead).collect();
@@ -367,7 +375,7 @@
             self.offset += median;
             let before = self.now;
             self.now = self.now.saturating_add_signed(median).max(1);
-            // All that was noted by the old clock moves with it.
+            // Shift all times that were taken by the old clock.
             let move_on = |at: u64| at.saturating_add_signed(median);
             self.began = move_on(self.began);
             self.spoke = move_on(self.spoke);
@@ -383,14 +391,14 @@
                 self.slots = 0;
                 self.revote();
                 for count in &mut self.counts {
-                    // Not a right of a window that was entered by a wrong clock is carried along.
+                    // No rights of a window that was entered by a wrong clock are kept.
                     (count.window, count.spent, count.asked, count.before) = (0, 0, 0, (0, 0));
                 }
             }
         }
     }
 
-    /// Something of the votes has changed.
+    /// Recomputes `parts` after a change of the votes.
     fn revote(&mut self) {
         self.view += 1;
         self.parts = [0, 1].map(|which| {
@@ -399,7 +407,7 @@
         });
     }
 
-    /// Enters the window that it is by now.
+    /// Enters the window of the current time if it is a new one, and casts the ballot that is due.
     fn enter(&mut self) {
         let window = self.now / self.set.window_ms;
         if window > self.window {
@@ -429,7 +437,7 @@
         let peers = &self.peers;
         let cast = self.votes.cast(self.window, |who| match peers[who].heard_at {
             Some(at) if now.abs_diff(at) < gone => Some(true),
-            // Who has just begun has not listened for long enough.
+            // After a start this instance has not listened for long enough to tell.
             _ if now.abs_diff(began) < gone => None,
             _ => Some(false),
         });
@@ -438,7 +446,7 @@
         }
     }
 
-    /// How much of a key will be asked for here in the rest of this window, and in the next.
+    /// The expected demand for a key here in the rest of this window, and in the next.
     fn expected(&self, handle: usize) -> [f64; 2] {
         let count = &self.counts[handle];
         let (asked, before) = match self.window - count.window.min(self.window) {
@@ -448,7 +456,7 @@
         };
         let into = (self.now % self.set.window_ms) as f64 / self.set.window_ms as f64;
         let so_far = f64::from(asked) / into.max(0.02);
-        // The window before tells more at first, this one later.
+        // Weights the previous window more at first and the current one later.
         let rate = if asked > 0 || into > 0.2 {
             so_far * into + f64::from(before) * (1.0 - into)
         } else {
@@ -457,6 +465,7 @@
         [(rate * (1.0 - into)).max(0.0), rate]
     }
 
+    /// Marks a key as changed under a new version, so that its transfers are sent to the peers.
     fn touch(&mut self, handle: usize) {
         let Some(shared) = self.shared.get_mut(&handle) else { return };
         self.changed.remove(&shared.version);
@@ -465,7 +474,7 @@
         self.changed.insert(self.version, handle);
     }
 
-    /// Begins to share a key, where there is room.
+    /// Starts sharing a key; returns `false` if too many are shared.
     fn share(&mut self, handle: usize) -> bool {
         if self.shared.contains_key(&handle) {
             return true;
@@ -481,7 +490,7 @@
         true
     }
 
-    /// What is wanted of the others, key by key.
+    /// Computes the amounts wanted from the others for each active key.
     fn reckon(&mut self) {
         let early = (self.now % self.set.window_ms) as f64 >= EARLY * self.set.window_ms as f64;
         if self.set.instances == 1 {
@@ -519,21 +528,21 @@
                 }
             }
         }
-        // The top talkers first.
+        // The largest wants first.
         wishes.sort_unstable_by(|a, b| b.cmp(a));
         self.wishes = wishes.into_iter().map(|(_, handle)| handle).collect();
     }
 
-    /// What another is thought to hold of a key.
+    /// The estimated amount that another instance holds of a key.
     fn thought(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u64 {
         match shared.others[which].get(&(peer as u16)) {
             Some((held, _)) => u64::from(*held),
-            // Nothing heard: it has all of its part.
+            // Nothing was reported: assume that it holds all of its part.
             None => u64::from(part(self.counts[handle].allowance, self.set.instances, 0, 0)).max(1),
         }
     }
 
-    /// What all others together are thought to hold.
+    /// The estimated amount that all other running instances hold together.
     fn thought_of_all(&self, handle: usize, which: usize) -> u64 {
         let Some(shared) = self.shared.get(&handle) else { return 0 };
         let listened = |who: &usize| *who != self.set.number && self.peers[*who].lives.now.is_some();
@@ -541,7 +550,8 @@
         all.map(|who| self.thought(shared, handle, which, who)).sum()
     }
 
-    /// What this instance would have of another: a part of what it wants, by what the others are thought to hold.
+    /// The amount to request from one peer: the total wanted, in proportion to what the peers are estimated
+    /// to hold.
     fn want_of(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u32 {
         let (want, all) = (u64::from(shared.wants[which]), shared.thought[which]);
         if want == 0 || all == 0 {
@@ -550,7 +560,7 @@
         (want * self.thought(shared, handle, which, peer)).div_ceil(all).min(want) as u32
     }
 
-    /// Speaks to those who wait, and to some others by turns.
+    /// Sends datagrams to the peers that wait and to some others in rotation.
     fn speak(&mut self, out: &mut Vec<Datagram>) {
         let n = self.set.instances;
         let a_window = (self.set.window_ms / self.set.exchange_ms).max(1);
@@ -565,7 +575,7 @@
         self.answer(out);
     }
 
-    /// Speaks to those who wait.
+    /// Sends datagrams to the peers marked urgent.
     fn answer(&mut self, out: &mut Vec<Datagram>) {
         for to in 0..self.set.instances {
             if std::mem::take(&mut self.peers[to].urgent) && to != self.set.number {
@@ -574,7 +584,7 @@
         }
     }
 
-    /// What is said of a key, in the present window and the next.
+    /// The entries of a key for the current window and the next.
     fn entries_of(&self, handle: usize, to: usize, to_boot: Boot) -> Option<[Entry; 2]> {
         let (shared, count) = (self.shared.get(&handle)?, &self.counts[handle]);
         Some([0, 1].map(|which| Entry {
@@ -588,8 +598,8 @@
         }))
     }
 
-    /// As far as there is room: what was handed on to the other one and it may not have heard, and what is wanted of it. And up to
-    /// which version the first is all.
+    /// The entries for a peer, as far as there is room: the transfers that it has not acknowledged, then the
+    /// amounts wanted from it. Also returns the version up to which the transfers are complete.
     fn news_for(&self, to: usize, to_boot: Boot, acked: u64) -> (Vec<Entry>, u64) {
         let most = room(self.set.instances);
         let of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
@@ -641,7 +651,7 @@
         }
     }
 
-    /// Over what was handed on, in the present window and the next.
+    /// A digest over the transfers in the current window and the next.
     fn digest(&self, of: impl Fn(&Rights) -> u32) -> u64 {
         let each = self.shared.iter().flat_map(|(handle, shared)| {
             let key = self.counts[*handle].key;
@@ -654,7 +664,8 @@
         each.map(one).fold(0, |sum, x| sum ^ x)
     }
 
-    /// Takes a datagram; what is to be sent at once is appended. What can't be believed changes nothing.
+    /// Handles a received datagram and appends the datagrams to be sent at once. Invalid datagrams change
+    /// nothing but the counter of rejected ones.
     pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), Bad> {
         let read = Message::read(bytes, self.set.list, self.set.instances, &self.secret);
         if read == Err(Bad::OtherList) && !std::mem::replace(&mut self.strictly, true) {
@@ -669,7 +680,7 @@
         }
         let peer = &mut self.peers[from];
         if message.to_boot != self.boot {
-            // It may be as old as it likes: it says at most whom to speak to.
+            // It may be a replay of any age, so it only proposes a run to address.
             peer.lives.named(message.boot);
             return Ok(());
         }
@@ -696,7 +707,7 @@
         peer.acked = peer.acked.max(message.heard.min(self.version));
         let all = |(n, p): (usize, &Peer)| n == self.set.number || p.lives.now.is_some();
         let mut voted = begins && self.strictly && self.peers.iter().enumerate().all(all);
-        // All go by this list now, and none by the one before.
+        // All instances use this list now, so none uses the previous one.
         self.strictly &= !voted;
         voted |= begins;
         let peer = &mut self.peers[from];
@@ -704,7 +715,7 @@
             voted |= self.votes.hear(self.window, from, ballot);
         }
         let (after, upto) = message.versions;
-        // What was handed on and is lost is said again, until it is heard.
+        // Transfers in lost datagrams are sent again until they are acknowledged.
         if after <= peer.theirs {
             peer.theirs = peer.theirs.max(upto);
         }
@@ -718,7 +729,7 @@
             let (boot, whose) = (message.boot, message.from);
             let heard = self.peers[from].theirs == upto && message.window == self.window;
             if heard && digest != self.digest(|rights| rights.slots.said(whose, boot)) {
-                // From the beginning, then.
+                // Something was missed: ask for all transfers again.
                 self.peers[from].theirs = 0;
             }
         }
@@ -726,7 +737,8 @@
         Ok(())
     }
 
-    /// Takes what another says of a key.
+    /// Applies an entry about a key from another instance, and transfers rights that it wants and this one
+    /// can spare.
     fn take(&mut self, from: usize, message: &Message, entry: &Entry) {
         let window = message.window + u64::from(entry.next);
         let Some(which) = window.checked_sub(self.window).filter(|which| *which < 2) else { return };
@@ -734,7 +746,7 @@
         let Some(handle) = self.by_key.get(&entry.key.0).copied() else { return };
         let base = self.base(handle, window);
         let spare = {
-            // What it will need itself it keeps.
+            // Keep the expected demand of this instance.
             let keeps = self.expected(handle)[which].ceil() as u32;
             self.held(handle, which).saturating_sub(keeps)
         };
@@ -742,7 +754,7 @@
             count if which == 0 && count.window == window => count.spent,
             _ => 0,
         };
-        // What others merely say of a key that nothing changes hands of here is not kept.
+        // Do not start sharing a key just because a peer reports it: something must be transferred.
         let matters = entry.given > 0 || (entry.want > 0 && spare > 0);
         if self.slots >= SLOTS_MOST || (matters && !self.share(handle)) {
             return;
@@ -753,10 +765,10 @@
         let said = Slot { spent: entry.spent, given: entry.given };
         let mut changed = rights.slots.hear(message.from, message.boot, said);
         self.slots += rights.slots.len() - slots;
-        // Of a window to come it may not have heard enough votes to know.
+        // For the next window the peer may not have received enough votes yet to know its part.
         let held = if which == 1 { entry.held.max(1) } else { entry.held };
         let before = shared.others[which].insert(message.from, (held, entry.version));
-        // Said again, it is the same wish.
+        // A repeated version is the same want and must not be granted twice.
         let again = before.is_some_and(|(_, version)| version >= entry.version);
         let want = if again { 0 } else { entry.want };
         let given = rights.give(message.from, message.boot, want.min(spare), base, spent);
@@ -771,7 +783,7 @@
         }
     }
 
-    /// What is known of a key.
+    /// The state of a key at this instance.
     pub fn show(&self, handle: usize) -> Share {
         let count = &self.counts[handle];
         let current = count.window == self.window;
@@ -794,8 +806,8 @@
         }
     }
 
-    /// The keys of which most is spent, as far as is known here, each with its handle; of those that were asked for lately or
-    /// change hands.
+    /// The `most` keys with the highest known spending, each with its handle, out of those that were
+    /// requested lately or are shared.
     pub fn top(&self, most: usize) -> Vec<(usize, Share)> {
         let mut handles: Vec<usize> = self.active.iter().chain(self.shared.keys()).copied().collect();
         handles.sort_unstable();
@@ -809,7 +821,7 @@
         all
     }
 
-    /// What is known of a key at each other instance.
+    /// What is known of a key at each of the other instances.
     pub fn explain(&self, handle: usize) -> Vec<Explained> {
         let Some(shared) = self.shared.get(&handle) else { return Vec::new() };
         let others = (0..self.set.instances).filter(|who| *who != self.set.number);
@@ -822,7 +834,7 @@
         others.map(one).collect()
     }
 
-    /// What is known of the others.
+    /// What is known of the other instances.
     pub fn peers(&self) -> Vec<Peers> {
         let gone = self.votes.gone(self.window);
         let others = (0..self.set.instances).filter(|who| *who != self.set.number);
@@ -839,17 +851,17 @@
         others.map(one).collect()
     }
 
-    /// Whether this instance has its own part of the present window.
+    /// Whether this instance owns its part of the current window.
     pub fn holds_own(&self) -> bool {
         self.votes.holds(self.window, self.strictly)
     }
 
-    /// How many bytes a key takes of which nothing changes hands, but for its place in the index of keys.
+    /// The size in bytes of the counters of a key that is not shared, without its entry in the index of keys.
     pub fn count_size(&self) -> usize {
         std::mem::size_of::<Count>()
     }
 
-    /// How many keys change hands now, and how many slots of others are kept for them.
+    /// The number of shared keys, and the number of slots of other instances kept for them.
     pub fn sharing(&self) -> (usize, usize) {
         (self.shared.len(), self.slots)
     }
--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -1,9 +1,11 @@
-//! Whose part of a window is whose: votes, each cast once for a window and never taken back.
+//! Votes on which instances own their parts of a window. Each instance votes once for a window and never
+//! changes its vote.
 //!
-//! An instance uses its own part of a window only while half of all instances at the least have voted that it is alive there;
-//! the others divide that part only once more than half have voted that it is gone. As nobody votes twice, both can't be: the
-//! votes would be more than the instances. A partition into equal halves leaves every part with its instance; of an unequal
-//! one the smaller side loses its parts to the larger.
+//! An instance uses its own part of a window only if at least half of all instances have voted that it is
+//! alive in that window; the others divide that part only if more than half have voted that it is gone. As
+//! each instance votes once, both can't hold: that would take more votes than there are instances. A
+//! partition into equal halves leaves each part with its instance; in an unequal one the smaller side loses
+//! its parts to the larger.
 
 use crate::ledger::Boot;
 
@@ -12,52 +14,52 @@
 pub struct Set(Vec<u8>);
 
 impl Set {
-    /// Nobody of `n`.
+    /// The empty set, for `n` instances.
     pub fn none(n: usize) -> Self {
         Self(vec![0; n.div_ceil(8)])
     }
 
-    /// As it came over the network; `None` where it is not of `n`.
+    /// Parses the wire format; `None` if it is not a set of `n` instances.
     pub fn read(bytes: &[u8], n: usize) -> Option<Self> {
         let set = Self(bytes.to_vec());
         (bytes.len() == n.div_ceil(8) && (n..8 * bytes.len()).all(|beyond| !set.has(beyond))).then_some(set)
     }
 
-    /// As it goes over the network.
+    /// The wire format: a bit map.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Is this one in it?
+    /// Whether the set contains this instance.
     pub fn has(&self, who: usize) -> bool {
         self.0.get(who / 8).is_some_and(|byte| byte >> (who % 8) & 1 == 1)
     }
 
-    /// Takes one in.
+    /// Adds an instance; one out of range is ignored.
     pub fn add(&mut self, who: usize) {
         if let Some(byte) = self.0.get_mut(who / 8) {
             *byte |= 1 << (who % 8);
         }
     }
 
-    /// All in it.
+    /// The instances in the set.
     pub fn all(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
         (0..n).filter(|who| self.has(*who))
     }
 }
 
-/// What one instance votes for a window. Of who is in neither set it says nothing.
+/// The vote of one instance for a window. It abstains on the instances that are in neither set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ballot {
     /// The window.
     pub window: u64,
-    /// Who is alive.
+    /// The instances it votes alive.
     pub alive: Set,
-    /// Who is gone.
+    /// The instances it votes gone.
     pub gone: Set,
 }
 
-/// The votes for one window.
+/// The votes counted for one window: who has voted, and the number of votes for each instance.
 #[derive(Clone, Debug)]
 struct Count {
     window: u64,
@@ -66,24 +68,27 @@
     gone: Vec<u16>,
 }
 
-/// All votes that still count.
+/// The votes for the previous, the current and the next window.
 #[derive(Clone, Debug)]
 pub struct Votes {
     n: usize,
     me: usize,
-    /// By the window's lowest bits: of the present, the next, and the one before.
+    /// Indexed by the window's lowest two bits; the previous, the current and the next window are kept.
     boxes: [Count; 4],
-    /// Own ballots, for those who have not heard them.
+    /// This instance's ballots, to be sent to the others.
     own: Vec<Ballot>,
-    /// The first window whose own part is this life's: one before it may have spent what there is of earlier ones.
+    /// The first window whose own part this run may use: an earlier run may have spent the parts of earlier
+    /// windows.
     first: u64,
-    /// Windows that this life was in, or voted for, by a clock that was wrong: it has no part there, and no vote.
+    /// Ranges of windows that this run entered, or voted for, by a wrong clock: it has no part and no vote
+    /// there.
     barred: Vec<(u64, u64)>,
     since: u64,
 }
 
 impl Votes {
-    /// None yet. A life that begins in `window` votes for none that one before it may have voted for.
+    /// No votes yet. A run that begins in `window` does not vote for windows that an earlier run may have
+    /// voted for.
     pub fn new(n: usize, me: usize, window: u64) -> Self {
         let empty = Count { window: 0, voted: Set::none(n), alive: vec![0; n], gone: vec![0; n] };
         Self {
@@ -97,14 +102,15 @@
         }
     }
 
-    /// Goes from one window to another, as the clock was wrong.
+    /// Moves from one window to another after a correction of the clock.
     pub fn restart(&mut self, from: u64, to: u64) {
         let mut barred = std::mem::take(&mut self.barred);
         barred.push((self.since, from + 1));
         *self = Self { barred, ..Self::new(self.n, self.me, to) };
     }
 
-    /// Another one was in that window when this life first heard it: an earlier life may have spent its part there.
+    /// Raises the first window whose own part this run may use. Called with the window after that of a peer
+    /// first seen: an earlier run may have spent its part in the peer's window.
     pub fn not_before(&mut self, window: u64) {
         self.first = self.first.max(window);
     }
@@ -117,8 +123,8 @@
         Some(&self.boxes[(window % 4) as usize]).filter(|b| b.window == window)
     }
 
-    /// Notes a ballot; the first that an instance casts for a window counts, and no other. `present` is the window by now: what
-    /// is far from it counts for nothing.
+    /// Counts a ballot and returns whether it counted. Only an instance's first ballot for a window counts,
+    /// and only for windows next to the current one, `present`.
     pub fn hear(&mut self, present: u64, voter: usize, ballot: &Ballot) -> bool {
         if voter >= self.n || ballot.window.abs_diff(present) > 1 {
             return false;
@@ -133,7 +139,7 @@
         }
         b.voted.add(voter);
         for who in 0..n {
-            // Whoever says both says nothing.
+            // A voter that lists an instance in both sets abstains on it.
             match (ballot.alive.has(who), ballot.gone.has(who)) {
                 (true, false) => b.alive[who] += 1,
                 (false, true) => b.gone[who] += 1,
@@ -143,8 +149,9 @@
         true
     }
 
-    /// A window has begun: casts the own ballot for the one after it. `seen` says of each other whether it is alive, gone, or
-    /// nothing can be said. True where it did.
+    /// Casts this instance's ballot for the window after `present`, if it has not yet and may; returns
+    /// whether it did. `seen` tells of each other instance whether it is alive (`true`), gone (`false`) or
+    /// unknown (`None`).
     pub fn cast(&mut self, present: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
         self.own.retain(|ballot| ballot.window >= present);
         if present < self.first
@@ -167,13 +174,13 @@
         true
     }
 
-    /// Own ballots that may still be news.
+    /// This instance's ballots that still matter.
     pub fn own(&self) -> &[Ballot] {
         &self.own
     }
 
-    /// Has this instance its own part of a window? `strictly`: more than half must have voted it alive, as instances may go by
-    /// two lists, each of which could be half of the other.
+    /// Whether this instance owns its part of a window. With `strictly`, more than half must have voted it
+    /// alive: needed while instances may use two different lists, each of which could be half of the other.
     pub fn holds(&self, window: u64, strictly: bool) -> bool {
         window >= self.first
             && !self.is_barred(window)
@@ -182,7 +189,7 @@
                 .is_some_and(|b| 2 * usize::from(b.alive[self.me]) >= self.n + usize::from(strictly))
     }
 
-    /// Whose parts of a window the others divide.
+    /// The instances whose parts of a window are divided among the others.
     pub fn gone(&self, window: u64) -> Vec<usize> {
         let Some(b) = self.of(window).filter(|_| window >= self.first && !self.is_barred(window)) else {
             return Vec::new();
@@ -191,16 +198,16 @@
     }
 }
 
-/// Which datagrams of one life of an instance have come: each counts once.
+/// Replay protection: a window over the datagram numbers of one run of an instance. Each number counts once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Replay {
     last: u64,
-    /// Of the 64 up to the last.
+    /// Bit map of the 64 numbers up to the last.
     seen: u64,
 }
 
 impl Replay {
-    /// Has this number not come before? Those far behind are taken for come.
+    /// Records a number and returns whether it is new. Numbers 64 or more behind the last count as seen.
     pub fn fresh(&mut self, number: u64) -> bool {
         if number > self.last {
             let ahead = number - self.last;
@@ -217,21 +224,22 @@
     }
 }
 
-/// The lives of another instance: the one that counts, and those that did.
+/// The runs of another instance: the current one and those that ended.
 #[derive(Clone, Debug, Default)]
 pub struct Lives {
-    /// The one that counts.
+    /// The run that last proved to be running.
     pub now: Option<Boot>,
-    /// The latest that did not prove itself yet.
+    /// The latest run seen that has not proved to be running yet.
     pub candidate: Option<Boot>,
     over: Vec<Boot>,
 }
 
-/// How many lives that are over are remembered.
+/// Number of ended runs that are remembered.
 const OVER_MOST: usize = 32;
 
 impl Lives {
-    /// A life of it has proved that it runs; true where it is another one than before. One that is over does not come back.
+    /// Records that a run has proved to be running. Returns whether it is a new run, or `None` if it has
+    /// ended before: an ended run does not return.
     pub fn proved(&mut self, boot: Boot) -> Option<bool> {
         if self.over.contains(&boot) {
             return None;
@@ -249,14 +257,15 @@
         Some(true)
     }
 
-    /// A life was named by a datagram that proves nothing.
+    /// Records a run named by a datagram that may be a replay.
     pub fn named(&mut self, boot: Boot) {
         if self.now != Some(boot) && !self.over.contains(&boot) {
             self.candidate = Some(boot);
         }
     }
 
-    /// To whom the next datagram is addressed: now and then to one who may have begun anew.
+    /// The run that the next datagram is addressed to: every second one goes to the candidate, which may be a
+    /// new run.
     pub fn addressed(&self, turn: u64) -> Boot {
         let (now, candidate) = (self.now, self.candidate);
         if turn.is_multiple_of(2) { candidate.or(now) } else { now.or(candidate) }.unwrap_or(Boot(0))
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -1,8 +1,8 @@
-//! Datagrams: what instances say to one another, as bytes that only who has the key can make.
+//! The authenticated datagrams that instances exchange.
 //!
-//! A datagram is at most [`LONGEST`] bytes: head, ballots, entries, and a keyed digest over all of it (HMAC-SHA-256, cut to 16
-//! bytes). Numbers are big-endian. It names who says it to whom, and the lives of both: what is addressed to another life
-//! than the one that runs may be old, and proves nothing.
+//! A datagram is at most [`LONGEST`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all of it,
+//! truncated to 16 bytes. Numbers are big-endian. It names the sender and the receiver with the run of each:
+//! a datagram addressed to another run than the current one may be a replay and proves nothing.
 
 use glenwood_datagram::{Reader, Unsealed, TAG};
 pub use glenwood_datagram::{Secret, LONGEST};
@@ -13,81 +13,81 @@
 const MAGIC: u32 = 0x474c_5531;
 const HEAD: usize = 4 + 4 + 2 + 2 + 6 * 8;
 const ENTRY: usize = 8 + 1 + 8 + 4 * 4;
-/// The most instances: their ballots leave room for entries.
+/// Maximum number of instances; the ballots of this many still leave room for entries.
 pub const INSTANCES_MOST: usize = 1000;
 
-/// What is said of one key in one window, to one life of one instance.
+/// A report about one key in one window, for one run of one receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: Key,
-    /// It is about the window after the datagram's.
+    /// Whether it is about the window after the datagram's.
     pub next: bool,
-    /// The version that changed it: what is wanted counts once for each.
+    /// The sender's round when it was made; `want` counts once for each version.
     pub version: u64,
-    /// What the sender has spent.
+    /// The amount the sender has spent.
     pub spent: u32,
-    /// What it holds.
+    /// The amount the sender holds.
     pub held: u32,
-    /// What it has handed on to this life, in all.
+    /// The total amount that the sender has transferred to this run.
     pub given: u32,
-    /// What it would have from this one.
+    /// The amount the sender requests from the receiver.
     pub want: u32,
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The list of instances that the sender goes by.
+    /// The number of the sender's list of instances.
     pub list: u32,
-    /// The sender, and whom it speaks to.
+    /// The index of the sender.
     pub from: u16,
-    /// To whom.
+    /// The index of the receiver.
     pub to: u16,
-    /// The sender's life.
+    /// The sender's run.
     pub boot: Boot,
-    /// The life that it speaks to; 0 where it knows none.
+    /// The receiver's run that it is addressed to; 0 if none is known.
     pub to_boot: Boot,
-    /// The number of the datagram in the sender's life.
+    /// The number of the datagram in the sender's run.
     pub number: u64,
     /// The sender's clock, in milliseconds.
     pub time: u64,
-    /// By how much the receiver's clock seemed ahead when it last spoke, in milliseconds.
+    /// By how much the receiver's clock appeared ahead in its last datagram, in milliseconds.
     pub ahead: i64,
-    /// Up to which version it has heard this one.
+    /// The latest version of the receiver that the sender has received.
     pub heard: u64,
-    /// Its ballots.
+    /// The sender's ballots.
     pub ballots: Vec<Ballot>,
     /// The window that the entries are about.
     pub window: u64,
-    /// What changed after the first of these versions, up to the second.
+    /// The entries contain the transfers after the first of these versions, up to the second.
     pub versions: (u64, u64),
-    /// A digest over all that it has handed on to this life in these windows; `None`: not said this time.
+    /// A digest over all transfers to this run in these windows; `None` if it is not included this time.
     pub digest: Option<u64>,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
-    /// Longer than any is.
+    /// Longer than the maximum.
     Long,
-    /// Its digest is not what the key makes of it.
+    /// Not authenticated by the shared secret.
     Forged,
-    /// It can't be read.
+    /// Malformed.
     Unreadable,
-    /// Its sender goes by another list of instances.
+    /// The sender uses another list of instances.
     OtherList,
 }
 
-/// How many entries there is room for among `n` instances.
+/// The number of entries that fit into a datagram among `n` instances.
 pub fn room(n: usize) -> usize {
     (LONGEST - HEAD - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY
 }
 
 impl Message {
-    /// Its bytes.
+    /// Serializes and authenticates the message.
     pub fn write(&self, secret: &Secret) -> Vec<u8> {
         let mut out = Vec::with_capacity(LONGEST);
         out.extend(MAGIC.to_be_bytes());
@@ -121,10 +121,10 @@
         secret.seal(out)
     }
 
-    /// Reads one, among `n` instances by this list.
+    /// Authenticates and parses a datagram of `n` instances with this list.
     ///
     /// # Errors
-    /// Where it was not made with the key, or can't be read.
+    /// When it is too long, not authenticated, malformed, or from an instance with another list.
     pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, Bad> {
         let said = secret.open(bytes).map_err(|unsealed| match unsealed {
             Unsealed::Long => Bad::Long,
