--- a/crates/members/src/machine.rs
+++ b/crates/members/src/machine.rs
@@ -10,22 +10,22 @@
 use crate::rumours::Rumours;
 use crate::settings::Settings;
 use crate::table::{Change, Table};
-use crate::wire::{cluster_number, Bad, Draft, Message, Word, ACCUSERS_MOST, MAGIC, PARTS};
+use crate::wire::{cluster_number, Bad, Body, Draft, Message, DIGEST_BUCKETS, MAGIC, MAX_ACCUSERS};
 
 /// Number of members asked to probe a target that did not answer the direct probe.
-const HELPERS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// Number of members that each gossip round is sent to.
-const FAN_OUT: usize = 3;
+const GOSSIP_FAN_OUT: usize = 3;
 /// Expected number of members, over the whole cluster, that probe a suspect themselves when they learn of the
 /// suspicion. This confirms a loss quickly at a cost that is independent of the cluster size.
-const LOOK: usize = 8;
+const SUSPECT_PROBES: usize = 8;
 /// Upper limit of the local health penalty; probe intervals and timeouts are multiplied by the penalty plus
 /// one.
-const HEALTH_MOST: u32 = 8;
+const MAX_HEALTH_PENALTY: u32 = 8;
 /// Maximum number of datagrams sent in answer to a comparison.
-const RECORDS_MOST: usize = 8;
-/// A leaving member notifies this many times [`FAN_OUT`] members at once.
-const FAREWELL: usize = 4;
+const MAX_COMPARE_DATAGRAMS: usize = 8;
+/// A leaving member notifies this many times [`GOSSIP_FAN_OUT`] members at once.
+const LEAVE_FAN_OUT_FACTOR: usize = 4;
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,8 +96,8 @@
 enum Stage {
     /// Waiting for the target's answer.
     Direct,
-    /// The members in `asked` probe the target too; `refusals` of them reported that it did not answer.
-    ByOthers { asked: Vec<Id>, refusals: usize },
+    /// The members in `helpers` probe the target too; `nacks` of them reported that it did not answer.
+    Indirect { helpers: Vec<Id>, nacks: usize },
 }
 
 /// An outgoing probe that has not been answered yet.
@@ -111,42 +111,42 @@
 }
 
 /// A probe made on behalf of another member.
-struct Errand {
+struct ForwardedProbe {
     number: u64,
     target: Id,
-    client: SocketAddr,
-    client_number: u64,
-    until: u64,
+    requester: SocketAddr,
+    requester_number: u64,
+    expires_at: u64,
 }
 
 /// One member's view of the cluster. See the crate documentation.
 pub struct Members {
-    set: Settings,
+    settings: Settings,
     cluster: u32,
     secret: Secret,
     me: Record,
-    id: Id,
+    own_id: Id,
     random: fastrand::Rng,
     table: Table,
     rumours: Rumours,
     /// The order in which members are probed; reshuffled after each round.
-    order: Vec<Id>,
-    turn: usize,
+    probe_order: Vec<Id>,
+    next_in_order: usize,
     probes: Vec<Probe>,
-    errands: Vec<Errand>,
+    forwarded_probes: Vec<ForwardedProbe>,
     /// Local health penalty (Lifeguard): 0 is healthy, higher values mean that this member may itself be at
     /// fault.
-    health: u32,
+    health_penalty: u32,
     next_probe: u64,
     next_gossip: u64,
     next_compare: u64,
-    next_again: u64,
+    next_retry: u64,
     next_forget: u64,
     /// The latest time passed in.
-    seen: u64,
+    last_now: u64,
     /// The number of the last probe.
-    number: u64,
-    out: VecDeque<Transmit>,
+    last_probe_number: u64,
+    outgoing: VecDeque<Transmit>,
     events: VecDeque<Event>,
     figures: Figures,
 }
@@ -158,36 +158,42 @@
     ///
     /// # Errors
     /// The invalid setting and what was expected.
-    pub fn new(set: Settings, secret: Secret, incarnation: u64, seed: u64, now: u64) -> Result<Self, String> {
-        set.check()?;
+    pub fn new(
+        settings: Settings,
+        secret: Secret,
+        incarnation: u64,
+        seed: u64,
+        now: u64,
+    ) -> Result<Self, String> {
+        settings.check()?;
         let mut random = fastrand::Rng::with_seed(seed);
         // A random offset keeps members that start together from probing in step.
-        let first = now + random.u64(0..set.probe_ms);
-        let me = Record { member: set.me.clone(), incarnation, state: State::Alive };
+        let first = now + random.u64(0..settings.probe_ms);
+        let me = Record { member: settings.me.clone(), incarnation, state: State::Alive };
         Ok(Self {
-            cluster: cluster_number(&set.cluster),
-            id: me.member.id(),
+            cluster: cluster_number(&settings.cluster),
+            own_id: me.member.id(),
             secret,
             me,
             table: Table::default(),
             rumours: Rumours::default(),
-            order: Vec::new(),
-            turn: 0,
+            probe_order: Vec::new(),
+            next_in_order: 0,
             probes: Vec::new(),
-            errands: Vec::new(),
-            health: 0,
+            forwarded_probes: Vec::new(),
+            health_penalty: 0,
             next_probe: first,
             next_gossip: first,
             next_compare: now,
-            next_again: first + set.again_ms(),
-            next_forget: first + set.forget_ms / 10,
-            seen: now,
-            number: random.u64(..),
+            next_retry: first + settings.retry_ms(),
+            next_forget: first + settings.forget_ms / 10,
+            last_now: now,
+            last_probe_number: random.u64(..),
             random,
-            out: VecDeque::new(),
+            outgoing: VecDeque::new(),
             events: VecDeque::new(),
             figures: Figures::default(),
-            set,
+            settings,
         })
     }
 
@@ -210,7 +216,7 @@
 
     /// The member with this id and its state, this member included.
     pub fn get(&self, id: Id) -> Option<(&Member, State)> {
-        let record = if id == self.id { &self.me } else { &self.table.get(id)?.record };
+        let record = if id == self.own_id { &self.me } else { &self.table.get(id)?.record };
         Some((&record.member, record.state))
     }
 
@@ -231,14 +237,14 @@
 
     /// The local health penalty: 0 (healthy) to 8.
     pub fn health(&self) -> u32 {
-        self.health
+        self.health_penalty
     }
 
     // ---- Driving the state machine ----
 
     /// The next datagram to be sent.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     /// The next event.
@@ -248,7 +254,7 @@
 
     /// The time at which [`Members::tick`] is to be called next.
     pub fn due(&self) -> u64 {
-        let mut due = self.next_compare.min(self.next_again).min(self.next_forget);
+        let mut due = self.next_compare.min(self.next_retry).min(self.next_forget);
         if self.me.state == State::Alive {
             due = due.min(self.next_probe);
         }
@@ -256,43 +262,45 @@
             due = due.min(self.next_gossip);
         }
         for probe in &self.probes {
-            due = due.min(self.probe_due(probe));
+            due = due.min(self.probe_deadline(probe));
         }
-        for errand in &self.errands {
-            due = due.min(errand.until);
+        for forwarded in &self.forwarded_probes {
+            due = due.min(forwarded.expires_at);
         }
         for id in self.table.suspects() {
-            due = due.min(self.suspect_due(*id));
+            due = due.min(self.suspicion_deadline(*id));
         }
         due
     }
 
     /// Runs everything that is due at `now`.
     pub fn tick(&mut self, now: u64) {
-        self.catch_up(now);
-        self.end_errands(now);
-        self.follow_probes(now);
-        self.declare(now);
+        self.detect_stall(now);
+        self.expire_forwarded_probes(now);
+        self.check_probes(now);
+        self.declare_lost(now);
         if self.me.state == State::Alive && now >= self.next_probe {
-            self.next_probe = now + self.scaled(self.set.probe_ms);
+            self.next_probe = now + self.scaled_by_health(self.settings.probe_ms);
             self.probe_next(now);
         }
         if now >= self.next_gossip {
-            self.next_gossip = now + self.set.gossip_ms();
-            self.gossip(FAN_OUT);
+            self.next_gossip = now + self.settings.gossip_ms();
+            self.gossip(GOSSIP_FAN_OUT);
         }
         if now >= self.next_compare {
             // Jitter of 0.5 to 1.5 intervals spreads the comparisons of all members.
-            self.next_compare = now + self.random.u64(0..=self.set.compare_ms()) + self.set.compare_ms() / 2;
+            self.next_compare =
+                now + self.random.u64(0..=self.settings.compare_ms()) + self.settings.compare_ms() / 2;
             self.compare(now);
         }
-        if now >= self.next_again {
-            self.next_again = now + self.random.u64(0..=self.set.again_ms()) + self.set.again_ms() / 2;
-            self.try_again();
+        if now >= self.next_retry {
+            self.next_retry =
+                now + self.random.u64(0..=self.settings.retry_ms()) + self.settings.retry_ms() / 2;
+            self.retry_lost_or_seed();
         }
         if now >= self.next_forget {
-            self.next_forget = now + self.set.forget_ms / 10;
-            self.table.forget(now.saturating_sub(self.set.forget_ms), self.set.most);
+            self.next_forget = now + self.settings.forget_ms / 10;
+            self.table.forget(now.saturating_sub(self.settings.forget_ms), self.settings.most);
         }
     }
 
@@ -302,48 +310,48 @@
     /// When it is from another cluster, is not authenticated or is malformed. Nothing but the counter of
     /// rejected datagrams changes then.
     pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), Bad> {
-        self.catch_up(now);
+        self.detect_stall(now);
         let message =
             Message::read(bytes, self.cluster, &self.secret).inspect_err(|_| self.figures.refused += 1)?;
         self.figures.heard += 1;
         let from = &message.from;
         let sender = from.member.id();
-        if sender == self.id {
+        if sender == self.own_id {
             if from.member.life != self.me.member.life && from.member.name == self.me.member.name {
                 self.figures.taken += 1;
                 if self.figures.taken == 1 {
                     self.events.push_back(Event::NameTaken(from.member.address));
                 }
-                self.about_me(from);
+                self.handle_own_record(from);
             }
             return Ok(());
         }
         if matches!(from.state, State::Alive | State::Left) {
-            self.take(now, from, &[]);
+            self.apply_record(now, from, &[]);
         }
         for (record, accusers) in &message.rumours {
-            self.take(now, record, accusers);
+            self.apply_record(now, record, accusers);
         }
         let to = from.member.address;
-        match message.word {
-            Word::Ping(number) => self.send(to, &Word::Ack(number), Some(sender)),
-            Word::PingFor(number, target) => self.run_errand(now, to, number, target),
-            Word::Ack(number) => self.answered(sender, number),
-            Word::Nack(number) => self.refused(sender, number),
-            Word::Compare(parts, back) => self.compared(now, to, &parts, back),
-            Word::Rumours => {}
+        match message.body {
+            Body::Ping(number) => self.send(to, &Body::Ack(number), Some(sender)),
+            Body::PingFor(number, target) => self.start_forwarded_probe(now, to, number, target),
+            Body::Ack(number) => self.handle_ack(sender, number),
+            Body::Nack(number) => self.handle_nack(sender, number),
+            Body::Compare(digests, reply) => self.handle_compare(now, to, &digests, reply),
+            Body::Rumours => {}
         }
         Ok(())
     }
 
     /// Leaves the cluster and announces it. The member keeps answering until the caller stops driving it.
     pub fn leave(&mut self, now: u64) {
-        self.catch_up(now);
+        self.detect_stall(now);
         if self.me.state == State::Alive {
             self.me.state = State::Left;
             self.probes.clear();
-            self.rumours.tell(self.id, self.me.clone(), &[]);
-            self.gossip(FAREWELL * FAN_OUT);
+            self.rumours.queue(self.own_id, self.me.clone(), &[]);
+            self.gossip(LEAVE_FAN_OUT_FACTOR * GOSSIP_FAN_OUT);
         }
     }
 
@@ -351,46 +359,46 @@
 
     /// Detects that this process was stalled. Members that did not answer during the stall are not blamed for
     /// it: pending probes are dropped and suspicions are extended by the length of the stall.
-    fn catch_up(&mut self, now: u64) {
-        let late = now.saturating_sub(self.due().max(self.seen));
-        self.seen = now.max(self.seen);
-        if late <= self.set.stall_ms() {
+    fn detect_stall(&mut self, now: u64) {
+        let stalled_ms = now.saturating_sub(self.due().max(self.last_now));
+        self.last_now = now.max(self.last_now);
+        if stalled_ms <= self.settings.stall_ms() {
             return;
         }
         self.figures.stalls += 1;
-        self.health = (self.health + 1).min(HEALTH_MOST);
+        self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         self.probes.clear();
         // The members that asked for these probes have given up on them by now.
-        self.errands.clear();
-        self.table.put_off(late);
-        self.events.push_back(Event::Stalled(late));
+        self.forwarded_probes.clear();
+        self.table.extend_suspicions(stalled_ms);
+        self.events.push_back(Event::Stalled(stalled_ms));
     }
 
     /// Multiplies a duration by the local health penalty plus one.
-    fn scaled(&self, span: u64) -> u64 {
-        span * u64::from(self.health + 1)
+    fn scaled_by_health(&self, duration_ms: u64) -> u64 {
+        duration_ms * u64::from(self.health_penalty + 1)
     }
 
-    fn worse(&mut self, by: usize) {
-        self.health = self.health.saturating_add(by as u32).min(HEALTH_MOST);
+    fn raise_health_penalty(&mut self, by: usize) {
+        self.health_penalty = self.health_penalty.saturating_add(by as u32).min(MAX_HEALTH_PENALTY);
     }
 
     // ---- Probes ----
 
-    fn probe_due(&self, probe: &Probe) -> u64 {
-        let spans = if probe.stage == Stage::Direct { 1 } else { 3 };
-        probe.sent + spans * self.scaled(self.set.answer_ms())
+    fn probe_deadline(&self, probe: &Probe) -> u64 {
+        let timeouts = if probe.stage == Stage::Direct { 1 } else { 3 };
+        probe.sent + timeouts * self.scaled_by_health(self.settings.ack_timeout_ms())
     }
 
     fn probe_next(&mut self, now: u64) {
-        for _ in 0..=self.order.len() {
-            if self.turn >= self.order.len() {
-                self.order.clone_from(&self.table.living().to_vec());
-                self.random.shuffle(&mut self.order);
-                self.turn = 0;
+        for _ in 0..=self.probe_order.len() {
+            if self.next_in_order >= self.probe_order.len() {
+                self.probe_order.clone_from(&self.table.living().to_vec());
+                self.random.shuffle(&mut self.probe_order);
+                self.next_in_order = 0;
             }
-            let Some(target) = self.order.get(self.turn).copied() else { return };
-            self.turn += 1;
+            let Some(target) = self.probe_order.get(self.next_in_order).copied() else { return };
+            self.next_in_order += 1;
             // Members may have been lost since the order was shuffled.
             if self.is_living(target) {
                 self.probe(now, target);
@@ -410,117 +418,129 @@
         }
         let (life, incarnation) = (entry.record.member.life, entry.record.incarnation);
         let to = entry.record.member.address;
-        self.number = self.number.wrapping_add(1);
-        let number = self.number;
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        let number = self.last_probe_number;
         self.probes.push(Probe { target, life, incarnation, number, sent: now, stage: Stage::Direct });
-        self.send(to, &Word::Ping(number), Some(target));
+        self.send(to, &Body::Ping(number), Some(target));
     }
 
-    fn follow_probes(&mut self, now: u64) {
-        let mut n = 0;
-        while n < self.probes.len() {
-            if now < self.probe_due(&self.probes[n]) {
-                n += 1;
+    fn check_probes(&mut self, now: u64) {
+        let mut index = 0;
+        while index < self.probes.len() {
+            if now < self.probe_deadline(&self.probes[index]) {
+                index += 1;
                 continue;
             }
-            let (target, number) = (self.probes[n].target, self.probes[n].number);
-            if self.probes[n].stage == Stage::Direct {
-                let asked = self.helpers(target);
-                for helper in &asked {
+            let (target, number) = (self.probes[index].target, self.probes[index].number);
+            if self.probes[index].stage == Stage::Direct {
+                let helpers = self.choose_helpers(target);
+                for helper in &helpers {
                     let to = self.table.get(*helper).map(|entry| entry.record.member.address);
-                    to.into_iter().for_each(|to| self.send(to, &Word::PingFor(number, target), None));
+                    to.into_iter().for_each(|to| self.send(to, &Body::PingFor(number, target), None));
                 }
                 let to = self.table.get(target).map(|entry| entry.record.member.address);
-                to.into_iter().for_each(|to| self.send(to, &Word::Ping(number), Some(target)));
-                self.probes[n].stage = Stage::ByOthers { asked, refusals: 0 };
-                n += 1;
+                to.into_iter().for_each(|to| self.send(to, &Body::Ping(number), Some(target)));
+                self.probes[index].stage = Stage::Indirect { helpers, nacks: 0 };
+                index += 1;
                 continue;
             }
-            let probe = self.probes.swap_remove(n);
-            self.failed(now, &probe);
+            let probe = self.probes.swap_remove(index);
+            self.probe_failed(now, &probe);
         }
     }
 
     /// Chooses the members asked to probe `target`: one in the target's zone, one in this member's zone and
     /// one in another zone, as far as they exist, so that a broken link between two zones is not mistaken for
     /// a loss.
-    fn helpers(&mut self, target: Id) -> Vec<Id> {
+    fn choose_helpers(&mut self, target: Id) -> Vec<Id> {
         let zone_of = |id: Id| self.table.get(id).map(|entry| entry.record.member.zone.as_str());
-        let theirs = zone_of(target).unwrap_or_default().to_string();
-        let mut order: Vec<Id> = self.table.living().iter().copied().filter(|id| *id != target).collect();
-        self.random.shuffle(&mut order);
+        let target_zone = zone_of(target).unwrap_or_default().to_string();
+        let mut candidates: Vec<Id> =
+            self.table.living().iter().copied().filter(|id| *id != target).collect();
+        self.random.shuffle(&mut candidates);
         let zone_of = |id: Id| self.table.get(id).map_or("", |entry| entry.record.member.zone.as_str());
-        let own = self.me.member.zone.as_str();
-        let beside = order.iter().copied().find(|id| zone_of(*id) == theirs);
-        let mine = order.iter().copied().find(|id| Some(*id) != beside && zone_of(*id) == own);
-        let mut asked: Vec<Id> = beside.into_iter().chain(mine).collect();
-        let elsewhere = order.iter().copied().find(|id| zone_of(*id) != theirs && zone_of(*id) != own);
-        for id in elsewhere.into_iter().chain(order.iter().copied()) {
-            if asked.len() < HELPERS && !asked.contains(&id) {
-                asked.push(id);
+        let own_zone = self.me.member.zone.as_str();
+        let in_target_zone = candidates.iter().copied().find(|id| zone_of(*id) == target_zone);
+        let in_own_zone =
+            candidates.iter().copied().find(|id| Some(*id) != in_target_zone && zone_of(*id) == own_zone);
+        let mut helpers: Vec<Id> = in_target_zone.into_iter().chain(in_own_zone).collect();
+        let in_other_zone =
+            candidates.iter().copied().find(|id| zone_of(*id) != target_zone && zone_of(*id) != own_zone);
+        for id in in_other_zone.into_iter().chain(candidates.iter().copied()) {
+            if helpers.len() < INDIRECT_PROBES && !helpers.contains(&id) {
+                helpers.push(id);
             }
         }
-        asked
+        helpers
     }
 
-    fn failed(&mut self, now: u64, probe: &Probe) {
+    fn probe_failed(&mut self, now: u64, probe: &Probe) {
         self.figures.failed += 1;
         // A live helper sends a nack even if the target is silent. Missing nacks suggest that this member
         // does not receive datagrams.
-        let missing = match &probe.stage {
-            Stage::ByOthers { asked, refusals } => asked.len().saturating_sub(*refusals),
+        let missing_nacks = match &probe.stage {
+            Stage::Indirect { helpers, nacks } => helpers.len().saturating_sub(*nacks),
             Stage::Direct => 0,
         };
-        self.worse(missing);
+        self.raise_health_penalty(missing_nacks);
         let Some(entry) = self.table.get(probe.target) else { return };
         let record = &entry.record;
-        let same = record.member.life == probe.life && record.incarnation == probe.incarnation;
+        let same_incarnation = record.member.life == probe.life && record.incarnation == probe.incarnation;
         // A newer incarnation of the target, received meanwhile, is as good as an answer.
-        if same && record.state.is_living() {
+        if same_incarnation && record.state.is_living() {
             let suspect = Record { state: State::Suspect, ..record.clone() };
-            self.take(now, &suspect, &[self.id]);
+            self.apply_record(now, &suspect, &[self.own_id]);
         }
     }
 
-    fn answered(&mut self, by: Id, number: u64) {
-        if let Some(n) = self.probes.iter().position(|probe| probe.number == number) {
-            let by_helper =
-                |stage: &Stage| matches!(stage, Stage::ByOthers { asked, .. } if asked.contains(&by));
-            if self.probes[n].target == by || by_helper(&self.probes[n].stage) {
-                self.probes.swap_remove(n);
-                self.health = self.health.saturating_sub(1);
+    fn handle_ack(&mut self, by: Id, number: u64) {
+        if let Some(index) = self.probes.iter().position(|probe| probe.number == number) {
+            let from_helper =
+                |stage: &Stage| matches!(stage, Stage::Indirect { helpers, .. } if helpers.contains(&by));
+            if self.probes[index].target == by || from_helper(&self.probes[index].stage) {
+                self.probes.swap_remove(index);
+                self.health_penalty = self.health_penalty.saturating_sub(1);
             }
-        } else if let Some(n) = self.errands.iter().position(|e| e.number == number && e.target == by) {
-            let errand = self.errands.swap_remove(n);
-            self.send(errand.client, &Word::Ack(errand.client_number), None);
+        } else if let Some(index) =
+            self.forwarded_probes.iter().position(|e| e.number == number && e.target == by)
+        {
+            let forwarded = self.forwarded_probes.swap_remove(index);
+            self.send(forwarded.requester, &Body::Ack(forwarded.requester_number), None);
         }
     }
 
-    fn refused(&mut self, by: Id, number: u64) {
+    fn handle_nack(&mut self, by: Id, number: u64) {
         let Some(probe) = self.probes.iter_mut().find(|probe| probe.number == number) else { return };
-        if let Stage::ByOthers { asked, refusals } = &mut probe.stage {
-            if asked.contains(&by) {
-                *refusals += 1;
+        if let Stage::Indirect { helpers, nacks } = &mut probe.stage {
+            if helpers.contains(&by) {
+                *nacks += 1;
             }
         }
     }
 
-    fn run_errand(&mut self, now: u64, client: SocketAddr, client_number: u64, target: Id) {
+    fn start_forwarded_probe(&mut self, now: u64, requester: SocketAddr, requester_number: u64, target: Id) {
         let Some(entry) = self.table.get(target).filter(|entry| entry.record.state.is_living()) else {
-            self.send(client, &Word::Nack(client_number), None);
+            self.send(requester, &Body::Nack(requester_number), None);
             return;
         };
         let to = entry.record.member.address;
-        self.number = self.number.wrapping_add(1);
-        let until = now + self.set.answer_ms();
-        self.errands.push(Errand { number: self.number, target, client, client_number, until });
-        self.send(to, &Word::Ping(self.number), Some(target));
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        let expires_at = now + self.settings.ack_timeout_ms();
+        self.forwarded_probes.push(ForwardedProbe {
+            number: self.last_probe_number,
+            target,
+            requester,
+            requester_number,
+            expires_at,
+        });
+        self.send(to, &Body::Ping(self.last_probe_number), Some(target));
     }
 
-    fn end_errands(&mut self, now: u64) {
-        while let Some(n) = self.errands.iter().position(|errand| now >= errand.until) {
-            let errand = self.errands.swap_remove(n);
-            self.send(errand.client, &Word::Nack(errand.client_number), None);
+    fn expire_forwarded_probes(&mut self, now: u64) {
+        while let Some(index) = self.forwarded_probes.iter().position(|forwarded| now >= forwarded.expires_at)
+        {
+            let forwarded = self.forwarded_probes.swap_remove(index);
+            self.send(forwarded.requester, &Body::Nack(forwarded.requester_number), None);
         }
     }
 
@@ -528,118 +548,123 @@
 
     /// The time at which a suspect is declared lost. The timeout shrinks logarithmically from the maximum to
     /// the minimum as more members confirm the suspicion independently.
-    fn suspect_due(&self, id: Id) -> u64 {
+    fn suspicion_deadline(&self, id: Id) -> u64 {
         let Some(suspicion) = self.table.get(id).and_then(|entry| entry.suspicion.as_ref()) else {
             return u64::MAX;
         };
-        let (least, most) = (self.set.suspect_least_ms(), self.set.suspect_most_ms());
+        let (min, max) = (self.settings.min_suspect_ms(), self.settings.max_suspect_ms());
         // The number of possible accusers besides the first.
-        let others = (ACCUSERS_MOST - 1).min(self.table.living().len().saturating_sub(1));
-        let more = suspicion.accusers.len().saturating_sub(1).min(others);
-        let part = if others == 0 { 1.0 } else { (more as f64 + 1.0).ln() / (others as f64 + 1.0).ln() };
-        suspicion.since + most - ((most - least) as f64 * part) as u64
+        let possible = (MAX_ACCUSERS - 1).min(self.table.living().len().saturating_sub(1));
+        let confirmations = suspicion.accusers.len().saturating_sub(1).min(possible);
+        let share = if possible == 0 {
+            1.0
+        } else {
+            (confirmations as f64 + 1.0).ln() / (possible as f64 + 1.0).ln()
+        };
+        suspicion.since + max - ((max - min) as f64 * share) as u64
     }
 
-    fn declare(&mut self, now: u64) {
+    fn declare_lost(&mut self, now: u64) {
         let due: Vec<Id> =
-            self.table.suspects().iter().copied().filter(|id| now >= self.suspect_due(*id)).collect();
+            self.table.suspects().iter().copied().filter(|id| now >= self.suspicion_deadline(*id)).collect();
         for id in due {
             let Some(entry) = self.table.get(id) else { continue };
             let lost = Record { state: State::Lost, ..entry.record.clone() };
             self.figures.declared += 1;
-            self.take(now, &lost, &[]);
+            self.apply_record(now, &lost, &[]);
         }
     }
 
     /// Applies a record about a member, queues it for gossip if it is new, and reports the resulting events.
-    fn take(&mut self, now: u64, record: &Record, accusers: &[Id]) {
+    fn apply_record(&mut self, now: u64, record: &Record, accusers: &[Id]) {
         let id = record.member.id();
-        if id == self.id {
-            self.about_me(record);
+        if id == self.own_id {
+            self.handle_own_record(record);
             return;
         }
         let old = self.table.get(id).map(|entry| entry.record.member.clone());
-        match self.table.take(now, record, accusers, self.set.most) {
-            Change::Nothing => {}
+        match self.table.apply(now, record, accusers, self.settings.most) {
+            Change::Unchanged => {}
             Change::Full => self.figures.beyond += 1,
-            Change::Confirmed => self.pass_on(id),
-            Change::New { before } => {
-                self.pass_on(id);
-                let lived = before.is_some_and(|(state, _)| state.is_living());
-                let lives = record.state.is_living();
-                let another = before.is_some_and(|(_, life)| life != record.member.life);
-                if lived && (another || !lives) {
+            Change::Confirmed => self.queue_rumour(id),
+            Change::New { previous } => {
+                self.queue_rumour(id);
+                let was_living = previous.is_some_and(|(state, _)| state.is_living());
+                let now_living = record.state.is_living();
+                let other_process = previous.is_some_and(|(_, life)| life != record.member.life);
+                if was_living && (other_process || !now_living) {
                     let old = old.unwrap_or_else(|| record.member.clone());
                     let left = record.state == State::Left;
                     self.events.push_back(if left { Event::Left(old) } else { Event::Lost(old) });
                 }
-                if lives && (!lived || another) {
+                if now_living && (!was_living || other_process) {
                     self.events.push_back(Event::Joined(record.member.clone()));
-                    self.insert_turn(id);
+                    self.insert_into_probe_order(id);
                 }
                 // A few randomly selected members probe the suspect themselves.
-                let looks = self.random.usize(0..self.table.living().len().max(1)) < LOOK;
-                if record.state == State::Suspect && self.me.state == State::Alive && looks {
+                let selected = self.random.usize(0..self.table.living().len().max(1)) < SUSPECT_PROBES;
+                if record.state == State::Suspect && self.me.state == State::Alive && selected {
                     self.probe(now, id);
                 }
             }
         }
     }
 
-    fn pass_on(&mut self, id: Id) {
+    fn queue_rumour(&mut self, id: Id) {
         if let Some(entry) = self.table.get(id) {
             let accusers = entry.suspicion.as_ref().map_or(&[][..], |suspicion| &suspicion.accusers);
-            self.rumours.tell(id, entry.record.clone(), accusers);
+            self.rumours.queue(id, entry.record.clone(), accusers);
         }
     }
 
     /// Inserts a new member at a random position in the rest of the current probe round.
-    fn insert_turn(&mut self, id: Id) {
-        if !self.order.get(self.turn..).is_some_and(|left| left.contains(&id)) {
-            let at = self.random.usize(self.turn.min(self.order.len())..=self.order.len());
-            self.order.insert(at, id);
+    fn insert_into_probe_order(&mut self, id: Id) {
+        if !self.probe_order.get(self.next_in_order..).is_some_and(|left| left.contains(&id)) {
+            let at =
+                self.random.usize(self.next_in_order.min(self.probe_order.len())..=self.probe_order.len());
+            self.probe_order.insert(at, id);
         }
     }
 
     /// Handles a record about this member: a wrong one is refuted with a higher incarnation.
-    fn about_me(&mut self, record: &Record) {
+    fn handle_own_record(&mut self, record: &Record) {
         if self.me.state != State::Alive || record.member.name != self.me.member.name {
             return;
         }
-        let own = record.member.life == self.me.member.life;
-        if (own && record.state == State::Alive) || self.me.beats(record) {
+        let same_process = record.member.life == self.me.member.life;
+        if (same_process && record.state == State::Alive) || self.me.supersedes(record) {
             return;
         }
-        if own {
+        if same_process {
             self.figures.refuted += 1;
             self.events.push_back(Event::Refuted);
             if record.state == State::Suspect {
-                self.worse(1);
+                self.raise_health_penalty(1);
             }
         }
         self.me.incarnation = record.incarnation.saturating_add(1);
-        self.rumours.tell(self.id, self.me.clone(), &[]);
+        self.rumours.queue(self.own_id, self.me.clone(), &[]);
     }
 
     // ---- Gossip and anti-entropy ----
 
-    fn gossip(&mut self, to: usize) {
+    fn gossip(&mut self, member_count: usize) {
         if self.rumours.is_empty() {
             return;
         }
-        for id in self.some_living(to) {
+        for id in self.choose_living(member_count) {
             let address = self.table.get(id).map(|entry| entry.record.member.address);
-            address.into_iter().for_each(|address| self.send(address, &Word::Rumours, None));
+            address.into_iter().for_each(|address| self.send(address, &Body::Rumours, None));
         }
     }
 
-    fn some_living(&mut self, most: usize) -> Vec<Id> {
+    fn choose_living(&mut self, max_count: usize) -> Vec<Id> {
         let living = self.table.living();
-        if living.len() <= most {
+        if living.len() <= max_count {
             return living.to_vec();
         }
-        let mut chosen = Vec::with_capacity(most);
-        while chosen.len() < most {
+        let mut chosen = Vec::with_capacity(max_count);
+        while chosen.len() < max_count {
             let id = living[self.random.usize(0..living.len())];
             if !chosen.contains(&id) {
                 chosen.push(id);
@@ -649,15 +674,16 @@
     }
 
     fn compare(&mut self, now: u64) {
-        let word = Word::Compare(self.table.digests(&self.me), true);
-        match self.some_living(1).first().and_then(|id| self.table.get(*id)) {
-            Some(entry) => self.send(entry.record.member.address, &word, None),
+        let body = Body::Compare(self.table.digests(&self.me), true);
+        match self.choose_living(1).first().and_then(|id| self.table.get(*id)) {
+            Some(entry) => self.send(entry.record.member.address, &body, None),
             None => {
                 // No member is known: ask all seeds and try again soon.
-                self.next_compare = now + self.random.u64(0..=self.set.probe_ms) + self.set.probe_ms;
-                for seed in self.set.seeds.clone() {
+                self.next_compare =
+                    now + self.random.u64(0..=self.settings.probe_ms) + self.settings.probe_ms;
+                for seed in self.settings.seeds.clone() {
                     if seed != self.me.member.address {
-                        self.send(seed, &word, None);
+                        self.send(seed, &body, None);
                     }
                 }
             }
@@ -665,19 +691,25 @@
     }
 
     /// Handles another member's table digests: sends it the records of the buckets that differ.
-    fn compared(&mut self, now: u64, to: SocketAddr, theirs: &[u32; PARTS], back: bool) {
-        let own = self.table.digests(&self.me);
-        let mut differ = [false; PARTS];
-        for (part, differs) in differ.iter_mut().enumerate() {
-            *differs = own[part] != theirs[part];
+    fn handle_compare(
+        &mut self,
+        now: u64,
+        to: SocketAddr,
+        their_digests: &[u32; DIGEST_BUCKETS],
+        reply: bool,
+    ) {
+        let own_digests = self.table.digests(&self.me);
+        let mut differ = [false; DIGEST_BUCKETS];
+        for (bucket, differs) in differ.iter_mut().enumerate() {
+            *differs = own_digests[bucket] != their_digests[bucket];
         }
         if !differ.contains(&true) {
             return;
         }
         // The tables differ by more than gossip has delivered, so compare again soon.
-        self.next_compare = self.next_compare.min(now + self.set.probe_ms);
-        let mut drafts = vec![Draft::new(self.cluster, &self.me, &Word::Rumours)];
-        let known: Vec<_> = self.table.in_parts(&differ).collect();
+        self.next_compare = self.next_compare.min(now + self.settings.probe_ms);
+        let mut drafts = vec![Draft::new(self.cluster, &self.me, &Body::Rumours)];
+        let known: Vec<_> = self.table.in_buckets(&differ).collect();
         // A random start, so that records that do not fit this time are sent another time.
         let first = self.random.usize(0..known.len().max(1));
         for (_, entry) in known[first.min(known.len())..].iter().chain(&known[..first.min(known.len())]) {
@@ -686,45 +718,45 @@
             if drafts.last_mut().is_some_and(|draft| draft.add(&rumour)) {
                 continue;
             }
-            if drafts.len() == RECORDS_MOST {
+            if drafts.len() == MAX_COMPARE_DATAGRAMS {
                 break;
             }
-            let mut draft = Draft::new(self.cluster, &self.me, &Word::Rumours);
+            let mut draft = Draft::new(self.cluster, &self.me, &Body::Rumours);
             draft.add(&rumour);
             drafts.push(draft);
         }
         drafts.into_iter().for_each(|draft| self.transmit(to, draft));
-        if back {
-            self.send(to, &Word::Compare(own, false), None);
+        if reply {
+            self.send(to, &Body::Compare(own_digests, false), None);
         }
     }
 
     /// Contacts a random lost member, or a seed that is not alive, in case it is back.
-    fn try_again(&mut self) {
+    fn retry_lost_or_seed(&mut self) {
         let gone = self.table.iter().filter(|(_, entry)| entry.record.state == State::Lost);
         let gone = gone.map(|(id, entry)| (Some(*id), entry.record.member.address));
-        let known = |address: &SocketAddr| {
+        let is_known = |address: &SocketAddr| {
             *address == self.me.member.address || self.living().any(|member| member.address == *address)
         };
-        let seeds = self.set.seeds.iter().filter(|seed| !known(seed)).map(|seed| (None, *seed));
-        let all: Vec<(Option<Id>, SocketAddr)> = gone.chain(seeds).collect();
-        if let Some((about, to)) = self.random.choice(&all).copied() {
-            let word = Word::Compare(self.table.digests(&self.me), true);
-            self.send(to, &word, about);
+        let seeds = self.settings.seeds.iter().filter(|seed| !is_known(seed)).map(|seed| (None, *seed));
+        let candidates: Vec<(Option<Id>, SocketAddr)> = gone.chain(seeds).collect();
+        if let Some((receiver, to)) = self.random.choice(&candidates).copied() {
+            let body = Body::Compare(self.table.digests(&self.me), true);
+            self.send(to, &body, receiver);
         }
     }
 
     /// Sends a message together with queued rumours. If the receiver is not considered alive, its own record
     /// goes first, so that it can refute it.
-    fn send(&mut self, to: SocketAddr, word: &Word, receiver: Option<Id>) {
-        let mut draft = Draft::new(self.cluster, &self.me, word);
+    fn send(&mut self, to: SocketAddr, body: &Body, receiver: Option<Id>) {
+        let mut draft = Draft::new(self.cluster, &self.me, body);
         let entry = receiver.and_then(|id| self.table.get(id));
         if let Some(entry) = entry.filter(|entry| entry.record.state != State::Alive) {
             let accusers = entry.suspicion.as_ref().map_or(Vec::new(), |s| s.accusers.clone());
             draft.add(&(entry.record.clone(), accusers));
         }
         self.rumours.fill(&mut draft, self.table.living().len() + 1);
-        if *word != Word::Rumours || !draft.is_empty() {
+        if *body != Body::Rumours || !draft.is_empty() {
             self.transmit(to, draft);
         }
     }
@@ -733,6 +765,6 @@
         let bytes = draft.seal(&self.secret);
         self.figures.sent += 1;
         self.figures.sent_bytes += bytes.len() as u64;
-        self.out.push_back(Transmit { to, bytes });
+        self.outgoing.push_back(Transmit { to, bytes });
     }
 }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -81,19 +81,19 @@
     }
 
     /// Whether this record replaces the other one.
-    pub fn beats(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
     /// Whether both records refer to the same incarnation of the same process.
-    pub fn is_of(&self, other: &Self) -> bool {
+    pub fn is_same_incarnation(&self, other: &Self) -> bool {
         (self.incarnation, self.member.life) == (other.incarnation, other.member.life)
     }
 
     /// A digest of what all members should agree on: that this incarnation is alive. The state is left out,
     /// as a suspicion is resolved without anti-entropy.
     pub fn digest(&self) -> u64 {
-        let numbers = [self.incarnation.to_be_bytes(), self.member.life.to_be_bytes()];
-        number_of(&[self.member.name.as_bytes(), &numbers[0], &numbers[1]])
+        let bytes = [self.incarnation.to_be_bytes(), self.member.life.to_be_bytes()];
+        number_of(&[self.member.name.as_bytes(), &bytes[0], &bytes[1]])
     }
 }
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/rumours.rs
@@ -3,52 +3,53 @@
 use std::collections::BTreeMap;
 
 use crate::record::{Id, Record, State};
-use crate::wire::{Draft, Rumour, ACCUSERS_MOST};
+use crate::wire::{Draft, Rumour, MAX_ACCUSERS};
 
 /// Number of transmissions of a rumour for each power of ten of the cluster size.
-const OFTEN: u32 = 4;
+const TRANSMIT_FACTOR: u32 = 4;
 
-struct Passed {
+struct QueuedRumour {
     rumour: Rumour,
-    times: u32,
+    transmissions: u32,
 }
 
 /// The rumours that a member still transmits: the newest record about each member.
 #[derive(Default)]
 pub struct Rumours {
-    about: BTreeMap<Id, Passed>,
+    by_member: BTreeMap<Id, QueuedRumour>,
 }
 
 impl Rumours {
     /// Queues a new record about a member, replacing any older one.
-    pub fn tell(&mut self, id: Id, record: Record, accusers: &[Id]) {
-        let named = if record.state == State::Suspect { accusers } else { &[] };
-        let named = named[..named.len().min(ACCUSERS_MOST)].to_vec();
-        self.about.insert(id, Passed { rumour: (record, named), times: 0 });
+    pub fn queue(&mut self, id: Id, record: Record, accusers: &[Id]) {
+        let listed = if record.state == State::Suspect { accusers } else { &[] };
+        let listed = listed[..listed.len().min(MAX_ACCUSERS)].to_vec();
+        self.by_member.insert(id, QueuedRumour { rumour: (record, listed), transmissions: 0 });
     }
 
     /// Whether there is nothing to transmit.
     pub fn is_empty(&self) -> bool {
-        self.about.is_empty()
+        self.by_member.is_empty()
     }
 
     /// Fills a datagram with the rumours that were transmitted least, as far as there is room, and drops
     /// those that have been transmitted often enough to reach all `members`.
     pub fn fill(&mut self, draft: &mut Draft, members: usize) {
-        if self.about.is_empty() {
+        if self.by_member.is_empty() {
             return;
         }
-        let often = OFTEN * (members as u64 + 1).ilog10().saturating_add(1);
-        let mut order: Vec<(u32, Id)> = self.about.iter().map(|(id, passed)| (passed.times, *id)).collect();
-        order.sort_unstable();
-        for (_, id) in order {
-            let Some(passed) = self.about.get_mut(&id) else { continue };
-            if !draft.add(&passed.rumour) {
+        let max_transmissions = TRANSMIT_FACTOR * (members as u64 + 1).ilog10().saturating_add(1);
+        let mut least_sent: Vec<(u32, Id)> =
+            self.by_member.iter().map(|(id, queued)| (queued.transmissions, *id)).collect();
+        least_sent.sort_unstable();
+        for (_, id) in least_sent {
+            let Some(queued) = self.by_member.get_mut(&id) else { continue };
+            if !draft.add(&queued.rumour) {
                 break;
             }
-            passed.times += 1;
-            if passed.times >= often {
-                self.about.remove(&id);
+            queued.transmissions += 1;
+            if queued.transmissions >= max_transmissions {
+                self.by_member.remove(&id);
             }
         }
     }
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -27,9 +27,9 @@
     /// # Errors
     /// The invalid field and what was expected.
     pub fn check(&self) -> Result<(), String> {
-        let within = |name: &str, n: u64, least: u64, most: u64| {
-            let fits = (least..=most).contains(&n);
-            fits.then_some(()).ok_or_else(|| format!("{name}: {least} to {most} expected, not {n}"))
+        let check_range = |name: &str, value: u64, min: u64, max: u64| {
+            let fits = (min..=max).contains(&value);
+            fits.then_some(()).ok_or_else(|| format!("{name}: {min} to {max} expected, not {value}"))
         };
         if self.me.name.is_empty() || self.me.name.len() > NAME_MOST {
             return Err(format!("name: 1 to {NAME_MOST} bytes expected, not {:?}", self.me.name));
@@ -40,15 +40,15 @@
         if self.me.address.ip().is_unspecified() || self.me.address.port() == 0 {
             return Err(format!("address: one that others can send to expected, not {}", self.me.address));
         }
-        within("seeds", self.seeds.len() as u64, 1, 64)?;
-        within("probe_ms", self.probe_ms, 20, 10_000)?;
-        within("most", self.most as u64, 2, 4096)?;
-        within("forget_ms", self.forget_ms, 10_000, 86_400_000)
+        check_range("seeds", self.seeds.len() as u64, 1, 64)?;
+        check_range("probe_ms", self.probe_ms, 20, 10_000)?;
+        check_range("most", self.most as u64, 2, 4096)?;
+        check_range("forget_ms", self.forget_ms, 10_000, 86_400_000)
     }
 
     /// Time to wait for the answer to a probe before other members are asked to probe the target; the probe
     /// fails after three times this.
-    pub(crate) fn answer_ms(&self) -> u64 {
+    pub(crate) fn ack_timeout_ms(&self) -> u64 {
         self.probe_ms / 2
     }
 
@@ -63,17 +63,17 @@
     }
 
     /// Mean interval between attempts to reach a lost member or a seed again.
-    pub(crate) fn again_ms(&self) -> u64 {
+    pub(crate) fn retry_ms(&self) -> u64 {
         10 * self.probe_ms
     }
 
     /// Time until a suspect is declared lost if no other member confirms the suspicion.
-    pub(crate) fn suspect_most_ms(&self) -> u64 {
+    pub(crate) fn max_suspect_ms(&self) -> u64 {
         20 * self.probe_ms
     }
 
     /// Time until a suspect is declared lost if enough other members confirm the suspicion.
-    pub(crate) fn suspect_least_ms(&self) -> u64 {
+    pub(crate) fn min_suspect_ms(&self) -> u64 {
         3 * self.probe_ms
     }
 
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::record::{Id, Record, State};
-use crate::wire::{ACCUSERS_MOST, PARTS};
+use crate::wire::{DIGEST_BUCKETS, MAX_ACCUSERS};
 
 /// A suspicion of a member, raised here or received from others.
 #[derive(Clone, Debug)]
@@ -22,14 +22,14 @@
     /// The suspicion, while the member is a suspect.
     pub suspicion: Option<Suspicion>,
     /// When the record was applied; for a lost member or one that left, the time since when it is gone.
-    pub gone_since: u64,
+    pub changed_at: u64,
 }
 
 /// The effect of a record on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// No effect: this record or a newer one was already known.
-    Nothing,
+    Unchanged,
     /// Ignored: the table is full, or another name has the same digest.
     Full,
     /// A known suspicion has a new accuser.
@@ -37,27 +37,27 @@
     /// The record is new.
     New {
         /// The previous state and `life`; `None` if the member was not known.
-        before: Option<(State, u64)>,
+        previous: Option<(State, u64)>,
     },
 }
 
 /// The known members other than this one.
 #[derive(Debug, Default)]
 pub struct Table {
-    all: BTreeMap<Id, Entry>,
+    entries: BTreeMap<Id, Entry>,
     living: Vec<Id>,
     suspects: Vec<Id>,
-    parts: [u64; PARTS],
+    buckets: [u64; DIGEST_BUCKETS],
 }
 
-fn part_of(id: Id) -> usize {
-    (id.0 % PARTS as u64) as usize
+fn bucket_of(id: Id) -> usize {
+    (id.0 % DIGEST_BUCKETS as u64) as usize
 }
 
 impl Table {
     /// What is known of a member.
     pub fn get(&self, id: Id) -> Option<&Entry> {
-        self.all.get(&id)
+        self.entries.get(&id)
     }
 
     /// The members considered alive, in no particular order.
@@ -72,59 +72,63 @@
 
     /// All entries.
     pub fn iter(&self) -> impl Iterator<Item = (&Id, &Entry)> {
-        self.all.iter()
+        self.entries.iter()
     }
 
     /// Digests of the living members by bucket of ids, independent of order and of suspicions.
-    pub fn digests(&self, me: &Record) -> [u32; PARTS] {
-        let mut parts = self.parts;
-        parts[part_of(me.member.id())] ^= me.digest();
-        parts.map(|part| (part ^ (part >> 32)) as u32)
+    pub fn digests(&self, me: &Record) -> [u32; DIGEST_BUCKETS] {
+        let mut buckets = self.buckets;
+        buckets[bucket_of(me.member.id())] ^= me.digest();
+        buckets.map(|bucket| (bucket ^ (bucket >> 32)) as u32)
     }
 
     /// The entries in the buckets whose digests differ from the other side's.
-    pub fn in_parts<'a>(&'a self, differ: &'a [bool; PARTS]) -> impl Iterator<Item = (Id, &'a Entry)> {
-        self.all.iter().filter(|(id, _)| differ[part_of(**id)]).map(|(id, entry)| (*id, entry))
+    pub fn in_buckets<'a>(
+        &'a self,
+        differ: &'a [bool; DIGEST_BUCKETS],
+    ) -> impl Iterator<Item = (Id, &'a Entry)> {
+        self.entries.iter().filter(|(id, _)| differ[bucket_of(**id)]).map(|(id, entry)| (*id, entry))
     }
 
     /// Applies a record about another member. `most` limits the number of living members, this one included.
-    pub fn take(&mut self, now: u64, record: &Record, accusers: &[Id], most: usize) -> Change {
+    pub fn apply(&mut self, now: u64, record: &Record, accusers: &[Id], max_living: usize) -> Change {
         let id = record.member.id();
         let suspected = record.state == State::Suspect;
-        if let Some(known) = self.all.get_mut(&id) {
+        if let Some(known) = self.entries.get_mut(&id) {
             if known.record.member.name != record.member.name {
                 // Two names with the same digest: the first one stays.
                 return Change::Full;
             }
             if let Some(suspicion) =
-                known.suspicion.as_mut().filter(|_| known.record.is_of(record) && suspected)
+                known.suspicion.as_mut().filter(|_| known.record.is_same_incarnation(record) && suspected)
             {
-                let before = suspicion.accusers.len();
+                let previous = suspicion.accusers.len();
                 for accuser in accusers {
-                    if suspicion.accusers.len() < ACCUSERS_MOST && !suspicion.accusers.contains(accuser) {
+                    if suspicion.accusers.len() < MAX_ACCUSERS && !suspicion.accusers.contains(accuser) {
                         suspicion.accusers.push(*accuser);
                     }
                 }
-                let more = suspicion.accusers.len() > before;
-                return if more { Change::Confirmed } else { Change::Nothing };
+                let has_new = suspicion.accusers.len() > previous;
+                return if has_new { Change::Confirmed } else { Change::Unchanged };
             }
-            if !record.beats(&known.record) {
-                return Change::Nothing;
+            if !record.supersedes(&known.record) {
+                return Change::Unchanged;
             }
         }
-        let known = self.all.get(&id);
-        let before = known.map(|known| (known.record.state, known.record.member.life));
-        let (lived, lives) = (before.is_some_and(|(state, _)| state.is_living()), record.state.is_living());
-        if lives && !lived && self.living.len() + 1 >= most {
+        let known = self.entries.get(&id);
+        let previous = known.map(|known| (known.record.state, known.record.member.life));
+        let (was_living, now_living) =
+            (previous.is_some_and(|(state, _)| state.is_living()), record.state.is_living());
+        if now_living && !was_living && self.living.len() + 1 >= max_living {
             return Change::Full;
         }
-        if let Some(known) = known.filter(|_| lived) {
-            self.parts[part_of(id)] ^= known.record.digest();
+        if let Some(known) = known.filter(|_| was_living) {
+            self.buckets[bucket_of(id)] ^= known.record.digest();
         }
-        if lives {
-            self.parts[part_of(id)] ^= record.digest();
+        if now_living {
+            self.buckets[bucket_of(id)] ^= record.digest();
         }
-        match (lived, lives) {
+        match (was_living, now_living) {
             (false, true) => self.living.push(id),
             (true, false) => self.living.retain(|other| *other != id),
             _ => {}
@@ -132,28 +136,29 @@
         self.suspects.retain(|other| *other != id);
         self.suspects.extend(suspected.then_some(id));
         let suspicion = suspected.then(|| {
-            let accusers = accusers[..accusers.len().min(ACCUSERS_MOST)].to_vec();
+            let accusers = accusers[..accusers.len().min(MAX_ACCUSERS)].to_vec();
             Suspicion { since: now, accusers }
         });
-        self.all.insert(id, Entry { record: record.clone(), suspicion, gone_since: now });
-        Change::New { before }
+        self.entries.insert(id, Entry { record: record.clone(), suspicion, changed_at: now });
+        Change::New { previous }
     }
 
     /// Extends all suspicions by the time that this process was stalled.
-    pub fn put_off(&mut self, by: u64) {
-        for suspicion in self.all.values_mut().filter_map(|entry| entry.suspicion.as_mut()) {
+    pub fn extend_suspicions(&mut self, by: u64) {
+        for suspicion in self.entries.values_mut().filter_map(|entry| entry.suspicion.as_mut()) {
             suspicion.since += by;
         }
     }
 
     /// Removes members that have been gone since before `before`, and the oldest of the rest beyond `most`.
-    pub fn forget(&mut self, before: u64, most: usize) {
+    pub fn forget(&mut self, before: u64, max_gone: usize) {
         let gone = |entry: &Entry| !entry.record.state.is_living();
-        let mut since: Vec<u64> = self.all.values().filter(|e| gone(e)).map(|e| e.gone_since).collect();
-        since.sort_unstable();
-        let over = since.len().checked_sub(most + 1).map(|n| since[n]);
-        self.all.retain(|_, entry| {
-            !gone(entry) || (entry.gone_since >= before && over.is_none_or(|over| entry.gone_since > over))
+        let mut times: Vec<u64> = self.entries.values().filter(|e| gone(e)).map(|e| e.changed_at).collect();
+        times.sort_unstable();
+        let cutoff = times.len().checked_sub(max_gone + 1).map(|n| times[n]);
+        self.entries.retain(|_, entry| {
+            !gone(entry)
+                || (entry.changed_at >= before && cutoff.is_none_or(|cutoff| entry.changed_at > cutoff))
         });
     }
 }
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -12,11 +12,11 @@
 /// The first four bytes of each datagram.
 pub const MAGIC: u32 = 0x474c_4d31;
 /// The largest incarnation accepted, so that there is always room for a newer one.
-const INCARNATION_MOST: u64 = 1 << 62;
+const MAX_INCARNATION: u64 = 1 << 62;
 /// Number of buckets that a table is divided into for comparison.
-pub const PARTS: usize = 32;
+pub const DIGEST_BUCKETS: usize = 32;
 /// Maximum number of accusers listed with a suspect.
-pub const ACCUSERS_MOST: usize = 4;
+pub const MAX_ACCUSERS: usize = 4;
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 
 /// The type and contents of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Asks for an [`Word::Ack`] with the same number.
+pub enum Body {
+    /// Asks for an [`Body::Ack`] with the same number.
     Ping(u64),
     /// Asks the receiver to probe another member and to forward its answer.
     PingFor(u64, Id),
@@ -42,7 +42,7 @@
     Nack(u64),
     /// Digests of the buckets of the sender's table. The receiver sends its records of the buckets that
     /// differ and, if the flag is set, its own digests.
-    Compare([u32; PARTS], bool),
+    Compare([u32; DIGEST_BUCKETS], bool),
     /// Nothing but rumours.
     Rumours,
 }
@@ -56,7 +56,7 @@
     /// The sender's record of itself.
     pub from: Record,
     /// The message itself.
-    pub word: Word,
+    pub body: Body,
     /// The rumours sent along.
     pub rumours: Vec<Rumour>,
 }
@@ -108,7 +108,7 @@
     };
     let (incarnation, life) = (r.u64()?, r.u64()?);
     let (name, zone) = (r.text()?, r.text()?);
-    if name.is_empty() || name.len() > NAME_MOST || zone.len() > ZONE_MOST || incarnation > INCARNATION_MOST {
+    if name.is_empty() || name.len() > NAME_MOST || zone.len() > ZONE_MOST || incarnation > MAX_INCARNATION {
         return None;
     }
     let (name, zone) = (name.to_string(), zone.to_string());
@@ -119,9 +119,9 @@
 fn write_rumour(out: &mut Vec<u8>, (record, accusers): &Rumour) {
     write_record(out, record);
     if record.state == State::Suspect {
-        let named = accusers.len().min(ACCUSERS_MOST);
-        out.push(named as u8);
-        for accuser in &accusers[..named] {
+        let listed = accusers.len().min(MAX_ACCUSERS);
+        out.push(listed as u8);
+        for accuser in &accusers[..listed] {
             out.extend(accuser.0.to_be_bytes());
         }
     }
@@ -131,11 +131,11 @@
     let record = read_record(r)?;
     let mut accusers = Vec::new();
     if record.state == State::Suspect {
-        let named = usize::from(r.u8()?);
-        if named > ACCUSERS_MOST {
+        let listed = usize::from(r.u8()?);
+        if listed > MAX_ACCUSERS {
             return None;
         }
-        for _ in 0..named {
+        for _ in 0..listed {
             accusers.push(Id(r.u64()?));
         }
     }
@@ -146,64 +146,64 @@
 #[derive(Debug)]
 pub struct Draft {
     out: Vec<u8>,
-    count_at: usize,
+    count_offset: usize,
 }
 
 impl Draft {
     /// Starts a datagram from this sender.
-    pub fn new(cluster: u32, from: &Record, word: &Word) -> Self {
+    pub fn new(cluster: u32, from: &Record, body: &Body) -> Self {
         let mut out = Vec::with_capacity(256);
         out.extend(MAGIC.to_be_bytes());
         out.extend(cluster.to_be_bytes());
         write_record(&mut out, from);
-        match word {
-            Word::Ping(number) => {
+        match body {
+            Body::Ping(number) => {
                 out.push(0);
                 out.extend(number.to_be_bytes());
             }
-            Word::PingFor(number, whom) => {
+            Body::PingFor(number, target) => {
                 out.push(1);
                 out.extend(number.to_be_bytes());
-                out.extend(whom.0.to_be_bytes());
+                out.extend(target.0.to_be_bytes());
             }
-            Word::Ack(number) => {
+            Body::Ack(number) => {
                 out.push(2);
                 out.extend(number.to_be_bytes());
             }
-            Word::Nack(number) => {
+            Body::Nack(number) => {
                 out.push(3);
                 out.extend(number.to_be_bytes());
             }
-            Word::Compare(parts, back) => {
+            Body::Compare(digests, reply) => {
                 out.push(4);
-                out.extend(parts.iter().flat_map(|part| part.to_be_bytes()));
-                out.push(u8::from(*back));
+                out.extend(digests.iter().flat_map(|digest| digest.to_be_bytes()));
+                out.push(u8::from(*reply));
             }
-            Word::Rumours => out.push(5),
+            Body::Rumours => out.push(5),
         }
-        let count_at = out.len();
+        let count_offset = out.len();
         out.push(0);
-        Self { out, count_at }
+        Self { out, count_offset }
     }
 
     /// Adds a rumour; returns `false` if there is no room.
     pub fn add(&mut self, rumour: &Rumour) -> bool {
-        let before = self.out.len();
-        if self.out[self.count_at] == u8::MAX {
+        let previous_len = self.out.len();
+        if self.out[self.count_offset] == u8::MAX {
             return false;
         }
         write_rumour(&mut self.out, rumour);
         if self.out.len() + TAG > LONGEST {
-            self.out.truncate(before);
+            self.out.truncate(previous_len);
             return false;
         }
-        self.out[self.count_at] += 1;
+        self.out[self.count_offset] += 1;
         true
     }
 
     /// Whether it contains no rumours.
     pub fn is_empty(&self) -> bool {
-        self.out[self.count_at] == 0
+        self.out[self.count_offset] == 0
     }
 
     /// Finishes and authenticates the datagram and returns its bytes.
@@ -218,11 +218,11 @@
     /// # Errors
     /// When it is from another cluster, is not authenticated or is malformed.
     pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, Bad> {
-        let said = secret.open(bytes).map_err(|unsealed| match unsealed {
+        let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
             Unsealed::Long | Unsealed::Forged => Bad::Forged,
             Unsealed::Short => Bad::Unreadable,
         })?;
-        let mut r = Reader::new(said);
+        let mut r = Reader::new(payload);
         if r.u32() != Some(MAGIC) {
             return Err(Bad::Unreadable);
         }
@@ -234,24 +234,24 @@
 
     fn parse(r: &mut Reader) -> Option<Self> {
         let from = read_record(r)?;
-        let word = match r.u8()? {
-            0 => Word::Ping(r.u64()?),
-            1 => Word::PingFor(r.u64()?, Id(r.u64()?)),
-            2 => Word::Ack(r.u64()?),
-            3 => Word::Nack(r.u64()?),
+        let body = match r.u8()? {
+            0 => Body::Ping(r.u64()?),
+            1 => Body::PingFor(r.u64()?, Id(r.u64()?)),
+            2 => Body::Ack(r.u64()?),
+            3 => Body::Nack(r.u64()?),
             4 => {
-                let mut parts = [0; PARTS];
-                for part in &mut parts {
-                    *part = r.u32()?;
+                let mut digests = [0; DIGEST_BUCKETS];
+                for digest in &mut digests {
+                    *digest = r.u32()?;
                 }
-                Word::Compare(parts, r.u8()? == 1)
+                Body::Compare(digests, r.u8()? == 1)
             }
-            5 => Word::Rumours,
+            5 => Body::Rumours,
             _ => return None,
         };
         let count = usize::from(r.u8()?);
         let rumours = (0..count).map(|_| read_rumour(r)).collect::<Option<_>>()?;
-        Some(Self { from, word, rumours })
+        Some(Self { from, body, rumours })
     }
 }
 
@@ -264,7 +264,7 @@
         let state =
             prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Lost), Just(State::Left)];
         let address = (any::<std::net::IpAddr>(), any::<u16>()).prop_map(SocketAddr::from);
-        ("[a-z0-9-]{1,48}", "[a-z]{0,24}", address, any::<u64>(), 0..=INCARNATION_MOST, state).prop_map(
+        ("[a-z0-9-]{1,48}", "[a-z]{0,24}", address, any::<u64>(), 0..=MAX_INCARNATION, state).prop_map(
             |(name, zone, address, life, incarnation, state)| Record {
                 member: Member { name, life, address, zone },
                 incarnation,
@@ -273,30 +273,31 @@
         )
     }
 
-    fn word() -> impl Strategy<Value = Word> {
+    fn body() -> impl Strategy<Value = Body> {
         prop_oneof![
-            any::<u64>().prop_map(Word::Ping),
-            (any::<u64>(), any::<u64>()).prop_map(|(n, id)| Word::PingFor(n, Id(id))),
-            any::<u64>().prop_map(Word::Ack),
-            any::<u64>().prop_map(Word::Nack),
-            (any::<[u32; PARTS]>(), any::<bool>()).prop_map(|(parts, back)| Word::Compare(parts, back)),
-            Just(Word::Rumours),
+            any::<u64>().prop_map(Body::Ping),
+            (any::<u64>(), any::<u64>()).prop_map(|(n, id)| Body::PingFor(n, Id(id))),
+            any::<u64>().prop_map(Body::Ack),
+            any::<u64>().prop_map(Body::Nack),
+            (any::<[u32; DIGEST_BUCKETS]>(), any::<bool>())
+                .prop_map(|(digests, reply)| Body::Compare(digests, reply)),
+            Just(Body::Rumours),
         ]
     }
 
     proptest! {
         #[test]
-        fn what_is_written_is_read(
+        fn a_written_message_is_read_back_unchanged(
             from in record(),
-            word in word(),
+            body in body(),
             rumours in proptest::collection::vec((record(), proptest::collection::vec(any::<u64>(), 0..4)), 0..40),
         ) {
             let secret = Secret::new(b"ours");
-            let mut draft = Draft::new(7, &from, &word);
+            let mut draft = Draft::new(7, &from, &body);
             let mut fitted = Vec::new();
             for (record, accusers) in rumours {
-                let named = if record.state == State::Suspect { accusers } else { Vec::new() };
-                let rumour = (record, named.into_iter().map(Id).collect());
+                let listed = if record.state == State::Suspect { accusers } else { Vec::new() };
+                let rumour = (record, listed.into_iter().map(Id).collect());
                 if draft.add(&rumour) {
                     fitted.push(rumour);
                 }
@@ -304,18 +305,18 @@
             let bytes = draft.seal(&secret);
             prop_assert!(bytes.len() <= LONGEST);
             let read = Message::read(&bytes, 7, &secret);
-            prop_assert_eq!(read, Ok(Message { from, word, rumours: fitted }));
+            prop_assert_eq!(read, Ok(Message { from, body, rumours: fitted }));
             prop_assert_eq!(Message::read(&bytes, 8, &secret), Err(Bad::OtherCluster));
             prop_assert_eq!(Message::read(&bytes, 7, &Secret::new(b"theirs")), Err(Bad::Forged));
         }
 
         #[test]
-        fn bytes_of_any_kind_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        fn arbitrary_bytes_are_parsed_or_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
             let secret = Secret::new(b"ours");
-            let mut said = MAGIC.to_be_bytes().to_vec();
-            said.extend(7u32.to_be_bytes());
-            said.extend(bytes);
-            let _ = Message::read(&secret.seal(said), 7, &secret);
+            let mut payload = MAGIC.to_be_bytes().to_vec();
+            payload.extend(7u32.to_be_bytes());
+            payload.extend(bytes);
+            let _ = Message::read(&secret.seal(payload), 7, &secret);
         }
     }
 }
