--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -19,24 +19,24 @@
 
 /// The part of `total` that instance `who` of `n` owns. The parts add up to the total. The remainder of the
 /// division goes to different instances depending on `turn`, so that none is always short of it.
-pub fn part(total: u32, n: usize, who: usize, turn: u64) -> u32 {
-    let (n, who) = (n.max(1) as u64, who as u64);
-    let rest = u64::from(total) % n;
-    (u64::from(total) / n) as u32 + u32::from((who + turn % n) % n < rest)
+pub fn equal_part(total: u32, n: usize, index: usize, turn: u64) -> u32 {
+    let (n, index) = (n.max(1) as u64, index as u64);
+    let remainder = u64::from(total) % n;
+    (u64::from(total) / n) as u32 + u32::from((index + turn % n) % n < remainder)
 }
 
 /// The rights that an instance owns in a window without any transfer: its own part, and its share of the
 /// parts of the instances that are gone.
-pub fn base(total: u32, key: Key, window: u64, me: usize, n: usize, own: bool, gone: &[usize]) -> u32 {
+pub fn base_rights(total: u32, key: Key, window: u64, me: usize, n: usize, own: bool, gone: &[usize]) -> u32 {
     let turn = mix(key.0 ^ mix(window));
-    let mine = if own { part(total, n, me, turn) } else { 0 };
-    let taken = gone.iter().filter(|g| **g != me).map(|g| {
-        let of = part(total, n, *g, turn);
-        // The index of this instance among all but `g`.
-        let place = if me > *g { me - 1 } else { me };
-        part(of, n - 1, place, turn >> 32)
+    let own_part = if own { equal_part(total, n, me, turn) } else { 0 };
+    let inherited = gone.iter().filter(|gone_one| **gone_one != me).map(|gone_one| {
+        let gone_part = equal_part(total, n, *gone_one, turn);
+        // The index of this instance among all but `gone_one`.
+        let position = if me > *gone_one { me - 1 } else { me };
+        equal_part(gone_part, n - 1, position, turn >> 32)
     });
-    mine + taken.sum::<u32>()
+    own_part + inherited.sum::<u32>()
 }
 
 /// Counters reported by one run of an instance for one window. They never decrease, so the larger value is
@@ -55,22 +55,22 @@
 
 impl Slots {
     /// Merges reported counters into one slot; returns whether it changed.
-    pub fn hear(&mut self, instance: u16, boot: Boot, said: Slot) -> bool {
+    pub fn update(&mut self, instance: u16, boot: Boot, reported: Slot) -> bool {
         let slot = self.0.entry((instance, boot)).or_default();
-        let before = *slot;
-        *slot = Slot { spent: slot.spent.max(said.spent), given: slot.given.max(said.given) };
-        *slot != before
+        let previous = *slot;
+        *slot = Slot { spent: slot.spent.max(reported.spent), given: slot.given.max(reported.given) };
+        *slot != previous
     }
 
     /// Merges another copy of the slots.
     pub fn merge(&mut self, other: &Self) {
         for ((instance, boot), slot) in &other.0 {
-            self.hear(*instance, *boot, *slot);
+            self.update(*instance, *boot, *slot);
         }
     }
 
     /// The amount transferred to this instance.
-    pub fn got(&self) -> u32 {
+    pub fn received(&self) -> u32 {
         self.0.values().fold(0, |sum, slot| sum.saturating_add(slot.given))
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// The totals of one instance over all its runs.
-    pub fn of(&self, instance: u16) -> Slot {
+    pub fn total_of(&self, instance: u16) -> Slot {
         let range = (instance, Boot(0))..=(instance, Boot(u64::MAX));
         self.0.range(range).fold(Slot::default(), |sum, (_, slot)| Slot {
             spent: sum.spent.saturating_add(slot.spent),
@@ -89,7 +89,7 @@
     }
 
     /// The amount that one run of an instance has transferred to this one.
-    pub fn said(&self, instance: u16, boot: Boot) -> u32 {
+    pub fn given_by(&self, instance: u16, boot: Boot) -> u32 {
         self.0.get(&(instance, boot)).map_or(0, |slot| slot.given)
     }
 
@@ -134,12 +134,12 @@
     /// The rights that remain: `base` plus what was received, less `spent` and what was transferred to
     /// others.
     pub fn held(&self, base: u32, spent: u32) -> u32 {
-        let all = u64::from(base) + u64::from(self.slots.got());
-        all.saturating_sub(u64::from(spent) + u64::from(self.given())).min(u64::from(u32::MAX)) as u32
+        let total = u64::from(base) + u64::from(self.slots.received());
+        total.saturating_sub(u64::from(spent) + u64::from(self.given())).min(u64::from(u32::MAX)) as u32
     }
 
     /// Transfers up to `amount`, limited by the rights that remain; returns the amount transferred.
-    pub fn give(&mut self, instance: u16, boot: Boot, amount: u32, base: u32, spent: u32) -> u32 {
+    pub fn transfer(&mut self, instance: u16, boot: Boot, amount: u32, base: u32, spent: u32) -> u32 {
         let amount = amount.min(self.held(base, spent));
         if amount > 0 {
             *self.given.entry((instance, boot)).or_default() += amount;
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -4,25 +4,25 @@
 
 use serde::Serialize;
 
-use crate::ledger::{base, mix, part, Boot, Key, Rights, Slot};
-use crate::votes::{Lives, Replay, Votes};
-use crate::wire::{room, Bad, Entry, Message, Secret, INSTANCES_MOST};
+use crate::ledger::{base_rights, equal_part, mix, Boot, Key, Rights, Slot};
+use crate::votes::{Replay, Runs, Votes};
+use crate::wire::{max_entries, Bad, Entry, Message, Secret, MAX_INSTANCES};
 
 /// An instance requests this many times its expected need.
-const AHEAD: f64 = 1.1;
+const DEMAND_HEADROOM_FACTOR: f64 = 1.1;
 /// The share of a window after which rights for the next window are requested.
-const EARLY: f64 = 0.4;
+const NEXT_WINDOW_REQUEST_SHARE: f64 = 0.4;
 /// Minimum number of datagrams sent to peers in rotation at each exchange.
-const FAN_OUT: usize = 8;
+const MIN_FAN_OUT: usize = 8;
 /// Minimum number of messages from each instance to each other one in a window.
-const WORDS_A_WINDOW: u64 = 4;
+const MIN_MESSAGES_PER_WINDOW: u64 = 4;
 /// One of this many entry slots of a datagram is reserved for wants in rotation; the others go to the largest
 /// wants first.
-const BY_TURNS: usize = 4;
+const ROTATION_SLOT_DIVISOR: usize = 4;
 /// One datagram in this many carries a digest.
-const DIGEST_EVERY: u64 = 16;
+const DIGEST_INTERVAL_DATAGRAMS: u64 = 16;
 /// Maximum number of slots of other instances kept over all keys, about 2.5 MB.
-const SLOTS_MOST: usize = 1 << 16;
+const MAX_SLOTS: usize = 1 << 16;
 
 /// Settings of the exchange between instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,16 +50,16 @@
     /// # Errors
     /// The invalid field and what was expected.
     pub fn check(&self) -> Result<(), String> {
-        let within = |name: &str, n: u64, least: u64, most: u64| {
-            let fits = (least..=most).contains(&n);
-            fits.then_some(()).ok_or_else(|| format!("{name}: {least} to {most} expected, not {n}"))
+        let check_range = |name: &str, value: u64, min: u64, max: u64| {
+            let fits = (min..=max).contains(&value);
+            fits.then_some(()).ok_or_else(|| format!("{name}: {min} to {max} expected, not {value}"))
         };
-        within("instances", self.instances as u64, 1, INSTANCES_MOST as u64)?;
-        within("number", self.number as u64, 0, self.instances as u64 - 1)?;
-        within("window_ms", self.window_ms, 100, 3_600_000)?;
-        within("exchange_ms", self.exchange_ms, 10, self.window_ms / 4)?;
-        within("gone_ms", self.gone_ms, 2 * self.exchange_ms, 3_600_000)?;
-        within("shared_most", self.shared_most as u64, 1, 1 << 16)
+        check_range("instances", self.instances as u64, 1, MAX_INSTANCES as u64)?;
+        check_range("number", self.number as u64, 0, self.instances as u64 - 1)?;
+        check_range("window_ms", self.window_ms, 100, 3_600_000)?;
+        check_range("exchange_ms", self.exchange_ms, 10, self.window_ms / 4)?;
+        check_range("gone_ms", self.gone_ms, 2 * self.exchange_ms, 3_600_000)?;
+        check_range("shared_most", self.shared_most as u64, 1, 1 << 16)
     }
 }
 
@@ -87,8 +87,8 @@
     before: (u32, u32),
     /// Cached amount that can still be spent in this window.
     held: u32,
-    /// The `Usage::view` that `held` was computed for.
-    view: u64,
+    /// The `Usage::votes_revision` that `held` was computed for.
+    votes_revision: u64,
 }
 
 /// A key whose rights are transferred between instances.
@@ -101,7 +101,7 @@
     /// The amount wanted from the others in each window.
     wants: [u32; 2],
     /// The estimated rights that all others hold together in each window.
-    thought: [u64; 2],
+    estimated_total: [u64; 2],
     /// The version of the last transfer of this key.
     version: u64,
 }
@@ -109,31 +109,31 @@
 /// Another instance.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    lives: Lives,
+    runs: Runs,
     replay: Replay,
     /// When it last proved to be running.
-    heard_at: Option<u64>,
+    last_seen: Option<u64>,
     /// By how much its clock appeared ahead of this one's, and this one's ahead of its clock. Each is too
     /// small by the network delay of the datagram.
-    ahead: (i64, i64),
+    clock_ahead: (i64, i64),
     /// The latest version of the peer that was received here.
-    theirs: u64,
+    their_version: u64,
     /// The latest version of this instance that the peer acknowledged.
-    acked: u64,
+    acked_version: u64,
     /// The number of the last datagram sent to it.
-    turn: u64,
+    last_number: u64,
     /// A datagram is to be sent to it: it waits for rights, or it is its turn in the rotation.
     urgent: bool,
     /// Handles of the keys with transfers to it since the last datagram.
-    due: Vec<usize>,
+    changed_handles: Vec<usize>,
 }
 
 impl Peer {
     /// The least amount by which its clock must be ahead; 0 if network delays can explain all of the
     /// difference.
-    fn surely_ahead(&self) -> i64 {
-        let (least, most) = (self.ahead.0, self.ahead.1.saturating_neg());
-        0.clamp(least.min(most), most.max(least))
+    fn min_clock_ahead(&self) -> i64 {
+        let (low, high) = (self.clock_ahead.0, self.clock_ahead.1.saturating_neg());
+        0.clamp(low.min(high), high.max(low))
     }
 }
 
@@ -191,18 +191,18 @@
 /// One instance.
 #[derive(Debug)]
 pub struct Usage {
-    set: Settings,
+    settings: Settings,
     secret: Secret,
     boot: Boot,
     /// The latest time passed in, corrected by `offset`, in milliseconds.
     now: u64,
     /// The correction of the local clock by the other instances' clocks, in milliseconds.
     offset: i64,
-    began: u64,
+    started_at: u64,
     window: u64,
     votes: Votes,
     /// Incremented with each vote, as the parts may have changed.
-    view: u64,
+    votes_revision: u64,
     /// Whether this instance owns its part, and the instances whose parts are divided, in the current window
     /// and the next.
     parts: [(bool, Vec<usize>); 2],
@@ -215,17 +215,17 @@
     /// Counts the times that wants were computed.
     round: u64,
     /// Handles of the keys that rights are wanted of, the largest want first.
-    wishes: Vec<usize>,
+    wanted_handles: Vec<usize>,
     /// Maps the version of the last transfer of a key to the key's handle.
     changed: BTreeMap<u64, usize>,
     version: u64,
     peers: Vec<Peer>,
     /// Whether instances with another list may be running: one was seen, or not all of this list have been
     /// seen in this run.
-    strictly: bool,
+    strict_majority: bool,
     /// The peer last served by the rotation.
-    turn: usize,
-    spoke: u64,
+    rotation: usize,
+    last_exchange: u64,
     /// The number of rejected datagrams.
     pub refused: u64,
 }
@@ -235,20 +235,20 @@
     ///
     /// # Errors
     /// The invalid field of the settings and what was expected.
-    pub fn new(set: Settings, secret: Secret, boot: Boot, now: u64) -> Result<Self, String> {
-        set.check()?;
-        let window = now / set.window_ms;
+    pub fn new(settings: Settings, secret: Secret, boot: Boot, now: u64) -> Result<Self, String> {
+        settings.check()?;
+        let window = now / settings.window_ms;
         Ok(Self {
-            votes: Votes::new(set.instances, set.number, window),
-            peers: vec![Peer::default(); set.instances],
-            set,
+            votes: Votes::new(settings.instances, settings.number, window),
+            peers: vec![Peer::default(); settings.instances],
+            settings,
             secret,
             boot,
             now,
             offset: 0,
-            began: now,
+            started_at: now,
             window,
-            view: 1,
+            votes_revision: 1,
             parts: Default::default(),
             counts: Vec::new(),
             by_key: HashMap::new(),
@@ -256,12 +256,12 @@
             shared: BTreeMap::new(),
             slots: 0,
             round: 0,
-            wishes: Vec::new(),
+            wanted_handles: Vec::new(),
             changed: BTreeMap::new(),
             version: 0,
-            strictly: true,
-            turn: 0,
-            spoke: 0,
+            strict_majority: true,
+            rotation: 0,
+            last_exchange: 0,
             refused: 0,
         })
     }
@@ -275,7 +275,7 @@
         });
         if self.counts[handle].allowance != allowance {
             self.counts[handle].allowance = allowance;
-            self.counts[handle].view = 0;
+            self.counts[handle].votes_revision = 0;
         }
         handle
     }
@@ -288,8 +288,8 @@
     fn base(&self, handle: usize, window: u64) -> u32 {
         let count = &self.counts[handle];
         let (own, gone) = &self.parts[(window - self.window) as usize];
-        let (me, n) = (self.set.number, self.set.instances);
-        base(count.allowance, Key(count.key), window, me, n, *own, gone)
+        let (me, n) = (self.settings.number, self.settings.instances);
+        base_rights(count.allowance, Key(count.key), window, me, n, *own, gone)
     }
 
     /// The amount held of a key in the current window (0) or the next (1).
@@ -304,92 +304,92 @@
     }
 
     /// Rolls the counters of a key over to the current window and refreshes `held`.
-    fn turned(&mut self, handle: usize) {
+    fn roll_over(&mut self, handle: usize) {
         let (window, count) = (self.window, &mut self.counts[handle]);
         if count.window != window {
             if count.window + 1 < window {
                 self.active.push(handle);
             }
             count.before = if count.window + 1 == window { (count.spent, count.asked) } else { (0, 0) };
-            (count.window, count.spent, count.asked, count.view) = (window, 0, 0, 0);
+            (count.window, count.spent, count.asked, count.votes_revision) = (window, 0, 0, 0);
         }
-        if self.counts[handle].view != self.view {
+        if self.counts[handle].votes_revision != self.votes_revision {
             self.counts[handle].held = self.held(handle, 0);
-            self.counts[handle].view = self.view;
+            self.counts[handle].votes_revision = self.votes_revision;
         }
     }
 
     /// Spends the given amounts of all these keys, or nothing at all; returns whether they were spent.
     pub fn spend(&mut self, wants: &[(usize, u32)]) -> bool {
         for (handle, amount) in wants {
-            self.turned(*handle);
+            self.roll_over(*handle);
             self.counts[*handle].asked = self.counts[*handle].asked.saturating_add(*amount);
         }
-        let within = wants.iter().all(|(handle, amount)| self.counts[*handle].held >= *amount);
-        if within {
+        let has_enough = wants.iter().all(|(handle, amount)| self.counts[*handle].held >= *amount);
+        if has_enough {
             for (handle, amount) in wants {
                 let count = &mut self.counts[*handle];
                 (count.held, count.spent) = (count.held - amount, count.spent + amount);
             }
         }
-        within
+        has_enough
     }
 
     /// Advances the time and appends the datagrams to be sent.
     pub fn tick(&mut self, clock: u64, out: &mut Vec<Datagram>) {
         self.now = clock.saturating_add_signed(self.offset).max(1);
         // Only at exchanges, not for each datagram: an attacker may send very many forged ones.
-        let due = self.now.abs_diff(self.spoke) >= self.set.exchange_ms;
+        let due = self.now.abs_diff(self.last_exchange) >= self.settings.exchange_ms;
         if due {
             self.set_clock();
         }
-        self.enter();
+        self.enter_window();
         if due {
-            self.spoke = self.now;
-            self.reckon();
-            self.speak(out);
+            self.last_exchange = self.now;
+            self.compute_wants();
+            self.exchange(out);
         }
     }
 
     /// Milliseconds until [`Usage::tick`] is to be called again.
     pub fn due_in(&self) -> u64 {
-        let end = (self.window + 1) * self.set.window_ms;
-        let speaks = (self.spoke + self.set.exchange_ms).saturating_sub(self.now);
-        speaks.min(end.saturating_sub(self.now)).clamp(1, self.set.exchange_ms)
+        let window_end = (self.window + 1) * self.settings.window_ms;
+        let until_exchange = (self.last_exchange + self.settings.exchange_ms).saturating_sub(self.now);
+        until_exchange.min(window_end.saturating_sub(self.now)).clamp(1, self.settings.exchange_ms)
     }
 
     /// Adjusts the clock to the median of the running instances if they are a majority of all, this one
     /// included, and the median differs by more than half a window. With the clocks evenly divided no
     /// instance moves: otherwise both halves would, and would be as far apart as before.
     fn set_clock(&mut self) {
-        let alive = |p: &&Peer| p.heard_at.is_some_and(|at| self.now.abs_diff(at) < self.set.gone_ms);
-        let mut ahead: Vec<i64> = self.peers.iter().filter(alive).map(Peer::surely_ahead).collect();
-        ahead.push(0);
-        if 2 * ahead.len() <= self.set.instances {
+        let alive = |p: &&Peer| p.last_seen.is_some_and(|at| self.now.abs_diff(at) < self.settings.gone_ms);
+        let mut offsets: Vec<i64> = self.peers.iter().filter(alive).map(Peer::min_clock_ahead).collect();
+        offsets.push(0);
+        if 2 * offsets.len() <= self.settings.instances {
             return;
         }
-        ahead.sort_unstable();
-        let (low, high) = (ahead[(ahead.len() - 1) / 2], ahead[ahead.len() / 2]);
+        offsets.sort_unstable();
+        let (low, high) = (offsets[(offsets.len() - 1) / 2], offsets[offsets.len() / 2]);
         let median = 0.clamp(low, high);
-        if median.unsigned_abs() > self.set.window_ms / 2 {
+        if median.unsigned_abs() > self.settings.window_ms / 2 {
             self.offset += median;
-            let before = self.now;
+            let previous = self.now;
             self.now = self.now.saturating_add_signed(median).max(1);
             // Shift all times that were taken by the old clock.
-            let move_on = |at: u64| at.saturating_add_signed(median);
-            self.began = move_on(self.began);
-            self.spoke = move_on(self.spoke);
+            let shift = |at: u64| at.saturating_add_signed(median);
+            self.started_at = shift(self.started_at);
+            self.last_exchange = shift(self.last_exchange);
             for peer in &mut self.peers {
-                peer.ahead = (peer.ahead.0 - median, peer.ahead.1 + median);
-                peer.heard_at = peer.heard_at.map(move_on);
+                peer.clock_ahead = (peer.clock_ahead.0 - median, peer.clock_ahead.1 + median);
+                peer.last_seen = peer.last_seen.map(shift);
             }
-            if before / self.set.window_ms != self.now / self.set.window_ms {
-                let from = std::mem::replace(&mut self.window, self.now / self.set.window_ms);
-                self.votes.restart(from, self.window);
+            if previous / self.settings.window_ms != self.now / self.settings.window_ms {
+                let from_window = std::mem::replace(&mut self.window, self.now / self.settings.window_ms);
+                self.votes.move_to(from_window, self.window);
                 self.shared.clear();
                 self.changed.clear();
                 self.slots = 0;
-                self.revote();
+                self.update_parts();
                 for count in &mut self.counts {
                     // No rights of a window that was entered by a wrong clock are kept.
                     (count.window, count.spent, count.asked, count.before) = (0, 0, 0, (0, 0));
@@ -399,21 +399,21 @@
     }
 
     /// Recomputes `parts` after a change of the votes.
-    fn revote(&mut self) {
-        self.view += 1;
+    fn update_parts(&mut self) {
+        self.votes_revision += 1;
         self.parts = [0, 1].map(|which| {
             let window = self.window + which;
-            (self.votes.holds(window, self.strictly), self.votes.gone(window))
+            (self.votes.owns_part(window, self.strict_majority), self.votes.gone(window))
         });
     }
 
     /// Enters the window of the current time if it is a new one, and casts the ballot that is due.
-    fn enter(&mut self) {
-        let window = self.now / self.set.window_ms;
+    fn enter_window(&mut self) {
+        let window = self.now / self.settings.window_ms;
         if window > self.window {
             let next = window == self.window + 1;
             self.window = window;
-            self.revote();
+            self.update_parts();
             let counts = &self.counts;
             self.active.retain(|handle| counts[*handle].window + 1 >= window);
             let mut slots = 0;
@@ -433,16 +433,16 @@
             self.slots = slots;
             self.changed.retain(|_, handle| self.shared.contains_key(handle));
         }
-        let (now, gone, began) = (self.now, self.set.gone_ms, self.began);
+        let (now, gone, started_at) = (self.now, self.settings.gone_ms, self.started_at);
         let peers = &self.peers;
-        let cast = self.votes.cast(self.window, |who| match peers[who].heard_at {
+        let cast = self.votes.cast(self.window, |who| match peers[who].last_seen {
             Some(at) if now.abs_diff(at) < gone => Some(true),
             // After a start this instance has not listened for long enough to tell.
-            _ if now.abs_diff(began) < gone => None,
+            _ if now.abs_diff(started_at) < gone => None,
             _ => Some(false),
         });
         if cast {
-            self.revote();
+            self.update_parts();
         }
     }
 
@@ -454,19 +454,19 @@
             1 => (0, count.asked),
             _ => (0, 0),
         };
-        let into = (self.now % self.set.window_ms) as f64 / self.set.window_ms as f64;
-        let so_far = f64::from(asked) / into.max(0.02);
+        let elapsed_share = (self.now % self.settings.window_ms) as f64 / self.settings.window_ms as f64;
+        let so_far = f64::from(asked) / elapsed_share.max(0.02);
         // Weights the previous window more at first and the current one later.
-        let rate = if asked > 0 || into > 0.2 {
-            so_far * into + f64::from(before) * (1.0 - into)
+        let rate = if asked > 0 || elapsed_share > 0.2 {
+            so_far * elapsed_share + f64::from(before) * (1.0 - elapsed_share)
         } else {
             f64::from(before)
         };
-        [(rate * (1.0 - into)).max(0.0), rate]
+        [(rate * (1.0 - elapsed_share)).max(0.0), rate]
     }
 
     /// Marks a key as changed under a new version, so that its transfers are sent to the peers.
-    fn touch(&mut self, handle: usize) {
+    fn mark_changed(&mut self, handle: usize) {
         let Some(shared) = self.shared.get_mut(&handle) else { return };
         self.changed.remove(&shared.version);
         self.version += 1;
@@ -475,111 +475,117 @@
     }
 
     /// Starts sharing a key; returns `false` if too many are shared.
-    fn share(&mut self, handle: usize) -> bool {
+    fn start_sharing(&mut self, handle: usize) -> bool {
         if self.shared.contains_key(&handle) {
             return true;
         }
-        if self.shared.len() >= self.set.shared_most {
+        if self.shared.len() >= self.settings.shared_most {
             return false;
         }
         let rights = [Rights::new(self.window), Rights::new(self.window + 1)];
         self.shared.insert(
             handle,
-            Shared { rights, others: Default::default(), wants: [0; 2], thought: [0; 2], version: 0 },
+            Shared { rights, others: Default::default(), wants: [0; 2], estimated_total: [0; 2], version: 0 },
         );
         true
     }
 
     /// Computes the amounts wanted from the others for each active key.
-    fn reckon(&mut self) {
-        let early = (self.now % self.set.window_ms) as f64 >= EARLY * self.set.window_ms as f64;
-        if self.set.instances == 1 {
+    fn compute_wants(&mut self) {
+        let requests_next = (self.now % self.settings.window_ms) as f64
+            >= NEXT_WINDOW_REQUEST_SHARE * self.settings.window_ms as f64;
+        if self.settings.instances == 1 {
             return;
         }
         self.round += 1;
-        let mut wishes = Vec::new();
+        let mut wanted_handles = Vec::new();
         for handle in self.active.clone() {
             let expected = self.expected(handle);
-            let want = |which: usize| {
-                let need = AHEAD * expected[which] + 1.0;
+            let amount_wanted = |which: usize| {
+                let need = DEMAND_HEADROOM_FACTOR * expected[which] + 1.0;
                 let held = f64::from(self.held(handle, which));
-                let asks = (which == 0 || early) && expected[which] > 0.0 && need > held;
-                if asks {
+                let is_short = (which == 0 || requests_next) && expected[which] > 0.0 && need > held;
+                if is_short {
                     (need - held).min(f64::from(self.counts[handle].allowance)).ceil() as u32
                 } else {
                     0
                 }
             };
-            let wants = [want(0), want(1)];
+            let wants = [amount_wanted(0), amount_wanted(1)];
             if wants == [0, 0] && !self.shared.contains_key(&handle) {
                 continue;
             }
-            if self.share(handle) {
-                let thought = [0, 1].map(|which| match wants[which] {
+            if self.start_sharing(handle) {
+                let estimated_total = [0, 1].map(|which| match wants[which] {
                     0 => 0,
-                    _ => self.thought_of_all(handle, which),
+                    _ => self.estimated_held_by_all(handle, which),
                 });
                 self.shared
                     .get_mut(&handle)
                     .into_iter()
-                    .for_each(|s| (s.wants, s.thought) = (wants, thought));
+                    .for_each(|s| (s.wants, s.estimated_total) = (wants, estimated_total));
                 if wants != [0, 0] {
-                    wishes.push((wants[0].max(wants[1]), handle));
+                    wanted_handles.push((wants[0].max(wants[1]), handle));
                 }
             }
         }
         // The largest wants first.
-        wishes.sort_unstable_by(|a, b| b.cmp(a));
-        self.wishes = wishes.into_iter().map(|(_, handle)| handle).collect();
+        wanted_handles.sort_unstable_by(|a, b| b.cmp(a));
+        self.wanted_handles = wanted_handles.into_iter().map(|(_, handle)| handle).collect();
     }
 
     /// The estimated amount that another instance holds of a key.
-    fn thought(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u64 {
+    fn estimated_held(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u64 {
         match shared.others[which].get(&(peer as u16)) {
             Some((held, _)) => u64::from(*held),
             // Nothing was reported: assume that it holds all of its part.
-            None => u64::from(part(self.counts[handle].allowance, self.set.instances, 0, 0)).max(1),
+            None => {
+                u64::from(equal_part(self.counts[handle].allowance, self.settings.instances, 0, 0)).max(1)
+            }
         }
     }
 
     /// The estimated amount that all other running instances hold together.
-    fn thought_of_all(&self, handle: usize, which: usize) -> u64 {
+    fn estimated_held_by_all(&self, handle: usize, which: usize) -> u64 {
         let Some(shared) = self.shared.get(&handle) else { return 0 };
-        let listened = |who: &usize| *who != self.set.number && self.peers[*who].lives.now.is_some();
-        let all = (0..self.set.instances).filter(listened);
-        all.map(|who| self.thought(shared, handle, which, who)).sum()
+        let is_running =
+            |who: &usize| *who != self.settings.number && self.peers[*who].runs.current.is_some();
+        let others = (0..self.settings.instances).filter(is_running);
+        others.map(|who| self.estimated_held(shared, handle, which, who)).sum()
     }
 
     /// The amount to request from one peer: the total wanted, in proportion to what the peers are estimated
     /// to hold.
     fn want_of(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u32 {
-        let (want, all) = (u64::from(shared.wants[which]), shared.thought[which]);
+        let (want, all) = (u64::from(shared.wants[which]), shared.estimated_total[which]);
         if want == 0 || all == 0 {
             return 0;
         }
-        (want * self.thought(shared, handle, which, peer)).div_ceil(all).min(want) as u32
+        (want * self.estimated_held(shared, handle, which, peer)).div_ceil(all).min(want) as u32
     }
 
     /// Sends datagrams to the peers that wait and to some others in rotation.
-    fn speak(&mut self, out: &mut Vec<Datagram>) {
-        let n = self.set.instances;
-        let a_window = (self.set.window_ms / self.set.exchange_ms).max(1);
-        let fan_out = FAN_OUT.max((n as u64 * WORDS_A_WINDOW).div_ceil(a_window) as usize).min(n - 1);
+    fn exchange(&mut self, out: &mut Vec<Datagram>) {
+        let n = self.settings.instances;
+        let exchanges_per_window = (self.settings.window_ms / self.settings.exchange_ms).max(1);
+        let fan_out = MIN_FAN_OUT
+            .max((n as u64 * MIN_MESSAGES_PER_WINDOW).div_ceil(exchanges_per_window) as usize)
+            .min(n - 1);
         for _ in 0..fan_out {
-            self.turn = (self.turn + 1) % n;
-            if self.turn == self.set.number {
-                self.turn = (self.turn + 1) % n;
+            self.rotation = (self.rotation + 1) % n;
+            if self.rotation == self.settings.number {
+                self.rotation = (self.rotation + 1) % n;
             }
-            self.peers[self.turn].urgent = true;
+            self.peers[self.rotation].urgent = true;
         }
-        self.answer(out);
+        self.send_urgent(out);
     }
 
     /// Sends datagrams to the peers marked urgent.
-    fn answer(&mut self, out: &mut Vec<Datagram>) {
-        for to in 0..self.set.instances {
-            if std::mem::take(&mut self.peers[to].urgent) && to != self.set.number {
-                out.push(Datagram { to, bytes: self.word_to(to).write(&self.secret) });
+    fn send_urgent(&mut self, out: &mut Vec<Datagram>) {
+        for to in 0..self.settings.instances {
+            if std::mem::take(&mut self.peers[to].urgent) && to != self.settings.number {
+                out.push(Datagram { to, bytes: self.message_to(to).write(&self.secret) });
             }
         }
     }
@@ -600,80 +606,87 @@
 
     /// The entries for a peer, as far as there is room: the transfers that it has not acknowledged, then the
     /// amounts wanted from it. Also returns the version up to which the transfers are complete.
-    fn news_for(&self, to: usize, to_boot: Boot, acked: u64) -> (Vec<Entry>, u64) {
-        let most = room(self.set.instances);
-        let of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
-        let due = self.peers[to].due.iter().flat_map(|handle| of(*handle));
-        let mut entries: Vec<Entry> = due.filter(|e| e.given > 0).take(most).collect();
-        let mut upto = self.version;
-        for (version, handle) in self.changed.range(acked + 1..) {
-            if entries.len() + 2 > most {
-                upto = version - 1;
+    fn entries_for(&self, to: usize, to_boot: Boot, acked_version: u64) -> (Vec<Entry>, u64) {
+        let max_count = max_entries(self.settings.instances);
+        let entries_of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
+        let transfers = self.peers[to].changed_handles.iter().flat_map(|handle| entries_of(*handle));
+        let mut entries: Vec<Entry> = transfers.filter(|e| e.given > 0).take(max_count).collect();
+        let mut up_to_version = self.version;
+        for (version, handle) in self.changed.range(acked_version + 1..) {
+            if entries.len() + 2 > max_count {
+                up_to_version = version - 1;
                 break;
             }
-            entries.extend(of(*handle).filter(|e| e.given > 0));
+            entries.extend(entries_of(*handle).filter(|e| e.given > 0));
         }
-        let left = most - entries.len().min(most);
-        let first = left - left / BY_TURNS;
-        let start = (self.peers[to].turn as usize * left) % self.wishes.len().max(1);
-        let turns = self.wishes.iter().cycle().skip(start).take(self.wishes.len());
-        let wishes = self.wishes.iter().take(first).chain(turns.take(left));
-        entries.extend(wishes.flat_map(|handle| of(*handle)).filter(|e| e.want > 0).take(left));
-        (entries, upto)
+        let remaining = max_count - entries.len().min(max_count);
+        let by_size = remaining - remaining / ROTATION_SLOT_DIVISOR;
+        let start = (self.peers[to].last_number as usize * remaining) % self.wanted_handles.len().max(1);
+        let rotation = self.wanted_handles.iter().cycle().skip(start).take(self.wanted_handles.len());
+        let wants = self.wanted_handles.iter().take(by_size).chain(rotation.take(remaining));
+        entries.extend(wants.flat_map(|handle| entries_of(*handle)).filter(|e| e.want > 0).take(remaining));
+        (entries, up_to_version)
     }
 
-    fn word_to(&mut self, to: usize) -> Message {
-        self.peers[to].turn += 1;
+    fn message_to(&mut self, to: usize) -> Message {
+        self.peers[to].last_number += 1;
         let peer = &self.peers[to];
-        let to_boot = peer.lives.addressed(peer.turn);
-        let known = peer.lives.now == Some(to_boot);
-        let (entries, upto) =
-            if known { self.news_for(to, to_boot, peer.acked) } else { (Vec::new(), peer.acked) };
-        self.peers[to].due.clear();
+        let to_boot = peer.runs.addressee(peer.last_number);
+        let known = peer.runs.current == Some(to_boot);
+        let (entries, up_to_version) = if known {
+            self.entries_for(to, to_boot, peer.acked_version)
+        } else {
+            (Vec::new(), peer.acked_version)
+        };
+        self.peers[to].changed_handles.clear();
         let peer = &self.peers[to];
-        let digest = (known && peer.turn.is_multiple_of(DIGEST_EVERY) && upto == self.version)
+        let digest = (known
+            && peer.last_number.is_multiple_of(DIGEST_INTERVAL_DATAGRAMS)
+            && up_to_version == self.version)
             .then(|| self.digest(|rights| rights.given_to(to as u16, to_boot)));
         Message {
-            list: self.set.list,
-            from: self.set.number as u16,
+            list: self.settings.list,
+            from: self.settings.number as u16,
             to: to as u16,
             boot: self.boot,
             to_boot,
-            number: peer.turn,
+            number: peer.last_number,
             time: self.now,
-            heard: peer.theirs,
-            ahead: peer.ahead.0,
+            received_version: peer.their_version,
+            ahead: peer.clock_ahead.0,
             ballots: self.votes.own().to_vec(),
             window: self.window,
-            versions: (peer.acked, upto),
+            versions: (peer.acked_version, up_to_version),
             digest,
             entries,
         }
     }
 
     /// A digest over the transfers in the current window and the next.
-    fn digest(&self, of: impl Fn(&Rights) -> u32) -> u64 {
-        let each = self.shared.iter().flat_map(|(handle, shared)| {
+    fn digest(&self, amount: impl Fn(&Rights) -> u32) -> u64 {
+        let rights_by_key = self.shared.iter().flat_map(|(handle, shared)| {
             let key = self.counts[*handle].key;
             shared.rights.iter().map(move |rights| (key, rights))
         });
-        let one = |(key, rights): (u64, &Rights)| match of(rights) {
+        let digest_one = |(key, rights): (u64, &Rights)| match amount(rights) {
             0 => 0,
             given => mix(key ^ mix(rights.window ^ mix(u64::from(given)))),
         };
-        each.map(one).fold(0, |sum, x| sum ^ x)
+        rights_by_key.map(digest_one).fold(0, |sum, x| sum ^ x)
     }
 
     /// Handles a received datagram and appends the datagrams to be sent at once. Invalid datagrams change
     /// nothing but the counter of rejected ones.
     pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), Bad> {
-        let read = Message::read(bytes, self.set.list, self.set.instances, &self.secret);
-        if read == Err(Bad::OtherList) && !std::mem::replace(&mut self.strictly, true) {
-            self.revote();
+        let result = Message::read(bytes, self.settings.list, self.settings.instances, &self.secret);
+        if result == Err(Bad::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
+            self.update_parts();
         }
-        let message = read.inspect_err(|_| self.refused += 1)?;
+        let message = result.inspect_err(|_| self.refused += 1)?;
         let from = usize::from(message.from);
-        if usize::from(message.to) != self.set.number || from >= self.set.instances || from == self.set.number
+        if usize::from(message.to) != self.settings.number
+            || from >= self.settings.instances
+            || from == self.settings.number
         {
             self.refused += 1;
             return Ok(());
@@ -681,65 +694,67 @@
         let peer = &mut self.peers[from];
         if message.to_boot != self.boot {
             // It may be a replay of any age, so it only proposes a run to address.
-            peer.lives.named(message.boot);
+            peer.runs.set_candidate(message.boot);
             return Ok(());
         }
-        let Some(begins) = peer.lives.proved(message.boot) else {
+        let Some(is_new_run) = peer.runs.confirm(message.boot) else {
             self.refused += 1;
             return Ok(());
         };
-        if begins {
+        if is_new_run {
             if message.window.abs_diff(self.window) <= 2 {
-                self.votes.not_before(message.window + 1);
+                self.votes.raise_first_window(message.window + 1);
             }
             for others in self.shared.values_mut().flat_map(|shared| &mut shared.others) {
                 others.remove(&message.from);
             }
-            let (lives, turn) = (std::mem::take(&mut peer.lives), peer.turn);
-            *peer = Peer { lives, turn, ..Peer::default() };
+            let (runs, last_number) = (std::mem::take(&mut peer.runs), peer.last_number);
+            *peer = Peer { runs, last_number, ..Peer::default() };
         }
-        if !peer.replay.fresh(message.number) {
+        if !peer.replay.accept(message.number) {
             self.refused += 1;
             return Ok(());
         }
-        peer.heard_at = Some(self.now);
-        peer.ahead = (message.time as i64 - self.now as i64, message.ahead);
-        peer.acked = peer.acked.max(message.heard.min(self.version));
-        let all = |(n, p): (usize, &Peer)| n == self.set.number || p.lives.now.is_some();
-        let mut voted = begins && self.strictly && self.peers.iter().enumerate().all(all);
+        peer.last_seen = Some(self.now);
+        peer.clock_ahead = (message.time as i64 - self.now as i64, message.ahead);
+        peer.acked_version = peer.acked_version.max(message.received_version.min(self.version));
+        let is_known = |(n, p): (usize, &Peer)| n == self.settings.number || p.runs.current.is_some();
+        let mut votes_changed =
+            is_new_run && self.strict_majority && self.peers.iter().enumerate().all(is_known);
         // All instances use this list now, so none uses the previous one.
-        self.strictly &= !voted;
-        voted |= begins;
+        self.strict_majority &= !votes_changed;
+        votes_changed |= is_new_run;
         let peer = &mut self.peers[from];
         for ballot in &message.ballots {
-            voted |= self.votes.hear(self.window, from, ballot);
+            votes_changed |= self.votes.record(self.window, from, ballot);
         }
-        let (after, upto) = message.versions;
+        let (after, up_to_version) = message.versions;
         // Transfers in lost datagrams are sent again until they are acknowledged.
-        if after <= peer.theirs {
-            peer.theirs = peer.theirs.max(upto);
+        if after <= peer.their_version {
+            peer.their_version = peer.their_version.max(up_to_version);
         }
-        if voted {
-            self.revote();
+        if votes_changed {
+            self.update_parts();
         }
         for entry in &message.entries {
-            self.take(from, &message, entry);
+            self.apply_entry(from, &message, entry);
         }
         if let Some(digest) = message.digest {
-            let (boot, whose) = (message.boot, message.from);
-            let heard = self.peers[from].theirs == upto && message.window == self.window;
-            if heard && digest != self.digest(|rights| rights.slots.said(whose, boot)) {
+            let (boot, sender) = (message.boot, message.from);
+            let is_complete =
+                self.peers[from].their_version == up_to_version && message.window == self.window;
+            if is_complete && digest != self.digest(|rights| rights.slots.given_by(sender, boot)) {
                 // Something was missed: ask for all transfers again.
-                self.peers[from].theirs = 0;
+                self.peers[from].their_version = 0;
             }
         }
-        self.answer(out);
+        self.send_urgent(out);
         Ok(())
     }
 
     /// Applies an entry about a key from another instance, and transfers rights that it wants and this one
     /// can spare.
-    fn take(&mut self, from: usize, message: &Message, entry: &Entry) {
+    fn apply_entry(&mut self, from: usize, message: &Message, entry: &Entry) {
         let window = message.window + u64::from(entry.next);
         let Some(which) = window.checked_sub(self.window).filter(|which| *which < 2) else { return };
         let which = which as usize;
@@ -755,31 +770,31 @@
             _ => 0,
         };
         // Do not start sharing a key just because a peer reports it: something must be transferred.
-        let matters = entry.given > 0 || (entry.want > 0 && spare > 0);
-        if self.slots >= SLOTS_MOST || (matters && !self.share(handle)) {
+        let affects_rights = entry.given > 0 || (entry.want > 0 && spare > 0);
+        if self.slots >= MAX_SLOTS || (affects_rights && !self.start_sharing(handle)) {
             return;
         }
         let Some(shared) = self.shared.get_mut(&handle) else { return };
         let rights = &mut shared.rights[which];
-        let slots = rights.slots.len();
-        let said = Slot { spent: entry.spent, given: entry.given };
-        let mut changed = rights.slots.hear(message.from, message.boot, said);
-        self.slots += rights.slots.len() - slots;
+        let previous_slots = rights.slots.len();
+        let reported = Slot { spent: entry.spent, given: entry.given };
+        let mut changed = rights.slots.update(message.from, message.boot, reported);
+        self.slots += rights.slots.len() - previous_slots;
         // For the next window the peer may not have received enough votes yet to know its part.
         let held = if which == 1 { entry.held.max(1) } else { entry.held };
-        let before = shared.others[which].insert(message.from, (held, entry.version));
+        let previous = shared.others[which].insert(message.from, (held, entry.version));
         // A repeated version is the same want and must not be granted twice.
-        let again = before.is_some_and(|(_, version)| version >= entry.version);
-        let want = if again { 0 } else { entry.want };
-        let given = rights.give(message.from, message.boot, want.min(spare), base, spent);
+        let is_repeat = previous.is_some_and(|(_, version)| version >= entry.version);
+        let want = if is_repeat { 0 } else { entry.want };
+        let given = rights.transfer(message.from, message.boot, want.min(spare), base, spent);
         changed |= given > 0;
         if changed {
-            self.counts[handle].view = 0;
+            self.counts[handle].votes_revision = 0;
         }
         if given > 0 {
-            self.touch(handle);
+            self.mark_changed(handle);
             self.peers[from].urgent = true;
-            self.peers[from].due.push(handle);
+            self.peers[from].changed_handles.push(handle);
         }
     }
 
@@ -808,43 +823,44 @@
 
     /// The `most` keys with the highest known spending, each with its handle, out of those that were
     /// requested lately or are shared.
-    pub fn top(&self, most: usize) -> Vec<(usize, Share)> {
+    pub fn top(&self, max_count: usize) -> Vec<(usize, Share)> {
         let mut handles: Vec<usize> = self.active.iter().chain(self.shared.keys()).copied().collect();
         handles.sort_unstable();
         handles.dedup();
-        let mut all: Vec<(usize, Share)> =
+        let mut shares: Vec<(usize, Share)> =
             handles.into_iter().map(|handle| (handle, self.show(handle))).collect();
-        all.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
-        let sum = |s: &Share| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
-        all.sort_by_key(|(_, s)| std::cmp::Reverse(sum(s)));
-        all.truncate(most);
-        all
+        shares.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
+        let total_spent = |s: &Share| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
+        shares.sort_by_key(|(_, s)| std::cmp::Reverse(total_spent(s)));
+        shares.truncate(max_count);
+        shares
     }
 
     /// What is known of a key at each of the other instances.
     pub fn explain(&self, handle: usize) -> Vec<Explained> {
         let Some(shared) = self.shared.get(&handle) else { return Vec::new() };
-        let others = (0..self.set.instances).filter(|who| *who != self.set.number);
-        let one = |who: usize| {
-            let slot = shared.rights[0].slots.of(who as u16);
-            let to = self.peers[who].lives.now.map_or(0, |boot| shared.rights[0].given_to(who as u16, boot));
+        let others = (0..self.settings.instances).filter(|who| *who != self.settings.number);
+        let explained = |who: usize| {
+            let slot = shared.rights[0].slots.total_of(who as u16);
+            let given_to =
+                self.peers[who].runs.current.map_or(0, |boot| shared.rights[0].given_to(who as u16, boot));
             let held = shared.others[0].get(&(who as u16)).map(|(held, _)| *held);
-            Explained { instance: who, spent: slot.spent, held, given: (slot.given, to) }
+            Explained { instance: who, spent: slot.spent, held, given: (slot.given, given_to) }
         };
-        others.map(one).collect()
+        others.map(explained).collect()
     }
 
     /// What is known of the other instances.
     pub fn peers(&self) -> Vec<Peers> {
         let gone = self.votes.gone(self.window);
-        let others = (0..self.set.instances).filter(|who| *who != self.set.number);
+        let others = (0..self.settings.instances).filter(|who| *who != self.settings.number);
         let one = |who: usize| {
             let peer = &self.peers[who];
             Peers {
                 instance: who,
-                age_ms: peer.heard_at.map(|at| self.now.saturating_sub(at)),
-                ahead_ms: peer.surely_ahead(),
-                behind: self.version - peer.acked.min(self.version),
+                age_ms: peer.last_seen.map(|at| self.now.saturating_sub(at)),
+                ahead_ms: peer.min_clock_ahead(),
+                behind: self.version - peer.acked_version.min(self.version),
                 gone: gone.contains(&who),
             }
         };
@@ -853,7 +869,7 @@
 
     /// Whether this instance owns its part of the current window.
     pub fn holds_own(&self) -> bool {
-        self.votes.holds(self.window, self.strictly)
+        self.votes.owns_part(self.window, self.strict_majority)
     }
 
     /// The size in bytes of the counters of a key that is not shared, without its entry in the index of keys.
--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -11,18 +11,19 @@
 
 /// A set of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Set(Vec<u8>);
+pub struct InstanceSet(Vec<u8>);
 
-impl Set {
+impl InstanceSet {
     /// The empty set, for `n` instances.
-    pub fn none(n: usize) -> Self {
+    pub fn empty(n: usize) -> Self {
         Self(vec![0; n.div_ceil(8)])
     }
 
     /// Parses the wire format; `None` if it is not a set of `n` instances.
     pub fn read(bytes: &[u8], n: usize) -> Option<Self> {
         let set = Self(bytes.to_vec());
-        (bytes.len() == n.div_ceil(8) && (n..8 * bytes.len()).all(|beyond| !set.has(beyond))).then_some(set)
+        (bytes.len() == n.div_ceil(8) && (n..8 * bytes.len()).all(|index| !set.contains(index)))
+            .then_some(set)
     }
 
     /// The wire format: a bit map.
@@ -31,20 +32,20 @@
     }
 
     /// Whether the set contains this instance.
-    pub fn has(&self, who: usize) -> bool {
+    pub fn contains(&self, who: usize) -> bool {
         self.0.get(who / 8).is_some_and(|byte| byte >> (who % 8) & 1 == 1)
     }
 
     /// Adds an instance; one out of range is ignored.
-    pub fn add(&mut self, who: usize) {
+    pub fn insert(&mut self, who: usize) {
         if let Some(byte) = self.0.get_mut(who / 8) {
             *byte |= 1 << (who % 8);
         }
     }
 
     /// The instances in the set.
-    pub fn all(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
-        (0..n).filter(|who| self.has(*who))
+    pub fn instances(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
+        (0..n).filter(|who| self.contains(*who))
     }
 }
 
@@ -54,16 +55,16 @@
     /// The window.
     pub window: u64,
     /// The instances it votes alive.
-    pub alive: Set,
+    pub alive: InstanceSet,
     /// The instances it votes gone.
-    pub gone: Set,
+    pub gone: InstanceSet,
 }
 
 /// The votes counted for one window: who has voted, and the number of votes for each instance.
 #[derive(Clone, Debug)]
-struct Count {
+struct Tally {
     window: u64,
-    voted: Set,
+    voted: InstanceSet,
     alive: Vec<u16>,
     gone: Vec<u16>,
 }
@@ -74,75 +75,80 @@
     n: usize,
     me: usize,
     /// Indexed by the window's lowest two bits; the previous, the current and the next window are kept.
-    boxes: [Count; 4],
+    tallies: [Tally; 4],
     /// This instance's ballots, to be sent to the others.
     own: Vec<Ballot>,
     /// The first window whose own part this run may use: an earlier run may have spent the parts of earlier
     /// windows.
-    first: u64,
+    first_window: u64,
     /// Ranges of windows that this run entered, or voted for, by a wrong clock: it has no part and no vote
     /// there.
-    barred: Vec<(u64, u64)>,
-    since: u64,
+    excluded: Vec<(u64, u64)>,
+    entered_window: u64,
 }
 
 impl Votes {
     /// No votes yet. A run that begins in `window` does not vote for windows that an earlier run may have
     /// voted for.
     pub fn new(n: usize, me: usize, window: u64) -> Self {
-        let empty = Count { window: 0, voted: Set::none(n), alive: vec![0; n], gone: vec![0; n] };
+        let empty = Tally { window: 0, voted: InstanceSet::empty(n), alive: vec![0; n], gone: vec![0; n] };
         Self {
             n,
             me,
-            boxes: std::array::from_fn(|_| empty.clone()),
+            tallies: std::array::from_fn(|_| empty.clone()),
             own: Vec::new(),
-            first: window + 1,
-            barred: Vec::new(),
-            since: window,
+            first_window: window + 1,
+            excluded: Vec::new(),
+            entered_window: window,
         }
     }
 
     /// Moves from one window to another after a correction of the clock.
-    pub fn restart(&mut self, from: u64, to: u64) {
-        let mut barred = std::mem::take(&mut self.barred);
-        barred.push((self.since, from + 1));
-        *self = Self { barred, ..Self::new(self.n, self.me, to) };
+    pub fn move_to(&mut self, from: u64, to: u64) {
+        let mut excluded = std::mem::take(&mut self.excluded);
+        excluded.push((self.entered_window, from + 1));
+        *self = Self { excluded, ..Self::new(self.n, self.me, to) };
     }
 
     /// Raises the first window whose own part this run may use. Called with the window after that of a peer
     /// first seen: an earlier run may have spent its part in the peer's window.
-    pub fn not_before(&mut self, window: u64) {
-        self.first = self.first.max(window);
+    pub fn raise_first_window(&mut self, window: u64) {
+        self.first_window = self.first_window.max(window);
     }
 
-    fn is_barred(&self, window: u64) -> bool {
-        self.barred.iter().any(|(from, to)| (*from..=*to).contains(&window))
+    fn is_excluded(&self, window: u64) -> bool {
+        self.excluded.iter().any(|(from, to)| (*from..=*to).contains(&window))
     }
 
-    fn of(&self, window: u64) -> Option<&Count> {
-        Some(&self.boxes[(window % 4) as usize]).filter(|b| b.window == window)
+    fn tally(&self, window: u64) -> Option<&Tally> {
+        Some(&self.tallies[(window % 4) as usize]).filter(|count| count.window == window)
     }
 
     /// Counts a ballot and returns whether it counted. Only an instance's first ballot for a window counts,
     /// and only for windows next to the current one, `present`.
-    pub fn hear(&mut self, present: u64, voter: usize, ballot: &Ballot) -> bool {
+    pub fn record(&mut self, present: u64, voter: usize, ballot: &Ballot) -> bool {
         if voter >= self.n || ballot.window.abs_diff(present) > 1 {
             return false;
         }
         let n = self.n;
-        let b = &mut self.boxes[(ballot.window % 4) as usize];
-        if b.window != ballot.window {
-            *b = Count { window: ballot.window, voted: Set::none(n), alive: vec![0; n], gone: vec![0; n] };
+        let count = &mut self.tallies[(ballot.window % 4) as usize];
+        if count.window != ballot.window {
+            *count = Tally {
+                window: ballot.window,
+                voted: InstanceSet::empty(n),
+                alive: vec![0; n],
+                gone: vec![0; n],
+            };
         }
-        if b.voted.has(voter) {
+        if count.voted.contains(voter) {
             return false;
         }
-        b.voted.add(voter);
+        count.voted.insert(voter);
         for who in 0..n {
             // A voter that lists an instance in both sets abstains on it.
-            match (ballot.alive.has(who), ballot.gone.has(who)) {
-                (true, false) => b.alive[who] += 1,
-                (false, true) => b.gone[who] += 1,
+            match (ballot.alive.contains(who), ballot.gone.contains(who)) {
+                (true, false) => count.alive[who] += 1,
+                (false, true) => count.gone[who] += 1,
                 _ => {}
             }
         }
@@ -154,22 +160,26 @@
     /// unknown (`None`).
     pub fn cast(&mut self, present: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
         self.own.retain(|ballot| ballot.window >= present);
-        if present < self.first
-            || self.is_barred(present + 1)
+        if present < self.first_window
+            || self.is_excluded(present + 1)
             || self.own.iter().any(|ballot| ballot.window == present + 1)
         {
             return false;
         }
-        let mut ballot = Ballot { window: present + 1, alive: Set::none(self.n), gone: Set::none(self.n) };
-        ballot.alive.add(self.me);
+        let mut ballot = Ballot {
+            window: present + 1,
+            alive: InstanceSet::empty(self.n),
+            gone: InstanceSet::empty(self.n),
+        };
+        ballot.alive.insert(self.me);
         for who in (0..self.n).filter(|who| *who != self.me) {
             match seen(who) {
-                Some(true) => ballot.alive.add(who),
-                Some(false) => ballot.gone.add(who),
+                Some(true) => ballot.alive.insert(who),
+                Some(false) => ballot.gone.insert(who),
                 None => {}
             }
         }
-        self.hear(present, self.me, &ballot);
+        self.record(present, self.me, &ballot);
         self.own.push(ballot);
         true
     }
@@ -179,22 +189,24 @@
         &self.own
     }
 
-    /// Whether this instance owns its part of a window. With `strictly`, more than half must have voted it
+    /// Whether this instance owns its part of a window. With `strict`, more than half must have voted it
     /// alive: needed while instances may use two different lists, each of which could be half of the other.
-    pub fn holds(&self, window: u64, strictly: bool) -> bool {
-        window >= self.first
-            && !self.is_barred(window)
+    pub fn owns_part(&self, window: u64, strict: bool) -> bool {
+        window >= self.first_window
+            && !self.is_excluded(window)
             && self
-                .of(window)
-                .is_some_and(|b| 2 * usize::from(b.alive[self.me]) >= self.n + usize::from(strictly))
+                .tally(window)
+                .is_some_and(|count| 2 * usize::from(count.alive[self.me]) >= self.n + usize::from(strict))
     }
 
     /// The instances whose parts of a window are divided among the others.
     pub fn gone(&self, window: u64) -> Vec<usize> {
-        let Some(b) = self.of(window).filter(|_| window >= self.first && !self.is_barred(window)) else {
+        let Some(count) =
+            self.tally(window).filter(|_| window >= self.first_window && !self.is_excluded(window))
+        else {
             return Vec::new();
         };
-        (0..self.n).filter(|who| *who != self.me && 2 * usize::from(b.gone[*who]) > self.n).collect()
+        (0..self.n).filter(|who| *who != self.me && 2 * usize::from(count.gone[*who]) > self.n).collect()
     }
 }
 
@@ -208,7 +220,7 @@
 
 impl Replay {
     /// Records a number and returns whether it is new. Numbers 64 or more behind the last count as seen.
-    pub fn fresh(&mut self, number: u64) -> bool {
+    pub fn accept(&mut self, number: u64) -> bool {
         if number > self.last {
             let ahead = number - self.last;
             self.seen = if ahead < 64 { self.seen << ahead } else { 0 } | 1;
@@ -216,58 +228,59 @@
             return true;
         }
         let behind = self.last - number;
-        let new = number > 0 && behind < 64 && self.seen >> behind & 1 == 0;
-        if new {
+        let is_new = number > 0 && behind < 64 && self.seen >> behind & 1 == 0;
+        if is_new {
             self.seen |= 1 << behind;
         }
-        new
+        is_new
     }
 }
 
 /// The runs of another instance: the current one and those that ended.
 #[derive(Clone, Debug, Default)]
-pub struct Lives {
+pub struct Runs {
     /// The run that last proved to be running.
-    pub now: Option<Boot>,
+    pub current: Option<Boot>,
     /// The latest run seen that has not proved to be running yet.
     pub candidate: Option<Boot>,
-    over: Vec<Boot>,
+    ended: Vec<Boot>,
 }
 
 /// Number of ended runs that are remembered.
-const OVER_MOST: usize = 32;
+const MAX_ENDED_RUNS: usize = 32;
 
-impl Lives {
+impl Runs {
     /// Records that a run has proved to be running. Returns whether it is a new run, or `None` if it has
     /// ended before: an ended run does not return.
-    pub fn proved(&mut self, boot: Boot) -> Option<bool> {
-        if self.over.contains(&boot) {
+    pub fn confirm(&mut self, boot: Boot) -> Option<bool> {
+        if self.ended.contains(&boot) {
             return None;
         }
-        if self.now == Some(boot) {
+        if self.current == Some(boot) {
             return Some(false);
         }
-        if let Some(old) = self.now.replace(boot) {
-            if self.over.len() == OVER_MOST {
-                self.over.remove(0);
+        if let Some(old) = self.current.replace(boot) {
+            if self.ended.len() == MAX_ENDED_RUNS {
+                self.ended.remove(0);
             }
-            self.over.push(old);
+            self.ended.push(old);
         }
         self.candidate = None;
         Some(true)
     }
 
     /// Records a run named by a datagram that may be a replay.
-    pub fn named(&mut self, boot: Boot) {
-        if self.now != Some(boot) && !self.over.contains(&boot) {
+    pub fn set_candidate(&mut self, boot: Boot) {
+        if self.current != Some(boot) && !self.ended.contains(&boot) {
             self.candidate = Some(boot);
         }
     }
 
     /// The run that the next datagram is addressed to: every second one goes to the candidate, which may be a
     /// new run.
-    pub fn addressed(&self, turn: u64) -> Boot {
-        let (now, candidate) = (self.now, self.candidate);
-        if turn.is_multiple_of(2) { candidate.or(now) } else { now.or(candidate) }.unwrap_or(Boot(0))
+    pub fn addressee(&self, number: u64) -> Boot {
+        let (current, candidate) = (self.current, self.candidate);
+        if number.is_multiple_of(2) { candidate.or(current) } else { current.or(candidate) }
+            .unwrap_or(Boot(0))
     }
 }
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -8,13 +8,13 @@
 pub use glenwood_datagram::{Secret, LONGEST};
 
 use crate::ledger::{Boot, Key};
-use crate::votes::{Ballot, Set};
+use crate::votes::{Ballot, InstanceSet};
 
 const MAGIC: u32 = 0x474c_5531;
-const HEAD: usize = 4 + 4 + 2 + 2 + 6 * 8;
-const ENTRY: usize = 8 + 1 + 8 + 4 * 4;
+const HEADER_BYTES: usize = 4 + 4 + 2 + 2 + 6 * 8;
+const ENTRY_BYTES: usize = 8 + 1 + 8 + 4 * 4;
 /// Maximum number of instances; the ballots of this many still leave room for entries.
-pub const INSTANCES_MOST: usize = 1000;
+pub const MAX_INSTANCES: usize = 1000;
 
 /// A report about one key in one window, for one run of one receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// By how much the receiver's clock appeared ahead in its last datagram, in milliseconds.
     pub ahead: i64,
     /// The latest version of the receiver that the sender has received.
-    pub heard: u64,
+    pub received_version: u64,
     /// The sender's ballots.
     pub ballots: Vec<Ballot>,
     /// The window that the entries are about.
@@ -82,8 +82,8 @@
 }
 
 /// The number of entries that fit into a datagram among `n` instances.
-pub fn room(n: usize) -> usize {
-    (LONGEST - HEAD - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY
+pub fn max_entries(n: usize) -> usize {
+    (LONGEST - HEADER_BYTES - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY_BYTES
 }
 
 impl Message {
@@ -94,7 +94,7 @@
         out.extend(self.list.to_be_bytes());
         out.extend(self.from.to_be_bytes());
         out.extend(self.to.to_be_bytes());
-        for number in [self.boot.0, self.to_boot.0, self.number, self.time, self.heard] {
+        for number in [self.boot.0, self.to_boot.0, self.number, self.time, self.received_version] {
             out.extend(number.to_be_bytes());
         }
         out.extend(self.ahead.to_be_bytes());
@@ -126,16 +126,16 @@
     /// # Errors
     /// When it is too long, not authenticated, malformed, or from an instance with another list.
     pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, Bad> {
-        let said = secret.open(bytes).map_err(|unsealed| match unsealed {
+        let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
             Unsealed::Long => Bad::Long,
             Unsealed::Short => Bad::Unreadable,
             Unsealed::Forged => Bad::Forged,
         })?;
-        let mut rest = Reader::new(said);
-        if said.get(4..8).is_some_and(|said| said != list.to_be_bytes()) {
+        let mut reader = Reader::new(payload);
+        if payload.get(4..8).is_some_and(|number| number != list.to_be_bytes()) {
             return Err(Bad::OtherList);
         }
-        Self::parse(&mut rest, n).filter(|_| rest.is_empty()).ok_or(Bad::Unreadable)
+        Self::parse(&mut reader, n).filter(|_| reader.is_empty()).ok_or(Bad::Unreadable)
     }
 
     fn parse(r: &mut Reader, n: usize) -> Option<Self> {
@@ -144,11 +144,11 @@
         }
         let (list, from, to) = (r.u32()?, r.u16()?, r.u16()?);
         let (boot, to_boot) = (Boot(r.u64()?), Boot(r.u64()?));
-        let (number, time, heard, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
+        let (number, time, received_version, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
         let mut ballots = Vec::new();
         for _ in 0..r.take(1)?[0].min(3) {
             let window = r.u64()?;
-            let mut set = || Set::read(r.take(n.div_ceil(8))?, n);
+            let mut set = || InstanceSet::read(r.take(n.div_ceil(8))?, n);
             ballots.push(Ballot { window, alive: set()?, gone: set()? });
         }
         let (window, versions) = (r.u64()?, (r.u64()?, r.u64()?));
@@ -168,7 +168,7 @@
             to_boot,
             number,
             time,
-            heard,
+            received_version,
             ahead,
             ballots,
             window,
--- a/crates/usage/tests/laws.rs
+++ b/crates/usage/tests/laws.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use glenwood_usage::ledger::{base, part, Rights, Slot, Slots};
-use glenwood_usage::votes::{Ballot, Replay, Set, Votes};
+use glenwood_usage::ledger::{base_rights, equal_part, Rights, Slot, Slots};
+use glenwood_usage::votes::{Ballot, InstanceSet, Replay, Votes};
 use glenwood_usage::{Boot, Key};
 use proptest::prelude::*;
 
@@ -11,7 +11,7 @@
     prop::collection::vec((0..4u16, 0..3u64, 0..50u32, 0..50u32), 0..12).prop_map(|all| {
         let mut slots = Slots::default();
         for (instance, boot, spent, given) in all {
-            slots.hear(instance, Boot(boot), Slot { spent, given });
+            slots.update(instance, Boot(boot), Slot { spent, given });
         }
         slots
     })
@@ -30,20 +30,20 @@
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&a, &a), a.clone());
         // Nothing runs backwards.
-        prop_assert!(merged(&a, &b).spent() >= a.spent() && merged(&a, &b).got() >= b.got());
+        prop_assert!(merged(&a, &b).spent() >= a.spent() && merged(&a, &b).received() >= b.received());
     }
 
     #[test]
     fn parts_add_up_to_the_whole_with_any_gone(
         total in any::<u32>(), n in 1..60usize, key in any::<u64>(), window in any::<u64>(), gone in any::<u64>(),
     ) {
-        let parts: u64 = (0..n).map(|who| u64::from(part(total, n, who, key))).sum();
+        let parts: u64 = (0..n).map(|who| u64::from(equal_part(total, n, who, key))).sum();
         prop_assert_eq!(parts, u64::from(total));
         // Of those that are gone, all but the parts that they would have of one another.
         let gone: Vec<usize> = (0..n).filter(|who| gone >> who & 1 == 1).collect();
         let held: u64 = (0..n)
             .filter(|who| !gone.contains(who))
-            .map(|me| u64::from(base(total, Key(key), window, me, n, true, &gone)))
+            .map(|me| u64::from(base_rights(total, Key(key), window, me, n, true, &gone)))
             .sum();
         prop_assert!(held <= u64::from(total));
         if gone.len() <= 1 && gone.len() < n {
@@ -56,28 +56,28 @@
     fn what_was_granted_is_spent_held_or_under_way(
         total in 0..200u32, steps in prop::collection::vec((0..3usize, 0..3usize, 0..40u32, 0..4u8), 1..60),
     ) {
-        let bases: Vec<u32> = (0..3).map(|me| base(total, Key(1), 1, me, 3, true, &[])).collect();
+        let bases: Vec<u32> = (0..3).map(|me| base_rights(total, Key(1), 1, me, 3, true, &[])).collect();
         let mut rights: Vec<Rights> = (0..3).map(|_| Rights::new(1)).collect();
         let mut spent = [0u32; 3];
-        let mut said: Vec<(usize, usize, u32)> = Vec::new();
+        let mut sent: Vec<(usize, usize, u32)> = Vec::new();
         for (a, b, amount, what) in steps {
             match what {
                 0 if rights[a].held(bases[a], spent[a]) >= amount => spent[a] += amount,
                 1 if a != b => {
-                    rights[a].give(b as u16, Boot(1), amount, bases[a], spent[a]);
-                    said.push((a, b, rights[a].given_to(b as u16, Boot(1))));
+                    rights[a].transfer(b as u16, Boot(1), amount, bases[a], spent[a]);
+                    sent.push((a, b, rights[a].given_to(b as u16, Boot(1))));
                 }
-                2 if !said.is_empty() => {
-                    let (from, to, given) = said[amount as usize % said.len()];
-                    rights[to].slots.hear(from as u16, Boot(1), Slot { spent: 0, given });
+                2 if !sent.is_empty() => {
+                    let (from, to, given) = sent[amount as usize % sent.len()];
+                    rights[to].slots.update(from as u16, Boot(1), Slot { spent: 0, given });
                 }
                 _ => {}
             }
             let held: u32 = (0..3).map(|n| rights[n].held(bases[n], spent[n])).sum();
             let given: u32 = rights.iter().map(Rights::given).sum();
-            let got: u32 = rights.iter().map(|r| r.slots.got()).sum();
-            prop_assert!(got <= given);
-            prop_assert_eq!(spent.iter().sum::<u32>() + held + (given - got), total);
+            let received: u32 = rights.iter().map(|r| r.slots.received()).sum();
+            prop_assert!(received <= given);
+            prop_assert_eq!(spent.iter().sum::<u32>() + held + (given - received), total);
         }
     }
 
@@ -97,18 +97,18 @@
         for from in 0..n {
             for to in (0..n).filter(|to| *to != from && bit(reaches[from], *to)) {
                 for ballot in &ballots[from] {
-                    votes[to].hear(window, from, ballot);
+                    votes[to].record(window, from, ballot);
                     // Said again, or otherwise, it counts no more.
-                    let mut other = Ballot { alive: Set::none(n), gone: ballot.alive.clone(), ..ballot.clone() };
-                    (0..n).filter(|who| bit(lies, *who)).for_each(|who| other.alive.add(who));
-                    prop_assert!(!votes[to].hear(window, from, &other));
+                    let mut other = Ballot { alive: InstanceSet::empty(n), gone: ballot.alive.clone(), ..ballot.clone() };
+                    (0..n).filter(|who| bit(lies, *who)).for_each(|who| other.alive.insert(who));
+                    prop_assert!(!votes[to].record(window, from, &other));
                 }
             }
         }
         for holder in 0..n {
             let divided: BTreeSet<usize> =
                 (0..n).filter(|me| *me != holder && votes[*me].gone(window + 1).contains(&holder)).collect();
-            prop_assert!(!votes[holder].holds(window + 1, false) || divided.is_empty(), "{holder} by {divided:?}");
+            prop_assert!(!votes[holder].owns_part(window + 1, false) || divided.is_empty(), "{holder} by {divided:?}");
         }
     }
 
@@ -116,7 +116,7 @@
     fn each_number_is_fresh_once(numbers in prop::collection::vec(1..200u64, 1..300)) {
         let (mut replay, mut seen, mut last) = (Replay::default(), BTreeSet::new(), 0);
         for number in numbers {
-            let fresh = replay.fresh(number);
+            let fresh = replay.accept(number);
             prop_assert!(!fresh || !seen.contains(&number), "{number} twice");
             if !seen.contains(&number) && number + 63 > last {
                 prop_assert!(fresh, "{number} was near enough");
@@ -131,13 +131,13 @@
 fn one_life_has_no_part_of_the_window_that_it_began_in_and_no_vote_for_the_next() {
     let mut votes = Votes::new(1, 0, 100);
     votes.cast(100, |_| None);
-    assert!(votes.own().is_empty() && !votes.holds(100, false) && !votes.holds(101, false));
+    assert!(votes.own().is_empty() && !votes.owns_part(100, false) && !votes.owns_part(101, false));
     votes.cast(101, |_| None);
-    assert!(votes.holds(102, false) && votes.own().len() == 1);
+    assert!(votes.owns_part(102, false) && votes.own().len() == 1);
     // By a clock that went back, it was in these windows before.
-    votes.restart(101, 98);
+    votes.move_to(101, 98);
     for window in 98..105 {
         votes.cast(window, |_| None);
     }
-    assert!(!votes.holds(100, false) && !votes.holds(102, false) && votes.holds(104, false));
+    assert!(!votes.owns_part(100, false) && !votes.owns_part(102, false) && votes.owns_part(104, false));
 }
