--- a/crates/members/tests/common/mod.rs
+++ b/crates/members/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Members in virtual time, with a network that loses, delays, doubles and parts.
+//! Simulates members in virtual time on a network that can lose, delay and duplicate datagrams and cut links.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -7,11 +7,11 @@
 
 use glenwood_members::{Event, Id, Member, Members, Secret, Settings, State};
 
-pub const PROBE: u64 = 100;
+pub const PROBE_MS: u64 = 100;
 const ZONES: usize = 3;
 
 pub fn address(n: usize) -> SocketAddr {
-    format!("10.0.{}.{}:7946", n / 250, n % 250 + 1).parse().expect("an address")
+    format!("10.0.{}.{}:7946", n / 250, n % 250 + 1).parse().expect("valid address")
 }
 
 pub fn name(n: usize) -> String {
@@ -23,7 +23,7 @@
         cluster: "tests".into(),
         me: Member { name: name(n), life, address: address(n), zone: format!("z{}", n % ZONES) },
         seeds: (0..3).map(address).collect(),
-        probe_ms: PROBE,
+        probe_ms: PROBE_MS,
         most: 1000,
         forget_ms: 600_000,
     }
@@ -35,39 +35,41 @@
 
 pub struct Node {
     pub members: Members,
-    /// It stands still: what comes waits.
-    pub still: bool,
-    waiting: VecDeque<Vec<u8>>,
-    /// Its next wake that is in the heap.
-    wake: u64,
+    /// The process is stopped; datagrams that arrive are kept in `inbox`.
+    pub paused: bool,
+    inbox: VecDeque<Vec<u8>>,
+    /// The time of its next wake-up in the heap.
+    next_wake: u64,
 }
 
-enum What {
+/// A scheduled simulation step.
+enum Scheduled {
     Wake(usize),
-    Comes(usize, Vec<u8>),
+    Arrival(usize, Vec<u8>),
 }
 
-/// What somebody saw: when, who, what.
-pub type Saw = (u64, usize, Event);
+/// An event that a member reported: the time, the member and the event.
+pub type Observation = (u64, usize, Event);
 
 pub struct Net {
     pub now: u64,
     pub nodes: Vec<Option<Node>>,
-    /// Which part of the datagrams is lost, and how long the others take at the most.
+    /// The share of datagrams that is lost.
     pub loss: f64,
+    /// The maximum delay of the others, in milliseconds.
     pub delay: u64,
-    /// Some come twice.
-    pub doubled: f64,
-    /// From whom to whom nothing goes.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// The share of datagrams that is duplicated.
+    pub duplication: f64,
+    /// Whether the link from one member to another is cut.
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub random: fastrand::Rng,
-    pub saw: Vec<Saw>,
-    /// Every datagram that was sent, for whoever plays them again.
-    pub tape: Option<Vec<(usize, Vec<u8>)>>,
+    pub observations: Vec<Observation>,
+    /// Every datagram sent with its receiver, for replay.
+    pub recording: Option<Vec<(usize, Vec<u8>)>>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<(u64, u64), What>,
-    count: u64,
-    lives: u64,
+    events: BTreeMap<(u64, u64), Scheduled>,
+    sequence: u64,
+    starts: u64,
     by_address: BTreeMap<SocketAddr, usize>,
 }
 
@@ -78,74 +80,74 @@
             nodes: (0..nodes).map(|_| None).collect(),
             loss: 0.0,
             delay: 5,
-            doubled: 0.0,
-            cut: Box::new(|_, _| false),
+            duplication: 0.0,
+            is_cut: Box::new(|_, _| false),
             random: fastrand::Rng::with_seed(seed),
-            saw: Vec::new(),
-            tape: None,
+            observations: Vec::new(),
+            recording: None,
             heap: BinaryHeap::new(),
             events: BTreeMap::new(),
-            count: 0,
-            lives: 0,
+            sequence: 0,
+            starts: 0,
             by_address: (0..nodes).map(|n| (address(n), n)).collect(),
         }
     }
 
-    /// All of them, started at once and known to one another.
-    pub fn whole(nodes: usize, seed: u64) -> Self {
+    /// Starts all members at once and runs until they know each other.
+    pub fn converged(nodes: usize, seed: u64) -> Self {
         let mut net = Self::new(nodes, seed);
         (0..nodes).for_each(|n| net.start(n));
-        let patience = net.now + 20_000;
-        while !net.all_know_all() {
-            assert!(net.now < patience, "they do not find one another: {:?}", net.counts());
+        let deadline = net.now + 20_000;
+        while !net.is_converged() {
+            assert!(net.now < deadline, "the members do not find each other: {:?}", net.living_counts());
             net.run(100);
         }
-        net.saw.clear();
+        net.observations.clear();
         net
     }
 
-    fn push(&mut self, at: u64, what: What) {
-        self.count += 1;
-        self.heap.push(Reverse((at, self.count)));
-        self.events.insert((at, self.count), what);
+    fn push(&mut self, at: u64, scheduled: Scheduled) {
+        self.sequence += 1;
+        self.heap.push(Reverse((at, self.sequence)));
+        self.events.insert((at, self.sequence), scheduled);
     }
 
     pub fn start(&mut self, n: usize) {
         let now = self.now;
-        self.start_as(n, now);
+        self.start_with_incarnation(n, now);
     }
 
-    /// Starts one that takes this for the time.
-    pub fn start_as(&mut self, n: usize, incarnation: u64) {
-        self.lives += 1;
+    /// Starts a member with this incarnation.
+    pub fn start_with_incarnation(&mut self, n: usize, incarnation: u64) {
+        self.starts += 1;
         let seed = self.random.u64(..);
-        let members =
-            Members::new(settings(n, self.lives), secret(), incarnation, seed, self.now).expect("good");
-        self.nodes[n] = Some(Node { members, still: false, waiting: VecDeque::new(), wake: u64::MAX });
-        self.wake(n);
+        let members = Members::new(settings(n, self.starts), secret(), incarnation, seed, self.now)
+            .expect("valid settings");
+        self.nodes[n] = Some(Node { members, paused: false, inbox: VecDeque::new(), next_wake: u64::MAX });
+        self.schedule_wake(n);
     }
 
     pub fn kill(&mut self, n: usize) {
         self.nodes[n] = None;
     }
 
-    pub fn stop(&mut self, n: usize) {
+    pub fn pause(&mut self, n: usize) {
         if let Some(node) = &mut self.nodes[n] {
-            node.still = true;
+            node.paused = true;
         }
     }
 
-    /// It goes on, with what came meanwhile first, as a socket has it.
-    pub fn go_on(&mut self, n: usize) {
+    /// Resumes a paused member; it first receives what arrived meanwhile, as from a socket's buffer.
+    pub fn resume(&mut self, n: usize) {
         let now = self.now;
         if let Some(node) = &mut self.nodes[n] {
-            node.still = false;
-            while let Some(bytes) = node.waiting.pop_front() {
+            node.paused = false;
+            while let Some(bytes) = node.inbox.pop_front() {
                 let _ = node.members.hear(now, &bytes);
             }
             node.members.tick(now);
         }
-        self.after(n);
+        self.flush(n);
     }
 
     pub fn leave(&mut self, n: usize) {
@@ -153,14 +155,14 @@
         if let Some(node) = &mut self.nodes[n] {
             node.members.leave(now);
         }
-        self.after(n);
+        self.flush(n);
     }
 
     pub fn members(&self, n: usize) -> &Members {
-        &self.nodes[n].as_ref().expect("it runs").members
+        &self.nodes[n].as_ref().expect("the member runs").members
     }
 
-    /// Does one think that another lives?
+    /// The state that one member holds of another.
     pub fn state(&self, by: usize, of: usize) -> Option<State> {
         self.members(by).get(Id::of(&name(of))).map(|(_, state)| state)
     }
@@ -169,12 +171,12 @@
         (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect()
     }
 
-    pub fn counts(&self) -> Vec<usize> {
+    pub fn living_counts(&self) -> Vec<usize> {
         self.running().iter().map(|n| self.members(*n).living().count()).collect()
     }
 
-    /// Does every one that runs know all the others that run, and nobody else?
-    pub fn all_know_all(&self) -> bool {
+    /// Whether every running member considers all running members alive, and no others.
+    pub fn is_converged(&self) -> bool {
         let running = self.running();
         running.iter().all(|by| {
             self.members(*by).living().count() + 1 == running.len()
@@ -182,54 +184,54 @@
         })
     }
 
-    fn wake(&mut self, n: usize) {
+    fn schedule_wake(&mut self, n: usize) {
         let now = self.now;
         let Some(node) = &mut self.nodes[n] else { return };
         let due = node.members.due().max(now);
-        if due < node.wake || node.wake < now {
-            node.wake = due;
-            self.push(due, What::Wake(n));
+        if due < node.next_wake || node.next_wake < now {
+            node.next_wake = due;
+            self.push(due, Scheduled::Wake(n));
         }
     }
 
-    /// Takes what one has to send and to tell.
-    fn after(&mut self, n: usize) {
+    /// Sends the datagrams that a member has queued and records its events.
+    fn flush(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
-        let (mut out, mut told) = (Vec::new(), Vec::new());
+        let (mut out, mut new_events) = (Vec::new(), Vec::new());
         while let Some(transmit) = node.members.poll_transmit() {
             out.push(transmit);
         }
         while let Some(event) = node.members.poll_event() {
-            told.push((self.now, n, event));
+            new_events.push((self.now, n, event));
         }
-        self.saw.extend(told);
+        self.observations.extend(new_events);
         for transmit in out {
             let Some(to) = self.by_address.get(&transmit.to).copied() else { continue };
-            if let Some(tape) = &mut self.tape {
-                tape.push((to, transmit.bytes.clone()));
+            if let Some(recording) = &mut self.recording {
+                recording.push((to, transmit.bytes.clone()));
             }
-            let copies = 1 + usize::from(self.random.f64() < self.doubled);
+            let copies = 1 + usize::from(self.random.f64() < self.duplication);
             for _ in 0..copies {
-                if self.random.f64() >= self.loss && !(self.cut)(n, to) {
+                if self.random.f64() >= self.loss && !(self.is_cut)(n, to) {
                     let at = self.now + self.random.u64(1..=self.delay);
-                    self.push(at, What::Comes(to, transmit.bytes.clone()));
+                    self.push(at, Scheduled::Arrival(to, transmit.bytes.clone()));
                 }
             }
         }
-        self.wake(n);
+        self.schedule_wake(n);
     }
 
-    /// Plays a datagram to one, whoever sent it.
-    pub fn play(&mut self, to: usize, bytes: &[u8]) {
+    /// Delivers a datagram to a member regardless of its sender.
+    pub fn deliver(&mut self, to: usize, bytes: &[u8]) {
         let now = self.now;
         if let Some(node) = &mut self.nodes[to] {
             let _ = node.members.hear(now, bytes);
         }
-        self.after(to);
+        self.flush(to);
     }
 
-    pub fn run(&mut self, span: u64) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: u64) {
+        let end = self.now + duration;
         while let Some(Reverse(next)) = self.heap.peek().copied() {
             if next.0 > end {
                 break;
@@ -238,21 +240,21 @@
             self.now = next.0;
             let now = self.now;
             let n = match self.events.remove(&next) {
-                Some(What::Wake(n)) => {
+                Some(Scheduled::Wake(n)) => {
                     let Some(node) = &mut self.nodes[n] else { continue };
-                    if node.wake != now || node.still {
+                    if node.next_wake != now || node.paused {
                         continue;
                     }
-                    node.wake = u64::MAX;
+                    node.next_wake = u64::MAX;
                     if node.members.due() <= now {
                         node.members.tick(now);
                     }
                     n
                 }
-                Some(What::Comes(n, bytes)) => {
+                Some(Scheduled::Arrival(n, bytes)) => {
                     let Some(node) = &mut self.nodes[n] else { continue };
-                    if node.still {
-                        node.waiting.push_back(bytes);
+                    if node.paused {
+                        node.inbox.push_back(bytes);
                         continue;
                     }
                     let _ = node.members.hear(now, &bytes);
@@ -260,25 +262,25 @@
                 }
                 None => continue,
             };
-            self.after(n);
+            self.flush(n);
         }
         self.now = end;
     }
 
-    /// Runs until this holds; how long it took.
-    pub fn until(&mut self, what: &str, patience: u64, holds: impl Fn(&Self) -> bool) -> u64 {
-        let began = self.now;
+    /// Runs until the condition holds; returns the time that passed.
+    pub fn run_until(&mut self, condition: &str, timeout: u64, holds: impl Fn(&Self) -> bool) -> u64 {
+        let started = self.now;
         while !holds(self) {
-            assert!(self.now < began + patience, "not within {patience} ms: {what}");
+            assert!(self.now < started + timeout, "not within {timeout} ms: {condition}");
             self.run(10);
         }
-        self.now - began
+        self.now - started
     }
 
-    /// Whom others took for lost: the names, and how many saw it.
+    /// The names of the members declared lost, with the number of reports.
     pub fn lost(&self) -> BTreeMap<String, usize> {
         let mut lost = BTreeMap::new();
-        for (_, _, event) in &self.saw {
+        for (_, _, event) in &self.observations {
             if let Event::Lost(member) = event {
                 *lost.entry(member.name.clone()).or_default() += 1;
             }
@@ -286,23 +288,23 @@
         lost
     }
 
-    /// How many bytes each sent in a second, over so long.
-    pub fn bytes_a_second(&mut self, span: u64) -> f64 {
+    /// The mean number of bytes that each member sends per second, measured over `duration` ms.
+    pub fn bytes_per_second(&mut self, duration: u64) -> f64 {
         let sum =
             |net: &Self| net.running().iter().map(|n| net.members(*n).figures().sent_bytes).sum::<u64>();
         let before = sum(self);
-        self.run(span);
-        (sum(self) - before) as f64 * 1000.0 / span as f64 / self.running().len() as f64
+        self.run(duration);
+        (sum(self) - before) as f64 * 1000.0 / duration as f64 / self.running().len() as f64
     }
 }
 
-/// How long after a loss each of the others knew of it, sorted.
-pub fn times_known(net: &Net, of: usize, since: u64) -> Vec<u64> {
-    let knew = |(at, _, event): &Saw| match event {
+/// The times, in ms and sorted, that the other members took to report a loss that began at `since`.
+pub fn detection_times(net: &Net, of: usize, since: u64) -> Vec<u64> {
+    let delay_if_lost = |(at, _, event): &Observation| match event {
         Event::Lost(member) if member.name == name(of) && *at >= since => Some(at - since),
         _ => None,
     };
-    let mut times: Vec<u64> = net.saw.iter().filter_map(knew).collect();
+    let mut times: Vec<u64> = net.observations.iter().filter_map(delay_if_lost).collect();
     times.sort_unstable();
     times
 }
