--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -22,4 +22,4 @@
 pub use machine::{Event, Figures, Members, Shown, Transmit};
 pub use record::{Id, Member, State, NAME_MOST, ZONE_MOST};
 pub use settings::Settings;
-pub use wire::Bad;
+pub use wire::DatagramError;
--- a/crates/members/src/machine.rs
+++ b/crates/members/src/machine.rs
@@ -10,7 +10,7 @@
 use crate::rumours::Rumours;
 use crate::settings::Settings;
 use crate::table::{Change, Table};
-use crate::wire::{cluster_number, Bad, Body, Draft, Message, DIGEST_BUCKETS, MAGIC, MAX_ACCUSERS};
+use crate::wire::{cluster_number, Body, DatagramError, Draft, Message, DIGEST_BUCKETS, MAGIC, MAX_ACCUSERS};
 
 /// Number of members asked to probe a target that did not answer the direct probe.
 const INDIRECT_PROBES: usize = 3;
@@ -309,7 +309,7 @@
     /// # Errors
     /// When it is from another cluster, is not authenticated or is malformed. Nothing but the counter of
     /// rejected datagrams changes then.
-    pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), Bad> {
+    pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), DatagramError> {
         self.detect_stall(now);
         let message =
             Message::read(bytes, self.cluster, &self.secret).inspect_err(|_| self.figures.refused += 1)?;
@@ -379,17 +379,20 @@
         duration_ms * u64::from(self.health_penalty + 1)
     }
 
+    /// Raises the local health penalty, up to its limit.
     fn raise_health_penalty(&mut self, by: usize) {
         self.health_penalty = self.health_penalty.saturating_add(by as u32).min(MAX_HEALTH_PENALTY);
     }
 
     // ---- Probes ----
 
+    /// The time at which the current stage of a probe times out.
     fn probe_deadline(&self, probe: &Probe) -> u64 {
         let timeouts = if probe.stage == Stage::Direct { 1 } else { 3 };
         probe.sent + timeouts * self.scaled_by_health(self.settings.ack_timeout_ms())
     }
 
+    /// Probes the next living member of the order; reshuffles it at the end of a round.
     fn probe_next(&mut self, now: u64) {
         for _ in 0..=self.probe_order.len() {
             if self.next_in_order >= self.probe_order.len() {
@@ -424,6 +427,7 @@
         self.send(to, &Body::Ping(number), Some(target));
     }
 
+    /// Starts indirect probes for direct probes that timed out, and fails those that timed out completely.
     fn check_probes(&mut self, now: u64) {
         let mut index = 0;
         while index < self.probes.len() {
@@ -474,6 +478,7 @@
         helpers
     }
 
+    /// Handles a failed probe: adjusts the local health penalty and suspects the target.
     fn probe_failed(&mut self, now: u64, probe: &Probe) {
         self.figures.failed += 1;
         // A live helper sends a nack even if the target is silent. Missing nacks suggest that this member
@@ -493,6 +498,7 @@
         }
     }
 
+    /// Handles an ack: completes a probe of this member, or forwards the ack to the member that requested it.
     fn handle_ack(&mut self, by: Id, number: u64) {
         if let Some(index) = self.probes.iter().position(|probe| probe.number == number) {
             let from_helper =
@@ -564,6 +570,7 @@
         suspicion.since + max - ((max - min) as f64 * share) as u64
     }
 
+    /// Declares the suspects lost whose suspicion has timed out.
     fn declare_lost(&mut self, now: u64) {
         let due: Vec<Id> =
             self.table.suspects().iter().copied().filter(|id| now >= self.suspicion_deadline(*id)).collect();
@@ -610,6 +617,7 @@
         }
     }
 
+    /// Queues the current record of a member for gossip.
     fn queue_rumour(&mut self, id: Id) {
         if let Some(entry) = self.table.get(id) {
             let accusers = entry.suspicion.as_ref().map_or(&[][..], |suspicion| &suspicion.accusers);
@@ -658,6 +666,7 @@
         }
     }
 
+    /// Chooses up to `max_count` living members at random.
     fn choose_living(&mut self, max_count: usize) -> Vec<Id> {
         let living = self.table.living();
         if living.len() <= max_count {
@@ -673,6 +682,7 @@
         chosen
     }
 
+    /// Starts a comparison with a random living member, or with the seeds if none is known.
     fn compare(&mut self, now: u64) {
         let body = Body::Compare(self.table.digests(&self.me), true);
         match self.choose_living(1).first().and_then(|id| self.table.get(*id)) {
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/rumours.rs
@@ -8,6 +8,7 @@
 /// Number of transmissions of a rumour for each power of ten of the cluster size.
 const TRANSMIT_FACTOR: u32 = 4;
 
+/// A rumour and the number of times it was sent.
 struct QueuedRumour {
     rumour: Rumour,
     transmissions: u32,
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -20,11 +20,11 @@
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DatagramError {
     /// Too long, or not authenticated by the shared secret.
-    Forged,
+    Unauthenticated,
     /// Malformed.
-    Unreadable,
+    Malformed,
     /// Its sender belongs to another cluster.
     OtherCluster,
 }
@@ -217,19 +217,19 @@
     ///
     /// # Errors
     /// When it is from another cluster, is not authenticated or is malformed.
-    pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, Bad> {
+    pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, DatagramError> {
         let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long | Unsealed::Forged => Bad::Forged,
-            Unsealed::Short => Bad::Unreadable,
+            Unsealed::Long | Unsealed::Forged => DatagramError::Unauthenticated,
+            Unsealed::Short => DatagramError::Malformed,
         })?;
         let mut r = Reader::new(payload);
         if r.u32() != Some(MAGIC) {
-            return Err(Bad::Unreadable);
+            return Err(DatagramError::Malformed);
         }
         if r.u32() != Some(cluster) {
-            return Err(Bad::OtherCluster);
+            return Err(DatagramError::OtherCluster);
         }
-        Self::parse(&mut r).filter(|_| r.is_empty()).ok_or(Bad::Unreadable)
+        Self::parse(&mut r).filter(|_| r.is_empty()).ok_or(DatagramError::Malformed)
     }
 
     fn parse(r: &mut Reader) -> Option<Self> {
@@ -306,12 +306,12 @@
             prop_assert!(bytes.len() <= LONGEST);
             let read = Message::read(&bytes, 7, &secret);
             prop_assert_eq!(read, Ok(Message { from, body, rumours: fitted }));
-            prop_assert_eq!(Message::read(&bytes, 8, &secret), Err(Bad::OtherCluster));
-            prop_assert_eq!(Message::read(&bytes, 7, &Secret::new(b"theirs")), Err(Bad::Forged));
+            prop_assert_eq!(Message::read(&bytes, 8, &secret), Err(DatagramError::OtherCluster));
+            prop_assert_eq!(Message::read(&bytes, 7, &Secret::new(b"theirs")), Err(DatagramError::Unauthenticated));
         }
 
         #[test]
-        fn arbitrary_bytes_are_parsed_or_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        fn arbitrary_bytes_never_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
             let secret = Secret::new(b"ours");
             let mut payload = MAGIC.to_be_bytes().to_vec();
             payload.extend(7u32.to_be_bytes());
--- a/crates/usage/benches/usage.rs
+++ b/crates/usage/benches/usage.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of sharing allowances and how much of them can be used. Run it with
-//! `cargo bench -p glenwood-usage [-- FILE.svg]`. It uses virtual time, except for the cost of a decision and of
-//! a forged datagram, and fixed seeds.
+//! `cargo bench -p glenwood-usage [-- FILE.svg]`. It uses fixed seeds and virtual time, except for the cost of a
+//! decision and of a forged datagram.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -6,7 +6,7 @@
 
 use crate::ledger::{base_rights, equal_part, mix, Boot, Key, Rights, Slot};
 use crate::votes::{Replay, Runs, Votes};
-use crate::wire::{max_entries, Bad, Entry, Message, Secret, MAX_INSTANCES};
+use crate::wire::{max_entries, DatagramError, Entry, Message, Secret, MAX_INSTANCES};
 
 /// An instance requests this many times its expected need.
 const DEMAND_HEADROOM_FACTOR: f64 = 1.1;
@@ -87,7 +87,7 @@
     before: (u32, u32),
     /// Cached amount that can still be spent in this window.
     held: u32,
-    /// The `Usage::votes_revision` that `held` was computed for.
+    /// The `Usage::votes_revision` that `held` was computed for; 0 if it must be recomputed.
     votes_revision: u64,
 }
 
@@ -206,11 +206,15 @@
     /// Whether this instance owns its part, and the instances whose parts are divided, in the current window
     /// and the next.
     parts: [(bool, Vec<usize>); 2],
+    /// The counters of all keys, indexed by handle.
     counts: Vec<Count>,
+    /// Maps each key to its handle.
     by_key: HashMap<u64, usize>,
     /// Handles of the keys requested in this window or the previous one.
     active: Vec<usize>,
+    /// The shared keys by handle.
     shared: BTreeMap<usize, Shared>,
+    /// The number of slots of other instances over all shared keys.
     slots: usize,
     /// Counts the times that wants were computed.
     round: u64,
@@ -218,6 +222,7 @@
     wanted_handles: Vec<usize>,
     /// Maps the version of the last transfer of a key to the key's handle.
     changed: BTreeMap<u64, usize>,
+    /// Incremented with each transfer.
     version: u64,
     peers: Vec<Peer>,
     /// Whether instances with another list may be running: one was seen, or not all of this list have been
@@ -285,6 +290,7 @@
         self.window
     }
 
+    /// The rights to a key that this instance owns in a window without any transfer.
     fn base(&self, handle: usize, window: u64) -> u32 {
         let count = &self.counts[handle];
         let (own, gone) = &self.parts[(window - self.window) as usize];
@@ -435,7 +441,7 @@
         }
         let (now, gone, started_at) = (self.now, self.settings.gone_ms, self.started_at);
         let peers = &self.peers;
-        let cast = self.votes.cast(self.window, |who| match peers[who].last_seen {
+        let cast = self.votes.cast(self.window, |index| match peers[index].last_seen {
             Some(at) if now.abs_diff(at) < gone => Some(true),
             // After a start this instance has not listened for long enough to tell.
             _ if now.abs_diff(started_at) < gone => None,
@@ -455,10 +461,10 @@
             _ => (0, 0),
         };
         let elapsed_share = (self.now % self.settings.window_ms) as f64 / self.settings.window_ms as f64;
-        let so_far = f64::from(asked) / elapsed_share.max(0.02);
+        let current_rate = f64::from(asked) / elapsed_share.max(0.02);
         // Weights the previous window more at first and the current one later.
         let rate = if asked > 0 || elapsed_share > 0.2 {
-            so_far * elapsed_share + f64::from(before) * (1.0 - elapsed_share)
+            current_rate * elapsed_share + f64::from(before) * (1.0 - elapsed_share)
         } else {
             f64::from(before)
         };
@@ -549,9 +555,9 @@
     fn estimated_held_by_all(&self, handle: usize, which: usize) -> u64 {
         let Some(shared) = self.shared.get(&handle) else { return 0 };
         let is_running =
-            |who: &usize| *who != self.settings.number && self.peers[*who].runs.current.is_some();
+            |index: &usize| *index != self.settings.number && self.peers[*index].runs.current.is_some();
         let others = (0..self.settings.instances).filter(is_running);
-        others.map(|who| self.estimated_held(shared, handle, which, who)).sum()
+        others.map(|index| self.estimated_held(shared, handle, which, index)).sum()
     }
 
     /// The amount to request from one peer: the total wanted, in proportion to what the peers are estimated
@@ -628,6 +634,7 @@
         (entries, up_to_version)
     }
 
+    /// Composes the next datagram to a peer.
     fn message_to(&mut self, to: usize) -> Message {
         self.peers[to].last_number += 1;
         let peer = &self.peers[to];
@@ -654,7 +661,7 @@
             time: self.now,
             received_version: peer.their_version,
             ahead: peer.clock_ahead.0,
-            ballots: self.votes.own().to_vec(),
+            ballots: self.votes.own_ballots().to_vec(),
             window: self.window,
             versions: (peer.acked_version, up_to_version),
             digest,
@@ -677,9 +684,9 @@
 
     /// Handles a received datagram and appends the datagrams to be sent at once. Invalid datagrams change
     /// nothing but the counter of rejected ones.
-    pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), Bad> {
+    pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), DatagramError> {
         let result = Message::read(bytes, self.settings.list, self.settings.instances, &self.secret);
-        if result == Err(Bad::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
+        if result == Err(DatagramError::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
             self.update_parts();
         }
         let message = result.inspect_err(|_| self.refused += 1)?;
@@ -839,13 +846,15 @@
     /// What is known of a key at each of the other instances.
     pub fn explain(&self, handle: usize) -> Vec<Explained> {
         let Some(shared) = self.shared.get(&handle) else { return Vec::new() };
-        let others = (0..self.settings.instances).filter(|who| *who != self.settings.number);
-        let explained = |who: usize| {
-            let slot = shared.rights[0].slots.total_of(who as u16);
-            let given_to =
-                self.peers[who].runs.current.map_or(0, |boot| shared.rights[0].given_to(who as u16, boot));
-            let held = shared.others[0].get(&(who as u16)).map(|(held, _)| *held);
-            Explained { instance: who, spent: slot.spent, held, given: (slot.given, given_to) }
+        let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
+        let explained = |index: usize| {
+            let slot = shared.rights[0].slots.total_of(index as u16);
+            let given_to = self.peers[index]
+                .runs
+                .current
+                .map_or(0, |boot| shared.rights[0].given_to(index as u16, boot));
+            let held = shared.others[0].get(&(index as u16)).map(|(held, _)| *held);
+            Explained { instance: index, spent: slot.spent, held, given: (slot.given, given_to) }
         };
         others.map(explained).collect()
     }
@@ -853,18 +862,18 @@
     /// What is known of the other instances.
     pub fn peers(&self) -> Vec<Peers> {
         let gone = self.votes.gone(self.window);
-        let others = (0..self.settings.instances).filter(|who| *who != self.settings.number);
-        let one = |who: usize| {
-            let peer = &self.peers[who];
+        let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
+        let peer_info = |index: usize| {
+            let peer = &self.peers[index];
             Peers {
-                instance: who,
+                instance: index,
                 age_ms: peer.last_seen.map(|at| self.now.saturating_sub(at)),
                 ahead_ms: peer.min_clock_ahead(),
                 behind: self.version - peer.acked_version.min(self.version),
-                gone: gone.contains(&who),
+                gone: gone.contains(&index),
             }
         };
-        others.map(one).collect()
+        others.map(peer_info).collect()
     }
 
     /// Whether this instance owns its part of the current window.
--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -32,20 +32,20 @@
     }
 
     /// Whether the set contains this instance.
-    pub fn contains(&self, who: usize) -> bool {
-        self.0.get(who / 8).is_some_and(|byte| byte >> (who % 8) & 1 == 1)
+    pub fn contains(&self, instance: usize) -> bool {
+        self.0.get(instance / 8).is_some_and(|byte| byte >> (instance % 8) & 1 == 1)
     }
 
     /// Adds an instance; one out of range is ignored.
-    pub fn insert(&mut self, who: usize) {
-        if let Some(byte) = self.0.get_mut(who / 8) {
-            *byte |= 1 << (who % 8);
+    pub fn insert(&mut self, instance: usize) {
+        if let Some(byte) = self.0.get_mut(instance / 8) {
+            *byte |= 1 << (instance % 8);
         }
     }
 
     /// The instances in the set.
     pub fn instances(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
-        (0..n).filter(|who| self.contains(*who))
+        (0..n).filter(|instance| self.contains(*instance))
     }
 }
 
@@ -77,7 +77,7 @@
     /// Indexed by the window's lowest two bits; the previous, the current and the next window are kept.
     tallies: [Tally; 4],
     /// This instance's ballots, to be sent to the others.
-    own: Vec<Ballot>,
+    own_ballots: Vec<Ballot>,
     /// The first window whose own part this run may use: an earlier run may have spent the parts of earlier
     /// windows.
     first_window: u64,
@@ -96,7 +96,7 @@
             n,
             me,
             tallies: std::array::from_fn(|_| empty.clone()),
-            own: Vec::new(),
+            own_ballots: Vec::new(),
             first_window: window + 1,
             excluded: Vec::new(),
             entered_window: window,
@@ -125,9 +125,9 @@
     }
 
     /// Counts a ballot and returns whether it counted. Only an instance's first ballot for a window counts,
-    /// and only for windows next to the current one, `present`.
-    pub fn record(&mut self, present: u64, voter: usize, ballot: &Ballot) -> bool {
-        if voter >= self.n || ballot.window.abs_diff(present) > 1 {
+    /// and only if the window is the current one or next to it.
+    pub fn record(&mut self, current_window: u64, voter: usize, ballot: &Ballot) -> bool {
+        if voter >= self.n || ballot.window.abs_diff(current_window) > 1 {
             return false;
         }
         let n = self.n;
@@ -144,49 +144,49 @@
             return false;
         }
         count.voted.insert(voter);
-        for who in 0..n {
+        for instance in 0..n {
             // A voter that lists an instance in both sets abstains on it.
-            match (ballot.alive.contains(who), ballot.gone.contains(who)) {
-                (true, false) => count.alive[who] += 1,
-                (false, true) => count.gone[who] += 1,
+            match (ballot.alive.contains(instance), ballot.gone.contains(instance)) {
+                (true, false) => count.alive[instance] += 1,
+                (false, true) => count.gone[instance] += 1,
                 _ => {}
             }
         }
         true
     }
 
-    /// Casts this instance's ballot for the window after `present`, if it has not yet and may; returns
+    /// Casts this instance's ballot for the window after `current_window`, if it has not yet and may; returns
     /// whether it did. `seen` tells of each other instance whether it is alive (`true`), gone (`false`) or
     /// unknown (`None`).
-    pub fn cast(&mut self, present: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
-        self.own.retain(|ballot| ballot.window >= present);
-        if present < self.first_window
-            || self.is_excluded(present + 1)
-            || self.own.iter().any(|ballot| ballot.window == present + 1)
+    pub fn cast(&mut self, current_window: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
+        self.own_ballots.retain(|ballot| ballot.window >= current_window);
+        if current_window < self.first_window
+            || self.is_excluded(current_window + 1)
+            || self.own_ballots.iter().any(|ballot| ballot.window == current_window + 1)
         {
             return false;
         }
         let mut ballot = Ballot {
-            window: present + 1,
+            window: current_window + 1,
             alive: InstanceSet::empty(self.n),
             gone: InstanceSet::empty(self.n),
         };
         ballot.alive.insert(self.me);
-        for who in (0..self.n).filter(|who| *who != self.me) {
-            match seen(who) {
-                Some(true) => ballot.alive.insert(who),
-                Some(false) => ballot.gone.insert(who),
+        for instance in (0..self.n).filter(|instance| *instance != self.me) {
+            match seen(instance) {
+                Some(true) => ballot.alive.insert(instance),
+                Some(false) => ballot.gone.insert(instance),
                 None => {}
             }
         }
-        self.record(present, self.me, &ballot);
-        self.own.push(ballot);
+        self.record(current_window, self.me, &ballot);
+        self.own_ballots.push(ballot);
         true
     }
 
     /// This instance's ballots that still matter.
-    pub fn own(&self) -> &[Ballot] {
-        &self.own
+    pub fn own_ballots(&self) -> &[Ballot] {
+        &self.own_ballots
     }
 
     /// Whether this instance owns its part of a window. With `strict`, more than half must have voted it
@@ -206,7 +206,9 @@
         else {
             return Vec::new();
         };
-        (0..self.n).filter(|who| *who != self.me && 2 * usize::from(count.gone[*who]) > self.n).collect()
+        (0..self.n)
+            .filter(|instance| *instance != self.me && 2 * usize::from(count.gone[*instance]) > self.n)
+            .collect()
     }
 }
 
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -70,13 +70,13 @@
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DatagramError {
     /// Longer than the maximum.
-    Long,
+    TooLong,
     /// Not authenticated by the shared secret.
-    Forged,
+    Unauthenticated,
     /// Malformed.
-    Unreadable,
+    Malformed,
     /// The sender uses another list of instances.
     OtherList,
 }
@@ -125,17 +125,17 @@
     ///
     /// # Errors
     /// When it is too long, not authenticated, malformed, or from an instance with another list.
-    pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, Bad> {
+    pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, DatagramError> {
         let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long => Bad::Long,
-            Unsealed::Short => Bad::Unreadable,
-            Unsealed::Forged => Bad::Forged,
+            Unsealed::Long => DatagramError::TooLong,
+            Unsealed::Short => DatagramError::Malformed,
+            Unsealed::Forged => DatagramError::Unauthenticated,
         })?;
         let mut reader = Reader::new(payload);
         if payload.get(4..8).is_some_and(|number| number != list.to_be_bytes()) {
-            return Err(Bad::OtherList);
+            return Err(DatagramError::OtherList);
         }
-        Self::parse(&mut reader, n).filter(|_| reader.is_empty()).ok_or(Bad::Unreadable)
+        Self::parse(&mut reader, n).filter(|_| reader.is_empty()).ok_or(DatagramError::Malformed)
     }
 
     fn parse(r: &mut Reader, n: usize) -> Option<Self> {
--- a/crates/usage/tests/laws.rs
+++ b/crates/usage/tests/laws.rs
@@ -94,13 +94,14 @@
         for me in 0..n {
             votes[me].cast(window, |who| bit(knows[me], who).then(|| bit(thinks[me], who)));
         }
-        let ballots: Vec<Vec<Ballot>> = votes.iter().map(|v| v.own().to_vec()).collect();
+        let ballots: Vec<Vec<Ballot>> = votes.iter().map(|v| v.own_ballots().to_vec()).collect();
         for from in 0..n {
             for to in (0..n).filter(|to| *to != from && bit(reaches[from], *to)) {
                 for ballot in &ballots[from] {
                     votes[to].record(window, from, ballot);
                     // A repeated or different ballot of the same voter does not count.
-                    let mut other = Ballot { alive: InstanceSet::empty(n), gone: ballot.alive.clone(), ..ballot.clone() };
+                    let mut other =
+                        Ballot { alive: InstanceSet::empty(n), gone: ballot.alive.clone(), ..ballot.clone() };
                     (0..n).filter(|who| bit(lies, *who)).for_each(|who| other.alive.insert(who));
                     prop_assert!(!votes[to].record(window, from, &other));
                 }
@@ -109,7 +110,10 @@
         for holder in 0..n {
             let divided: BTreeSet<usize> =
                 (0..n).filter(|me| *me != holder && votes[*me].gone(window + 1).contains(&holder)).collect();
-            prop_assert!(!votes[holder].owns_part(window + 1, false) || divided.is_empty(), "the part of {holder} is divided by {divided:?}");
+            prop_assert!(
+                !votes[holder].owns_part(window + 1, false) || divided.is_empty(),
+                "the part of {holder} is divided by {divided:?}"
+            );
         }
     }
 
@@ -132,9 +136,9 @@
 fn a_run_has_no_part_in_its_first_window_and_no_vote_for_the_next() {
     let mut votes = Votes::new(1, 0, 100);
     votes.cast(100, |_| None);
-    assert!(votes.own().is_empty() && !votes.owns_part(100, false) && !votes.owns_part(101, false));
+    assert!(votes.own_ballots().is_empty() && !votes.owns_part(100, false) && !votes.owns_part(101, false));
     votes.cast(101, |_| None);
-    assert!(votes.owns_part(102, false) && votes.own().len() == 1);
+    assert!(votes.owns_part(102, false) && votes.own_ballots().len() == 1);
     // After the clock was set back, the run must not use the windows that it was already in.
     votes.move_to(101, 98);
     for window in 98..105 {
