--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -1,207 +1,228 @@
-//! Whose part of a window is whose: votes, each cast once for a window and never taken back.
+//! Votes on which instances own their parts of a window. Each instance votes once for a window and never
+//! changes its vote.
 //!
-//! An instance uses its own part of a window only while half of all instances at the least have voted that it is alive there;
-//! the others divide that part only once more than half have voted that it is gone. As nobody votes twice, both can't be: the
-//! votes would be more than the instances. A partition into equal halves leaves every part with its instance; of an unequal
-//! one the smaller side loses its parts to the larger.
+//! An instance uses its own part of a window only if at least half of all instances have voted that it is
+//! alive in that window; the others divide that part only if more than half have voted that it is gone. As
+//! each instance votes once, both can't hold: that would take more votes than there are instances. A
+//! partition into equal halves leaves each part with its instance; in an unequal one the smaller side loses
+//! its parts to the larger.
 
 use crate::ledger::Boot;
 
 /// A set of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Set(Vec<u8>);
+pub struct InstanceSet(Vec<u8>);
 
-impl Set {
-    /// Nobody of `n`.
-    pub fn none(n: usize) -> Self {
+impl InstanceSet {
+    /// The empty set, for `n` instances.
+    pub fn empty(n: usize) -> Self {
         Self(vec![0; n.div_ceil(8)])
     }
 
-    /// As it came over the network; `None` where it is not of `n`.
+    /// Parses the wire format; `None` if it is not a set of `n` instances.
     pub fn read(bytes: &[u8], n: usize) -> Option<Self> {
         let set = Self(bytes.to_vec());
-        (bytes.len() == n.div_ceil(8) && (n..8 * bytes.len()).all(|beyond| !set.has(beyond))).then_some(set)
+        (bytes.len() == n.div_ceil(8) && (n..8 * bytes.len()).all(|index| !set.contains(index)))
+            .then_some(set)
     }
 
-    /// As it goes over the network.
+    /// The wire format: a bit map.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Is this one in it?
-    pub fn has(&self, who: usize) -> bool {
-        self.0.get(who / 8).is_some_and(|byte| byte >> (who % 8) & 1 == 1)
+    /// Whether the set contains this instance.
+    pub fn contains(&self, instance: usize) -> bool {
+        self.0.get(instance / 8).is_some_and(|byte| byte >> (instance % 8) & 1 == 1)
     }
 
-    /// Takes one in.
-    pub fn add(&mut self, who: usize) {
-        if let Some(byte) = self.0.get_mut(who / 8) {
-            *byte |= 1 << (who % 8);
+    /// Adds an instance; one out of range is ignored.
+    pub fn insert(&mut self, instance: usize) {
+        if let Some(byte) = self.0.get_mut(instance / 8) {
+            *byte |= 1 << (instance % 8);
         }
     }
 
-    /// All in it.
-    pub fn all(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
-        (0..n).filter(|who| self.has(*who))
+    /// The instances in the set.
+    pub fn instances(&self, n: usize) -> impl Iterator<Item = usize> + '_ {
+        (0..n).filter(|instance| self.contains(*instance))
     }
 }
 
-/// What one instance votes for a window. Of who is in neither set it says nothing.
+/// The vote of one instance for a window. It abstains on the instances that are in neither set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ballot {
     /// The window.
     pub window: u64,
-    /// Who is alive.
-    pub alive: Set,
-    /// Who is gone.
-    pub gone: Set,
+    /// The instances it votes alive.
+    pub alive: InstanceSet,
+    /// The instances it votes gone.
+    pub gone: InstanceSet,
 }
 
-/// The votes for one window.
+/// The votes counted for one window: who has voted, and the number of votes for each instance.
 #[derive(Clone, Debug)]
-struct Count {
+struct Tally {
     window: u64,
-    voted: Set,
+    voted: InstanceSet,
     alive: Vec<u16>,
     gone: Vec<u16>,
 }
 
-/// All votes that still count.
+/// The votes for the previous, the current and the next window.
 #[derive(Clone, Debug)]
 pub struct Votes {
     n: usize,
     me: usize,
-    /// By the window's lowest bits: of the present, the next, and the one before.
-    boxes: [Count; 4],
-    /// Own ballots, for those who have not heard them.
-    own: Vec<Ballot>,
-    /// The first window whose own part is this life's: one before it may have spent what there is of earlier ones.
-    first: u64,
-    /// Windows that this life was in, or voted for, by a clock that was wrong: it has no part there, and no vote.
-    barred: Vec<(u64, u64)>,
-    since: u64,
+    /// Indexed by the window's lowest two bits; the previous, the current and the next window are kept.
+    tallies: [Tally; 4],
+    /// This instance's ballots, to be sent to the others.
+    own_ballots: Vec<Ballot>,
+    /// The first window whose own part this run may use: an earlier run may have spent the parts of earlier
+    /// windows.
+    first_window: u64,
+    /// Ranges of windows that this run entered, or voted for, by a wrong clock: it has no part and no vote
+    /// there.
+    excluded: Vec<(u64, u64)>,
+    entered_window: u64,
 }
 
 impl Votes {
-    /// None yet. A life that begins in `window` votes for none that one before it may have voted for.
+    /// No votes yet. A run that begins in `window` does not vote for windows that an earlier run may have
+    /// voted for.
     pub fn new(n: usize, me: usize, window: u64) -> Self {
-        let empty = Count { window: 0, voted: Set::none(n), alive: vec![0; n], gone: vec![0; n] };
+        let empty = Tally { window: 0, voted: InstanceSet::empty(n), alive: vec![0; n], gone: vec![0; n] };
         Self {
             n,
             me,
-            boxes: std::array::from_fn(|_| empty.clone()),
-            own: Vec::new(),
-            first: window + 1,
-            barred: Vec::new(),
-            since: window,
+            tallies: std::array::from_fn(|_| empty.clone()),
+            own_ballots: Vec::new(),
+            first_window: window + 1,
+            excluded: Vec::new(),
+            entered_window: window,
         }
     }
 
-    /// Goes from one window to another, as the clock was wrong.
-    pub fn restart(&mut self, from: u64, to: u64) {
-        let mut barred = std::mem::take(&mut self.barred);
-        barred.push((self.since, from + 1));
-        *self = Self { barred, ..Self::new(self.n, self.me, to) };
+    /// Moves from one window to another after a correction of the clock.
+    pub fn move_to(&mut self, from: u64, to: u64) {
+        let mut excluded = std::mem::take(&mut self.excluded);
+        excluded.push((self.entered_window, from + 1));
+        *self = Self { excluded, ..Self::new(self.n, self.me, to) };
     }
 
-    /// Another one was in that window when this life first heard it: an earlier life may have spent its part there.
-    pub fn not_before(&mut self, window: u64) {
-        self.first = self.first.max(window);
+    /// Raises the first window whose own part this run may use. Called with the window after that of a peer
+    /// first seen: an earlier run may have spent its part in the peer's window.
+    pub fn raise_first_window(&mut self, window: u64) {
+        self.first_window = self.first_window.max(window);
     }
 
-    fn is_barred(&self, window: u64) -> bool {
-        self.barred.iter().any(|(from, to)| (*from..=*to).contains(&window))
+    fn is_excluded(&self, window: u64) -> bool {
+        self.excluded.iter().any(|(from, to)| (*from..=*to).contains(&window))
     }
 
-    fn of(&self, window: u64) -> Option<&Count> {
-        Some(&self.boxes[(window % 4) as usize]).filter(|b| b.window == window)
+    fn tally(&self, window: u64) -> Option<&Tally> {
+        Some(&self.tallies[(window % 4) as usize]).filter(|count| count.window == window)
     }
 
-    /// Notes a ballot; the first that an instance casts for a window counts, and no other. `present` is the window by now: what
-    /// is far from it counts for nothing.
-    pub fn hear(&mut self, present: u64, voter: usize, ballot: &Ballot) -> bool {
-        if voter >= self.n || ballot.window.abs_diff(present) > 1 {
+    /// Counts a ballot and returns whether it counted. Only an instance's first ballot for a window counts,
+    /// and only if the window is the current one or next to it.
+    pub fn record(&mut self, current_window: u64, voter: usize, ballot: &Ballot) -> bool {
+        if voter >= self.n || ballot.window.abs_diff(current_window) > 1 {
             return false;
         }
         let n = self.n;
-        let b = &mut self.boxes[(ballot.window % 4) as usize];
-        if b.window != ballot.window {
-            *b = Count { window: ballot.window, voted: Set::none(n), alive: vec![0; n], gone: vec![0; n] };
+        let count = &mut self.tallies[(ballot.window % 4) as usize];
+        if count.window != ballot.window {
+            *count = Tally {
+                window: ballot.window,
+                voted: InstanceSet::empty(n),
+                alive: vec![0; n],
+                gone: vec![0; n],
+            };
         }
-        if b.voted.has(voter) {
+        if count.voted.contains(voter) {
             return false;
         }
-        b.voted.add(voter);
-        for who in 0..n {
-            // Whoever says both says nothing.
-            match (ballot.alive.has(who), ballot.gone.has(who)) {
-                (true, false) => b.alive[who] += 1,
-                (false, true) => b.gone[who] += 1,
+        count.voted.insert(voter);
+        for instance in 0..n {
+            // A voter that lists an instance in both sets abstains on it.
+            match (ballot.alive.contains(instance), ballot.gone.contains(instance)) {
+                (true, false) => count.alive[instance] += 1,
+                (false, true) => count.gone[instance] += 1,
                 _ => {}
             }
         }
         true
     }
 
-    /// A window has begun: casts the own ballot for the one after it. `seen` says of each other whether it is alive, gone, or
-    /// nothing can be said. True where it did.
-    pub fn cast(&mut self, present: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
-        self.own.retain(|ballot| ballot.window >= present);
-        if present < self.first
-            || self.is_barred(present + 1)
-            || self.own.iter().any(|ballot| ballot.window == present + 1)
+    /// Casts this instance's ballot for the window after `current_window`, if it has not yet and may; returns
+    /// whether it did. `seen` tells of each other instance whether it is alive (`true`), gone (`false`) or
+    /// unknown (`None`).
+    pub fn cast(&mut self, current_window: u64, seen: impl Fn(usize) -> Option<bool>) -> bool {
+        self.own_ballots.retain(|ballot| ballot.window >= current_window);
+        if current_window < self.first_window
+            || self.is_excluded(current_window + 1)
+            || self.own_ballots.iter().any(|ballot| ballot.window == current_window + 1)
         {
             return false;
         }
-        let mut ballot = Ballot { window: present + 1, alive: Set::none(self.n), gone: Set::none(self.n) };
-        ballot.alive.add(self.me);
-        for who in (0..self.n).filter(|who| *who != self.me) {
-            match seen(who) {
-                Some(true) => ballot.alive.add(who),
-                Some(false) => ballot.gone.add(who),
+        let mut ballot = Ballot {
+            window: current_window + 1,
+            alive: InstanceSet::empty(self.n),
+            gone: InstanceSet::empty(self.n),
+        };
+        ballot.alive.insert(self.me);
+        for instance in (0..self.n).filter(|instance| *instance != self.me) {
+            match seen(instance) {
+                Some(true) => ballot.alive.insert(instance),
+                Some(false) => ballot.gone.insert(instance),
                 None => {}
             }
         }
-        self.hear(present, self.me, &ballot);
-        self.own.push(ballot);
+        self.record(current_window, self.me, &ballot);
+        self.own_ballots.push(ballot);
         true
     }
 
-    /// Own ballots that may still be news.
-    pub fn own(&self) -> &[Ballot] {
-        &self.own
+    /// This instance's ballots that still matter.
+    pub fn own_ballots(&self) -> &[Ballot] {
+        &self.own_ballots
     }
 
-    /// Has this instance its own part of a window? `strictly`: more than half must have voted it alive, as instances may go by
-    /// two lists, each of which could be half of the other.
-    pub fn holds(&self, window: u64, strictly: bool) -> bool {
-        window >= self.first
-            && !self.is_barred(window)
+    /// Whether this instance owns its part of a window. With `strict`, more than half must have voted it
+    /// alive: needed while instances may use two different lists, each of which could be half of the other.
+    pub fn owns_part(&self, window: u64, strict: bool) -> bool {
+        window >= self.first_window
+            && !self.is_excluded(window)
             && self
-                .of(window)
-                .is_some_and(|b| 2 * usize::from(b.alive[self.me]) >= self.n + usize::from(strictly))
+                .tally(window)
+                .is_some_and(|count| 2 * usize::from(count.alive[self.me]) >= self.n + usize::from(strict))
     }
 
-    /// Whose parts of a window the others divide.
+    /// The instances whose parts of a window are divided among the others.
     pub fn gone(&self, window: u64) -> Vec<usize> {
-        let Some(b) = self.of(window).filter(|_| window >= self.first && !self.is_barred(window)) else {
+        let Some(count) =
+            self.tally(window).filter(|_| window >= self.first_window && !self.is_excluded(window))
+        else {
             return Vec::new();
         };
-        (0..self.n).filter(|who| *who != self.me && 2 * usize::from(b.gone[*who]) > self.n).collect()
+        (0..self.n)
+            .filter(|instance| *instance != self.me && 2 * usize::from(count.gone[*instance]) > self.n)
+            .collect()
     }
 }
 
-/// Which datagrams of one life of an instance have come: each counts once.
+/// Replay protection: a window over the datagram numbers of one run of an instance. Each number counts once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Replay {
     last: u64,
-    /// Of the 64 up to the last.
+    /// Bit map of the 64 numbers up to the last.
     seen: u64,
 }
 
 impl Replay {
-    /// Has this number not come before? Those far behind are taken for come.
-    pub fn fresh(&mut self, number: u64) -> bool {
+    /// Records a number and returns whether it is new. Numbers 64 or more behind the last count as seen.
+    pub fn accept(&mut self, number: u64) -> bool {
         if number > self.last {
             let ahead = number - self.last;
             self.seen = if ahead < 64 { self.seen << ahead } else { 0 } | 1;
@@ -209,56 +230,59 @@
             return true;
         }
         let behind = self.last - number;
-        let new = number > 0 && behind < 64 && self.seen >> behind & 1 == 0;
-        if new {
+        let is_new = number > 0 && behind < 64 && self.seen >> behind & 1 == 0;
+        if is_new {
             self.seen |= 1 << behind;
         }
-        new
+        is_new
     }
 }
 
-/// The lives of another instance: the one that counts, and those that did.
+/// The runs of another instance: the current one and those that ended.
 #[derive(Clone, Debug, Default)]
-pub struct Lives {
-    /// The one that counts.
-    pub now: Option<Boot>,
-    /// The latest that did not prove itself yet.
+pub struct Runs {
+    /// The run that last proved to be running.
+    pub current: Option<Boot>,
+    /// The latest run seen that has not proved to be running yet.
     pub candidate: Option<Boot>,
-    over: Vec<Boot>,
+    ended: Vec<Boot>,
 }
 
-/// How many lives that are over are remembered.
-const OVER_MOST: usize = 32;
+/// Number of ended runs that are remembered.
+const MAX_ENDED_RUNS: usize = 32;
 
-impl Lives {
-    /// A life of it has proved that it runs; true where it is another one than before. One that is over does not come back.
-    pub fn proved(&mut self, boot: Boot) -> Option<bool> {
-        if self.over.contains(&boot) {
+impl Runs {
+    /// Records that a run has proved to be running. Returns whether it is a new run, or `None` if it has
+    /// ended before: an ended run does not return.
+    pub fn confirm(&mut self, boot: Boot) -> Option<bool> {
+        if self.ended.contains(&boot) {
             return None;
         }
-        if self.now == Some(boot) {
+        if self.current == Some(boot) {
             return Some(false);
         }
-        if let Some(old) = self.now.replace(boot) {
-            if self.over.len() == OVER_MOST {
-                self.over.remove(0);
+        if let Some(old) = self.current.replace(boot) {
+            if self.ended.len() == MAX_ENDED_RUNS {
+                self.ended.remove(0);
             }
-            self.over.push(old);
+            self.ended.push(old);
         }
         self.candidate = None;
         Some(true)
     }
 
-    /// A life was named by a datagram that proves nothing.
-    pub fn named(&mut self, boot: Boot) {
-        if self.now != Some(boot) && !self.over.contains(&boot) {
+    /// Records a run named by a datagram that may be a replay.
+    pub fn set_candidate(&mut self, boot: Boot) {
+        if self.current != Some(boot) && !self.ended.contains(&boot) {
             self.candidate = Some(boot);
         }
     }
 
-    /// To whom the next datagram is addressed: now and then to one who may have begun anew.
-    pub fn addressed(&self, turn: u64) -> Boot {
-        let (now, candidate) = (self.now, self.candidate);
-        if turn.is_multiple_of(2) { candidate.or(now) } else { now.or(candidate) }.unwrap_or(Boot(0))
+    /// The run that the next datagram is addressed to: every second one goes to the candidate, which may be a
+    /// new run.
+    pub fn addressee(&self, number: u64) -> Boot {
+        let (current, candidate) = (self.current, self.candidate);
+        if number.is_multiple_of(2) { candidate.or(current) } else { current.or(candidate) }
+            .unwrap_or(Boot(0))
     }
 }
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -1,100 +1,100 @@
-//! Datagrams: what instances say to one another, as bytes that only who has the key can make.
+//! The authenticated datagrams that instances exchange.
 //!
-//! A datagram is at most [`LONGEST`] bytes: head, ballots, entries, and a keyed digest over all of it (HMAC-SHA-256, cut to 16
-//! bytes). Numbers are big-endian. It names who says it to whom, and the lives of both: what is addressed to another life
-//! than the one that runs may be old, and proves nothing.
+//! A datagram is at most [`LONGEST`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all of it,
+//! truncated to 16 bytes. Numbers are big-endian. It names the sender and the receiver with the run of each:
+//! a datagram addressed to another run than the current one may be a replay and proves nothing.
 
 use glenwood_datagram::{Reader, Unsealed, TAG};
 pub use glenwood_datagram::{Secret, LONGEST};
 
 use crate::ledger::{Boot, Key};
-use crate::votes::{Ballot, Set};
+use crate::votes::{Ballot, InstanceSet};
 
 const MAGIC: u32 = 0x474c_5531;
-const HEAD: usize = 4 + 4 + 2 + 2 + 6 * 8;
-const ENTRY: usize = 8 + 1 + 8 + 4 * 4;
-/// The most instances: their ballots leave room for entries.
-pub const INSTANCES_MOST: usize = 1000;
+const HEADER_BYTES: usize = 4 + 4 + 2 + 2 + 6 * 8;
+const ENTRY_BYTES: usize = 8 + 1 + 8 + 4 * 4;
+/// Maximum number of instances; the ballots of this many still leave room for entries.
+pub const MAX_INSTANCES: usize = 1000;
 
-/// What is said of one key in one window, to one life of one instance.
+/// A report about one key in one window, for one run of one receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: Key,
-    /// It is about the window after the datagram's.
+    /// Whether it is about the window after the datagram's.
     pub next: bool,
-    /// The version that changed it: what is wanted counts once for each.
+    /// The sender's round when it was made; `want` counts once for each version.
     pub version: u64,
-    /// What the sender has spent.
+    /// The amount the sender has spent.
     pub spent: u32,
-    /// What it holds.
+    /// The amount the sender holds.
     pub held: u32,
-    /// What it has handed on to this life, in all.
+    /// The total amount that the sender has transferred to this run.
     pub given: u32,
-    /// What it would have from this one.
+    /// The amount the sender requests from the receiver.
     pub want: u32,
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The list of instances that the sender goes by.
+    /// The number of the sender's list of instances.
     pub list: u32,
-    /// The sender, and whom it speaks to.
+    /// The index of the sender.
     pub from: u16,
-    /// To whom.
+    /// The index of the receiver.
     pub to: u16,
-    /// The sender's life.
+    /// The sender's run.
     pub boot: Boot,
-    /// The life that it speaks to; 0 where it knows none.
+    /// The receiver's run that it is addressed to; 0 if none is known.
     pub to_boot: Boot,
-    /// The number of the datagram in the sender's life.
+    /// The number of the datagram in the sender's run.
     pub number: u64,
     /// The sender's clock, in milliseconds.
     pub time: u64,
-    /// By how much the receiver's clock seemed ahead when it last spoke, in milliseconds.
+    /// By how much the receiver's clock appeared ahead in its last datagram, in milliseconds.
     pub ahead: i64,
-    /// Up to which version it has heard this one.
-    pub heard: u64,
-    /// Its ballots.
+    /// The latest version of the receiver that the sender has received.
+    pub received_version: u64,
+    /// The sender's ballots.
     pub ballots: Vec<Ballot>,
     /// The window that the entries are about.
     pub window: u64,
-    /// What changed after the first of these versions, up to the second.
+    /// The entries contain the transfers after the first of these versions, up to the second.
     pub versions: (u64, u64),
-    /// A digest over all that it has handed on to this life in these windows; `None`: not said this time.
+    /// A digest over all transfers to this run in these windows; `None` if it is not included this time.
     pub digest: Option<u64>,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// Longer than any is.
-    Long,
-    /// Its digest is not what the key makes of it.
-    Forged,
-    /// It can't be read.
-    Unreadable,
-    /// Its sender goes by another list of instances.
+pub enum DatagramError {
+    /// Longer than the maximum.
+    TooLong,
+    /// Not authenticated by the shared secret.
+    Unauthenticated,
+    /// Malformed.
+    Malformed,
+    /// The sender uses another list of instances.
     OtherList,
 }
 
-/// How many entries there is room for among `n` instances.
-pub fn room(n: usize) -> usize {
-    (LONGEST - HEAD - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY
+/// The number of entries that fit into a datagram among `n` instances.
+pub fn max_entries(n: usize) -> usize {
+    (LONGEST - HEADER_BYTES - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY_BYTES
 }
 
 impl Message {
-    /// Its bytes.
+    /// Serializes and authenticates the message.
     pub fn write(&self, secret: &Secret) -> Vec<u8> {
         let mut out = Vec::with_capacity(LONGEST);
         out.extend(MAGIC.to_be_bytes());
         out.extend(self.list.to_be_bytes());
         out.extend(self.from.to_be_bytes());
         out.extend(self.to.to_be_bytes());
-        for number in [self.boot.0, self.to_boot.0, self.number, self.time, self.heard] {
+        for number in [self.boot.0, self.to_boot.0, self.number, self.time, self.received_version] {
             out.extend(number.to_be_bytes());
         }
         out.extend(self.ahead.to_be_bytes());
@@ -121,21 +121,21 @@
         secret.seal(out)
     }
 
-    /// Reads one, among `n` instances by this list.
+    /// Authenticates and parses a datagram of `n` instances with this list.
     ///
     /// # Errors
-    /// Where it was not made with the key, or can't be read.
-    pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, Bad> {
-        let said = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long => Bad::Long,
-            Unsealed::Short => Bad::Unreadable,
-            Unsealed::Forged => Bad::Forged,
+    /// When it is too long, not authenticated, malformed, or from an instance with another list.
+    pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, DatagramError> {
+        let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
+            Unsealed::Long => DatagramError::TooLong,
+            Unsealed::Short => DatagramError::Malformed,
+            Unsealed::Forged => DatagramError::Unauthenticated,
         })?;
-        let mut rest = Reader::new(said);
-        if said.get(4..8).is_some_and(|said| said != list.to_be_bytes()) {
-            return Err(Bad::OtherList);
+        let mut reader = Reader::new(payload);
+        if payload.get(4..8).is_some_and(|number| number != list.to_be_bytes()) {
+            return Err(DatagramError::OtherList);
         }
-        Self::parse(&mut rest, n).filter(|_| rest.is_empty()).ok_or(Bad::Unreadable)
+        Self::parse(&mut reader, n).filter(|_| reader.is_empty()).ok_or(DatagramError::Malformed)
     }
 
     fn parse(r: &mut Reader, n: usize) -> Option<Self> {
@@ -144,11 +144,11 @@
         }
         let (list, from, to) = (r.u32()?, r.u16()?, r.u16()?);
         let (boot, to_boot) = (Boot(r.u64()?), Boot(r.u64()?));
-        let (number, time, heard, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
+        let (number, time, received_version, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
         let mut ballots = Vec::new();
         for _ in 0..r.take(1)?[0].min(3) {
             let window = r.u64()?;
-            let mut set = || Set::read(r.take(n.div_ceil(8))?, n);
+            let mut set = || InstanceSet::read(r.take(n.div_ceil(8))?, n);
             ballots.push(Ballot { window, alive: set()?, gone: set()? });
         }
         let (window, versions) = (r.u64()?, (r.u64()?, r.u64()?));
@@ -168,7 +168,7 @@
             to_boot,
             number,
             time,
-            heard,
+            received_version,
             ahead,
             ballots,
             window,
