--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -1,11 +1,11 @@
-//! Following the children of one node, with their data, as one thing.
+//! Mirrors the children of one tree node and their data.
 //!
-//! A [`Follower`] owns a [`Session`] and asks it for what it needs: the names once, the data of each child once, and
-//! again only what a watch says has changed. While watches stand nothing is polled, but for one look at the names every
-//! so often, which catches a watch that a faulty service lost.
+//! A [`Follower`] owns a [`Session`]. It reads the child names and each child's data once, and then reads again
+//! only what a watch reports as changed. Apart from that it re-reads the names at a long interval, in case a
+//! faulty service lost a watch.
 //!
-//! It says nothing before it has read all of it once. From then on it keeps what it knows for as long as the service is
-//! away: nobody is gone because nobody could be asked.
+//! It reports nothing until it has read everything once. After that it keeps its state while the service is
+//! unreachable: an outage of the service never removes a child.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
@@ -16,83 +16,85 @@
 use crate::session::{Event, Failed, Session, Settings};
 use crate::Millis;
 
-/// How many reads of data may be under way: the rest waits, so that a large list comes in within bounded memory.
-const READS_MOST: usize = 256;
-/// How long the names are left alone after a reading, for each of them: a watch brings no names, so that each reading
-/// costs all of them. Departures do not wait for it: they are said by the watch on the child's data.
-const PAUSE_FOR_EACH: Millis = 0.02;
-/// The longest data that is taken; what is longer is no registration.
+/// Limit on data reads in flight, so that loading a large list uses bounded memory.
+const MAX_PENDING_READS: usize = 256;
+/// Minimum pause between two reads of the names, in milliseconds per name. A watch event carries no names, so
+/// each read transfers all of them. Removals are not delayed: the watch on the child's data reports them.
+const LIST_PAUSE_PER_NAME_MS: Millis = 0.02;
+/// Maximum size of a child's data in bytes; anything longer is not accepted as a registration.
 pub const DATA_MOST: usize = 16 * 1024;
 
-/// What the session is asked for.
+/// Tags the follower's requests to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// The names.
+pub enum Query {
+    /// The names of the children.
     Names,
-    /// Whether there is a node whose children could be read.
-    There,
-    /// The data of one.
+    /// Whether the parent node exists.
+    ParentExists,
+    /// The data of the named child.
     Data(String),
 }
 
-/// What has changed.
+/// A change of the followed children.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// All that is there: after the start, and after a new session. What it leaves out is gone.
+    /// The complete state, after the start and after each new session. Children not in it are gone.
     Whole(BTreeMap<String, Bytes>),
-    /// One child is new, or has other data.
+    /// A child was added or its data changed.
     Set(String, Bytes),
-    /// One is gone.
+    /// A child was removed.
     Gone(String),
-    /// One has data that is longer than a registration may be; what was known of it still holds.
+    /// A child's data exceeds [`DATA_MOST`]; its previous data stays in effect.
     Unfit(String),
 }
 
-/// What the driver is to do, or to know.
+/// An action for the driver, or an event for the user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Open a connection to this member, and say so with [`Follower::connected`] or [`Follower::broken`].
+    /// Open a connection to this member and report the result with [`Follower::connected`] or
+    /// [`Follower::broken`].
     Connect(usize),
-    /// Drop the connection.
+    /// Close the connection.
     Disconnect,
-    /// The list has changed.
+    /// The children changed.
     Change(Change),
-    /// The service can't be reached; what is known still holds.
+    /// The service is unreachable; the known state stays in effect.
     Away,
-    /// It can be reached again.
+    /// The service is reachable again.
     Back,
 }
 
-/// Follows the children of one node.
+/// Mirrors the children of one tree node.
 pub struct Follower {
-    session: Session<Ask>,
+    session: Session<Query>,
     path: String,
-    /// How often the names are looked at though no watch has fired.
-    look_every: Millis,
-    /// What is known, and has been said.
+    /// Interval at which the names are read again even if no watch has fired.
+    relist_interval: Millis,
+    /// The children known so far with their data.
     known: BTreeMap<String, Bytes>,
-    /// The names as last read.
+    /// The child names as last read.
     names: BTreeSet<String>,
-    /// Data that is still to be read, in order, and the same to look up.
+    /// Names whose data is still to be read, in order; `queued` is the same as a set.
     unread: VecDeque<String>,
     queued: HashSet<String>,
-    /// Data whose reading is under way.
-    reading: BTreeSet<String>,
-    /// Names whose data is no registration: they are not read again before it changes.
+    /// Names whose data read is in flight.
+    reads_in_flight: BTreeSet<String>,
+    /// Names whose data was too long; they are not read again until it changes.
     unfit: BTreeSet<String>,
-    /// Nothing is said yet: all is being read, since a new session.
-    gathering: bool,
-    /// The names are being read.
-    listing: bool,
-    /// They changed once more meanwhile.
-    again: bool,
-    /// They have been read in this session.
-    read_once: bool,
-    looked: Millis,
-    /// How often the names, and the data of one, have been asked for.
-    asked: (u64, u64),
-    /// A watch on the names has fired, and they are read at this time.
-    list_at: Option<Millis>,
+    /// Everything is being read after a new session; no change is reported until it is complete.
+    loading: bool,
+    /// A read of the names is in flight.
+    list_in_flight: bool,
+    /// The names changed during that read and have to be read again.
+    list_again: bool,
+    /// The names have been read in this session.
+    names_read: bool,
+    /// When the names were last requested.
+    last_list_at: Millis,
+    /// Number of requests for the names and for a child's data.
+    request_counts: (u64, u64),
+    /// When to read the names after their watch fired.
+    list_due: Option<Millis>,
     outputs: VecDeque<Output>,
 }
 
@@ -103,7 +105,7 @@
         Some(match Follower::poll(self)? {
             Output::Connect(member) => Step::Connect(member),
             Output::Disconnect => Step::Disconnect,
-            said => Step::Said(said),
+            other => Step::Said(other),
         })
     }
 
@@ -133,219 +135,226 @@
 }
 
 impl Follower {
-    /// Follows the children of `path` from now on.
-    pub fn new(now: Millis, settings: Settings, path: &str, look_every: Millis) -> Self {
+    /// Creates a follower of the children of `path` that starts to connect at `now`.
+    pub fn new(now: Millis, settings: Settings, path: &str, relist_interval: Millis) -> Self {
         let mut follower = Self {
             session: Session::new(now, settings),
             path: path.to_string(),
-            look_every,
+            relist_interval,
             known: BTreeMap::new(),
             names: BTreeSet::new(),
             unread: VecDeque::new(),
             queued: HashSet::new(),
-            reading: BTreeSet::new(),
+            reads_in_flight: BTreeSet::new(),
             unfit: BTreeSet::new(),
-            gathering: true,
-            listing: false,
-            again: false,
-            read_once: false,
-            looked: now,
-            asked: (0, 0),
-            list_at: None,
+            loading: true,
+            list_in_flight: false,
+            list_again: false,
+            names_read: false,
+            last_list_at: now,
+            request_counts: (0, 0),
+            list_due: None,
             outputs: VecDeque::new(),
         };
-        follower.settle(now);
+        follower.process_events(now);
         follower
     }
 
-    /// The next thing to do, or to know.
+    /// Returns the next action or event, if any.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// What is to be written; it is taken by this.
+    /// Takes the bytes to be written to the connection.
     pub fn output(&mut self) -> Vec<u8> {
         self.session.output()
     }
 
-    /// The session, to look at.
-    pub fn session(&self) -> &Session<Ask> {
+    /// The underlying session.
+    pub fn session(&self) -> &Session<Query> {
         &self.session
     }
 
-    /// How often the names, and the data of one child, have been asked for so far.
+    /// Number of requests so far for the names and for the data of a child.
     pub fn asked(&self) -> (u64, u64) {
-        self.asked
+        self.request_counts
     }
 
-    /// When the service was last heard: how old what is known may be.
+    /// When the service last sent anything, which bounds the age of the known state.
     pub fn heard(&self) -> Millis {
         self.session.heard()
     }
 
-    /// When [`Follower::handle_timeout`] is to be called.
+    /// When [`Follower::handle_timeout`] must be called next.
     pub fn poll_timeout(&self) -> Option<Millis> {
-        let look = self.looked + self.look_every;
-        let look = self.session.is_connected().then_some(self.list_at.map_or(look, |at| at.min(look)));
-        [self.session.poll_timeout(), look].into_iter().flatten().min_by(f64::total_cmp)
+        let next_list = self.last_list_at + self.relist_interval;
+        let next_list =
+            self.session.is_connected().then_some(self.list_due.map_or(next_list, |at| at.min(next_list)));
+        [self.session.poll_timeout(), next_list].into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Does what is due by now.
+    /// Handles all timers that are due at `now`.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.session.handle_timeout(now);
-        let due = self.list_at.is_some_and(|at| now >= at) || now >= self.looked + self.look_every;
+        let due =
+            self.list_due.is_some_and(|at| now >= at) || now >= self.last_list_at + self.relist_interval;
         if self.session.is_connected() && due {
-            self.list(now);
+            self.request_names(now);
         }
-        self.settle(now);
+        self.process_events(now);
     }
 
-    /// The driver's connection stands.
+    /// Reports that the driver's connection is established.
     pub fn connected(&mut self, now: Millis) {
         self.session.connected(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
-    /// The driver's connection has ended, or never came up.
+    /// Reports that the driver's connection ended or could not be established.
     pub fn broken(&mut self, now: Millis) {
         self.session.broken(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
-    /// Takes what came.
+    /// Processes bytes received from the service.
     pub fn received(&mut self, now: Millis, bytes: &[u8]) {
         self.session.received(now, bytes);
-        self.settle(now);
+        self.process_events(now);
     }
 
-    fn child(&self, name: &str) -> String {
+    fn child_path(&self, name: &str) -> String {
         format!("{}/{name}", self.path.trim_end_matches('/'))
     }
 
-    fn name_of<'a>(&self, path: &'a str) -> Option<&'a str> {
+    fn child_name<'a>(&self, path: &'a str) -> Option<&'a str> {
         path.strip_prefix(self.path.trim_end_matches('/'))?.strip_prefix('/')
     }
 
-    /// Reads the names, once more behind a reading that is under way.
-    fn list(&mut self, now: Millis) {
-        (self.looked, self.list_at) = (now, None);
-        if std::mem::replace(&mut self.listing, true) {
-            self.again = true;
+    /// Requests the names; while a read is in flight, schedules another one after it.
+    fn request_names(&mut self, now: Millis) {
+        (self.last_list_at, self.list_due) = (now, None);
+        if std::mem::replace(&mut self.list_in_flight, true) {
+            self.list_again = true;
             return;
         }
         let request = Request::GetChildren { path: self.path.clone(), watch: true, stat: false };
-        self.asked.0 += 1;
-        self.session.ask(now, Ask::Names, request);
+        self.request_counts.0 += 1;
+        self.session.ask(now, Query::Names, request);
     }
 
-    fn want(&mut self, name: String) {
+    fn queue_read(&mut self, name: String) {
         if self.queued.insert(name.clone()) {
             self.unread.push_back(name);
         }
     }
 
-    fn settle(&mut self, now: Millis) {
+    fn process_events(&mut self, now: Millis) {
         loop {
             while let Some(event) = self.session.poll() {
-                self.on(now, event);
+                self.handle_event(now, event);
             }
-            if !self.session.is_connected() || self.reading.len() >= READS_MOST {
+            if !self.session.is_connected() || self.reads_in_flight.len() >= MAX_PENDING_READS {
                 break;
             }
             let Some(name) = self.unread.pop_front() else { break };
             self.queued.remove(&name);
-            if !self.names.contains(&name) || self.reading.contains(&name) {
-                // One that is being read and has changed once more fires its new watch.
+            if !self.names.contains(&name) || self.reads_in_flight.contains(&name) {
+                // If a child in flight changes again, the new watch fires for it.
                 continue;
             }
-            let request = Request::GetData { path: self.child(&name), watch: true };
-            self.reading.insert(name.clone());
-            self.asked.1 += 1;
-            self.session.ask(now, Ask::Data(name), request);
+            let request = Request::GetData { path: self.child_path(&name), watch: true };
+            self.reads_in_flight.insert(name.clone());
+            self.request_counts.1 += 1;
+            self.session.ask(now, Query::Data(name), request);
         }
-        let all_read = self.read_once && !self.listing && self.unread.is_empty() && self.reading.is_empty();
-        if self.gathering && all_read && self.session.is_connected() && !self.again {
-            self.gathering = false;
+        let all_read = self.names_read
+            && !self.list_in_flight
+            && self.unread.is_empty()
+            && self.reads_in_flight.is_empty();
+        if self.loading && all_read && self.session.is_connected() && !self.list_again {
+            self.loading = false;
             self.outputs.push_back(Output::Change(Change::Whole(self.known.clone())));
         }
     }
 
-    fn on(&mut self, now: Millis, event: Event<Ask>) {
+    fn handle_event(&mut self, now: Millis, event: Event<Query>) {
         match event {
             Event::Connect(member) => self.outputs.push_back(Output::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Output::Disconnect),
             Event::Suspended => self.outputs.push_back(Output::Away),
-            // A new session follows, and what it reads is the whole.
+            // A new session follows and reports the complete state.
             Event::Expired | Event::Stale { .. } => {}
             Event::Established { new } => {
                 self.outputs.push_back(Output::Back);
-                self.gathering |= new;
-                self.read_once &= !new;
-                // What was under way went with the connection before.
-                (self.listing, self.again) = (false, false);
-                // After the same session the watches say what was missed; what was being read is read again.
-                self.list(now);
+                self.loading |= new;
+                self.names_read &= !new;
+                // Requests in flight were lost with the previous connection.
+                (self.list_in_flight, self.list_again) = (false, false);
+                // If the session continues, the watches report what was missed, and interrupted reads are
+                // repeated.
+                self.request_names(now);
                 if new {
-                    self.names.clone().into_iter().for_each(|name| self.want(name));
+                    self.names.clone().into_iter().for_each(|name| self.queue_read(name));
                 }
             }
             Event::Fired(event) if event.path == self.path => {
-                let at = self.looked + PAUSE_FOR_EACH * self.names.len() as Millis;
+                let at = self.last_list_at + LIST_PAUSE_PER_NAME_MS * self.names.len() as Millis;
                 if now >= at {
-                    self.list(now);
+                    self.request_names(now);
                 } else {
-                    self.list_at = Some(at);
+                    self.list_due = Some(at);
                 }
             }
             Event::Fired(event) => {
-                if let Some(name) = self.name_of(&event.path).map(str::to_string) {
+                if let Some(name) = self.child_name(&event.path).map(str::to_string) {
                     match event.kind {
-                        EventKind::DataChanged | EventKind::Created => self.want(name),
-                        EventKind::Deleted => self.gone(&name),
+                        EventKind::DataChanged | EventKind::Created => self.queue_read(name),
+                        EventKind::Deleted => self.remove_child(&name),
                         EventKind::ChildrenChanged => {}
                     }
                 }
             }
-            Event::Answer(Ask::Names, Err(Failed::Service(Code::NoNode))) => {
-                // Nobody has registered yet, or the tree is being made: that is no list. Its making is watched for.
-                self.listing = false;
+            Event::Answer(Query::Names, Err(Failed::Service(Code::NoNode))) => {
+                // A missing parent is not an empty list: nothing has registered yet, or the tree is still
+                // being created. A watch reports its creation.
+                self.list_in_flight = false;
                 let request = Request::Exists { path: self.path.clone(), watch: true };
-                self.session.ask(now, Ask::There, request);
+                self.session.ask(now, Query::ParentExists, request);
             }
-            Event::Answer(Ask::There, Ok(_)) => self.list(now),
-            Event::Answer(Ask::There, Err(_)) => {}
-            Event::Answer(Ask::Names, answer) => self.listed(now, answer),
-            Event::Answer(Ask::Data(name), answer) => self.read(name, answer),
+            Event::Answer(Query::ParentExists, Ok(_)) => self.request_names(now),
+            Event::Answer(Query::ParentExists, Err(_)) => {}
+            Event::Answer(Query::Names, answer) => self.handle_names(now, answer),
+            Event::Answer(Query::Data(name), answer) => self.handle_data(name, answer),
         }
     }
 
-    fn listed(&mut self, now: Millis, answer: Result<Response, Failed>) {
-        self.listing = false;
+    fn handle_names(&mut self, now: Millis, answer: Result<Response, Failed>) {
+        self.list_in_flight = false;
         let names: BTreeSet<String> = match answer {
             Ok(Response::Children { names, .. }) => names.into_iter().collect(),
-            // The connection ended meanwhile: the next one begins with the names.
+            // The connection was lost; the next one starts by reading the names.
             Ok(_) | Err(_) => return,
         };
-        let gone: Vec<String> = self.known.keys().filter(|name| !names.contains(*name)).cloned().collect();
+        let removed: Vec<String> = self.known.keys().filter(|name| !names.contains(*name)).cloned().collect();
         let new: Vec<String> = names.difference(&self.names).cloned().collect();
-        // Those that were known before a new session, too, and those whose reading was cut off.
-        let missing: Vec<String> = names
+        // Names without data, such as those whose read was interrupted.
+        let without_data: Vec<String> = names
             .iter()
             .filter(|n| !self.known.contains_key(*n) && !self.unfit.contains(*n))
             .cloned()
             .collect();
         self.unfit.retain(|name| names.contains(name));
         self.names = names;
-        self.read_once = true;
-        gone.iter().for_each(|name| self.gone(name));
-        new.into_iter().chain(missing).for_each(|name| self.want(name));
-        if std::mem::take(&mut self.again) {
-            self.list(now);
+        self.names_read = true;
+        removed.iter().for_each(|name| self.remove_child(name));
+        new.into_iter().chain(without_data).for_each(|name| self.queue_read(name));
+        if std::mem::take(&mut self.list_again) {
+            self.request_names(now);
         }
     }
 
-    fn read(&mut self, name: String, answer: Result<Response, Failed>) {
-        self.reading.remove(&name);
+    fn handle_data(&mut self, name: String, answer: Result<Response, Failed>) {
+        self.reads_in_flight.remove(&name);
         match answer {
             Ok(Response::Data { data, .. }) if data.len() > DATA_MOST => {
                 self.unfit.insert(name.clone());
@@ -357,20 +366,20 @@
                     return;
                 }
                 self.known.insert(name.clone(), data.clone());
-                if !self.gathering {
+                if !self.loading {
                     self.outputs.push_back(Output::Change(Change::Set(name, data)));
                 }
             }
-            Err(Failed::Service(Code::NoNode)) => self.gone(&name),
-            // The connection ended meanwhile: it is read over the next one.
-            Ok(_) | Err(_) => self.want(name),
+            Err(Failed::Service(Code::NoNode)) => self.remove_child(&name),
+            // The connection was lost; the read is repeated on the next one.
+            Ok(_) | Err(_) => self.queue_read(name),
         }
     }
 
-    fn gone(&mut self, name: &str) {
+    fn remove_child(&mut self, name: &str) {
         self.names.remove(name);
         self.unfit.remove(name);
-        if self.known.remove(name).is_some() && !self.gathering {
+        if self.known.remove(name).is_some() && !self.loading {
             self.outputs.push_back(Output::Change(Change::Gone(name.to_string())));
         }
     }
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -1,15 +1,16 @@
-//! A client's session: one connection after another to the members of a service, as one thing.
+//! A client session that survives reconnects between the members of the service.
 //!
-//! Bytes and the time go in, [`Event`]s and bytes to write come out. The driver opens a connection on
-//! [`Event::Connect`], drops it on [`Event::Disconnect`], and calls [`Session::handle_timeout`] when
+//! It takes bytes and the time and returns [`Event`]s and bytes to write. The driver opens a connection on
+//! [`Event::Connect`], closes it on [`Event::Disconnect`] and calls [`Session::handle_timeout`] when
 //! [`Session::poll_timeout`] is due.
 //!
-//! What it promises:
-//! - *Never back in time.* A member whose word is older than what the session has seen is left, and its word not used.
-//! - *No silent member.* One that accepts and says nothing, or falls silent, is left after a part of the time-out that
-//!   still leaves time for the others.
-//! - *No watch is lost without word.* Watches are taken up again on every new connection with what was last seen, so that
-//!   what happened meanwhile is said; an answer that sets a watch and does not arrive tells its caller so.
+//! Guarantees:
+//! - *No stale reads.* If a member's zxid is older than the newest one seen, the session disconnects from it and
+//!   discards its reply.
+//! - *No unresponsive member.* A member that accepts the connection but sends nothing, or stops sending, is
+//!   abandoned after a part of the session time-out that leaves time to try the others.
+//! - *No silently lost watch.* Watches are set again on every new connection with the newest zxid seen, so that
+//!   missed changes are reported. If the answer that would set a watch is lost, the caller gets an error.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -24,86 +25,87 @@
 };
 use crate::Millis;
 
-/// How much of paths one record that takes watches up again may hold: services read no more than 1 MiB.
-const WATCHES_AT_ONCE: usize = 128 * 1024;
-/// The least that a member is given to answer.
-const PATIENCE_LEAST: Millis = 20.0;
-/// How long the session rests when it has tried all members, at first and at most; the span doubles in between.
-const REST: (Millis, Millis) = (10.0, 1000.0);
+/// Maximum total path size of one `SetWatches` record; services read records of at most 1 MiB.
+const MAX_SET_WATCHES_BYTES: usize = 128 * 1024;
+/// Minimum time a member has to answer, in milliseconds.
+const MIN_MEMBER_TIMEOUT_MS: Millis = 20.0;
+/// Initial and maximum backoff, in milliseconds, once all members have been tried; it doubles in between.
+const RECONNECT_BACKOFF_MS: (Millis, Millis) = (10.0, 1000.0);
 
-/// How a session is set up.
+/// Settings of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How many members the service has, 1 at least; they are named by number.
+    /// Number of members of the service, at least 1; members are identified by index.
     pub members: usize,
-    /// The time-out that is asked for; the service may grant another.
+    /// The requested session time-out; the service may grant a different one.
     pub timeout: Millis,
-    /// For the order of members and for rests, so that clients do not move all at once.
+    /// Seed for the member order and the backoff jitter, so that clients do not reconnect in lockstep.
     pub seed: u64,
 }
 
-/// Why a request has no answer.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failed {
-    /// The service's word.
+    /// The service returned an error.
     Service(Code),
-    /// The connection ended first: it may have been done.
+    /// The connection ended before the answer arrived; the request may have been executed.
     Lost,
-    /// There was no connection: it was not sent.
+    /// The request was not sent because there was no connection.
     NotSent,
-    /// The answer can't be read.
+    /// The answer is malformed.
     Garbled,
 }
 
-/// What happened, or is to be done.
+/// An action for the driver, or an event for the user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event<T> {
-    /// Open a connection to this member, and say so with [`Session::connected`] or [`Session::broken`].
+    /// Open a connection to this member and report the result with [`Session::connected`] or
+    /// [`Session::broken`].
     Connect(usize),
-    /// Drop the connection.
+    /// Close the connection.
     Disconnect,
-    /// The service knows the session on this connection.
+    /// The service accepted the session on this connection.
     Established {
-        /// It is another session than before: what was ephemeral in the one before is gone.
+        /// Whether this is a new session, in which case the ephemeral nodes of the previous one are gone.
         new: bool,
     },
-    /// The connection is gone; the session may still stand.
+    /// The connection was lost; the session may still be alive.
     Suspended,
-    /// The service says that the session is over. A new one follows by itself.
+    /// The service reported that the session expired. A new one is requested automatically.
     Expired,
-    /// What was asked has its answer.
+    /// The result of the request with this tag.
     Answer(T, Result<Response, Failed>),
-    /// A watch has fired.
+    /// A watch fired.
     Fired(WatchEvent),
-    /// A member was left, as its word was older than what the session has seen.
+    /// The session disconnected from a member whose zxid was older than the newest one seen.
     Stale {
-        /// The member.
+        /// Index of the member.
         member: usize,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// No connection until then.
-    Resting(Millis),
-    /// The driver connects.
+    /// Waiting until this time before the next connection attempt.
+    Backoff(Millis),
+    /// The driver has been connecting since this time.
     Connecting(Millis),
-    /// The service's word on the session is awaited since then.
-    Greeting(Millis),
-    /// All is well.
+    /// Waiting since this time for the service's `ConnectResponse`.
+    Handshake(Millis),
+    /// The session is established on the current connection.
     Connected,
-    /// Closed by its owner.
+    /// Closed by the user.
     Closed,
 }
 
-struct Asked<T> {
+struct PendingRequest<T> {
     xid: i32,
     request: Request,
-    /// `None` for what the session asks for itself.
-    name: Option<T>,
+    /// The caller's tag; `None` for requests of the session itself.
+    tag: Option<T>,
 }
 
-/// Watches that are set.
+/// The watches currently set.
 #[derive(Debug, Default)]
 struct Watches {
     data: BTreeSet<String>,
@@ -112,7 +114,7 @@
 }
 
 impl Watches {
-    /// Notes what an answer has set.
+    /// Records the watch that an answered request has set.
     fn set(&mut self, request: &Request, answer: &Result<Response, Failed>) {
         match (request, answer) {
             (Request::Exists { path, watch: true }, Ok(_))
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Takes out what has fired; false where nothing was set.
-    fn fire(&mut self, event: &WatchEvent) -> bool {
+    /// Removes the watches that the event fires; false if none was set.
+    fn take_fired(&mut self, event: &WatchEvent) -> bool {
         let path = event.path.as_str();
         match event.kind {
             EventKind::Created | EventKind::DataChanged => self.data.remove(path) | self.exist.remove(path),
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Requests that take all of them up again.
-    fn again(&self, since: i64) -> Vec<Request> {
+    /// Builds the `SetWatches` requests that set all watches again.
+    fn set_watches_requests(&self, since: i64) -> Vec<Request> {
         let all = [(0, &self.data), (1, &self.exist), (2, &self.children)];
         let all = all.into_iter().flat_map(|(kind, set)| set.iter().map(move |path| (kind, path)));
         let mut requests = Vec::new();
@@ -152,7 +154,7 @@
             requests.push(Request::SetWatches { since, data, exist, children });
         };
         for (kind, path) in all {
-            if size + path.len() > WATCHES_AT_ONCE && size > 0 {
+            if size + path.len() > MAX_SET_WATCHES_BYTES && size > 0 {
                 flush(&mut parts, &mut requests);
                 size = 0;
             }
@@ -166,28 +168,28 @@
     }
 }
 
-/// A client's session.
+/// A client session; `T` is the type of the caller's request tags.
 pub struct Session<T> {
     settings: Settings,
     random: u64,
     state: State,
     id: i64,
     password: Bytes,
-    /// The time-out that holds.
+    /// The session time-out currently in effect.
     timeout: Millis,
-    /// The newest zxid seen, over all members.
+    /// The newest zxid seen from any member.
     zxid: i64,
-    /// In which order members are tried, and which comes next.
+    /// The order in which members are tried, and a counter that gives the current position in it.
     order: Vec<usize>,
-    next: usize,
-    /// Members that failed in a row.
+    next_index: usize,
+    /// Consecutive failed connections.
     failures: usize,
     frames: Frames,
     out: Vec<u8>,
-    asked: VecDeque<Asked<T>>,
+    pending: VecDeque<PendingRequest<T>>,
     last_xid: i32,
-    heard: Millis,
-    sent: Millis,
+    last_received: Millis,
+    last_sent: Millis,
     watches: Watches,
     events: VecDeque<Event<T>>,
 }
@@ -199,7 +201,7 @@
         Some(match Session::poll(self)? {
             Event::Connect(member) => Step::Connect(member),
             Event::Disconnect => Step::Disconnect,
-            said => Step::Said(said),
+            other_event => Step::Said(other_event),
         })
     }
 
@@ -229,25 +231,25 @@
 }
 
 impl<T> Session<T> {
-    /// A session that begins to connect now.
+    /// Creates a session that starts to connect at `now`.
     pub fn new(now: Millis, settings: Settings) -> Self {
         let mut session = Self {
             settings,
             random: settings.seed,
-            state: State::Resting(now),
+            state: State::Backoff(now),
             id: 0,
             password: Bytes::new(),
             timeout: settings.timeout,
             zxid: 0,
             order: (0..settings.members.max(1)).collect(),
-            next: 0,
+            next_index: 0,
             failures: 0,
             frames: Frames::new(LONGEST),
             out: Vec::new(),
-            asked: VecDeque::new(),
+            pending: VecDeque::new(),
             last_xid: 0,
-            heard: now,
-            sent: now,
+            last_received: now,
+            last_sent: now,
             watches: Watches::default(),
             events: VecDeque::new(),
         };
@@ -259,7 +261,7 @@
         session
     }
 
-    /// SplitMix64.
+    /// Returns the next number of a SplitMix64 generator.
     fn random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.random;
@@ -268,262 +270,265 @@
         z ^ (z >> 31)
     }
 
-    /// The next thing that happened.
+    /// Returns the next event, if any.
     pub fn poll(&mut self) -> Option<Event<T>> {
         self.events.pop_front()
     }
 
-    /// What is to be written; it is taken by this.
+    /// Takes the bytes to be written to the connection.
     pub fn output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.out)
     }
 
-    /// Its number; 0 before the service gave one.
+    /// The session ID; 0 until the service has assigned one.
     pub fn id(&self) -> i64 {
         self.id
     }
 
-    /// The newest zxid that it has seen.
+    /// The newest zxid seen.
     pub fn zxid(&self) -> i64 {
         self.zxid
     }
 
-    /// Does the service know it on this connection?
+    /// Whether the session is established on the current connection.
     pub fn is_connected(&self) -> bool {
         self.state == State::Connected
     }
 
-    /// When the service was last heard.
+    /// When the last valid record arrived from the service.
     pub fn heard(&self) -> Millis {
-        self.heard
+        self.last_received
     }
 
-    /// The time-out that holds.
+    /// The session time-out currently in effect.
     pub fn timeout(&self) -> Millis {
         self.timeout
     }
 
-    /// How many watches are set.
+    /// Number of watches currently set.
     pub fn watches(&self) -> usize {
         self.watches.data.len() + self.watches.exist.len() + self.watches.children.len()
     }
 
-    /// How long one member is waited for: a third of the time-out, less where there are many, so that within a time-out
-    /// all have been tried.
-    fn patience(&self) -> Millis {
-        (self.timeout / (self.order.len() as f64 + 1.0)).min(self.timeout / 3.0).max(PATIENCE_LEAST)
+    /// Time a member has to answer: a third of the session time-out, or less with many members, so that all can
+    /// be tried within one session time-out.
+    fn member_timeout(&self) -> Millis {
+        (self.timeout / (self.order.len() as f64 + 1.0)).min(self.timeout / 3.0).max(MIN_MEMBER_TIMEOUT_MS)
     }
 
-    /// When [`Session::handle_timeout`] is to be called; `None` once it is closed.
+    /// When [`Session::handle_timeout`] must be called next; `None` once the session is closed.
     pub fn poll_timeout(&self) -> Option<Millis> {
         match self.state {
-            State::Resting(until) => Some(until),
-            State::Connecting(since) | State::Greeting(since) => Some(since + self.patience()),
+            State::Backoff(until) => Some(until),
+            State::Connecting(since) | State::Handshake(since) => Some(since + self.member_timeout()),
             State::Connected => {
-                Some((self.sent + self.timeout / 3.0).min(self.heard + self.timeout * 2.0 / 3.0))
+                Some((self.last_sent + self.timeout / 3.0).min(self.last_received + self.timeout * 2.0 / 3.0))
             }
             State::Closed => None,
         }
     }
 
-    /// Does what is due by now.
+    /// Handles all timers that are due at `now`.
     pub fn handle_timeout(&mut self, now: Millis) {
         match self.state {
-            State::Resting(until) if now >= until => {
-                let member = self.order[self.next % self.order.len()];
+            State::Backoff(until) if now >= until => {
+                let member = self.order[self.next_index % self.order.len()];
                 self.state = State::Connecting(now);
                 self.events.push_back(Event::Connect(member));
             }
-            State::Connecting(since) | State::Greeting(since) if now >= since + self.patience() => {
-                self.leave(now);
+            State::Connecting(since) | State::Handshake(since) if now >= since + self.member_timeout() => {
+                self.disconnect(now);
             }
-            State::Connected if now >= self.heard + self.timeout * 2.0 / 3.0 => self.leave(now),
-            State::Connected if now >= self.sent + self.timeout / 3.0 => {
+            State::Connected if now >= self.last_received + self.timeout * 2.0 / 3.0 => self.disconnect(now),
+            State::Connected if now >= self.last_sent + self.timeout / 3.0 => {
                 self.send(now, XID_PING, &Request::Ping);
             }
             _ => {}
         }
     }
 
-    /// The driver's connection stands.
+    /// Reports that the driver's connection is established.
     pub fn connected(&mut self, now: Millis) {
         if !matches!(self.state, State::Connecting(_)) {
             return;
         }
-        self.state = State::Greeting(now);
+        self.state = State::Handshake(now);
         self.frames = Frames::new(LONGEST);
-        let hello = ConnectRequest {
+        let connect_request = ConnectRequest {
             last_zxid: self.zxid,
             timeout: self.settings.timeout.clamp(1.0, f64::from(i32::MAX)) as i32,
             session: self.id,
             password: self.password.clone(),
         };
-        self.out = framed(&hello.write());
-        self.sent = now;
+        self.out = framed(&connect_request.write());
+        self.last_sent = now;
     }
 
-    /// The driver's connection has ended, or never came up.
+    /// Reports that the driver's connection ended or could not be established.
     pub fn broken(&mut self, now: Millis) {
-        if !matches!(self.state, State::Resting(_) | State::Closed) {
-            self.moved_on(now);
+        if !matches!(self.state, State::Backoff(_) | State::Closed) {
+            self.connection_lost(now);
         }
     }
 
-    /// Drops the connection and goes on to the next member.
-    fn leave(&mut self, now: Millis) {
+    /// Closes the connection and continues with the next member.
+    fn disconnect(&mut self, now: Millis) {
         self.events.push_back(Event::Disconnect);
-        self.moved_on(now);
+        self.connection_lost(now);
     }
 
-    fn moved_on(&mut self, now: Millis) {
-        let was = std::mem::replace(&mut self.state, State::Resting(now));
-        self.next += 1;
+    fn connection_lost(&mut self, now: Millis) {
+        let previous = std::mem::replace(&mut self.state, State::Backoff(now));
+        self.next_index += 1;
         self.out.clear();
-        if was == State::Connected {
+        if previous == State::Connected {
             self.events.push_back(Event::Suspended);
         }
-        for asked in std::mem::take(&mut self.asked) {
-            if let Some(name) = asked.name {
-                self.events.push_back(Event::Answer(name, Err(Failed::Lost)));
+        for pending in std::mem::take(&mut self.pending) {
+            if let Some(tag) = pending.tag {
+                self.events.push_back(Event::Answer(tag, Err(Failed::Lost)));
             }
         }
         self.failures += 1;
-        // At once to the others; a rest once all have failed, longer each time.
+        // Tries the other members at once; backs off after each full round of failures, doubling the delay.
         let rounds = self.failures / self.order.len();
         if rounds > 0 && self.failures.is_multiple_of(self.order.len()) {
-            let span = (REST.0 * 2.0f64.powi(rounds.min(12) as i32 - 1)).min(REST.1);
+            let delay =
+                (RECONNECT_BACKOFF_MS.0 * 2.0f64.powi(rounds.min(12) as i32 - 1)).min(RECONNECT_BACKOFF_MS.1);
             let jitter = (self.random() >> 11) as f64 / (1u64 << 53) as f64;
-            self.state = State::Resting(now + span * (0.5 + jitter / 2.0));
+            self.state = State::Backoff(now + delay * (0.5 + jitter / 2.0));
         }
         self.handle_timeout(now);
     }
 
     fn send(&mut self, now: Millis, xid: i32, request: &Request) {
         self.out.extend(framed(&request.write(xid)));
-        self.sent = now;
+        self.last_sent = now;
     }
 
-    /// Asks for something; [`Event::Answer`] under this name follows, in the order of asking.
-    pub fn ask(&mut self, now: Millis, name: T, request: Request) {
+    /// Sends a request; an [`Event::Answer`] with the same tag follows, in request order.
+    pub fn ask(&mut self, now: Millis, tag: T, request: Request) {
         if self.state != State::Connected {
-            self.events.push_back(Event::Answer(name, Err(Failed::NotSent)));
+            self.events.push_back(Event::Answer(tag, Err(Failed::NotSent)));
             return;
         }
-        // Numbers below 0 have a meaning of their own.
+        // Negative xids are reserved by the protocol.
         self.last_xid = self.last_xid.checked_add(1).unwrap_or(1);
         let xid = self.last_xid;
         self.send(now, xid, &request);
-        self.asked.push_back(Asked { xid, request, name: Some(name) });
+        self.pending.push_back(PendingRequest { xid, request, tag: Some(tag) });
     }
 
-    /// Ends the session with its ephemeral nodes, as far as the service can still be told: what is in
-    /// [`Session::output`] is to be written first.
+    /// Closes the session and, if connected, asks the service to remove its ephemeral nodes. For this to take
+    /// effect the bytes in [`Session::output`] must still be written.
     pub fn close(&mut self, now: Millis) {
         if self.state == State::Connected {
             self.send(now, self.last_xid.wrapping_add(1).max(1), &Request::CloseSession);
         }
         self.state = State::Closed;
-        for asked in std::mem::take(&mut self.asked) {
-            if let Some(name) = asked.name {
-                self.events.push_back(Event::Answer(name, Err(Failed::Lost)));
+        for pending in std::mem::take(&mut self.pending) {
+            if let Some(tag) = pending.tag {
+                self.events.push_back(Event::Answer(tag, Err(Failed::Lost)));
             }
         }
     }
 
-    /// Takes what came.
+    /// Processes bytes received from the service.
     pub fn received(&mut self, now: Millis, bytes: &[u8]) {
-        if !matches!(self.state, State::Greeting(_) | State::Connected) {
+        if !matches!(self.state, State::Handshake(_) | State::Connected) {
             return;
         }
         self.frames.push(bytes);
         loop {
-            let well = match self.frames.poll() {
+            let valid = match self.frames.poll() {
                 Ok(None) => return,
-                Ok(Some(record)) if self.state == State::Connected => self.record(now, record),
-                Ok(Some(record)) => self.greeted(now, record),
+                Ok(Some(record)) if self.state == State::Connected => self.handle_record(now, record),
+                Ok(Some(record)) => self.handle_connect_response(now, record),
                 Err(_) => false,
             };
-            if !well {
-                return self.leave(now);
+            if !valid {
+                return self.disconnect(now);
             }
-            if !matches!(self.state, State::Greeting(_) | State::Connected) {
+            if !matches!(self.state, State::Handshake(_) | State::Connected) {
                 return;
             }
         }
     }
 
-    /// The service's word on the session; false where it makes no sense.
-    fn greeted(&mut self, now: Millis, record: Bytes) -> bool {
-        let Ok(word) = ConnectResponse::read(record) else { return false };
-        if word.session == 0 || word.timeout <= 0 {
+    /// Handles the service's `ConnectResponse`; false if it is invalid.
+    fn handle_connect_response(&mut self, now: Millis, record: Bytes) -> bool {
+        let Ok(response) = ConnectResponse::read(record) else { return false };
+        if response.session == 0 || response.timeout <= 0 {
             if self.id == 0 {
                 return false;
             }
-            // Its ephemeral nodes are gone, and so are its watches. The next connection asks for a new one. What was
-            // seen stays seen: a new session must not go back in time either.
+            // The session expired, and its ephemeral nodes and watches with it. The next connection requests a new
+            // session. The newest zxid is kept, because a new session must not read older state either.
             (self.id, self.password) = (0, Bytes::new());
             self.watches = Watches::default();
             self.timeout = self.settings.timeout;
             self.events.push_back(Event::Expired);
             self.failures = 0;
-            self.leave(now);
+            self.disconnect(now);
             return true;
         }
-        let new = word.session != self.id;
+        let new = response.session != self.id;
         if new {
             self.watches = Watches::default();
         }
-        (self.id, self.password, self.timeout) = (word.session, word.password, f64::from(word.timeout));
-        (self.state, self.heard) = (State::Connected, now);
+        (self.id, self.password, self.timeout) =
+            (response.session, response.password, f64::from(response.timeout));
+        (self.state, self.last_received) = (State::Connected, now);
         self.events.push_back(Event::Established { new });
-        for request in self.watches.again(self.zxid) {
+        for request in self.watches.set_watches_requests(self.zxid) {
             self.send(now, XID_SET_WATCHES, &request);
-            self.asked.push_back(Asked { xid: XID_SET_WATCHES, request, name: None });
+            self.pending.push_back(PendingRequest { xid: XID_SET_WATCHES, request, tag: None });
         }
         true
     }
 
-    /// One record of a connection that stands; false where it makes no sense.
-    fn record(&mut self, now: Millis, record: Bytes) -> bool {
+    /// Handles one record of an established session; false if it is invalid or stale.
+    fn handle_record(&mut self, now: Millis, record: Bytes) -> bool {
         let mut r = Reader::new(record);
         let Ok(header) = ReplyHeader::read(&mut r) else { return false };
         if header.xid == XID_EVENT {
             let Ok(event) = WatchEvent::read(&mut r) else { return false };
-            self.heard = now;
-            // One that is not set has fired before: services may say it twice round a new connection.
-            if self.watches.fire(&event) {
+            self.last_received = now;
+            // Services may send an event twice around a reconnect; only the first one finds its watch set.
+            if self.watches.take_fired(&event) {
                 self.events.push_back(Event::Fired(event));
             }
             return true;
         }
-        // A member that is behind what was seen elsewhere would take the list back in time.
+        // A member that lags behind what other members have shown would return older state.
         if header.zxid > 0 && header.zxid < self.zxid {
-            let member = self.order[self.next % self.order.len()];
+            let member = self.order[self.next_index % self.order.len()];
             self.events.push_back(Event::Stale { member });
             return false;
         }
-        self.heard = now;
+        self.last_received = now;
         self.zxid = self.zxid.max(header.zxid);
-        // Not by its greeting alone: members that greet and are behind would be tried in turn without a rest.
+        // Reset only here and not on the handshake: otherwise members that accept the session but lag behind
+        // would be tried in turn without backoff.
         self.failures = 0;
         if header.xid == XID_PING {
             return true;
         }
-        // Answers come in the order of asking; anything else is another conversation.
-        let Some(asked) = self.asked.pop_front() else { return false };
-        if asked.xid != header.xid {
-            self.asked.push_front(asked);
+        // Answers arrive in request order; any other xid is a protocol violation.
+        let Some(pending) = self.pending.pop_front() else { return false };
+        if pending.xid != header.xid {
+            self.pending.push_front(pending);
             return false;
         }
         let answer = match header.error {
             Some(code) => Err(Failed::Service(code)),
-            None => Response::read(&asked.request, &mut r).map_err(|_| Failed::Garbled),
+            None => Response::read(&pending.request, &mut r).map_err(|_| Failed::Garbled),
         };
-        // In a multi that failed each operation tells what it came to.
-        self.watches.set(&asked.request, &answer);
-        match asked.name {
-            Some(name) => self.events.push_back(Event::Answer(name, answer)),
-            // Without its watches the session would not hear of changes.
+        // A failed `multi` has its errors in the body, one per operation.
+        self.watches.set(&pending.request, &answer);
+        match pending.tag {
+            Some(tag) => self.events.push_back(Event::Answer(tag, answer)),
+            // If its watches could not be set again, the session would miss changes.
             None if answer.is_err() => return false,
             None => {}
         }
