--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -1,8 +1,8 @@
 //! Mirrors the children of one tree node and their data.
 //!
-//! A [`Follower`] owns a [`Session`]. It reads the child names and each child's data once, and then reads again
-//! only what a watch reports as changed. Apart from that it re-reads the names at a long interval, in case a
-//! faulty service lost a watch.
+//! A [`Follower`] owns a [`Session`]. It reads the child names and each child's data once, and then reads
+//! again only what a watch reports as changed. Apart from that it re-reads the names at a long interval, in
+//! case a faulty service lost a watch.
 //!
 //! It reports nothing until it has read everything once. After that it keeps its state while the service is
 //! unreachable: an outage of the service never removes a child.
--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/frame.rs
@@ -1,82 +1,83 @@
-//! Records behind their length, four bytes big-endian.
+//! Framing: each record is preceded by its length as four bytes, big-endian.
 
 use std::fmt;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest record that ZooKeeper itself takes: `jute.maxbuffer`, 1 MiB less one byte. What a service sends may be
-/// longer, as it counts that for data alone.
+/// Default limit on the length of a record, in bytes. ZooKeeper accepts up to `jute.maxbuffer` (1 MiB less
+/// one byte) but applies that to data alone, so the records that a service sends may be longer.
 pub const LONGEST: usize = 4 * 1024 * 1024;
 
-/// A length that can't be: the stream has no further use.
+/// A record length that is negative or over the limit; the stream can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadLength(
-    /// The length.
+    /// The invalid length.
     pub i32,
 );
 
 impl fmt::Display for BadLength {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of {} bytes", self.0)
+        write!(f, "invalid record length: {} bytes", self.0)
     }
 }
 
 impl std::error::Error for BadLength {}
 
-/// Cuts a stream into records.
+/// Splits a byte stream into records.
 #[derive(Debug)]
 pub struct Frames {
-    held: BytesMut,
-    longest: usize,
-    broken: Option<BadLength>,
+    buffered: BytesMut,
+    max_record_bytes: usize,
+    failure: Option<BadLength>,
 }
 
 impl Frames {
-    /// Nothing has come yet; no record may be longer than `longest` bytes.
-    pub fn new(longest: usize) -> Self {
-        Self { held: BytesMut::new(), longest, broken: None }
+    /// Creates an empty buffer that accepts records of up to `max_record_bytes`.
+    pub fn new(max_record_bytes: usize) -> Self {
+        Self { buffered: BytesMut::new(), max_record_bytes, failure: None }
     }
 
-    /// Takes what came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.broken.is_none() {
-            self.held.extend_from_slice(bytes);
+        if self.failure.is_none() {
+            self.buffered.extend_from_slice(bytes);
         }
     }
 
-    /// How many bytes are held.
+    /// Number of buffered bytes.
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.buffered.len()
     }
 
-    /// The next record; `None` where more must come.
+    /// Returns the next record, or `None` if it is not complete yet.
     ///
     /// # Errors
-    /// Where its length is negative or over the bound, before any of it is kept; the same again from then on.
+    /// The record's length is negative or over the limit. Everything buffered is discarded, and each further
+    /// call returns the same error.
     pub fn poll(&mut self) -> Result<Option<Bytes>, BadLength> {
-        if let Some(error) = self.broken {
+        if let Some(error) = self.failure {
             return Err(error);
         }
-        let Some(head) = self.held.first_chunk::<4>() else { return Ok(None) };
-        let length = i32::from_be_bytes(*head);
-        let Some(fits) = usize::try_from(length).ok().filter(|n| *n <= self.longest) else {
-            self.held = BytesMut::new();
-            self.broken = Some(BadLength(length));
+        let Some(prefix) = self.buffered.first_chunk::<4>() else { return Ok(None) };
+        let length = i32::from_be_bytes(*prefix);
+        let Some(body_bytes) = usize::try_from(length).ok().filter(|n| *n <= self.max_record_bytes) else {
+            self.buffered = BytesMut::new();
+            self.failure = Some(BadLength(length));
             return Err(BadLength(length));
         };
-        if self.held.len() < 4 + fits {
+        if self.buffered.len() < 4 + body_bytes {
             return Ok(None);
         }
-        self.held.advance(4);
-        let record = self.held.split_to(fits).freeze();
-        if self.held.is_empty() {
-            self.held = BytesMut::new();
+        self.buffered.advance(4);
+        let record = self.buffered.split_to(body_bytes).freeze();
+        if self.buffered.is_empty() {
+            self.buffered = BytesMut::new();
         }
         Ok(Some(record))
     }
 }
 
-/// A record behind its length.
+/// Returns the record with its length prepended.
 pub fn framed(record: &[u8]) -> Vec<u8> {
     let length = record.len().min(i32::MAX as usize);
     let mut out = Vec::with_capacity(length + 4);
--- a/crates/coordination/src/guard.rs
+++ b/crates/coordination/src/guard.rs
@@ -1,11 +1,12 @@
-//! A guard against mass expiry: when a service restarts badly, the sessions of many healthy servers end together, and
-//! come again a moment later.
+//! Protection against mass expiry: when the coordination service restarts badly, the sessions of many healthy
+//! servers expire together, and the servers register again a moment later.
 //!
-//! Whether a server that the service calls gone may still be used is not a node's to choose: the drain rule stands, so
-//! what is gone must be passed on within [`Settings::hold`], which is bounded well under the rule's 500 ms. Within that
-//! moment the guard keeps back what looks like a fault of the service: when more than [`Settings::share`] of the list
-//! vanishes within [`Settings::window`], each further one waits while it still answers, and one that is back by then was
-//! never gone. The first few are passed on at once, as single departures are, and as those are that answer nobody.
+//! The drain rule requires a node to stop using a departed server within 500 ms, so a departure must be
+//! passed on within [`Settings::hold`], which is well below that. Within this limit the guard delays
+//! departures that look like a fault of the service: once more than [`Settings::share`] of the list has
+//! departed within [`Settings::window`], each further departure of a server that still answers requests is
+//! delayed, and is dropped if the server registers again in time. Departures below that share, and those of
+//! servers that do not answer, are passed on at once.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -15,24 +16,25 @@
 use crate::follow::Change;
 use crate::Millis;
 
-/// How the guard works.
+/// Settings of the guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The part of the list that may vanish without suspicion, above 0 and up to 1 (1: nothing is ever kept back).
+    /// The share of the list that may depart within the window before further departures are delayed; above 0
+    /// and up to 1 (1: departures are never delayed).
     pub share: f64,
-    /// Within which time, in milliseconds; above 0.
+    /// Length of the window, in milliseconds; above 0.
     pub window: Millis,
-    /// For how long one is kept back, in milliseconds, up to [`HOLD_MOST`].
+    /// How long a departure is delayed, in milliseconds; up to [`HOLD_MOST`].
     pub hold: Millis,
 }
 
-/// The longest that a departure may be kept back: the drain rule's 500 ms, less what a node needs to act on it.
+/// Maximum delay of a departure: the drain rule's 500 ms, less the time a node needs to act on it.
 pub const HOLD_MOST: Millis = 400.0;
 
-/// Which setting makes no sense.
+/// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadSetting(
-    /// Its name and bounds.
+    /// The name of the setting and its valid range.
     pub &'static str,
 );
 
@@ -44,122 +46,125 @@
 
 impl std::error::Error for BadSetting {}
 
-/// Stands between a follower and the list of a node.
+/// Filters the changes between a follower and the node's list.
 #[derive(Debug)]
 pub struct Guard {
     settings: Settings,
-    /// Who is there, as it was passed on.
-    there: BTreeMap<String, Bytes>,
-    /// When each of those who left did, within the window.
-    left: VecDeque<Millis>,
-    /// Until when each of those is kept back who are gone.
-    held: BTreeMap<String, Millis>,
+    /// The servers as passed on so far, including those whose departure is delayed.
+    listed: BTreeMap<String, Bytes>,
+    /// Times of the departures within the window.
+    departures: VecDeque<Millis>,
+    /// Delayed departures: the server's name and when its departure is passed on.
+    delayed: BTreeMap<String, Millis>,
     outputs: VecDeque<Change>,
-    /// The first list has come.
-    begun: bool,
-    saved: u64,
+    /// Whether the first complete list has arrived.
+    initialized: bool,
+    /// Departures that were delayed and then dropped, because the server registered again.
+    recovered: u64,
 }
 
 impl Guard {
-    /// A guard that knows of nobody.
+    /// Creates a guard with an empty list.
     ///
     /// # Errors
-    /// Names the setting that makes no sense.
+    /// Names the invalid setting.
     pub fn new(settings: Settings) -> Result<Self, BadSetting> {
         if !(settings.share > 0.0 && settings.share <= 1.0) {
-            return Err(BadSetting("share: above 0 and up to 1 expected"));
+            return Err(BadSetting("share: expected a value above 0 and up to 1"));
         }
         if !(settings.window > 0.0 && settings.window.is_finite()) {
-            return Err(BadSetting("window: above 0 expected"));
+            return Err(BadSetting("window: expected a finite number of milliseconds above 0"));
         }
         if !(0.0..=HOLD_MOST).contains(&settings.hold) {
-            return Err(BadSetting("hold: 0 to 400 ms expected, as the drain rule allows no more"));
+            return Err(BadSetting("hold: expected 0 to 400 ms, the most that the drain rule allows"));
         }
-        let (there, held) = (BTreeMap::new(), BTreeMap::new());
-        let (left, outputs) = (VecDeque::new(), VecDeque::new());
-        Ok(Self { settings, there, left, held, outputs, begun: false, saved: 0 })
+        let (listed, delayed) = (BTreeMap::new(), BTreeMap::new());
+        let (departures, outputs) = (VecDeque::new(), VecDeque::new());
+        Ok(Self { settings, listed, departures, delayed, outputs, initialized: false, recovered: 0 })
     }
 
-    /// What is to be passed on, in order.
+    /// Returns the next change to pass on, in order.
     pub fn poll(&mut self) -> Option<Change> {
         self.outputs.pop_front()
     }
 
-    /// When [`Guard::handle_timeout`] is to be called.
+    /// When [`Guard::handle_timeout`] must be called next, if at all.
     pub fn poll_timeout(&self) -> Option<Millis> {
-        self.held.values().copied().min_by(f64::total_cmp)
+        self.delayed.values().copied().min_by(f64::total_cmp)
     }
 
-    /// How many are kept back.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Number of departures currently delayed.
+    pub fn delayed(&self) -> usize {
+        self.delayed.len()
     }
 
-    /// How many came back before they were passed on as gone.
-    pub fn saved(&self) -> u64 {
-        self.saved
+    /// Number of servers that registered again before their departure was passed on.
+    pub fn recovered(&self) -> u64 {
+        self.recovered
     }
 
-    /// Passes on those whose time is over.
+    /// Passes on the departures whose delay is over.
     pub fn handle_timeout(&mut self, now: Millis) {
         let due: Vec<String> =
-            self.held.iter().filter(|(_, until)| **until <= now).map(|(n, _)| n.clone()).collect();
+            self.delayed.iter().filter(|(_, until)| **until <= now).map(|(n, _)| n.clone()).collect();
         for name in due {
-            self.held.remove(&name);
-            self.there.remove(&name);
+            self.delayed.remove(&name);
+            self.listed.remove(&name);
             self.outputs.push_back(Change::Gone(name));
         }
     }
 
-    /// Takes what a follower says; `answers` tells of a server whether it was seen to answer just now.
-    pub fn take(&mut self, now: Millis, change: Change, answers: &dyn Fn(&str) -> bool) {
+    /// Processes a change from the follower; `answers` tells whether a server was recently seen to answer.
+    pub fn handle_change(&mut self, now: Millis, change: Change, answers: &dyn Fn(&str) -> bool) {
         self.handle_timeout(now);
         match change {
-            Change::Whole(whole) if !std::mem::replace(&mut self.begun, true) => {
-                self.there.clone_from(&whole);
-                self.outputs.push_back(Change::Whole(whole));
+            Change::Whole(complete) if !std::mem::replace(&mut self.initialized, true) => {
+                self.listed.clone_from(&complete);
+                self.outputs.push_back(Change::Whole(complete));
             }
-            Change::Whole(whole) => {
-                let names: BTreeSet<String> = self.there.keys().cloned().collect();
-                for (name, data) in &whole {
-                    self.set(name.clone(), data.clone());
+            Change::Whole(complete) => {
+                let names: BTreeSet<String> = self.listed.keys().cloned().collect();
+                for (name, data) in &complete {
+                    self.handle_registration(name.clone(), data.clone());
                 }
                 names
                     .into_iter()
-                    .filter(|n| !whole.contains_key(n))
-                    .for_each(|name| self.gone(now, name, answers));
+                    .filter(|n| !complete.contains_key(n))
+                    .for_each(|name| self.handle_departure(now, name, answers));
             }
-            Change::Set(name, data) => self.set(name, data),
-            Change::Gone(name) => self.gone(now, name, answers),
+            Change::Set(name, data) => self.handle_registration(name, data),
+            Change::Gone(name) => self.handle_departure(now, name, answers),
             unfit @ Change::Unfit(_) => self.outputs.push_back(unfit),
         }
     }
 
-    fn set(&mut self, name: String, data: Bytes) {
-        if self.held.remove(&name).is_some() {
-            self.saved += 1;
+    fn handle_registration(&mut self, name: String, data: Bytes) {
+        if self.delayed.remove(&name).is_some() {
+            self.recovered += 1;
         }
-        if self.there.get(&name) != Some(&data) {
-            self.there.insert(name.clone(), data.clone());
+        if self.listed.get(&name) != Some(&data) {
+            self.listed.insert(name.clone(), data.clone());
             self.outputs.push_back(Change::Set(name, data));
         }
     }
 
-    fn gone(&mut self, now: Millis, name: String, answers: &dyn Fn(&str) -> bool) {
-        if !self.there.contains_key(&name) || self.held.contains_key(&name) {
+    fn handle_departure(&mut self, now: Millis, name: String, answers: &dyn Fn(&str) -> bool) {
+        if !self.listed.contains_key(&name) || self.delayed.contains_key(&name) {
             return;
         }
-        while self.left.front().is_some_and(|at| *at + self.settings.window <= now) {
-            self.left.pop_front();
+        while self.departures.front().is_some_and(|at| *at + self.settings.window <= now) {
+            self.departures.pop_front();
         }
-        // Of those who were there when the window began.
-        let all = self.there.len() + self.left.len() - self.held.len().min(self.left.len());
-        self.left.push_back(now);
-        let many = self.left.len() as f64 > (self.settings.share * all as f64).max(1.0);
-        if many && self.settings.hold > 0.0 && answers(&name) {
-            self.held.insert(name, now + self.settings.hold);
+        // The number of servers at the start of the window.
+        let count_before =
+            self.listed.len() + self.departures.len() - self.delayed.len().min(self.departures.len());
+        self.departures.push_back(now);
+        let exceeds_share =
+            self.departures.len() as f64 > (self.settings.share * count_before as f64).max(1.0);
+        if exceeds_share && self.settings.hold > 0.0 && answers(&name) {
+            self.delayed.insert(name, now + self.settings.hold);
         } else {
-            self.there.remove(&name);
+            self.listed.remove(&name);
             self.outputs.push_back(Change::Gone(name));
         }
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,18 +1,22 @@
-//! Ephemeral registrations over ZooKeeper's client protocol, from its public description, with no clock and, but for one
-//! module, no I/O.
+//! Ephemeral registrations over ZooKeeper's client protocol, implemented from its public description. The
+//! crate reads no clock and does no I/O, except in the module `net`.
 //!
-//! - [`jute`] reads and writes the primitive forms, [`frame`] cuts a stream into records.
-//! - [`proto`] holds the records of both sides: a node and a registrar speak one, a stand-in service the other.
-//! - [`session`] is a client's session: connecting to one member after another, pings, the answers to what it asked, the
-//!   watches that it holds and takes up again on a new connection. It never takes a member's word that is older than
-//!   what it has seen.
-//! - [`follow`] keeps the children of one node with their data, by a session, for as long as the service is away too.
-//! - [`guard`] keeps back for a moment what looks like the expiry of all sessions at once.
-//! - [`view`] makes entries of the list of what a follower and the guard say; [`saved`] is that in a file.
-//! - [`registrar`] is a server's side: its entry, kept there for as long as the server lives.
-//! - [`machine`] is what a driver needs to know of any of these; `net`, the one module with sockets, is such a driver.
+//! - [`jute`] reads and writes the primitive types; [`frame`] splits a byte stream into records.
+//! - [`proto`] defines the records of both sides: the client side is used by nodes and registrars, the
+//!   service side by a stand-in service.
+//! - [`session`] is a client session: it connects to the members in turn, sends pings, matches answers to
+//!   requests, and sets its watches again on each new connection. It never uses a member's answer that is
+//!   older than what it has already seen.
+//! - [`follow`] mirrors the children of one node and their data, and keeps them while the service is
+//!   unreachable.
+//! - [`guard`] delays departures that look like the expiry of many sessions at once.
+//! - [`view`] turns the output of a follower and the guard into entries of the list; [`saved`] is the file
+//!   format of such a view.
+//! - [`registrar`] is the server side: it keeps a server's entry registered for as long as the server runs.
+//! - [`machine`] is the interface of all of these to their driver; `net`, the only module with sockets, is a
+//!   driver.
 //!
-//! Times are milliseconds of any clock that never runs backwards.
+//! Times are milliseconds of any monotonic clock.
 #![warn(missing_docs)]
 
 pub mod follow;
@@ -28,5 +32,5 @@
 pub mod session;
 pub mod view;
 
-/// A time or a span, in milliseconds.
+/// A time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -1,34 +1,36 @@
-//! What all machines here have in common: one connection at a time to one of several members, bytes, and a timer.
+//! The interface between a state machine and its driver: one connection at a time to one of several members,
+//! bytes in and out, and a timer.
 
 use crate::Millis;
 
-/// What the driver is to do.
+/// An action for the driver, or an event for the user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<S> {
-    /// Open a connection to this member, and say so with [`Machine::connected`] or [`Machine::broken`].
+    /// Open a connection to this member and report the result with [`Machine::connected`] or
+    /// [`Machine::broken`].
     Connect(usize),
-    /// Drop the connection.
+    /// Close the connection.
     Disconnect,
-    /// Nothing: it is for whoever uses the machine.
+    /// An event for the machine's user; the driver does nothing.
     Said(S),
 }
 
-/// A machine that a driver runs, on sockets or in virtual time. Times must not run backwards.
+/// A state machine that a driver runs on sockets or in virtual time. The times passed in must not decrease.
 pub trait Machine {
-    /// What it tells its user.
+    /// The type of the events for the machine's user.
     type Said;
-    /// The next thing to do.
+    /// Returns the next step, if any.
     fn poll(&mut self) -> Option<Step<Self::Said>>;
-    /// What is to be written; it is taken by this.
+    /// Takes the bytes to be written to the connection.
     fn output(&mut self) -> Vec<u8>;
-    /// When [`Machine::handle_timeout`] is to be called.
+    /// When [`Machine::handle_timeout`] must be called next, if at all.
     fn poll_timeout(&self) -> Option<Millis>;
-    /// Does what is due by now.
+    /// Handles all timers that are due at `now`.
     fn handle_timeout(&mut self, now: Millis);
-    /// The driver's connection stands.
+    /// Reports that the driver's connection is established.
     fn connected(&mut self, now: Millis);
-    /// The driver's connection has ended, or never came up.
+    /// Reports that the driver's connection ended or could not be established.
     fn broken(&mut self, now: Millis);
-    /// Takes what came.
+    /// Processes bytes received from the service.
     fn received(&mut self, now: Millis, bytes: &[u8]);
 }
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -1,4 +1,4 @@
-//! Machines on sockets.
+//! Runs state machines on TCP sockets.
 
 use std::future::Future;
 use std::io;
@@ -12,34 +12,42 @@
 use crate::machine::{Machine, Step};
 use crate::Millis;
 
-/// What is read at once.
-const CHUNK: usize = 16 * 1024;
+/// Maximum number of bytes per read.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-type Dialing = Pin<Box<dyn Future<Output = io::Result<TcpStream>> + Send>>;
+type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<TcpStream>> + Send>>;
 
-enum Link {
+enum Connection {
     None,
-    Dialing(Dialing),
-    Up(TcpStream),
+    Connecting(ConnectFuture),
+    Established(TcpStream),
 }
 
-/// Runs one machine: its connection, and its timer.
+/// Runs one machine with its connection and its timer.
 pub struct Driver<M> {
     machine: M,
     members: Vec<SocketAddr>,
     start: Instant,
-    link: Link,
+    connection: Connection,
     unsent: Vec<u8>,
-    chunk: Box<[u8]>,
-    /// Bytes read and written.
-    moved: (u64, u64),
+    read_buffer: Box<[u8]>,
+    /// Numbers of bytes read and written.
+    bytes_moved: (u64, u64),
 }
 
 impl<M: Machine> Driver<M> {
-    /// Runs a machine that was made for so many members, at the time 0 of its clock, which starts at `start`.
+    /// Creates a driver for a machine set up for this number of members. The machine's time 0 is `start`.
     pub fn new(machine: M, members: Vec<SocketAddr>, start: Instant) -> Self {
-        let chunk = vec![0; CHUNK].into_boxed_slice();
-        Self { machine, members, start, link: Link::None, unsent: Vec::new(), chunk, moved: (0, 0) }
+        let read_buffer = vec![0; READ_BUFFER_BYTES].into_boxed_slice();
+        Self {
+            machine,
+            members,
+            start,
+            connection: Connection::None,
+            unsent: Vec::new(),
+            read_buffer,
+            bytes_moved: (0, 0),
+        }
     }
 
     /// The machine.
@@ -47,46 +55,46 @@
         &self.machine
     }
 
-    /// The machine, to tell it something; [`Driver::next`] is to be called then.
+    /// The machine, for changes; [`Driver::next`] must be called afterwards.
     pub fn machine_mut(&mut self) -> &mut M {
         &mut self.machine
     }
 
-    /// The machine's time.
+    /// The current time on the machine's clock.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Bytes read and written so far.
+    /// Numbers of bytes read and written so far.
     pub fn moved(&self) -> (u64, u64) {
-        self.moved
+        self.bytes_moved
     }
 
     fn broken(&mut self) {
-        self.link = Link::None;
+        self.connection = Connection::None;
         let now = self.now();
         self.machine.broken(now);
     }
 
-    /// What the machine says next, if it can say it without waiting.
-    fn said(&mut self) -> Option<M::Said> {
+    /// Executes the machine's pending steps and returns its next event, if one is available without waiting.
+    fn next_event(&mut self) -> Option<M::Said> {
         loop {
-            // What it wrote before it dropped a connection goes with that.
-            let out = self.machine.output();
-            if matches!(self.link, Link::Up(_)) {
-                self.unsent.extend(out);
+            // Output that precedes a disconnect is discarded together with the connection.
+            let output = self.machine.output();
+            if matches!(self.connection, Connection::Established(_)) {
+                self.unsent.extend(output);
             }
             match self.machine.poll()? {
-                Step::Said(said) => return Some(said),
-                Step::Disconnect => self.link = Link::None,
+                Step::Said(event) => return Some(event),
+                Step::Disconnect => self.connection = Connection::None,
                 Step::Connect(member) => {
                     self.unsent.clear();
-                    let Some(at) = self.members.get(member).copied() else {
+                    let Some(address) = self.members.get(member).copied() else {
                         self.broken();
                         continue;
                     };
-                    self.link = Link::Dialing(Box::pin(async move {
-                        let stream = TcpStream::connect(at).await?;
+                    self.connection = Connection::Connecting(Box::pin(async move {
+                        let stream = TcpStream::connect(address).await?;
                         stream.set_nodelay(true)?;
                         Ok(stream)
                     }));
@@ -95,11 +103,11 @@
         }
     }
 
-    /// Goes on until the machine says something. May be dropped and called again at any time.
+    /// Runs the machine until it returns an event. Cancel-safe: the future may be dropped at any time.
     pub async fn next(&mut self) -> M::Said {
         loop {
-            if let Some(said) = self.said() {
-                return said;
+            if let Some(event) = self.next_event() {
+                return event;
             }
             let due = self.machine.poll_timeout();
             let due = due.map(|due| self.start + Duration::from_secs_f64(due.clamp(0.0, 1.0e12) / 1000.0));
@@ -109,68 +117,68 @@
                     None => std::future::pending().await,
                 }
             };
-            let wants = if self.unsent.is_empty() {
+            let interest = if self.unsent.is_empty() {
                 Interest::READABLE
             } else {
                 Interest::READABLE | Interest::WRITABLE
             };
-            let happened = match &mut self.link {
-                Link::None => {
+            let outcome = match &mut self.connection {
+                Connection::None => {
                     timer.await;
                     None
                 }
-                Link::Dialing(dialing) => tokio::select! {
+                Connection::Connecting(connecting) => tokio::select! {
                     () = timer => None,
-                    dialed = dialing => Some(dialed.map(Some)),
+                    result = connecting => Some(result.map(Some)),
                 },
-                Link::Up(stream) => tokio::select! {
+                Connection::Established(stream) => tokio::select! {
                     () = timer => None,
-                    ready = stream.ready(wants) => Some(ready.map(|_| None)),
+                    ready = stream.ready(interest) => Some(ready.map(|_| None)),
                 },
             };
             let now = self.now();
-            match happened {
+            match outcome {
                 None => self.machine.handle_timeout(now),
                 Some(Err(_)) => self.broken(),
                 Some(Ok(Some(stream))) => {
-                    self.link = Link::Up(stream);
+                    self.connection = Connection::Established(stream);
                     self.machine.connected(now);
                 }
-                Some(Ok(None)) => self.move_bytes(),
+                Some(Ok(None)) => self.transfer(),
             }
         }
     }
 
-    /// Writes what there is still to write, and waits until the other side has closed: for a machine that has ended. Its
-    /// bound is the caller's.
+    /// Writes the remaining output and waits until the peer has closed the connection, for a machine that has
+    /// ended. Has no time-out of its own; the caller sets one.
     pub async fn finish(&mut self) {
-        while let Link::Up(stream) = &self.link {
-            let wants = if self.unsent.is_empty() { Interest::READABLE } else { Interest::WRITABLE };
-            if stream.ready(wants).await.is_err() {
+        while let Connection::Established(stream) = &self.connection {
+            let interest = if self.unsent.is_empty() { Interest::READABLE } else { Interest::WRITABLE };
+            if stream.ready(interest).await.is_err() {
                 return;
             }
-            self.move_bytes();
+            self.transfer();
         }
     }
 
-    fn move_bytes(&mut self) {
-        let Link::Up(stream) = &self.link else { return };
+    fn transfer(&mut self) {
+        let Connection::Established(stream) = &self.connection else { return };
         if !self.unsent.is_empty() {
             match stream.try_write(&self.unsent) {
                 Ok(n) => {
                     self.unsent.drain(..n);
-                    self.moved.1 += n as u64;
+                    self.bytes_moved.1 += n as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return self.broken(),
             }
         }
-        match stream.try_read(&mut self.chunk) {
+        match stream.try_read(&mut self.read_buffer) {
             Ok(0) => self.broken(),
             Ok(n) => {
-                self.moved.0 += n as u64;
+                self.bytes_moved.0 += n as u64;
                 let now = self.now();
-                self.machine.received(now, &self.chunk[..n]);
+                self.machine.received(now, &self.read_buffer[..n]);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(_) => self.broken(),
--- a/crates/coordination/src/proto.rs
+++ b/crates/coordination/src/proto.rs
@@ -1,55 +1,56 @@
-//! The records of client and service.
+//! The records that client and service exchange.
 //!
-//! Each can be written and read, as this repository holds both sides: nodes and registrars, and a stand-in service.
+//! Each can be written and read, because this repository contains both sides: the clients (nodes and
+//! registrars) and a stand-in service.
 
 use bytes::Bytes;
 
 use crate::jute::{JuteError, Reader, Writer};
 
-/// What a reply is to where it is to no request: a watch has fired.
+/// The xid of a watch event, which answers no request.
 pub const XID_EVENT: i32 = -1;
 /// The xid of pings.
 pub const XID_PING: i32 = -2;
-/// The xid of the watches that a client takes up again.
+/// The xid of `SetWatches` requests.
 pub const XID_SET_WATCHES: i32 = -8;
 
-/// An error of the service.
+/// An error code of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Code {
-    /// The request can't be read.
+    /// The request can't be parsed.
     Marshalling,
-    /// The service does not know the request.
+    /// The service does not support the request.
     Unimplemented,
-    /// The arguments make no sense.
+    /// The arguments are invalid.
     BadArguments,
-    /// There is no such node.
+    /// The node does not exist.
     NoNode,
-    /// The client may not.
+    /// The client lacks the permission.
     NoAuth,
-    /// The node has another version.
+    /// The node's version differs from the expected one.
     BadVersion,
-    /// An ephemeral node has no children.
+    /// An ephemeral node can't have children.
     NoChildrenForEphemerals,
-    /// There is such a node.
+    /// The node already exists.
     NodeExists,
     /// The node has children.
     NotEmpty,
-    /// The session is over.
+    /// The session has expired.
     SessionExpired,
-    /// The list of permissions makes no sense.
+    /// The access control list is invalid.
     InvalidAcl,
-    /// The session is with another member now.
+    /// The session has moved to another member.
     SessionMoved,
-    /// A later operation of the same `multi` failed, so this one was undone.
+    /// The operation was rolled back because a later one of the same `multi` failed.
     RolledBack,
-    /// An earlier operation of the same `multi` failed, so this one was not tried.
+    /// The operation was not attempted because an earlier one of the same `multi` failed.
     RuntimeInconsistency,
-    /// Any other, by its number.
+    /// Any other code, by its number.
     Other(i32),
 }
 
 impl Code {
-    const NAMED: [(Self, i32); 14] = [
+    const NUMBERS: [(Self, i32); 14] = [
         (Self::RolledBack, 0),
         (Self::RuntimeInconsistency, -2),
         (Self::Marshalling, -5),
@@ -66,50 +67,50 @@
         (Self::SessionMoved, -118),
     ];
 
-    /// The error of that number; `None` for 0, which is none, but within a `multi`.
+    /// Returns the error with this number; `None` for 0, which means success except within a `multi`.
     pub fn from_number(number: i32) -> Option<Self> {
         if number == 0 {
             return None;
         }
-        let named = Self::NAMED.iter().find(|(_, n)| *n == number).map(|(code, _)| *code);
+        let named = Self::NUMBERS.iter().find(|(_, n)| *n == number).map(|(code, _)| *code);
         Some(named.unwrap_or(Self::Other(number)))
     }
 
-    /// Its number.
+    /// Returns the number of this error on the wire.
     pub fn number(self) -> i32 {
         match self {
             Self::Other(number) => number,
-            named => Self::NAMED.iter().find(|(code, _)| *code == named).map_or(-1, |(_, n)| *n),
+            named => Self::NUMBERS.iter().find(|(code, _)| *code == named).map_or(-1, |(_, n)| *n),
         }
     }
 }
 
-/// The first record of a connection, from the client.
+/// The first record that a client sends on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectRequest {
-    /// The newest zxid that it has seen: a member that is behind turns it away.
+    /// The newest zxid that the client has seen; a member that is behind rejects the connection.
     pub last_zxid: i64,
-    /// The time-out that it would like, in milliseconds.
+    /// The requested session time-out, in milliseconds.
     pub timeout: i32,
-    /// Its session; 0 for a new one.
+    /// The session ID; 0 to request a new session.
     pub session: i64,
     /// The session's password.
     pub password: Bytes,
 }
 
-/// The first record of a connection, from the service.
+/// The first record that the service sends on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectResponse {
-    /// The time-out that it grants, in milliseconds; 0 where the session is over.
+    /// The granted session time-out, in milliseconds; 0 if the session has expired.
     pub timeout: i32,
-    /// The session; 0 where it is over.
+    /// The session ID; 0 if the session has expired.
     pub session: i64,
-    /// Its password.
+    /// The session's password.
     pub password: Bytes,
 }
 
 impl ConnectRequest {
-    /// Writes it.
+    /// Serializes the record.
     pub fn write(&self) -> Vec<u8> {
         let mut w = Writer::default();
         w.int(0).long(self.last_zxid).int(self.timeout).long(self.session).buffer(&self.password);
@@ -117,68 +118,68 @@
         w.finish()
     }
 
-    /// Reads it; old clients leave out the last field.
+    /// Parses the record; old clients omit the last field.
     ///
     /// # Errors
-    /// Where it is malformed.
+    /// The record is malformed.
     pub fn read(record: Bytes) -> Result<Self, JuteError> {
         let mut r = Reader::new(record);
         r.int()?;
         let (last_zxid, timeout, session, password) = (r.long()?, r.int()?, r.long()?, r.buffer()?);
-        if r.left() > 0 {
+        if r.remaining() > 0 {
             r.boolean()?;
         }
-        r.end()?;
+        r.expect_end()?;
         Ok(Self { last_zxid, timeout, session, password })
     }
 }
 
 impl ConnectResponse {
-    /// Writes it.
+    /// Serializes the record.
     pub fn write(&self) -> Vec<u8> {
         let mut w = Writer::default();
         w.int(0).int(self.timeout).long(self.session).buffer(&self.password).boolean(false);
         w.finish()
     }
 
-    /// Reads it; old services leave out the last field.
+    /// Parses the record; old services omit the last field.
     ///
     /// # Errors
-    /// Where it is malformed.
+    /// The record is malformed.
     pub fn read(record: Bytes) -> Result<Self, JuteError> {
         let mut r = Reader::new(record);
         r.int()?;
         let (timeout, session, password) = (r.int()?, r.long()?, r.buffer()?);
-        if r.left() > 0 {
+        if r.remaining() > 0 {
             r.boolean()?;
         }
-        r.end()?;
+        r.expect_end()?;
         Ok(Self { timeout, session, password })
     }
 }
 
-/// What is known of a node of the tree.
+/// Metadata of a node of the tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stat {
-    /// The zxid that made it.
+    /// The zxid that created the node.
     pub czxid: i64,
     /// The zxid that last changed its data.
     pub mzxid: i64,
-    /// When it was made, Unix time in milliseconds.
+    /// When the node was created, Unix time in milliseconds.
     pub ctime: i64,
-    /// When its data last changed.
+    /// When its data last changed, Unix time in milliseconds.
     pub mtime: i64,
-    /// How often its data changed.
+    /// Number of changes of its data.
     pub version: i32,
-    /// How often its children changed.
+    /// Number of changes of its children.
     pub cversion: i32,
-    /// How often its permissions changed.
+    /// Number of changes of its access control list.
     pub aversion: i32,
-    /// The session that it ends with; 0 where it stays.
+    /// The session that owns an ephemeral node; 0 for a persistent node.
     pub ephemeral_owner: i64,
-    /// How long its data is.
+    /// Length of its data in bytes.
     pub data_length: i32,
-    /// How many children it has.
+    /// Number of children.
     pub children: i32,
     /// The zxid that last changed its children.
     pub pzxid: i64,
@@ -208,116 +209,116 @@
     }
 }
 
-/// Who may do what. The stand-in grants all to all; it is here as the wire has it.
+/// An entry of an access control list, as on the wire. The stand-in service does not enforce it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acl {
-    /// A sum of bits: read 1, write 2, create 4, delete 8, admin 16.
+    /// Bit mask: read 1, write 2, create 4, delete 8, admin 16.
     pub permissions: i32,
-    /// How whoever it is for proves it.
+    /// The authentication scheme.
     pub scheme: String,
-    /// Whom it is for.
+    /// The identity within the scheme that the permissions apply to.
     pub id: String,
 }
 
 impl Acl {
-    /// All for all.
+    /// Grants all permissions to everyone.
     pub fn open() -> Vec<Self> {
         vec![Self { permissions: 31, scheme: "world".into(), id: "anyone".into() }]
     }
 }
 
-/// How a node is made.
+/// The creation mode of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mode {
-    /// It ends with its session.
+    /// The node is removed when its session ends.
     pub ephemeral: bool,
-    /// Its name gets a number that grows.
+    /// The service appends an increasing number to the name.
     pub sequential: bool,
 }
 
-/// What an operation is asked for. The version -1 stands for any.
+/// A request to the service. The version -1 matches any version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Makes a node.
+    /// Creates a node.
     Create {
-        /// Where.
+        /// The path of the node.
         path: String,
-        /// With which data.
+        /// The data of the node.
         data: Bytes,
-        /// Who may do what.
+        /// The access control list of the node.
         acl: Vec<Acl>,
-        /// How.
+        /// The creation mode.
         mode: Mode,
-        /// The reply has a stat too.
+        /// Whether the reply includes a [`Stat`].
         stat: bool,
     },
-    /// Removes a node that has no children.
+    /// Deletes a node that has no children.
     Delete {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// Only if it has this version.
+        /// The version that the node must have.
         version: i32,
     },
-    /// Is there such a node?
+    /// Checks whether a node exists.
     Exists {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// Says once when it is made, changed or removed.
+        /// Whether to set a watch that fires once, when the node is created, changed or deleted.
         watch: bool,
     },
-    /// A node's data.
+    /// Reads a node's data.
     GetData {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// Says once when it is changed or removed.
+        /// Whether to set a watch that fires once, when the node is changed or deleted.
         watch: bool,
     },
     /// Replaces a node's data.
     SetData {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// By what.
+        /// The new data.
         data: Bytes,
-        /// Only if it has this version.
+        /// The version that the node must have.
         version: i32,
     },
-    /// The names of a node's children.
+    /// Reads the names of a node's children.
     GetChildren {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// Says once when they change, or it is removed.
+        /// Whether to set a watch that fires once, when the children change or the node is deleted.
         watch: bool,
-        /// The reply has a stat too.
+        /// Whether the reply includes a [`Stat`].
         stat: bool,
     },
-    /// The member catches up with the leader first.
+    /// Makes the member catch up with the leader before it answers.
     Sync {
         /// Any path.
         path: String,
     },
-    /// Only if a node has this version; in a `multi`.
+    /// Checks a node's version, as a part of a `multi`.
     Check {
-        /// Which.
+        /// The path of the node.
         path: String,
-        /// That version.
+        /// The version that the node must have.
         version: i32,
     },
-    /// All of these, or none.
+    /// Executes all of these operations, or none.
     Multi(Vec<Request>),
-    /// Takes watches up again on a new connection: what has happened since that zxid is said at once.
+    /// Sets watches again on a new connection; changes since the given zxid fire at once.
     SetWatches {
-        /// What the client has seen.
+        /// The newest zxid that the client has seen.
         since: i64,
-        /// Watches on data.
+        /// Paths of the watches on data.
         data: Vec<String>,
-        /// Watches on nodes that were not there.
+        /// Paths of the watches on nodes that did not exist.
         exist: Vec<String>,
-        /// Watches on children.
+        /// Paths of the watches on children.
         children: Vec<String>,
     },
-    /// Says that the client is there.
+    /// Keeps the session alive.
     Ping,
-    /// Ends the session, and its ephemeral nodes.
+    /// Closes the session and deletes its ephemeral nodes.
     CloseSession,
 }
 
@@ -339,9 +340,9 @@
     pub const ERROR: i32 = -1;
 }
 
-fn texts(w: &mut Writer, all: &[String]) {
-    w.vector(all, |w, text| {
-        w.text(text);
+fn write_strings(w: &mut Writer, operations: &[String]) {
+    w.vector(operations, |w, string| {
+        w.string(string);
     });
 }
 
@@ -368,38 +369,38 @@
     fn write_body(&self, w: &mut Writer) {
         match self {
             Self::Create { path, data, acl, mode, .. } => {
-                w.text(path).buffer(data);
+                w.string(path).buffer(data);
                 w.vector(acl, |w, a| {
-                    w.int(a.permissions).text(&a.scheme).text(&a.id);
+                    w.int(a.permissions).string(&a.scheme).string(&a.id);
                 });
                 w.int(i32::from(mode.ephemeral) | i32::from(mode.sequential) << 1);
             }
             Self::Delete { path, version } | Self::Check { path, version } => {
-                w.text(path).int(*version);
+                w.string(path).int(*version);
             }
             Self::Exists { path, watch }
             | Self::GetData { path, watch }
             | Self::GetChildren { path, watch, .. } => {
-                w.text(path).boolean(*watch);
+                w.string(path).boolean(*watch);
             }
             Self::SetData { path, data, version } => {
-                w.text(path).buffer(data).int(*version);
+                w.string(path).buffer(data).int(*version);
             }
             Self::Sync { path } => {
-                w.text(path);
+                w.string(path);
             }
-            Self::Multi(all) => {
-                for one in all {
-                    w.int(one.op()).boolean(false).int(-1);
-                    one.write_body(w);
+            Self::Multi(operations) => {
+                for operation in operations {
+                    w.int(operation.op()).boolean(false).int(-1);
+                    operation.write_body(w);
                 }
                 w.int(op::ERROR).boolean(true).int(-1);
             }
             Self::SetWatches { since, data, exist, children } => {
                 w.long(*since);
-                texts(w, data);
-                texts(w, exist);
-                texts(w, children);
+                write_strings(w, data);
+                write_strings(w, exist);
+                write_strings(w, children);
             }
             Self::Ping | Self::CloseSession => {}
         }
@@ -408,55 +409,55 @@
     fn read_body(kind: i32, r: &mut Reader) -> Result<Self, JuteError> {
         Ok(match kind {
             op::CREATE | op::CREATE2 => {
-                let (path, data) = (r.text()?, r.buffer()?);
+                let (path, data) = (r.string()?, r.buffer()?);
                 let acl =
-                    r.vector(|r| Ok(Acl { permissions: r.int()?, scheme: r.text()?, id: r.text()? }))?;
+                    r.vector(|r| Ok(Acl { permissions: r.int()?, scheme: r.string()?, id: r.string()? }))?;
                 let flags = r.int()?;
                 if !(0..=3).contains(&flags) {
-                    return Err(JuteError::Unknown(flags));
+                    return Err(JuteError::UnknownValue(flags));
                 }
                 let mode = Mode { ephemeral: flags & 1 != 0, sequential: flags & 2 != 0 };
                 Self::Create { path, data, acl, mode, stat: kind == op::CREATE2 }
             }
-            op::DELETE => Self::Delete { path: r.text()?, version: r.int()? },
-            op::CHECK => Self::Check { path: r.text()?, version: r.int()? },
-            op::EXISTS => Self::Exists { path: r.text()?, watch: r.boolean()? },
-            op::GET_DATA => Self::GetData { path: r.text()?, watch: r.boolean()? },
-            op::SET_DATA => Self::SetData { path: r.text()?, data: r.buffer()?, version: r.int()? },
+            op::DELETE => Self::Delete { path: r.string()?, version: r.int()? },
+            op::CHECK => Self::Check { path: r.string()?, version: r.int()? },
+            op::EXISTS => Self::Exists { path: r.string()?, watch: r.boolean()? },
+            op::GET_DATA => Self::GetData { path: r.string()?, watch: r.boolean()? },
+            op::SET_DATA => Self::SetData { path: r.string()?, data: r.buffer()?, version: r.int()? },
             op::GET_CHILDREN | op::GET_CHILDREN2 => {
-                Self::GetChildren { path: r.text()?, watch: r.boolean()?, stat: kind == op::GET_CHILDREN2 }
+                Self::GetChildren { path: r.string()?, watch: r.boolean()?, stat: kind == op::GET_CHILDREN2 }
             }
-            op::SYNC => Self::Sync { path: r.text()? },
+            op::SYNC => Self::Sync { path: r.string()? },
             op::MULTI => {
-                let mut all = Vec::new();
+                let mut operations = Vec::new();
                 loop {
                     let (kind, done, _) = (r.int()?, r.boolean()?, r.int()?);
                     if done {
                         break;
                     }
-                    // A multi within a multi is no operation, so this goes one level deep and no deeper.
+                    // A `multi` can't be nested, which bounds the recursion to one level.
                     match kind {
                         op::CREATE | op::CREATE2 | op::DELETE | op::SET_DATA | op::CHECK => {
-                            all.push(Self::read_body(kind, r)?);
+                            operations.push(Self::read_body(kind, r)?);
                         }
-                        other => return Err(JuteError::Unknown(other)),
+                        other => return Err(JuteError::UnknownValue(other)),
                     }
                 }
-                Self::Multi(all)
+                Self::Multi(operations)
             }
             op::SET_WATCHES => Self::SetWatches {
                 since: r.long()?,
-                data: r.vector(Reader::text)?,
-                exist: r.vector(Reader::text)?,
-                children: r.vector(Reader::text)?,
+                data: r.vector(Reader::string)?,
+                exist: r.vector(Reader::string)?,
+                children: r.vector(Reader::string)?,
             },
             op::PING => Self::Ping,
             op::CLOSE => Self::CloseSession,
-            other => return Err(JuteError::Unknown(other)),
+            other => return Err(JuteError::UnknownValue(other)),
         })
     }
 
-    /// Writes it under a number.
+    /// Serializes the request with this xid.
     pub fn write(&self, xid: i32) -> Vec<u8> {
         let mut w = Writer::default();
         w.int(xid).int(self.op());
@@ -464,70 +465,70 @@
         w.finish()
     }
 
-    /// Reads one, and its number.
+    /// Parses a request and its xid.
     ///
     /// # Errors
-    /// Where it is malformed; the number is then given if it could be read.
+    /// The record is malformed; the error contains the xid if it could be read.
     pub fn read(record: Bytes) -> Result<(i32, Self), (Option<i32>, JuteError)> {
         let mut r = Reader::new(record);
         let xid = r.int().map_err(|e| (None, e))?;
         let body = |r: &mut Reader| {
             let kind = r.int()?;
             let request = Self::read_body(kind, r)?;
-            r.end()?;
+            r.expect_end()?;
             Ok(request)
         };
         body(&mut r).map(|request| (xid, request)).map_err(|e| (Some(xid), e))
     }
 }
 
-/// What an operation came to.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A node was made, under this path.
+    /// Result of `create`.
     Created {
-        /// Its path, with its number where it has one.
+        /// The path of the node, including the number of a sequential node.
         path: String,
-        /// Where it was asked for.
+        /// The metadata, if the request asked for it.
         stat: Option<Stat>,
     },
-    /// Of `exists` and `set_data`.
+    /// Result of `exists` and `set_data`.
     Stat(Stat),
-    /// Of `get_data`.
+    /// Result of `get_data`.
     Data {
-        /// The data.
+        /// The data of the node.
         data: Bytes,
-        /// The node's stat.
+        /// The metadata of the node.
         stat: Stat,
     },
-    /// Of `get_children`.
+    /// Result of `get_children`.
     Children {
-        /// Their names.
+        /// The names of the children.
         names: Vec<String>,
-        /// Where it was asked for.
+        /// The metadata, if the request asked for it.
         stat: Option<Stat>,
     },
-    /// Of `sync`.
+    /// Result of `sync`.
     Synced {
-        /// The path that was asked for.
+        /// The path from the request.
         path: String,
     },
-    /// Of `multi`: what each came to. Either all are well, or none was done.
+    /// Result of `multi`, one per operation. Either all succeeded or none took effect.
     Multi(Vec<Result<Response, Code>>),
-    /// Of `delete`.
+    /// Result of `delete`.
     Deleted,
-    /// Of `check`.
+    /// Result of `check`.
     Checked,
-    /// Of what has nothing to say but that it was done.
+    /// Result of requests that return nothing.
     Done,
 }
 
-/// What happened to a watched node.
+/// The kind of change of a watched node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EventKind {
-    /// It was made.
+    /// The node was created.
     Created,
-    /// It was removed.
+    /// The node was deleted.
     Deleted,
     /// Its data changed.
     DataChanged,
@@ -535,17 +536,17 @@
     ChildrenChanged,
 }
 
-/// A watch that has fired; it watches no longer.
+/// The event of a watch that fired and is thereby removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchEvent {
-    /// What happened.
+    /// The kind of change.
     pub kind: EventKind,
-    /// To which node.
+    /// The path of the node.
     pub path: String,
 }
 
 impl WatchEvent {
-    /// Writes it as a whole record.
+    /// Serializes the event as a complete record.
     pub fn write(&self) -> Vec<u8> {
         let kind = match self.kind {
             EventKind::Created => 1,
@@ -554,42 +555,42 @@
             EventKind::ChildrenChanged => 4,
         };
         let mut w = Writer::default();
-        w.int(XID_EVENT).long(-1).int(0).int(kind).int(3).text(&self.path);
+        w.int(XID_EVENT).long(-1).int(0).int(kind).int(3).string(&self.path);
         w.finish()
     }
 
-    /// Reads one behind its header.
+    /// Parses an event whose header has been read.
     ///
     /// # Errors
-    /// Where it is malformed.
+    /// The record is malformed.
     pub fn read(r: &mut Reader) -> Result<Self, JuteError> {
         let kind = match r.int()? {
             1 => EventKind::Created,
             2 => EventKind::Deleted,
             3 => EventKind::DataChanged,
             4 => EventKind::ChildrenChanged,
-            other => return Err(JuteError::Unknown(other)),
+            other => return Err(JuteError::UnknownValue(other)),
         };
         r.int()?;
-        let path = r.text()?;
-        r.end()?;
+        let path = r.string()?;
+        r.expect_end()?;
         Ok(Self { kind, path })
     }
 }
 
-/// What stands ahead of every reply.
+/// The header of every reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyHeader {
-    /// To which request.
+    /// The xid of the request.
     pub xid: i32,
-    /// How far the member was when it answered.
+    /// The member's newest zxid at the time of the reply.
     pub zxid: i64,
-    /// What went wrong.
+    /// The error, if the request failed.
     pub error: Option<Code>,
 }
 
 impl ReplyHeader {
-    /// Writes it with what stands behind it.
+    /// Serializes the header, followed by the response unless the header has an error.
     pub fn write(&self, response: &Response) -> Vec<u8> {
         let mut w = Writer::default();
         w.int(self.xid).long(self.zxid).int(self.error.map_or(0, Code::number));
@@ -599,10 +600,10 @@
         w.finish()
     }
 
-    /// Reads it off the beginning of a record.
+    /// Parses the header at the beginning of a record.
     ///
     /// # Errors
-    /// Where it is malformed.
+    /// The record is malformed.
     pub fn read(r: &mut Reader) -> Result<Self, JuteError> {
         Ok(Self { xid: r.int()?, zxid: r.long()?, error: Code::from_number(r.int()?) })
     }
@@ -627,7 +628,7 @@
     fn write_body(&self, w: &mut Writer) {
         match self {
             Self::Created { path, stat } => {
-                w.text(path);
+                w.string(path);
                 stat.iter().for_each(|s| s.write(w));
             }
             Self::Stat(stat) => stat.write(w),
@@ -636,15 +637,15 @@
                 stat.write(w);
             }
             Self::Children { names, stat } => {
-                texts(w, names);
+                write_strings(w, names);
                 stat.iter().for_each(|s| s.write(w));
             }
             Self::Synced { path } => {
-                w.text(path);
+                w.string(path);
             }
-            Self::Multi(all) => {
-                for one in all {
-                    match one {
+            Self::Multi(operations) => {
+                for operation in operations {
+                    match operation {
                         Ok(response) => {
                             w.int(response.op()).boolean(false).int(0);
                             response.write_body(w);
@@ -660,25 +661,25 @@
         }
     }
 
-    /// Reads the answer to a request, behind a header that tells of no error.
+    /// Parses the response to the request `to` after a header without an error.
     ///
     /// # Errors
-    /// Where it is malformed.
+    /// The record is malformed.
     pub fn read(to: &Request, r: &mut Reader) -> Result<Self, JuteError> {
         let response = match to {
             Request::Create { stat, .. } => {
-                let path = r.text()?;
+                let path = r.string()?;
                 Self::Created { path, stat: if *stat { Some(Stat::read(r)?) } else { None } }
             }
             Request::Exists { .. } | Request::SetData { .. } => Self::Stat(Stat::read(r)?),
             Request::GetData { .. } => Self::Data { data: r.buffer()?, stat: Stat::read(r)? },
             Request::GetChildren { stat, .. } => {
-                let names = r.vector(Reader::text)?;
+                let names = r.vector(Reader::string)?;
                 Self::Children { names, stat: if *stat { Some(Stat::read(r)?) } else { None } }
             }
-            Request::Sync { .. } => Self::Synced { path: r.text()? },
-            Request::Multi(all) => {
-                let mut answers = Vec::with_capacity(all.len());
+            Request::Sync { .. } => Self::Synced { path: r.string()? },
+            Request::Multi(operations) => {
+                let mut results = Vec::with_capacity(operations.len());
                 loop {
                     let (kind, done, error) = (r.int()?, r.boolean()?, r.int()?);
                     if done {
@@ -686,16 +687,16 @@
                     }
                     if kind == op::ERROR {
                         r.int()?;
-                        answers.push(Err(Code::from_number(error).unwrap_or(Code::RolledBack)));
+                        results.push(Err(Code::from_number(error).unwrap_or(Code::RolledBack)));
                         continue;
                     }
-                    let request = all.get(answers.len()).ok_or(JuteError::Surplus)?;
-                    answers.push(Ok(Self::read(request, r)?));
+                    let request = operations.get(results.len()).ok_or(JuteError::TrailingBytes)?;
+                    results.push(Ok(Self::read(request, r)?));
                 }
-                if answers.len() != all.len() {
-                    return Err(JuteError::Short);
+                if results.len() != operations.len() {
+                    return Err(JuteError::Truncated);
                 }
-                return r.end().map(|()| Self::Multi(answers));
+                return r.expect_end().map(|()| Self::Multi(results));
             }
             Request::Delete { .. } => Self::Deleted,
             Request::Check { .. } => Self::Checked,
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -1,13 +1,15 @@
-//! A server's side: its entry, kept in the tree for as long as the server lives.
+//! The server side: keeps a server's entry registered in the tree for as long as the server runs.
 //!
-//! The node is ephemeral: it ends with the session. A session that is lost is followed by a new one, which registers the
-//! same entry again; the birth in it is the process's, so that whoever reads it knows that nothing has restarted.
+//! The entry's node is ephemeral and is removed when the session ends. After a lost session a new one
+//! registers the same entry again. The entry contains the start time (birth) of the process, so readers can
+//! tell that the server has not restarted.
 //!
-//! *The old session's end must not take the new one's node along.* Where the name is taken by another session, the node is
-//! read first: one of an earlier birth, or of this process, is replaced (removed and made again, in one transaction, by
-//! its version), so that the old owner's end finds nothing of its own. One of a later birth belongs to a process that has
-//! taken this one's place: this one gives way, so that two processes under one name do not fight for it. Two of the same
-//! birth can't be told apart; each replaces the other's node once in five seconds at the most.
+//! The end of an old session must not remove the node of the new one. If the node is owned by another
+//! session, it is read first. If its birth is earlier or equal, it is replaced: deleted by its version and
+//! created again in one transaction, so that the end of the old session no longer affects it. If its birth is
+//! later, a newer process has taken over the name, and this registrar stops, so that two processes do not
+//! compete for one name. Two processes of equal birth can't be distinguished; each replaces the other's node
+//! at most once in five seconds.
 
 use std::collections::VecDeque;
 
@@ -19,121 +21,122 @@
 use crate::session::{Event, Failed, Session, Settings};
 use crate::Millis;
 
-/// How long the next try waits after one that failed, at first and at most; the span doubles in between.
-const AGAIN: (Millis, Millis) = (50.0, 5000.0);
+/// Initial and maximum delay before a retry, in milliseconds; it doubles with each failure.
+const RETRY_BACKOFF_MS: (Millis, Millis) = (50.0, 5000.0);
 
-/// What a registrar asks its session for.
+/// Tags the registrar's requests to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// The folder, from its root on: which part.
-    Folder(usize),
-    /// The entry's node.
-    Make,
-    /// What is there in its place.
-    Look,
-    /// The same, in place of another session's.
-    Replace,
-    /// Other data.
-    Write,
+pub enum Query {
+    /// Create the folder's ancestor with this index, counted from the root.
+    CreateAncestor(usize),
+    /// Create the entry's node.
+    CreateEntry,
+    /// Read the node that has the entry's path.
+    ReadEntry,
+    /// Replace another session's node by the entry's node.
+    ReplaceEntry,
+    /// Write changed data.
+    WriteEntry,
 }
 
-/// What it tells.
+/// An event for the registrar's user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// The entry is there, as it was last told to be.
+    /// The entry is registered with its latest content.
     Registered,
-    /// The entry is there, and says that the server drains.
+    /// The entry is registered and marks the server as draining.
     Draining,
-    /// A later process has the name; this one registers no more.
+    /// A newer process has registered the name; this registrar has stopped.
     GaveWay,
-    /// The service can't be reached; the entry may still be there.
+    /// The service is unreachable; the entry may still be registered.
     Away,
-    /// The session has ended by its owner's will: the entry is gone as soon as this is written.
+    /// The registrar was stopped; the entry is removed once the pending output is written.
     Ended,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Not registered in this session, as far as is known; to be tried at that time, if any.
-    Out(Option<Millis>),
-    /// A request is under way.
-    Asking,
-    /// It is there, with the data as it was at that count of changes.
-    In(u64),
-    /// No more.
-    Over,
+    /// Not known to be registered in this session; to be registered at this time, or at once if `None`.
+    Unregistered(Option<Millis>),
+    /// A request is in flight.
+    Pending,
+    /// Registered, with the data as of this change count.
+    Published(u64),
+    /// Stopped for good.
+    Stopped,
 }
 
-/// Keeps one server's entry.
+/// Keeps one server's entry registered.
 pub struct Registrar {
-    session: Session<Ask>,
+    session: Session<Query>,
     folder: String,
     host: Host,
-    /// How often the entry has changed.
+    /// Number of changes of the entry so far.
     changes: u64,
-    /// That count, as the request under way has it.
-    written: u64,
+    /// The change count whose data the request in flight contains.
+    sent_changes: u64,
     state: State,
     failures: i32,
-    /// When another session's node was last replaced.
-    replaced: Option<Millis>,
-    /// Registered and draining have been said for this count.
-    said: Option<u64>,
+    /// When a node of another session was last replaced.
+    last_replaced: Option<Millis>,
+    /// The change count for which `Registered` or `Draining` was last reported.
+    reported: Option<u64>,
     outputs: VecDeque<Step<Said>>,
 }
 
 impl Registrar {
-    /// Registers `host` under the folder `folder` from now on.
+    /// Creates a registrar that keeps `host` registered under `folder`.
     pub fn new(now: Millis, settings: Settings, folder: &str, host: Host) -> Self {
         let mut registrar = Self {
             session: Session::new(now, settings),
             folder: folder.trim_end_matches('/').to_string(),
             host,
             changes: 0,
-            written: 0,
-            state: State::Out(None),
+            sent_changes: 0,
+            state: State::Unregistered(None),
             failures: 0,
-            replaced: None,
-            said: None,
+            last_replaced: None,
+            reported: None,
             outputs: VecDeque::new(),
         };
-        registrar.settle(now);
+        registrar.process_events(now);
         registrar
     }
 
-    /// What is registered, or is to be.
+    /// The entry that is registered or to be registered.
     pub fn host(&self) -> &Host {
         &self.host
     }
 
-    /// Is it there, as it was last told to be?
+    /// Whether the entry is registered with its latest content.
     pub fn is_registered(&self) -> bool {
-        self.state == State::In(self.changes)
+        self.state == State::Published(self.changes)
     }
 
-    /// The session, to look at.
-    pub fn session(&self) -> &Session<Ask> {
+    /// The underlying session.
+    pub fn session(&self) -> &Session<Query> {
         &self.session
     }
 
-    /// Registers something else of the same server; its name stays.
+    /// Changes the entry and registers the result; its name can't be changed.
     pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut Host)) {
         let name = self.host.host.clone();
         change(&mut self.host);
         self.host.host = name;
         self.changes += 1;
-        self.settle(now);
+        self.process_events(now);
     }
 
-    /// Says that the server drains: nothing new is to be sent to it. [`Said::Draining`] follows.
+    /// Marks the server as draining, so that it gets no new requests. [`Said::Draining`] follows.
     pub fn drain(&mut self, now: Millis) {
         self.change(now, |host| host.health = Health::Leaving);
     }
 
-    /// Ends the session, and the entry with it. [`Said::Ended`] follows, and what is to be written before that.
+    /// Closes the session, which removes the entry. [`Said::Ended`] follows; the pending output must still be
+    /// written.
     pub fn end(&mut self, now: Millis) {
         self.session.close(now);
-        self.state = State::Over;
+        self.state = State::Stopped;
         self.outputs.push_back(Step::Said(Said::Ended));
     }
 
@@ -142,152 +145,160 @@
     }
 
     fn data(&self) -> Bytes {
-        // An entry is made of text and numbers: there is nothing that can't be written.
+        // Serialization can't fail, because an entry consists of strings and numbers only.
         Bytes::from(serde_json::to_vec(&self.host).unwrap_or_default())
     }
 
-    fn node(&self) -> Request {
+    fn create_request(&self) -> Request {
         let mode = Mode { ephemeral: true, sequential: false };
         Request::Create { path: self.path(), data: self.data(), acl: Acl::open(), mode, stat: false }
     }
 
-    fn ask(&mut self, now: Millis, ask: Ask, request: Request) {
-        self.state = State::Asking;
-        self.written = self.changes;
-        self.session.ask(now, ask, request);
+    fn send_query(&mut self, now: Millis, query: Query, request: Request) {
+        self.state = State::Pending;
+        self.sent_changes = self.changes;
+        self.session.ask(now, query, request);
     }
 
-    /// Something failed: later, and later each time.
-    fn again(&mut self, now: Millis) {
-        let span = (AGAIN.0 * 2.0f64.powi(self.failures.min(12))).min(AGAIN.1);
+    /// Schedules a retry after a failure, with exponential backoff.
+    fn schedule_retry(&mut self, now: Millis) {
+        let delay = (RETRY_BACKOFF_MS.0 * 2.0f64.powi(self.failures.min(12))).min(RETRY_BACKOFF_MS.1);
         self.failures += 1;
-        self.state = State::Out(Some(now + span));
+        self.state = State::Unregistered(Some(now + delay));
     }
 
-    /// The n-th part of the folder, from 1; `None` behind the last.
-    fn part(&self, n: usize) -> Option<String> {
-        let ends = self.folder.match_indices('/').map(|(at, _)| at).skip(1).chain([self.folder.len()]);
-        ends.filter(|end| *end > 0).nth(n).map(|end| self.folder[..end].to_string())
+    /// Returns the folder's ancestor with index `n`, counted from the root. The last one is the
+    /// folder itself; `None` after that.
+    fn ancestor(&self, n: usize) -> Option<String> {
+        let ancestor_ends =
+            self.folder.match_indices('/').map(|(at, _)| at).skip(1).chain([self.folder.len()]);
+        ancestor_ends.filter(|end| *end > 0).nth(n).map(|end| self.folder[..end].to_string())
     }
 
-    fn settle(&mut self, now: Millis) {
+    fn process_events(&mut self, now: Millis) {
         loop {
             while let Some(event) = self.session.poll() {
-                self.on(now, event);
+                self.handle_event(now, event);
             }
             if !self.session.is_connected() {
                 return;
             }
             match self.state {
-                State::Out(at) if at.is_none_or(|at| at <= now) => {
-                    let node = self.node();
-                    self.ask(now, Ask::Make, node);
+                State::Unregistered(at) if at.is_none_or(|at| at <= now) => {
+                    let node = self.create_request();
+                    self.send_query(now, Query::CreateEntry, node);
                 }
-                State::In(count) if count != self.changes => {
+                State::Published(count) if count != self.changes => {
                     let request = Request::SetData { path: self.path(), data: self.data(), version: -1 };
-                    self.ask(now, Ask::Write, request);
+                    self.send_query(now, Query::WriteEntry, request);
                 }
                 _ => return,
             }
         }
     }
 
-    fn on(&mut self, now: Millis, event: Event<Ask>) {
+    fn handle_event(&mut self, now: Millis, event: Event<Query>) {
         match event {
             Event::Connect(member) => self.outputs.push_back(Step::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Step::Disconnect),
-            _ if self.state == State::Over => {}
+            _ if self.state == State::Stopped => {}
             Event::Suspended => self.outputs.push_back(Step::Said(Said::Away)),
             Event::Expired | Event::Stale { .. } => {}
             Event::Established { new } => {
-                if new || self.state == State::Asking {
-                    // A new session has nothing in the tree; in the same one, what was under way may have been done,
-                    // and trying again tells.
-                    self.state = State::Out(None);
-                    self.said = None;
+                if new || self.state == State::Pending {
+                    // A new session has no node in the tree. In a continued session the request in flight may
+                    // have been executed; registering again finds out.
+                    self.state = State::Unregistered(None);
+                    self.reported = None;
                 }
             }
-            // Somebody removed it, replaced it, or wrote something else.
+            // The node was deleted, replaced or changed.
             Event::Fired(event) => {
-                if event.path == self.path() && matches!(self.state, State::In(_)) {
-                    self.look(now);
+                if event.path == self.path() && matches!(self.state, State::Published(_)) {
+                    self.read_entry(now);
                 }
             }
-            Event::Answer(ask, answer) => self.answered(now, ask, answer),
+            Event::Answer(query, answer) => self.handle_answer(now, query, answer),
         }
     }
 
-    fn look(&mut self, now: Millis) {
+    fn read_entry(&mut self, now: Millis) {
         let request = Request::GetData { path: self.path(), watch: true };
-        self.ask(now, Ask::Look, request);
+        self.send_query(now, Query::ReadEntry, request);
     }
 
-    fn answered(&mut self, now: Millis, ask: Ask, answer: Result<Response, Failed>) {
+    fn handle_answer(&mut self, now: Millis, query: Query, answer: Result<Response, Failed>) {
         use Failed::{Lost, NotSent, Service};
-        match (ask, answer) {
-            // Tried again on the next connection.
-            (_, Err(Lost | NotSent)) => self.state = State::Out(None),
-            (Ask::Make, Err(Service(Code::NoNode))) => self.folder(now, 0),
-            (Ask::Folder(n), Ok(_) | Err(Service(Code::NodeExists))) => self.folder(now, n + 1),
-            (Ask::Make, Ok(_) | Err(Service(Code::NodeExists))) => self.look(now),
-            (Ask::Replace, Ok(Response::Multi(all))) if all.iter().all(Result::is_ok) => self.look(now),
-            (Ask::Look, Ok(Response::Data { data, stat })) => self.found(now, &data, stat),
-            (Ask::Write, Ok(_)) => {
-                self.there(self.written);
-                // The watch on it has fired by this.
-                self.look(now);
+        match (query, answer) {
+            // Repeated on the next connection.
+            (_, Err(Lost | NotSent)) => self.state = State::Unregistered(None),
+            (Query::CreateEntry, Err(Service(Code::NoNode))) => self.create_ancestors(now, 0),
+            (Query::CreateAncestor(n), Ok(_) | Err(Service(Code::NodeExists))) => {
+                self.create_ancestors(now, n + 1)
             }
-            // It went meanwhile, or anything else.
-            _ => self.again(now),
+            (Query::CreateEntry, Ok(_) | Err(Service(Code::NodeExists))) => self.read_entry(now),
+            (Query::ReplaceEntry, Ok(Response::Multi(all))) if all.iter().all(Result::is_ok) => {
+                self.read_entry(now)
+            }
+            (Query::ReadEntry, Ok(Response::Data { data, stat })) => self.handle_existing(now, &data, stat),
+            (Query::WriteEntry, Ok(_)) => {
+                self.mark_published(self.sent_changes);
+                // This write has fired the watch on the node; reading sets it again.
+                self.read_entry(now);
+            }
+            // The node was deleted in the meantime, or the request failed otherwise.
+            _ => self.schedule_retry(now),
         }
     }
 
-    /// Makes the folder, part by part, and then the entry.
-    fn folder(&mut self, now: Millis, n: usize) {
-        match self.part(n) {
+    /// Creates the folder's ancestors from index `n` on, one request at a time, and then the entry.
+    fn create_ancestors(&mut self, now: Millis, n: usize) {
+        match self.ancestor(n) {
             Some(path) => {
                 let mode = Mode::default();
                 let request =
                     Request::Create { path, data: Bytes::new(), acl: Acl::open(), mode, stat: false };
-                self.ask(now, Ask::Folder(n), request);
+                self.send_query(now, Query::CreateAncestor(n), request);
             }
-            // Where the whole folder is there and the entry had none, it went in between.
-            None => self.state = State::Out(None),
+            // The whole folder exists. If it existed before, it was deleted in between. The entry is created
+            // again.
+            None => self.state = State::Unregistered(None),
         }
     }
 
-    /// The node that has this name, with a watch on it.
-    fn found(&mut self, now: Millis, data: &Bytes, stat: crate::proto::Stat) {
+    /// Handles the existing node at the entry's path; the read has set a watch on it.
+    fn handle_existing(&mut self, now: Millis, data: &Bytes, stat: crate::proto::Stat) {
         if stat.ephemeral_owner == self.session.id() {
             self.failures = 0;
             if *data == self.data() {
-                self.there(self.changes);
+                self.mark_published(self.changes);
             } else {
-                self.state = State::In(self.changes.wrapping_sub(1));
+                self.state = State::Published(self.changes.wrapping_sub(1));
             }
             return;
         }
         let other: Option<Host> = serde_json::from_slice(data).ok();
         if other.is_some_and(|other| other.born_ms > self.host.born_ms) {
             self.session.close(now);
-            self.state = State::Over;
+            self.state = State::Stopped;
             self.outputs.push_back(Step::Said(Said::GaveWay));
             return;
         }
-        // Two that can't be told apart by their births would take it from one another as fast as the service answers.
-        if self.replaced.is_some_and(|at| now < at + AGAIN.1) {
-            return self.again(now);
+        // Without this limit, two processes of equal birth would replace each other's node as fast as the
+        // service answers.
+        if self.last_replaced.is_some_and(|at| now < at + RETRY_BACKOFF_MS.1) {
+            return self.schedule_retry(now);
         }
-        self.replaced = Some(now);
+        self.last_replaced = Some(now);
         let delete = Request::Delete { path: self.path(), version: stat.version };
-        let replace = Request::Multi(vec![delete, self.node()]);
-        self.ask(now, Ask::Replace, replace);
+        let replace = Request::Multi(vec![delete, self.create_request()]);
+        self.send_query(now, Query::ReplaceEntry, replace);
     }
 
-    fn there(&mut self, count: u64) {
-        self.state = State::In(count);
-        if count == self.changes && self.said != Some(count) {
-            self.said = Some(count);
+    fn mark_published(&mut self, count: u64) {
+        self.state = State::Published(count);
+        if count == self.changes && self.reported != Some(count) {
+            self.reported = Some(count);
             let draining = self.host.health != Health::Active;
             self.outputs.push_back(Step::Said(if draining { Said::Draining } else { Said::Registered }));
         }
@@ -306,30 +317,30 @@
     }
 
     fn poll_timeout(&self) -> Option<Millis> {
-        let again = match self.state {
-            State::Out(Some(at)) if self.session.is_connected() => Some(at),
+        let retry = match self.state {
+            State::Unregistered(Some(at)) if self.session.is_connected() => Some(at),
             _ => None,
         };
-        [self.session.poll_timeout(), again].into_iter().flatten().min_by(f64::total_cmp)
+        [self.session.poll_timeout(), retry].into_iter().flatten().min_by(f64::total_cmp)
     }
 
     fn handle_timeout(&mut self, now: Millis) {
         self.session.handle_timeout(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn connected(&mut self, now: Millis) {
         self.session.connected(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn broken(&mut self, now: Millis) {
         self.session.broken(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn received(&mut self, now: Millis, bytes: &[u8]) {
         self.session.received(now, bytes);
-        self.settle(now);
+        self.process_events(now);
     }
 }
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -5,12 +5,13 @@
 //! [`Session::poll_timeout`] is due.
 //!
 //! Guarantees:
-//! - *No stale reads.* If a member's zxid is older than the newest one seen, the session disconnects from it and
-//!   discards its reply.
+//! - *No stale reads.* If a member's zxid is older than the newest one seen, the session disconnects from it
+//!   and discards its reply.
 //! - *No unresponsive member.* A member that accepts the connection but sends nothing, or stops sending, is
 //!   abandoned after a part of the session time-out that leaves time to try the others.
-//! - *No silently lost watch.* Watches are set again on every new connection with the newest zxid seen, so that
-//!   missed changes are reported. If the answer that would set a watch is lost, the caller gets an error.
+//! - *No silently lost watch.* Watches are set again on every new connection with the newest zxid seen, so
+//!   that missed changes are reported. If the answer that would set a watch is lost, the caller gets an
+//!   error.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -310,8 +311,8 @@
         self.watches.data.len() + self.watches.exist.len() + self.watches.children.len()
     }
 
-    /// Time a member has to answer: a third of the session time-out, or less with many members, so that all can
-    /// be tried within one session time-out.
+    /// Time a member has to answer: a third of the session time-out, or less with many members, so that all
+    /// can be tried within one session time-out.
     fn member_timeout(&self) -> Millis {
         (self.timeout / (self.order.len() as f64 + 1.0)).min(self.timeout / 3.0).max(MIN_MEMBER_TIMEOUT_MS)
     }
@@ -462,8 +463,8 @@
             if self.id == 0 {
                 return false;
             }
-            // The session expired, and its ephemeral nodes and watches with it. The next connection requests a new
-            // session. The newest zxid is kept, because a new session must not read older state either.
+            // The session expired, and its ephemeral nodes and watches with it. The next connection requests
+            // a new session. The newest zxid is kept, because a new session must not read older state either.
             (self.id, self.password) = (0, Bytes::new());
             self.watches = Watches::default();
             self.timeout = self.settings.timeout;
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,13 +1,16 @@
-//! The list of servers as their registrations make it: what a [`Follower`] reads, behind a [`Guard`], as entries.
+//! The list of servers derived from their registrations: the children that a [`Follower`] reads, filtered by
+//! a [`Guard`] and parsed into entries.
 //!
-//! - *Suspects.* The registration of a server ends while the server answers: perhaps its session alone is lost. From the
-//!   moment that this is said (or the guard's hold is over) it is listed as draining, so that nothing new goes to it, and
-//!   what is known of it and its connections stay for a while. When it registers again it is back at once, and as warm as
-//!   its birth says.
-//! - *Flapping.* A server that leaves again and again is let back later each time, so that it costs a bounded number of
-//!   changes. Departures and drains are never delayed, and nobody is kept out while nobody else is in service.
-//! - *Duplicates.* Two names with one address are one process: the later birth has it, and the other waits.
-//! - *Garbage.* An entry that can't be read is named and changes nothing.
+//! - *Suspects.* If a server's registration ends while the server still answers, perhaps only its session was
+//!   lost. Once the removal is reported (or the guard's delay is over), the server is listed as draining, so
+//!   that it gets no new requests, while its connections and what is known of it are kept for a while. When
+//!   it registers again it is back at once, with the warm-up that its birth implies.
+//! - *Flapping.* A server that departs repeatedly is readmitted after an increasing delay, so that it causes
+//!   a bounded number of changes. Departures and drains are never delayed, and no server is excluded while no
+//!   other one is in service.
+//! - *Duplicates.* Two names with the same address are the same process: the one with the later birth is
+//!   listed and the other is left out.
+//! - *Malformed entries.* An entry that can't be parsed is reported and changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,91 +23,97 @@
 use crate::machine::{Machine, Step};
 use crate::{guard, session, Millis};
 
-/// Within which time departures of one server are counted.
-const FLAP_WINDOW: Millis = 60_000.0;
-/// How many of them are free.
-const FLAPS_FREE: usize = 3;
-/// How long the return after the next one waits; twice that after each further one, up to the second figure.
-const FLAP_WAIT: (Millis, Millis) = (1000.0, 30_000.0);
+/// Window within which the departures of one server are counted, in milliseconds.
+const FLAP_WINDOW_MS: Millis = 60_000.0;
+/// Departures within the window that cause no delay.
+const FREE_DEPARTURES: usize = 3;
+/// Readmission delay after the first departure beyond [`FREE_DEPARTURES`] and its maximum, in milliseconds;
+/// it doubles with each further departure.
+const READMISSION_DELAY_MS: (Millis, Millis) = (1000.0, 30_000.0);
 
-/// How a view is set up.
+/// Settings of a view.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The session.
+    /// Settings of the session.
     pub session: session::Settings,
-    /// The node of the tree whose children are the servers.
+    /// Path of the tree node whose children are the servers.
     pub path: String,
-    /// How often the names are looked at though no watch has fired, in milliseconds.
+    /// Interval at which the names are read again even if no watch has fired, in milliseconds.
     pub look_every: Millis,
-    /// The guard against mass expiry; `None`: every departure is passed on at once.
+    /// Settings of the guard against mass expiry; `None` to pass on every departure at once.
     pub guard: Option<guard::Settings>,
-    /// For how long a server that answers though its registration has ended stays listed as draining, in milliseconds;
-    /// 0: not at all.
+    /// How long a server that still answers after its registration ended stays listed as draining, in
+    /// milliseconds; 0 to remove it at once.
     pub suspect: Millis,
 }
 
-/// What a view tells.
+/// An event for the view's user.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
-    /// Entries; gone ones as [`Health::Left`].
+    /// Changed entries; removed ones are marked [`Health::Left`].
     List {
-        /// All that there are: the first list of this process.
+        /// Whether this is the first list of this process, with all entries.
         whole: bool,
         /// The entries.
         hosts: Vec<Host>,
     },
-    /// A registration is not taken, and what was known of that server still holds.
+    /// A registration was rejected; the previous entry of that server stays in effect.
     Unfit {
-        /// Its name.
+        /// The server's name.
         name: String,
-        /// Why.
+        /// Why it was rejected.
         reason: String,
     },
-    /// The service can't be reached; what is known still holds.
+    /// The service is unreachable; the known list stays in effect.
     Away,
-    /// It can be reached again.
+    /// The service is reachable again.
     Back,
 }
 
-/// Whether a server of that name was seen to answer just now, and not to fail since.
+/// Tells whether the server with this name was recently seen to answer and has not failed since.
 pub type Answers = Box<dyn Fn(&str) -> bool>;
 
-/// What is remembered of a server's departures.
+/// The recent departures of a server.
 #[derive(Debug, Default)]
-struct Flaps {
-    at: VecDeque<Millis>,
-    /// Until when it is kept out of service.
-    until: Option<Millis>,
+struct FlapState {
+    /// Times of the departures within the window.
+    departures: VecDeque<Millis>,
+    /// When the server is readmitted to service, if it is excluded.
+    excluded_until: Option<Millis>,
 }
 
-/// The list of servers as their registrations make it.
+/// The list of servers derived from their registrations.
 pub struct View {
     follower: Follower,
     guard: Guard,
     answers: Answers,
     suspect: Millis,
-    /// What is registered, as far as it can be read.
+    /// The registered entries that could be parsed.
     registered: BTreeMap<String, Host>,
-    /// Who registered each address.
+    /// The names registered with each address.
     claims: HashMap<SocketAddr, BTreeSet<String>>,
+    /// Servers listed as suspects, with the time of their removal and their entry.
     suspects: BTreeMap<String, (Millis, Host)>,
-    flaps: BTreeMap<String, Flaps>,
-    /// What was last said of each.
-    said: BTreeMap<String, Host>,
-    /// How many of these are in service.
+    /// Recent departures of each server.
+    flaps: BTreeMap<String, FlapState>,
+    /// The entries as last reported.
+    reported: BTreeMap<String, Host>,
+    /// Number of reported entries that are in service.
     in_service: usize,
-    touched: BTreeSet<String>,
-    begun: bool,
+    /// Names whose entry may have changed since the last report.
+    changed: BTreeSet<String>,
+    /// Whether the first complete list has arrived.
+    has_first_list: bool,
     outputs: VecDeque<Step<Said>>,
 }
 
-/// Reads the entry of one child.
-fn entry(name: &str, data: &[u8]) -> Result<Host, String> {
+/// Parses and validates the entry of one child.
+fn parse_entry(name: &str, data: &[u8]) -> Result<Host, String> {
     let mut value: Value = serde_json::from_slice(data).map_err(|e| format!("not JSON: {e}"))?;
     let object = value.as_object_mut().ok_or("a JSON object expected")?;
     let host = object.entry("host").or_insert_with(|| name.into());
     if host.as_str() != Some(name) {
-        return Err(format!("host: {name:?} expected, as the node is called, not {host}"));
+        return Err(format!("host: {name:?} expected, the name of the node, not {host}"));
     }
     let host: Host = serde_json::from_value(value).map_err(|e| e.to_string())?;
     if host.dial.is_none() {
@@ -120,52 +129,52 @@
 }
 
 impl View {
-    /// Follows the registrations from now on.
+    /// Creates a view that starts to follow the registrations at `now`.
     ///
     /// # Errors
-    /// Names the guard's setting that makes no sense.
+    /// Names the invalid setting of the guard.
     pub fn new(now: Millis, settings: Settings, answers: Answers) -> Result<Self, BadSetting> {
-        let none = guard::Settings { share: 1.0, window: 1.0, hold: 0.0 };
+        let disabled = guard::Settings { share: 1.0, window: 1.0, hold: 0.0 };
         let mut view = Self {
             follower: Follower::new(now, settings.session, &settings.path, settings.look_every),
-            guard: Guard::new(settings.guard.unwrap_or(none))?,
+            guard: Guard::new(settings.guard.unwrap_or(disabled))?,
             answers,
             suspect: settings.suspect,
             registered: BTreeMap::new(),
             claims: HashMap::new(),
             suspects: BTreeMap::new(),
             flaps: BTreeMap::new(),
-            said: BTreeMap::new(),
+            reported: BTreeMap::new(),
             in_service: 0,
-            touched: BTreeSet::new(),
-            begun: false,
+            changed: BTreeSet::new(),
+            has_first_list: false,
             outputs: VecDeque::new(),
         };
-        view.settle(now);
+        view.process_events(now);
         Ok(view)
     }
 
-    /// What was last said of each server.
+    /// The servers as last reported.
     pub fn list(&self) -> impl Iterator<Item = &Host> {
-        self.said.values()
+        self.reported.values()
     }
 
-    /// When the service was last heard: how old what is known may be.
+    /// When the service last sent anything, which bounds the age of the list.
     pub fn heard(&self) -> Millis {
         self.follower.heard()
     }
 
-    /// What is followed, to look at.
+    /// The underlying follower.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// How many servers are listed, how many of them as suspects, and how many departures the guard keeps back.
+    /// Numbers of listed servers, of suspects among them, and of departures that the guard delays.
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.said.len(), self.suspects.len(), self.guard.held())
+        (self.reported.len(), self.suspects.len(), self.guard.delayed())
     }
 
-    fn settle(&mut self, now: Millis) {
+    fn process_events(&mut self, now: Millis) {
         while let Some(output) = self.follower.poll() {
             match output {
                 follow::Output::Connect(member) => self.outputs.push_back(Step::Connect(member)),
@@ -174,10 +183,10 @@
                 follow::Output::Back => self.outputs.push_back(Step::Said(Said::Back)),
                 follow::Output::Change(change) => {
                     let (answers, registered) = (&self.answers, &self.registered);
-                    // Who drains ends by its own will: there is nothing to be suspected.
+                    // A draining server departs on purpose, so its departure is not delayed.
                     let active =
                         |name: &str| registered.get(name).is_some_and(|h| h.health == Health::Active);
-                    self.guard.take(now, change, &|name| active(name) && answers(name));
+                    self.guard.handle_change(now, change, &|name| active(name) && answers(name));
                 }
             }
         }
@@ -186,109 +195,111 @@
         while let Some(change) = self.guard.poll() {
             match change {
                 Change::Whole(all) => {
-                    (whole, self.begun) = (true, true);
-                    all.into_iter().for_each(|(name, data)| self.set(now, name, &data));
+                    (whole, self.has_first_list) = (true, true);
+                    all.into_iter().for_each(|(name, data)| self.handle_registration(now, name, &data));
                 }
-                Change::Set(name, data) => self.set(now, name, &data),
-                Change::Gone(name) => self.gone(now, &name),
+                Change::Set(name, data) => self.handle_registration(now, name, &data),
+                Change::Gone(name) => self.handle_removal(now, &name),
                 Change::Unfit(name) => {
                     let reason = format!("longer than {} bytes", follow::DATA_MOST);
                     self.outputs.push_back(Step::Said(Said::Unfit { name, reason }));
                 }
             }
         }
-        self.let_go(now);
-        self.say(whole);
+        self.expire(now);
+        self.report(whole);
     }
 
-    /// Ends what is over by now.
-    fn let_go(&mut self, now: Millis) {
-        let over = self.suspects.iter().filter(|(_, (until, _))| *until <= now);
-        let over: Vec<String> = over.map(|(name, _)| name.clone()).collect();
-        for name in over {
+    /// Removes expired suspects and ends expired exclusions.
+    fn expire(&mut self, now: Millis) {
+        let expired = self.suspects.iter().filter(|(_, (until, _))| *until <= now);
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
             self.suspects.remove(&name);
-            self.touched.insert(name);
+            self.changed.insert(name);
         }
-        let touched = &mut self.touched;
+        let changed = &mut self.changed;
         self.flaps.retain(|name, flaps| {
-            if flaps.until.is_some_and(|until| until <= now) {
-                flaps.until = None;
-                touched.insert(name.clone());
+            if flaps.excluded_until.is_some_and(|until| until <= now) {
+                flaps.excluded_until = None;
+                changed.insert(name.clone());
             }
-            flaps.until.is_some() || flaps.at.back().is_some_and(|at| at + FLAP_WINDOW > now)
+            flaps.excluded_until.is_some()
+                || flaps.departures.back().is_some_and(|at| at + FLAP_WINDOW_MS > now)
         });
     }
 
-    fn set(&mut self, now: Millis, name: String, data: &[u8]) {
-        let host = match entry(&name, data) {
+    fn handle_registration(&mut self, now: Millis, name: String, data: &[u8]) {
+        let host = match parse_entry(&name, data) {
             Ok(host) => host,
             Err(reason) => return self.outputs.push_back(Step::Said(Said::Unfit { name, reason })),
         };
         if host.health == Health::Left {
-            return self.gone(now, &name);
+            return self.handle_removal(now, &name);
         }
         let address = host.dial.map(|d| d.address);
         if host.health != Health::Active {
-            self.departed(now, &name);
+            self.count_departure(now, &name);
         }
         self.suspects.remove(&name);
-        // Who has the address of a suspect is there in its place.
+        // A registration with the address of a suspect replaces it.
         self.suspects.retain(|other, (_, suspect)| {
             let replaced = suspect.dial.map(|d| d.address) == address;
-            replaced.then(|| self.touched.insert(other.clone()));
+            replaced.then(|| self.changed.insert(other.clone()));
             !replaced
         });
-        self.unclaim(&name);
+        self.remove_claim(&name);
         if let Some(address) = address {
             let claims = self.claims.entry(address).or_default();
             claims.insert(name.clone());
-            self.touched.extend(claims.iter().cloned());
+            self.changed.extend(claims.iter().cloned());
         }
         self.registered.insert(name, host);
     }
 
-    fn unclaim(&mut self, name: &str) {
+    fn remove_claim(&mut self, name: &str) {
         let address = self.registered.get(name).and_then(|h| h.dial).map(|d| d.address);
         let Some(address) = address else { return };
         if let Some(claims) = self.claims.get_mut(&address) {
             claims.remove(name);
-            self.touched.extend(claims.iter().cloned());
+            self.changed.extend(claims.iter().cloned());
             if claims.is_empty() {
                 self.claims.remove(&address);
             }
         }
     }
 
-    fn gone(&mut self, now: Millis, name: &str) {
-        self.departed(now, name);
-        self.unclaim(name);
+    fn handle_removal(&mut self, now: Millis, name: &str) {
+        self.count_departure(now, name);
+        self.remove_claim(name);
         let Some(host) = self.registered.remove(name) else { return };
-        self.touched.insert(name.to_string());
-        let listed = self.said.contains_key(name);
-        if listed && host.health == Health::Active && self.suspect > 0.0 && (self.answers)(name) {
+        self.changed.insert(name.to_string());
+        let was_reported = self.reported.contains_key(name);
+        if was_reported && host.health == Health::Active && self.suspect > 0.0 && (self.answers)(name) {
             let host = Host { health: Health::Leaving, ..host };
             self.suspects.insert(name.to_string(), (now + self.suspect, host));
         }
     }
 
-    /// Counts that a server which was in service is not any more.
-    fn departed(&mut self, now: Millis, name: &str) {
+    /// Counts a departure of a server that was in service and sets its readmission delay.
+    fn count_departure(&mut self, now: Millis, name: &str) {
         if self.registered.get(name).is_none_or(|h| h.health != Health::Active) {
             return;
         }
         let flaps = self.flaps.entry(name.to_string()).or_default();
-        flaps.at.push_back(now);
-        while flaps.at.front().is_some_and(|at| at + FLAP_WINDOW <= now) {
-            flaps.at.pop_front();
+        flaps.departures.push_back(now);
+        while flaps.departures.front().is_some_and(|at| at + FLAP_WINDOW_MS <= now) {
+            flaps.departures.pop_front();
         }
-        if let Some(beyond) = flaps.at.len().checked_sub(FLAPS_FREE + 1) {
-            let wait = (FLAP_WAIT.0 * 2.0f64.powi(beyond.min(10) as i32)).min(FLAP_WAIT.1);
-            flaps.until = Some(now + wait);
+        if let Some(excess) = flaps.departures.len().checked_sub(FREE_DEPARTURES + 1) {
+            let delay =
+                (READMISSION_DELAY_MS.0 * 2.0f64.powi(excess.min(10) as i32)).min(READMISSION_DELAY_MS.1);
+            flaps.excluded_until = Some(now + delay);
         }
     }
 
-    /// What is to be said of a server now.
-    fn wanted(&self, name: &str) -> Option<Host> {
+    /// Returns the entry to list for a server, or `None` if it is not to be listed.
+    fn entry_to_list(&self, name: &str) -> Option<Host> {
         if let Some((_, suspect)) = self.suspects.get(name) {
             return Some(suspect.clone());
         }
@@ -297,51 +308,52 @@
         if claims.is_some_and(|claims| claims.len() > 1) {
             let rank = |name: &String| {
                 let born = self.registered.get(name).map_or(0.0, |h| h.born_ms);
-                let first = self.said.get(name).is_some_and(|h| h.dial == host.dial);
+                let first = self.reported.get(name).is_some_and(|h| h.dial == host.dial);
                 (born, first)
             };
             let before = |a: &(f64, bool), b: &(f64, bool)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
-            // Of equals the first by name.
-            let best = claims.iter().flat_map(|c| c.iter().rev()).max_by(|a, b| before(&rank(a), &rank(b)));
-            if best.is_some_and(|best| best != name) {
+            // Among equals, the first by name.
+            let preferred =
+                claims.iter().flat_map(|c| c.iter().rev()).max_by(|a, b| before(&rank(a), &rank(b)));
+            if preferred.is_some_and(|preferred| preferred != name) {
                 return None;
             }
         }
-        if self.flaps.get(name).is_some_and(|f| f.until.is_some()) {
+        if self.flaps.get(name).is_some_and(|f| f.excluded_until.is_some()) {
             return Some(Host { health: Health::Leaving, ..host.clone() });
         }
         Some(host.clone())
     }
 
-    fn say(&mut self, whole: bool) {
-        if !self.begun {
+    fn report(&mut self, whole: bool) {
+        if !self.has_first_list {
             return;
         }
         let mut hosts = Vec::new();
         loop {
-            for name in std::mem::take(&mut self.touched) {
-                let wanted = self.wanted(&name);
-                let before = self.said.get(&name);
-                if before == wanted.as_ref() {
+            for name in std::mem::take(&mut self.changed) {
+                let current = self.entry_to_list(&name);
+                let before = self.reported.get(&name);
+                if before == current.as_ref() {
                     continue;
                 }
                 let active = |h: Option<&Host>| usize::from(h.is_some_and(|h| h.health == Health::Active));
-                self.in_service = self.in_service + active(wanted.as_ref()) - active(before);
-                hosts.extend(wanted.clone().or_else(|| before.map(Host::left)));
-                match wanted {
-                    Some(host) => drop(self.said.insert(name, host)),
-                    None => drop(self.said.remove(&name)),
+                self.in_service = self.in_service + active(current.as_ref()) - active(before);
+                hosts.extend(current.clone().or_else(|| before.map(Host::left)));
+                match current {
+                    Some(host) => drop(self.reported.insert(name, host)),
+                    None => drop(self.reported.remove(&name)),
                 }
             }
-            // Better one that flaps than nobody.
-            let kept_out = self.flaps.iter_mut().filter(|(_, f)| f.until.is_some());
-            let kept_out: Vec<String> = if self.in_service == 0 {
-                kept_out.filter_map(|(name, f)| f.until.take().map(|_| name.clone())).collect()
+            // A flapping server is better than no server at all.
+            let excluded = self.flaps.iter_mut().filter(|(_, f)| f.excluded_until.is_some());
+            let excluded: Vec<String> = if self.in_service == 0 {
+                excluded.filter_map(|(name, f)| f.excluded_until.take().map(|_| name.clone())).collect()
             } else {
                 Vec::new()
             };
-            self.touched.extend(kept_out);
-            if self.touched.is_empty() {
+            self.changed.extend(excluded);
+            if self.changed.is_empty() {
                 break;
             }
         }
@@ -364,28 +376,28 @@
 
     fn poll_timeout(&self) -> Option<Millis> {
         let suspects = self.suspects.values().map(|(until, _)| *until);
-        let flaps = self.flaps.values().filter_map(|f| f.until);
+        let flaps = self.flaps.values().filter_map(|f| f.excluded_until);
         let all = suspects.chain(flaps).chain(self.follower.poll_timeout()).chain(self.guard.poll_timeout());
         all.min_by(f64::total_cmp)
     }
 
     fn handle_timeout(&mut self, now: Millis) {
         self.follower.handle_timeout(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn connected(&mut self, now: Millis) {
         self.follower.connected(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn broken(&mut self, now: Millis) {
         self.follower.broken(now);
-        self.settle(now);
+        self.process_events(now);
     }
 
     fn received(&mut self, now: Millis, bytes: &[u8]) {
         self.follower.received(now, bytes);
-        self.settle(now);
+        self.process_events(now);
     }
 }
--- a/crates/coordination/tests/guard.rs
+++ b/crates/coordination/tests/guard.rs
@@ -16,7 +16,7 @@
 
 fn guard(count: usize) -> Guard {
     let mut guard = Guard::new(SETTINGS).expect("good settings");
-    guard.take(0.0, Change::Whole(whole(count)), &|_| true);
+    guard.handle_change(0.0, Change::Whole(whole(count)), &|_| true);
     assert_eq!(said(&mut guard), [Change::Whole(whole(count))]);
     guard
 }
@@ -33,7 +33,7 @@
 fn a_single_departure_is_passed_on_at_once() {
     let mut guard = guard(12);
     for n in 0..12 {
-        guard.take(10_000.0 * n as f64, gone(n), &|_| true);
+        guard.handle_change(10_000.0 * n as f64, gone(n), &|_| true);
         assert_eq!(said(&mut guard), [gone(n)]);
     }
 }
@@ -42,13 +42,13 @@
 #[test]
 fn a_list_that_vanishes_and_comes_again_is_kept() {
     let mut guard = guard(12);
-    (0..12).for_each(|n| guard.take(100.0, gone(n), &|_| true));
+    (0..12).for_each(|n| guard.handle_change(100.0, gone(n), &|_| true));
     // A quarter of the list is no mass; what is beyond it waits.
-    assert_eq!((said(&mut guard).len(), guard.held()), (3, 9));
-    guard.take(300.0, Change::Whole(whole(12)), &|_| true);
+    assert_eq!((said(&mut guard).len(), guard.delayed()), (3, 9));
+    guard.handle_change(300.0, Change::Whole(whole(12)), &|_| true);
     let back: Vec<Change> =
         (0..3).map(|n| Change::Set(format!("s{n:02}"), Bytes::from_static(b"d"))).collect();
-    assert_eq!((said(&mut guard), guard.held(), guard.saved()), (back, 0, 9));
+    assert_eq!((said(&mut guard), guard.delayed(), guard.recovered()), (back, 0, 9));
     assert_eq!(guard.poll_timeout(), None);
 }
 
@@ -56,32 +56,32 @@
 #[test]
 fn a_list_that_vanishes_and_does_not_answer_is_passed_on_at_once() {
     let mut guard = guard(12);
-    (0..12).for_each(|n| guard.take(100.0, gone(n), &|name| name == "s11"));
-    assert_eq!((said(&mut guard).len(), guard.held()), (11, 1));
+    (0..12).for_each(|n| guard.handle_change(100.0, gone(n), &|name| name == "s11"));
+    assert_eq!((said(&mut guard).len(), guard.delayed()), (11, 1));
 }
 
 /// What is really gone is passed on within the hold, however many there are.
 #[test]
 fn what_stays_away_is_gone_within_the_hold() {
     let mut guard = guard(12);
-    guard.take(100.0, Change::Whole(BTreeMap::new()), &|_| true);
+    guard.handle_change(100.0, Change::Whole(BTreeMap::new()), &|_| true);
     assert_eq!(said(&mut guard).len(), 3);
     let due = guard.poll_timeout().expect("they wait");
     assert_eq!(due, 500.0);
     guard.handle_timeout(due - 1.0);
     assert_eq!(said(&mut guard), []);
     guard.handle_timeout(due);
-    assert_eq!((said(&mut guard).len(), guard.held()), (9, 0));
+    assert_eq!((said(&mut guard).len(), guard.delayed()), (9, 0));
 }
 
 /// Who is kept back and registers anew as another process is told at once.
 #[test]
 fn another_process_under_the_name_is_told() {
     let mut guard = guard(4);
-    (0..4).for_each(|n| guard.take(100.0, gone(n), &|_| true));
+    (0..4).for_each(|n| guard.handle_change(100.0, gone(n), &|_| true));
     said(&mut guard);
     let anew = Change::Set("s03".into(), Bytes::from_static(b"born later"));
-    guard.take(200.0, anew.clone(), &|_| true);
+    guard.handle_change(200.0, anew.clone(), &|_| true);
     assert_eq!(said(&mut guard), [anew]);
 }
 
@@ -124,16 +124,16 @@
                     let data = Bytes::from(vec![n as u8]);
                     truth.insert(name.clone(), data.clone());
                     since.remove(&name);
-                    guard.take(now, Change::Set(name, data), &|_| true);
+                    guard.handle_change(now, Change::Set(name, data), &|_| true);
                 }
                 1 => {
                     truth = whole(n);
                     since.retain(|name, _| !truth.contains_key(name));
-                    guard.take(now, Change::Whole(truth.clone()), &|_| true);
+                    guard.handle_change(now, Change::Whole(truth.clone()), &|_| true);
                 }
                 _ => {
                     truth.remove(&name);
-                    guard.take(now, Change::Gone(name), &|_| true);
+                    guard.handle_change(now, Change::Gone(name), &|_| true);
                 }
             }
             let until = now + wait;
--- a/crates/coordination/tests/saved.rs
+++ b/crates/coordination/tests/saved.rs
@@ -55,7 +55,10 @@
 
 #[test]
 fn another_form_is_refused_in_words() {
-    assert_eq!(Saved::read(b"{}\n[]").map_err(|e| e.to_string()), Err("it is no view of the form 1".into()));
-    assert_eq!(Saved::read(b"").map_err(|e| e.to_string()), Err("it has no head".into()));
-    assert_eq!(Saved::read(b"x\n[]").map_err(|e| e.to_string()), Err("its head can't be read".into()));
+    assert_eq!(
+        Saved::read(b"{}\n[]").map_err(|e| e.to_string()),
+        Err("unsupported format: glenwood_view 1 expected".into())
+    );
+    assert_eq!(Saved::read(b"").map_err(|e| e.to_string()), Err("the header line is missing".into()));
+    assert_eq!(Saved::read(b"x\n[]").map_err(|e| e.to_string()), Err("the header is not valid JSON".into()));
 }
