--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -26,7 +26,7 @@
 
 /// Tags the follower's requests to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Query {
+pub enum RequestTag {
     /// The names of the children.
     Names,
     /// Whether the parent node exists.
@@ -66,7 +66,7 @@
 
 /// Mirrors the children of one tree node.
 pub struct Follower {
-    session: Session<Query>,
+    session: Session<RequestTag>,
     path: String,
     /// Interval at which the names are read again even if no watch has fired.
     relist_interval: Millis,
@@ -171,7 +171,7 @@
     }
 
     /// The underlying session.
-    pub fn session(&self) -> &Session<Query> {
+    pub fn session(&self) -> &Session<RequestTag> {
         &self.session
     }
 
@@ -239,7 +239,7 @@
         }
         let request = Request::GetChildren { path: self.path.clone(), watch: true, stat: false };
         self.request_counts.0 += 1;
-        self.session.ask(now, Query::Names, request);
+        self.session.ask(now, RequestTag::Names, request);
     }
 
     fn queue_read(&mut self, name: String) {
@@ -265,7 +265,7 @@
             let request = Request::GetData { path: self.child_path(&name), watch: true };
             self.reads_in_flight.insert(name.clone());
             self.request_counts.1 += 1;
-            self.session.ask(now, Query::Data(name), request);
+            self.session.ask(now, RequestTag::Data(name), request);
         }
         let all_read = self.names_read
             && !self.list_in_flight
@@ -277,7 +277,7 @@
         }
     }
 
-    fn handle_event(&mut self, now: Millis, event: Event<Query>) {
+    fn handle_event(&mut self, now: Millis, event: Event<RequestTag>) {
         match event {
             Event::Connect(member) => self.outputs.push_back(Output::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Output::Disconnect),
@@ -314,17 +314,17 @@
                     }
                 }
             }
-            Event::Answer(Query::Names, Err(Failed::Service(Code::NoNode))) => {
+            Event::Answer(RequestTag::Names, Err(Failed::Service(Code::NoNode))) => {
                 // A missing parent is not an empty list: nothing has registered yet, or the tree is still
                 // being created. A watch reports its creation.
                 self.list_in_flight = false;
                 let request = Request::Exists { path: self.path.clone(), watch: true };
-                self.session.ask(now, Query::ParentExists, request);
+                self.session.ask(now, RequestTag::ParentExists, request);
             }
-            Event::Answer(Query::ParentExists, Ok(_)) => self.request_names(now),
-            Event::Answer(Query::ParentExists, Err(_)) => {}
-            Event::Answer(Query::Names, answer) => self.handle_names(now, answer),
-            Event::Answer(Query::Data(name), answer) => self.handle_data(name, answer),
+            Event::Answer(RequestTag::ParentExists, Ok(_)) => self.request_names(now),
+            Event::Answer(RequestTag::ParentExists, Err(_)) => {}
+            Event::Answer(RequestTag::Names, answer) => self.handle_names(now, answer),
+            Event::Answer(RequestTag::Data(name), answer) => self.handle_data(name, answer),
         }
     }
 
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -80,9 +80,9 @@
     fn next_event(&mut self) -> Option<M::Said> {
         loop {
             // Output that precedes a disconnect is discarded together with the connection.
-            let output = self.machine.output();
+            let written = self.machine.output();
             if matches!(self.connection, Connection::Established(_)) {
-                self.unsent.extend(output);
+                self.unsent.extend(written);
             }
             match self.machine.poll()? {
                 Step::Said(event) => return Some(event),
--- a/crates/coordination/src/proto.rs
+++ b/crates/coordination/src/proto.rs
@@ -340,8 +340,8 @@
     pub const ERROR: i32 = -1;
 }
 
-fn write_strings(w: &mut Writer, operations: &[String]) {
-    w.vector(operations, |w, string| {
+fn write_strings(w: &mut Writer, strings: &[String]) {
+    w.vector(strings, |w, string| {
         w.string(string);
     });
 }
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -26,7 +26,7 @@
 
 /// Tags the registrar's requests to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Query {
+pub enum RequestTag {
     /// Create the folder's ancestor with this index, counted from the root.
     CreateAncestor(usize),
     /// Create the entry's node.
@@ -68,7 +68,7 @@
 
 /// Keeps one server's entry registered.
 pub struct Registrar {
-    session: Session<Query>,
+    session: Session<RequestTag>,
     folder: String,
     host: Host,
     /// Number of changes of the entry so far.
@@ -114,7 +114,7 @@
     }
 
     /// The underlying session.
-    pub fn session(&self) -> &Session<Query> {
+    pub fn session(&self) -> &Session<RequestTag> {
         &self.session
     }
 
@@ -154,10 +154,10 @@
         Request::Create { path: self.path(), data: self.data(), acl: Acl::open(), mode, stat: false }
     }
 
-    fn send_query(&mut self, now: Millis, query: Query, request: Request) {
+    fn send_request(&mut self, now: Millis, tag: RequestTag, request: Request) {
         self.state = State::Pending;
         self.sent_changes = self.changes;
-        self.session.ask(now, query, request);
+        self.session.ask(now, tag, request);
     }
 
     /// Schedules a retry after a failure, with exponential backoff.
@@ -186,18 +186,18 @@
             match self.state {
                 State::Unregistered(at) if at.is_none_or(|at| at <= now) => {
                     let node = self.create_request();
-                    self.send_query(now, Query::CreateEntry, node);
+                    self.send_request(now, RequestTag::CreateEntry, node);
                 }
                 State::Published(count) if count != self.changes => {
                     let request = Request::SetData { path: self.path(), data: self.data(), version: -1 };
-                    self.send_query(now, Query::WriteEntry, request);
+                    self.send_request(now, RequestTag::WriteEntry, request);
                 }
                 _ => return,
             }
         }
     }
 
-    fn handle_event(&mut self, now: Millis, event: Event<Query>) {
+    fn handle_event(&mut self, now: Millis, event: Event<RequestTag>) {
         match event {
             Event::Connect(member) => self.outputs.push_back(Step::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Step::Disconnect),
@@ -218,30 +218,32 @@
                     self.read_entry(now);
                 }
             }
-            Event::Answer(query, answer) => self.handle_answer(now, query, answer),
+            Event::Answer(tag, answer) => self.handle_answer(now, tag, answer),
         }
     }
 
     fn read_entry(&mut self, now: Millis) {
         let request = Request::GetData { path: self.path(), watch: true };
-        self.send_query(now, Query::ReadEntry, request);
+        self.send_request(now, RequestTag::ReadEntry, request);
     }
 
-    fn handle_answer(&mut self, now: Millis, query: Query, answer: Result<Response, Failed>) {
+    fn handle_answer(&mut self, now: Millis, tag: RequestTag, answer: Result<Response, Failed>) {
         use Failed::{Lost, NotSent, Service};
-        match (query, answer) {
+        match (tag, answer) {
             // Repeated on the next connection.
             (_, Err(Lost | NotSent)) => self.state = State::Unregistered(None),
-            (Query::CreateEntry, Err(Service(Code::NoNode))) => self.create_ancestors(now, 0),
-            (Query::CreateAncestor(n), Ok(_) | Err(Service(Code::NodeExists))) => {
+            (RequestTag::CreateEntry, Err(Service(Code::NoNode))) => self.create_ancestors(now, 0),
+            (RequestTag::CreateAncestor(n), Ok(_) | Err(Service(Code::NodeExists))) => {
                 self.create_ancestors(now, n + 1)
             }
-            (Query::CreateEntry, Ok(_) | Err(Service(Code::NodeExists))) => self.read_entry(now),
-            (Query::ReplaceEntry, Ok(Response::Multi(all))) if all.iter().all(Result::is_ok) => {
+            (RequestTag::CreateEntry, Ok(_) | Err(Service(Code::NodeExists))) => self.read_entry(now),
+            (RequestTag::ReplaceEntry, Ok(Response::Multi(all))) if all.iter().all(Result::is_ok) => {
                 self.read_entry(now)
             }
-            (Query::ReadEntry, Ok(Response::Data { data, stat })) => self.handle_existing(now, &data, stat),
-            (Query::WriteEntry, Ok(_)) => {
+            (RequestTag::ReadEntry, Ok(Response::Data { data, stat })) => {
+                self.handle_existing(now, &data, stat)
+            }
+            (RequestTag::WriteEntry, Ok(_)) => {
                 self.mark_published(self.sent_changes);
                 // This write has fired the watch on the node; reading sets it again.
                 self.read_entry(now);
@@ -258,7 +260,7 @@
                 let mode = Mode::default();
                 let request =
                     Request::Create { path, data: Bytes::new(), acl: Acl::open(), mode, stat: false };
-                self.send_query(now, Query::CreateAncestor(n), request);
+                self.send_request(now, RequestTag::CreateAncestor(n), request);
             }
             // The whole folder exists. If it existed before, it was deleted in between. The entry is created
             // again.
@@ -292,7 +294,7 @@
         self.last_replaced = Some(now);
         let delete = Request::Delete { path: self.path(), version: stat.version };
         let replace = Request::Multi(vec![delete, self.create_request()]);
-        self.send_query(now, Query::ReplaceEntry, replace);
+        self.send_request(now, RequestTag::ReplaceEntry, replace);
     }
 
     fn mark_published(&mut self, count: u64) {
--- a/crates/coordination/tests/saved.rs
+++ b/crates/coordination/tests/saved.rs
@@ -1,4 +1,4 @@
-//! The saved view.
+//! Tests of the file format of a saved view.
 
 use glenwood_coordination::saved::{Saved, SavedError};
 use glenwood_list::{Dial, Health, Host, Protocol};
@@ -12,49 +12,52 @@
 }
 
 #[test]
-fn it_is_read_as_it_was_written() {
+fn a_written_view_is_read_back_unchanged() {
     for view in [view(), Saved { at_unix_ms: 0.0, hosts: Vec::new() }] {
         assert_eq!(Saved::read(&view.write()), Ok(view));
     }
 }
 
-/// Clocks give parts of a millisecond, and JSON does not bring every such number back to the last bit: the checksum, which
-/// covers the time, then turned down what nobody had changed.
+/// Clocks return fractions of a millisecond, and JSON does not preserve every such number exactly. The
+/// checksum covers the time, so an unchanged file was rejected.
 #[test]
-fn it_is_read_whatever_the_clock_said() {
+fn a_view_with_a_fractional_time_is_read_back() {
     for n in 0..10_000 {
         let view = Saved { at_unix_ms: 1.796131235e12 + f64::from(n) * 0.1737, ..view() };
-        let read = Saved::read(&view.write()).expect("nobody has changed it");
+        let read = Saved::read(&view.write()).expect("the file is unchanged");
         assert!((read.at_unix_ms - view.at_unix_ms).abs() <= 0.5 && read.hosts == view.hosts, "{n}");
     }
 }
 
 #[test]
-fn one_that_is_cut_anywhere_is_not_taken() {
-    let whole = view().write();
-    for length in 0..whole.len() {
-        assert!(Saved::read(&whole[..length]).is_err(), "{length} of {}", whole.len());
+fn a_truncated_file_is_rejected() {
+    let file = view().write();
+    for length in 0..file.len() {
+        assert!(Saved::read(&file[..length]).is_err(), "{length} of {}", file.len());
     }
-    assert_eq!(Saved::read(&[&whole[..], b" "].concat()), Err(SavedError::Checksum));
+    assert_eq!(Saved::read(&[&file[..], b" "].concat()), Err(SavedError::Checksum));
 }
 
-/// Any change of one bit is noticed, or changes nothing that counts.
+/// A flipped bit is either detected or, in the header, does not change the parsed view.
 #[test]
-fn one_with_a_flipped_bit_is_not_taken_for_another() {
-    let whole = view().write();
-    let body = whole.iter().position(|b| *b == b'\n').expect("a head") + 1;
-    for at in 0..whole.len() {
+fn a_flipped_bit_never_yields_a_different_view() {
+    let file = view().write();
+    let body = file.iter().position(|b| *b == b'\n').expect("a header line") + 1;
+    for index in 0..file.len() {
         for bit in 0..8 {
-            let mut bytes = whole.clone();
-            bytes[at] ^= 1 << bit;
+            let mut bytes = file.clone();
+            bytes[index] ^= 1 << bit;
             let read = Saved::read(&bytes);
-            assert!(read.is_err() || (at < body && read == Ok(view())), "bit {bit} of byte {at}: {read:?}");
+            assert!(
+                read.is_err() || (index < body && read == Ok(view())),
+                "bit {bit} of byte {index}: {read:?}"
+            );
         }
     }
 }
 
 #[test]
-fn another_form_is_refused_in_words() {
+fn an_unknown_format_is_rejected_with_a_message() {
     assert_eq!(
         Saved::read(b"{}\n[]").map_err(|e| e.to_string()),
         Err("unsupported format: glenwood_view 1 expected".into())
