--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/frame.rs
@@ -45,7 +45,7 @@
     }
 
     /// Number of buffered bytes.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffered.len()
     }
 
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -308,13 +308,13 @@
         if claims.is_some_and(|claims| claims.len() > 1) {
             let rank = |name: &String| {
                 let born = self.registered.get(name).map_or(0.0, |h| h.born_ms);
-                let first = self.reported.get(name).is_some_and(|h| h.dial == host.dial);
-                (born, first)
+                let already_listed = self.reported.get(name).is_some_and(|h| h.dial == host.dial);
+                (born, already_listed)
             };
-            let before = |a: &(f64, bool), b: &(f64, bool)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
+            let compare = |a: &(f64, bool), b: &(f64, bool)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
             // Among equals, the first by name.
             let preferred =
-                claims.iter().flat_map(|c| c.iter().rev()).max_by(|a, b| before(&rank(a), &rank(b)));
+                claims.iter().flat_map(|c| c.iter().rev()).max_by(|a, b| compare(&rank(a), &rank(b)));
             if preferred.is_some_and(|preferred| preferred != name) {
                 return None;
             }
--- a/crates/coordination/tests/guard.rs
+++ b/crates/coordination/tests/guard.rs
@@ -141,7 +141,9 @@
                 for change in drain_changes(&mut guard) {
                     match change {
                         Change::Set(name, data) => { view.insert(name, data); }
-                        Change::Gone(name) => prop_assert!(view.remove(&name).is_some(), "{} was already removed", name),
+                        Change::Gone(name) => {
+                            prop_assert!(view.remove(&name).is_some(), "{} was already removed", name)
+                        }
                         other => prop_assert!(false, "{:?}", other),
                     }
                 }
@@ -150,7 +152,7 @@
                 }
                 for name in view.keys().filter(|n| !expected.contains_key(*n)) {
                     let since = *removed_at.entry(name.clone()).or_insert(now);
-                    prop_assert!(now - since < SETTINGS.hold, "the departure of {} has been delayed for {} ms", name, now - since);
+                    prop_assert!(now - since < SETTINGS.hold, "{} has been delayed for {} ms", name, now - since);
                 }
                 removed_at.retain(|name, _| view.contains_key(name) && !expected.contains_key(name));
                 let Some(due) = guard.poll_timeout().filter(|due| *due <= until) else { break };
--- a/crates/coordination/tests/session.rs
+++ b/crates/coordination/tests/session.rs
@@ -37,8 +37,9 @@
 fn accept_session(session: &mut TestSession, now: f64, id: i64) -> ConnectRequest {
     session.connected(now);
     let connect_request = ConnectRequest::read(records(session).remove(0)).expect("a connect request");
-    let response = ConnectResponse { timeout: 3000, session: id, password: Bytes::from_static(b"secret") };
-    session.received(now, &framed(&response.write()));
+    let connect_response =
+        ConnectResponse { timeout: 3000, session: id, password: Bytes::from_static(b"secret") };
+    session.received(now, &framed(&connect_response.write()));
     connect_request
 }
 
@@ -86,13 +87,13 @@
     let due = s.poll_timeout().expect("a time-out is set");
     assert!(due <= 1001.0, "{due}");
     s.handle_timeout(due);
-    let abandoned = events(&mut s);
-    assert!(abandoned.contains(&Event::Disconnect));
-    assert_ne!(connect_target(&abandoned), first);
+    let reported = events(&mut s);
+    assert!(reported.contains(&Event::Disconnect));
+    assert_ne!(connect_target(&reported), first);
     // A member that stops sending after the handshake is abandoned after two thirds of the time-out.
     accept_session(&mut s, due, 9);
     events(&mut s);
-    let abandoned = loop {
+    let abandoned_at = loop {
         let now = s.poll_timeout().expect("a time-out is set");
         s.handle_timeout(now);
         let all = events(&mut s);
@@ -100,7 +101,7 @@
             break now;
         }
     };
-    assert_eq!(abandoned, due + 2000.0);
+    assert_eq!(abandoned_at, due + 2000.0);
 }
 
 #[test]
@@ -346,7 +347,10 @@
 
     /// The result does not depend on how the received bytes are split.
     #[test]
-    fn the_split_of_received_bytes_does_not_matter(exchanges in vec((request(), any::<u8>()), 1..12), split_lengths in vec(1..50usize, 0..40)) {
+    fn the_split_of_received_bytes_does_not_matter(
+        exchanges in vec((request(), any::<u8>()), 1..12),
+        split_lengths in vec(1..50usize, 0..40),
+    ) {
         let mut stream = Vec::new();
         for (n, (request, answer_seed)) in exchanges.iter().enumerate() {
             let answer = answer_to(request, *answer_seed);
