--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -185,8 +185,8 @@
             }
             match self.state {
                 State::Unregistered(at) if at.is_none_or(|at| at <= now) => {
-                    let node = self.create_request();
-                    self.send_request(now, RequestTag::CreateEntry, node);
+                    let create = self.create_request();
+                    self.send_request(now, RequestTag::CreateEntry, create);
                 }
                 State::Published(count) if count != self.changes => {
                     let request = Request::SetData { path: self.path(), data: self.data(), version: -1 };
