--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -111,7 +111,7 @@
 
 /// Rejects duplicate names, which would be ambiguous; `field` is the settings field named in the error.
 fn check_unique(names: &[String], field: &str) -> Result<(), FieldError> {
-    first_duplicate(names).map_or(Ok(()), |name| Err(format!("{field}: duplicate name {name}")))
+    first_duplicate(names).map_or(Ok(()), |name| Err(format!("{field}: the name {name} appears twice")))
 }
 
 impl NodeSettings {
--- a/crates/settings/tests/tenants.rs
+++ b/crates/settings/tests/tenants.rs
@@ -47,7 +47,7 @@
         (json!([{"Name": null, "QuotaPerS": 5}, good]), "Customers: Name is missing"),
         (json!([{"Name": 5, "QuotaPerS": 5}]), "Name: text expected"),
         (json!([{"Name": "b", "QuotaPerS": "5"}, good]), "QuotaPerS: number expected"),
-        (json!([good, {"Name": "b", "QuotaPerS": 1}, good]), "Customers: duplicate name a"),
+        (json!([good, {"Name": "b", "QuotaPerS": 1}, good]), "Customers: the name a appears twice"),
     ] {
         assert_eq!(read(&customers), Err(message.to_string()), "{customers}");
     }
