--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The complete state, after the start and after each new session. Children not in it are gone.
-    Whole(BTreeMap<String, Bytes>),
+    Snapshot(BTreeMap<String, Bytes>),
     /// A child was added or its data changed.
     Set(String, Bytes),
     /// A child was removed.
-    Gone(String),
+    Removed(String),
     /// A child's data exceeds [`DATA_MOST`]; its previous data stays in effect.
-    Unfit(String),
+    Oversized(String),
 }
 
 /// An action for the driver, or an event for the user.
@@ -59,9 +59,9 @@
     /// The children changed.
     Change(Change),
     /// The service is unreachable; the known state stays in effect.
-    Away,
+    Unreachable,
     /// The service is reachable again.
-    Back,
+    Reachable,
 }
 
 /// Mirrors the children of one tree node.
@@ -99,13 +99,13 @@
 }
 
 impl Machine for Follower {
-    type Said = Output;
+    type Event = Output;
 
     fn poll(&mut self) -> Option<Step<Output>> {
         Some(match Follower::poll(self)? {
             Output::Connect(member) => Step::Connect(member),
             Output::Disconnect => Step::Disconnect,
-            other => Step::Said(other),
+            other => Step::Event(other),
         })
     }
 
@@ -273,7 +273,7 @@
             && self.reads_in_flight.is_empty();
         if self.loading && all_read && self.session.is_connected() && !self.list_again {
             self.loading = false;
-            self.outputs.push_back(Output::Change(Change::Whole(self.known.clone())));
+            self.outputs.push_back(Output::Change(Change::Snapshot(self.known.clone())));
         }
     }
 
@@ -281,11 +281,11 @@
         match event {
             Event::Connect(member) => self.outputs.push_back(Output::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Output::Disconnect),
-            Event::Suspended => self.outputs.push_back(Output::Away),
+            Event::Suspended => self.outputs.push_back(Output::Unreachable),
             // A new session follows and reports the complete state.
             Event::Expired | Event::Stale { .. } => {}
             Event::Established { new } => {
-                self.outputs.push_back(Output::Back);
+                self.outputs.push_back(Output::Reachable);
                 self.loading |= new;
                 self.names_read &= !new;
                 // Requests in flight were lost with the previous connection.
@@ -358,7 +358,7 @@
         match answer {
             Ok(Response::Data { data, .. }) if data.len() > DATA_MOST => {
                 self.unfit.insert(name.clone());
-                self.outputs.push_back(Output::Change(Change::Unfit(name)));
+                self.outputs.push_back(Output::Change(Change::Oversized(name)));
             }
             Ok(Response::Data { data, .. }) => {
                 self.unfit.remove(&name);
@@ -380,7 +380,7 @@
         self.names.remove(name);
         self.unfit.remove(name);
         if self.known.remove(name).is_some() && !self.loading {
-            self.outputs.push_back(Output::Change(Change::Gone(name.to_string())));
+            self.outputs.push_back(Output::Change(Change::Removed(name.to_string())));
         }
     }
 }
--- a/crates/coordination/src/guard.rs
+++ b/crates/coordination/src/guard.rs
@@ -110,7 +110,7 @@
         for name in due {
             self.delayed.remove(&name);
             self.listed.remove(&name);
-            self.outputs.push_back(Change::Gone(name));
+            self.outputs.push_back(Change::Removed(name));
         }
     }
 
@@ -118,11 +118,11 @@
     pub fn handle_change(&mut self, now: Millis, change: Change, answers: &dyn Fn(&str) -> bool) {
         self.handle_timeout(now);
         match change {
-            Change::Whole(complete) if !std::mem::replace(&mut self.initialized, true) => {
+            Change::Snapshot(complete) if !std::mem::replace(&mut self.initialized, true) => {
                 self.listed.clone_from(&complete);
-                self.outputs.push_back(Change::Whole(complete));
+                self.outputs.push_back(Change::Snapshot(complete));
             }
-            Change::Whole(complete) => {
+            Change::Snapshot(complete) => {
                 let names: BTreeSet<String> = self.listed.keys().cloned().collect();
                 for (name, data) in &complete {
                     self.handle_registration(name.clone(), data.clone());
@@ -133,8 +133,8 @@
                     .for_each(|name| self.handle_departure(now, name, answers));
             }
             Change::Set(name, data) => self.handle_registration(name, data),
-            Change::Gone(name) => self.handle_departure(now, name, answers),
-            unfit @ Change::Unfit(_) => self.outputs.push_back(unfit),
+            Change::Removed(name) => self.handle_departure(now, name, answers),
+            unfit @ Change::Oversized(_) => self.outputs.push_back(unfit),
         }
     }
 
@@ -165,7 +165,7 @@
             self.delayed.insert(name, now + self.settings.hold);
         } else {
             self.listed.remove(&name);
-            self.outputs.push_back(Change::Gone(name));
+            self.outputs.push_back(Change::Removed(name));
         }
     }
 }
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -12,15 +12,15 @@
     /// Close the connection.
     Disconnect,
     /// An event for the machine's user; the driver does nothing.
-    Said(S),
+    Event(S),
 }
 
 /// A state machine that a driver runs on sockets or in virtual time. The times passed in must not decrease.
 pub trait Machine {
     /// The type of the events for the machine's user.
-    type Said;
+    type Event;
     /// Returns the next step, if any.
-    fn poll(&mut self) -> Option<Step<Self::Said>>;
+    fn poll(&mut self) -> Option<Step<Self::Event>>;
     /// Takes the bytes to be written to the connection.
     fn output(&mut self) -> Vec<u8>;
     /// When [`Machine::handle_timeout`] must be called next, if at all.
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -77,7 +77,7 @@
     }
 
     /// Executes the machine's pending steps and returns its next event, if one is available without waiting.
-    fn next_event(&mut self) -> Option<M::Said> {
+    fn next_event(&mut self) -> Option<M::Event> {
         loop {
             // Output that precedes a disconnect is discarded together with the connection.
             let written = self.machine.output();
@@ -85,7 +85,7 @@
                 self.unsent.extend(written);
             }
             match self.machine.poll()? {
-                Step::Said(event) => return Some(event),
+                Step::Event(event) => return Some(event),
                 Step::Disconnect => self.connection = Connection::None,
                 Step::Connect(member) => {
                     self.unsent.clear();
@@ -104,7 +104,7 @@
     }
 
     /// Runs the machine until it returns an event. Cancel-safe: the future may be dropped at any time.
-    pub async fn next(&mut self) -> M::Said {
+    pub async fn next(&mut self) -> M::Event {
         loop {
             if let Some(event) = self.next_event() {
                 return event;
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -41,17 +41,17 @@
 
 /// An event for the registrar's user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum RegistrarEvent {
     /// The entry is registered with its latest content.
     Registered,
     /// The entry is registered and marks the server as draining.
     Draining,
     /// A newer process has registered the name; this registrar has stopped.
-    GaveWay,
+    Superseded,
     /// The service is unreachable; the entry may still be registered.
-    Away,
+    Unreachable,
     /// The registrar was stopped; the entry is removed once the pending output is written.
-    Ended,
+    Stopped,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,7 +81,7 @@
     last_replaced: Option<Millis>,
     /// The change count for which `Registered` or `Draining` was last reported.
     reported: Option<u64>,
-    outputs: VecDeque<Step<Said>>,
+    outputs: VecDeque<Step<RegistrarEvent>>,
 }
 
 impl Registrar {
@@ -127,17 +127,17 @@
         self.process_events(now);
     }
 
-    /// Marks the server as draining, so that it gets no new requests. [`Said::Draining`] follows.
+    /// Marks the server as draining, so that it gets no new requests. [`RegistrarEvent::Draining`] follows.
     pub fn drain(&mut self, now: Millis) {
         self.change(now, |host| host.health = Health::Leaving);
     }
 
-    /// Closes the session, which removes the entry. [`Said::Ended`] follows; the pending output must still be
+    /// Closes the session, which removes the entry. [`RegistrarEvent::Stopped`] follows; the pending output must still be
     /// written.
     pub fn end(&mut self, now: Millis) {
         self.session.close(now);
         self.state = State::Stopped;
-        self.outputs.push_back(Step::Said(Said::Ended));
+        self.outputs.push_back(Step::Event(RegistrarEvent::Stopped));
     }
 
     fn path(&self) -> String {
@@ -202,7 +202,7 @@
             Event::Connect(member) => self.outputs.push_back(Step::Connect(member)),
             Event::Disconnect => self.outputs.push_back(Step::Disconnect),
             _ if self.state == State::Stopped => {}
-            Event::Suspended => self.outputs.push_back(Step::Said(Said::Away)),
+            Event::Suspended => self.outputs.push_back(Step::Event(RegistrarEvent::Unreachable)),
             Event::Expired | Event::Stale { .. } => {}
             Event::Established { new } => {
                 if new || self.state == State::Pending {
@@ -283,7 +283,7 @@
         if other.is_some_and(|other| other.born_ms > self.host.born_ms) {
             self.session.close(now);
             self.state = State::Stopped;
-            self.outputs.push_back(Step::Said(Said::GaveWay));
+            self.outputs.push_back(Step::Event(RegistrarEvent::Superseded));
             return;
         }
         // Without this limit, two processes of equal birth would replace each other's node as fast as the
@@ -302,15 +302,19 @@
         if count == self.changes && self.reported != Some(count) {
             self.reported = Some(count);
             let draining = self.host.health != Health::Active;
-            self.outputs.push_back(Step::Said(if draining { Said::Draining } else { Said::Registered }));
+            self.outputs.push_back(Step::Event(if draining {
+                RegistrarEvent::Draining
+            } else {
+                RegistrarEvent::Registered
+            }));
         }
     }
 }
 
 impl Machine for Registrar {
-    type Said = Said;
+    type Event = RegistrarEvent;
 
-    fn poll(&mut self) -> Option<Step<Said>> {
+    fn poll(&mut self) -> Option<Step<RegistrarEvent>> {
         self.outputs.pop_front()
     }
 
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -196,13 +196,13 @@
 }
 
 impl<T> Machine for Session<T> {
-    type Said = Event<T>;
+    type Event = Event<T>;
 
     fn poll(&mut self) -> Option<Step<Event<T>>> {
         Some(match Session::poll(self)? {
             Event::Connect(member) => Step::Connect(member),
             Event::Disconnect => Step::Disconnect,
-            other_event => Step::Said(other_event),
+            other_event => Step::Event(other_event),
         })
     }
 
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -49,7 +49,7 @@
 
 /// An event for the view's user.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum ViewEvent {
     /// Changed entries; removed ones are marked [`Health::Left`].
     List {
         /// Whether this is the first list of this process, with all entries.
@@ -58,16 +58,16 @@
         hosts: Vec<Host>,
     },
     /// A registration was rejected; the previous entry of that server stays in effect.
-    Unfit {
+    Rejected {
         /// The server's name.
         name: String,
         /// Why it was rejected.
         reason: String,
     },
     /// The service is unreachable; the known list stays in effect.
-    Away,
+    Unreachable,
     /// The service is reachable again.
-    Back,
+    Reachable,
 }
 
 /// Tells whether the server with this name was recently seen to answer and has not failed since.
@@ -104,7 +104,7 @@
     changed: BTreeSet<String>,
     /// Whether the first complete list has arrived.
     has_first_list: bool,
-    outputs: VecDeque<Step<Said>>,
+    outputs: VecDeque<Step<ViewEvent>>,
 }
 
 /// Parses and validates the entry of one child.
@@ -179,8 +179,8 @@
             match output {
                 follow::Output::Connect(member) => self.outputs.push_back(Step::Connect(member)),
                 follow::Output::Disconnect => self.outputs.push_back(Step::Disconnect),
-                follow::Output::Away => self.outputs.push_back(Step::Said(Said::Away)),
-                follow::Output::Back => self.outputs.push_back(Step::Said(Said::Back)),
+                follow::Output::Unreachable => self.outputs.push_back(Step::Event(ViewEvent::Unreachable)),
+                follow::Output::Reachable => self.outputs.push_back(Step::Event(ViewEvent::Reachable)),
                 follow::Output::Change(change) => {
                     let (answers, registered) = (&self.answers, &self.registered);
                     // A draining server departs on purpose, so its departure is not delayed.
@@ -194,15 +194,15 @@
         let mut whole = false;
         while let Some(change) = self.guard.poll() {
             match change {
-                Change::Whole(all) => {
+                Change::Snapshot(all) => {
                     (whole, self.has_first_list) = (true, true);
                     all.into_iter().for_each(|(name, data)| self.handle_registration(now, name, &data));
                 }
                 Change::Set(name, data) => self.handle_registration(now, name, &data),
-                Change::Gone(name) => self.handle_removal(now, &name),
-                Change::Unfit(name) => {
+                Change::Removed(name) => self.handle_removal(now, &name),
+                Change::Oversized(name) => {
                     let reason = format!("longer than {} bytes", follow::DATA_MOST);
-                    self.outputs.push_back(Step::Said(Said::Unfit { name, reason }));
+                    self.outputs.push_back(Step::Event(ViewEvent::Rejected { name, reason }));
                 }
             }
         }
@@ -232,7 +232,7 @@
     fn handle_registration(&mut self, now: Millis, name: String, data: &[u8]) {
         let host = match parse_entry(&name, data) {
             Ok(host) => host,
-            Err(reason) => return self.outputs.push_back(Step::Said(Said::Unfit { name, reason })),
+            Err(reason) => return self.outputs.push_back(Step::Event(ViewEvent::Rejected { name, reason })),
         };
         if host.health == Health::Left {
             return self.handle_removal(now, &name);
@@ -358,15 +358,15 @@
             }
         }
         if whole || !hosts.is_empty() {
-            self.outputs.push_back(Step::Said(Said::List { whole, hosts }));
+            self.outputs.push_back(Step::Event(ViewEvent::List { whole, hosts }));
         }
     }
 }
 
 impl Machine for View {
-    type Said = Said;
+    type Event = ViewEvent;
 
-    fn poll(&mut self) -> Option<Step<Said>> {
+    fn poll(&mut self) -> Option<Step<ViewEvent>> {
         self.outputs.pop_front()
     }
 
--- a/crates/coordination/tests/guard.rs
+++ b/crates/coordination/tests/guard.rs
@@ -16,8 +16,8 @@
 
 fn guard_with(count: usize) -> Guard {
     let mut guard = Guard::new(SETTINGS).expect("valid settings");
-    guard.handle_change(0.0, Change::Whole(full_list(count)), &|_| true);
-    assert_eq!(drain_changes(&mut guard), [Change::Whole(full_list(count))]);
+    guard.handle_change(0.0, Change::Snapshot(full_list(count)), &|_| true);
+    assert_eq!(drain_changes(&mut guard), [Change::Snapshot(full_list(count))]);
     guard
 }
 
@@ -26,7 +26,7 @@
 }
 
 fn removal(n: usize) -> Change {
-    Change::Gone(format!("s{n:02}"))
+    Change::Removed(format!("s{n:02}"))
 }
 
 #[test]
@@ -45,7 +45,7 @@
     (0..12).for_each(|n| guard.handle_change(100.0, removal(n), &|_| true));
     // A quarter of the list departs at once; the remaining departures are delayed.
     assert_eq!((drain_changes(&mut guard).len(), guard.delayed()), (3, 9));
-    guard.handle_change(300.0, Change::Whole(full_list(12)), &|_| true);
+    guard.handle_change(300.0, Change::Snapshot(full_list(12)), &|_| true);
     let back: Vec<Change> =
         (0..3).map(|n| Change::Set(format!("s{n:02}"), Bytes::from_static(b"d"))).collect();
     assert_eq!((drain_changes(&mut guard), guard.delayed(), guard.recovered()), (back, 0, 9));
@@ -64,7 +64,7 @@
 #[test]
 fn delayed_departures_are_passed_on_when_the_hold_ends() {
     let mut guard = guard_with(12);
-    guard.handle_change(100.0, Change::Whole(BTreeMap::new()), &|_| true);
+    guard.handle_change(100.0, Change::Snapshot(BTreeMap::new()), &|_| true);
     assert_eq!(drain_changes(&mut guard).len(), 3);
     let due = guard.poll_timeout().expect("departures are delayed");
     assert_eq!(due, 500.0);
@@ -129,11 +129,11 @@
                 1 => {
                     expected = full_list(n);
                     removed_at.retain(|name, _| !expected.contains_key(name));
-                    guard.handle_change(now, Change::Whole(expected.clone()), &|_| true);
+                    guard.handle_change(now, Change::Snapshot(expected.clone()), &|_| true);
                 }
                 _ => {
                     expected.remove(&name);
-                    guard.handle_change(now, Change::Gone(name), &|_| true);
+                    guard.handle_change(now, Change::Removed(name), &|_| true);
                 }
             }
             let until = now + wait;
@@ -141,7 +141,7 @@
                 for change in drain_changes(&mut guard) {
                     match change {
                         Change::Set(name, data) => { view.insert(name, data); }
-                        Change::Gone(name) => {
+                        Change::Removed(name) => {
                             prop_assert!(view.remove(&name).is_some(), "{} was already removed", name)
                         }
                         other => prop_assert!(false, "{:?}", other),
--- a/crates/glenctl/src/register.rs
+++ b/crates/glenctl/src/register.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, ValueEnum};
 use glenwood_coordination::net::Driver;
-use glenwood_coordination::registrar::{Registrar, Said};
+use glenwood_coordination::registrar::{Registrar, RegistrarEvent};
 use glenwood_coordination::session::Settings;
 use glenwood_list::{Dial, Host, Protocol};
 use rustix::process::{kill_process, Pid, Signal};
@@ -228,16 +228,16 @@
             told = driver.next() => {
                 let name = &arguments.name;
                 match told {
-                    Said::Registered => say(&format!("{name} is registered")),
-                    Said::Away => say("the coordination service is away; trying on"),
-                    Said::GaveWay => say(&format!("a later process has the name {name}; not registered")),
-                    Said::Draining => {
+                    RegistrarEvent::Registered => say(&format!("{name} is registered")),
+                    RegistrarEvent::Unreachable => say("the coordination service is away; trying on"),
+                    RegistrarEvent::Superseded => say(&format!("a later process has the name {name}; not registered")),
+                    RegistrarEvent::Draining => {
                         say(&format!("{name} is draining"));
                         if matches!(phase, Phase::Draining(_)) {
                             phase = Phase::Drained(after(arguments.drain_ms));
                         }
                     }
-                    Said::Ended => {}
+                    RegistrarEvent::Stopped => {}
                 }
             }
             () = sleep_until(due) => match phase {
@@ -267,7 +267,7 @@
     let now = driver.now();
     driver.machine_mut().end(now);
     let end = async {
-        while driver.next().await != Said::Ended {}
+        while driver.next().await != RegistrarEvent::Stopped {}
         driver.finish().await;
     };
     // The session ends by itself where this can't be said.
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -17,7 +17,7 @@
 use glenwood_coordination::net::Driver;
 use glenwood_coordination::proto::{Acl, Mode, Request};
 use glenwood_coordination::session::{self, Event, Session};
-use glenwood_coordination::view::{Said, Settings, View};
+use glenwood_coordination::view::{Settings, View, ViewEvent};
 use glenwood_list::{Dial, Health, Host};
 use glenwood_testkit::client::{Ask, Client, Effect};
 use glenwood_testkit::coordination::net::Service;
@@ -69,7 +69,7 @@
             let mut driver = Driver::new(view, members, Instant::now());
             while !stopped.load(Ordering::Relaxed) {
                 let next = tokio::time::timeout(Duration::from_millis(100), driver.next()).await;
-                let Ok(Said::List { hosts, .. }) = next else { continue };
+                let Ok(ViewEvent::List { hosts, .. }) = next else { continue };
                 for host in hosts.iter().filter(|h| h.health == Health::Left) {
                     gone.lock().expect("times").entry(host.host.clone()).or_insert_with(Instant::now);
                 }
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -10,7 +10,7 @@
 
 use glenwood_coordination::net::Driver;
 use glenwood_coordination::saved::Saved;
-use glenwood_coordination::view::{Said, Settings, View};
+use glenwood_coordination::view::{Settings, View, ViewEvent};
 use glenwood_coordination::{guard, session};
 use tokio::task::JoinHandle;
 
@@ -172,7 +172,7 @@
         };
         let (listed, _, _) = driver.machine().counts();
         match output {
-            Some(Said::List { whole, hosts }) => {
+            Some(ViewEvent::List { whole, hosts }) => {
                 if whole {
                     log::line(format!("registrations: {} servers", hosts.len()));
                 }
@@ -182,18 +182,18 @@
                 hub.apply_registrations(whole, hosts, false);
                 saver.iter_mut().for_each(Saver::changed);
             }
-            Some(Said::Unfit { name, reason }) => {
+            Some(ViewEvent::Rejected { name, reason }) => {
                 if invalid.len() < MAX_LOGGED_INVALID && invalid.get(&name) != Some(&reason) {
                     log::line(format!("registrations: {name}: {reason}; not taken"));
                     invalid.insert(name, reason);
                 }
             }
-            Some(Said::Away) if away.is_none() => {
+            Some(ViewEvent::Unreachable) if away.is_none() => {
                 log::line(format!("registrations: the service is away; {listed} servers stay listed"));
                 away = Some(Away { since: Instant::now(), next: AWAY_LOG_INTERVAL });
             }
-            Some(Said::Away) => {}
-            Some(Said::Back) => {
+            Some(ViewEvent::Unreachable) => {}
+            Some(ViewEvent::Reachable) => {
                 if let Some(away) = away.take() {
                     let span = away.since.elapsed().as_secs_f64();
                     log::line(format!("registrations: the service is back after {span:.1} s"));
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use glenwood_coordination::net::Driver;
-use glenwood_coordination::registrar::{Registrar, Said};
+use glenwood_coordination::registrar::{Registrar, RegistrarEvent};
 use glenwood_coordination::session::Settings;
 use glenwood_list::{Dial, Host, Protocol};
 use tokio::sync::{mpsc, watch};
@@ -21,7 +21,7 @@
 /// A server's registration. It ends without a word when this is dropped: its entry stays until the session ends.
 pub struct Registration {
     commands: mpsc::UnboundedSender<Command>,
-    said: watch::Receiver<Option<Said>>,
+    said: watch::Receiver<Option<RegistrarEvent>>,
     task: JoinHandle<()>,
 }
 
@@ -54,7 +54,7 @@
     /// # Panics
     /// Where it does not come.
     pub fn wait_registered(&self) {
-        crate::until("a server is registered", || *self.said.borrow() == Some(Said::Registered));
+        crate::until("a server is registered", || *self.said.borrow() == Some(RegistrarEvent::Registered));
     }
 
     /// Says that the server drains, and waits until that is written.
@@ -64,7 +64,7 @@
     pub fn drain(&self) {
         // A task that has ended says nothing more, and the wait tells.
         let _ = self.commands.send(Command::Drain);
-        crate::until("a drain is written", || *self.said.borrow() == Some(Said::Draining));
+        crate::until("a drain is written", || *self.said.borrow() == Some(RegistrarEvent::Draining));
     }
 
     /// Ends the session, and the entry with it.
@@ -86,13 +86,13 @@
 async fn keep(
     mut driver: Driver<Registrar>,
     mut told: mpsc::UnboundedReceiver<Command>,
-    say: watch::Sender<Option<Said>>,
+    say: watch::Sender<Option<RegistrarEvent>>,
 ) {
     loop {
         tokio::select! {
             said = driver.next() => {
                 say.send_replace(Some(said));
-                if said == Said::Ended {
+                if said == RegistrarEvent::Stopped {
                     return driver.finish().await;
                 }
             }
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -17,11 +17,11 @@
     let mut all = Vec::new();
     for output in std::mem::take(&mut world.followers[n].said) {
         match output {
-            Output::Change(Change::Whole(whole)) => *view = whole,
+            Output::Change(Change::Snapshot(whole)) => *view = whole,
             Output::Change(Change::Set(name, data)) => {
                 view.insert(name, data);
             }
-            Output::Change(Change::Gone(name)) => {
+            Output::Change(Change::Removed(name)) => {
                 assert!(view.remove(&name).is_some(), "{name} was not there")
             }
             _ => continue,
@@ -99,7 +99,7 @@
     views(&mut world, 0, &mut view);
     (0..MEMBERS).for_each(|m| world.ensemble.kill(m));
     world.pass(3_600_000.0, |_| {});
-    assert!(world.followers[0].said.contains(&Output::Away));
+    assert!(world.followers[0].said.contains(&Output::Unreachable));
     assert_eq!(views(&mut world, 0, &mut view), Vec::<View>::new());
     world.vanish(4);
     (0..MEMBERS).for_each(|m| world.ensemble.restore(m));
@@ -145,7 +145,7 @@
     assert_eq!(before, 5001);
     world.ask(0, "one", Request::Delete { path: "/servers/m0777".into(), version: -1 });
     world.pass(50.0, |_| {});
-    assert_eq!(world.followers[0].said, [Output::Change(Change::Gone("m0777".into()))]);
+    assert_eq!(world.followers[0].said, [Output::Change(Change::Removed("m0777".into()))]);
 }
 
 /// Data that is no registration by its length is not taken, and what was known still holds.
@@ -166,7 +166,7 @@
     assert!(data.len() > DATA_MOST);
     world.ask(1, "long", Request::SetData { path: "/servers/s1".into(), data, version: -1 });
     world.pass(10.0, |_| {});
-    assert_eq!(world.followers[0].said, [Output::Change(Change::Unfit("s1".into()))]);
+    assert_eq!(world.followers[0].said, [Output::Change(Change::Oversized("s1".into()))]);
     views(&mut world, 0, &mut view);
     assert_eq!(view["s1"], "good");
 }
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -8,9 +8,9 @@
 
 use glenwood_coordination::guard;
 use glenwood_coordination::proto::Request;
-use glenwood_coordination::registrar::Said as Told;
+use glenwood_coordination::registrar::RegistrarEvent;
 use glenwood_coordination::session::Settings;
-use glenwood_coordination::view::Said;
+use glenwood_coordination::view::ViewEvent;
 use glenwood_list::{Dial, Health, Host, Protocol};
 use world::*;
 
@@ -52,7 +52,7 @@
     fn take(&mut self, world: &mut World) {
         for said in world.views[0].take_said() {
             match said {
-                Said::List { whole, hosts } => {
+                ViewEvent::List { whole, hosts } => {
                     if whole {
                         self.hosts.clear();
                     }
@@ -64,9 +64,9 @@
                         }
                     }
                 }
-                Said::Unfit { name, .. } => self.unfit.push(name),
-                Said::Away => self.away += 1,
-                Said::Back => {}
+                ViewEvent::Rejected { name, .. } => self.unfit.push(name),
+                ViewEvent::Unreachable => self.away += 1,
+                ViewEvent::Reachable => {}
             }
         }
     }
@@ -92,7 +92,7 @@
     (format!("s{id}"), health)
 }
 
-fn told(world: &mut World, id: u64) -> Vec<Told> {
+fn told(world: &mut World, id: u64) -> Vec<RegistrarEvent> {
     world.registrars.get_mut(&id).expect("it is there").take_said()
 }
 
@@ -122,7 +122,7 @@
     world.registrars.get_mut(&2).expect("it is there").machine.drain(now);
     list.pass(&mut world, 1.0);
     assert_eq!(list.take_changes(), [change(2, Health::Leaving)]);
-    assert_eq!(told(&mut world, 2).last(), Some(&Told::Draining));
+    assert_eq!(told(&mut world, 2).last(), Some(&RegistrarEvent::Draining));
     world.registrars.get_mut(&2).expect("it is there").machine.end(now + 1.0);
     list.pass(&mut world, 1.0);
     assert_eq!(list.take_changes(), [change(2, Health::Left)]);
@@ -244,7 +244,7 @@
     world.register_with(1, host(1, 2.0), Settings { members: MEMBERS, timeout: TIMEOUT, seed: 77 });
     list.pass(&mut world, 100.0);
     assert_eq!(list.hosts["s1"].born_ms, 2.0);
-    assert_eq!(told(&mut world, 1), [Told::Registered]);
+    assert_eq!(told(&mut world, 1), [RegistrarEvent::Registered]);
     list.take_changes();
     list.pass(&mut world, 5.0 * TIMEOUT);
     assert_eq!(list.take_changes(), [], "the old session has ended");
@@ -259,11 +259,11 @@
     list.pass(&mut world, 10.0 * TIMEOUT);
     assert_eq!((list.hosts["s1"].born_ms, list.active()), (5.0, 2));
     assert!(list.take_changes().len() <= 4);
-    assert_eq!(told(&mut world, 1).last(), Some(&Told::GaveWay));
+    assert_eq!(told(&mut world, 1).last(), Some(&RegistrarEvent::Superseded));
     // The earlier one again: it finds the later one's entry, and leaves it.
     world.register(1, host(1, 4.0));
     list.pass(&mut world, 10.0 * TIMEOUT);
-    assert_eq!((list.take_changes(), told(&mut world, 1)), (vec![], vec![Told::GaveWay]));
+    assert_eq!((list.take_changes(), told(&mut world, 1)), (vec![], vec![RegistrarEvent::Superseded]));
 }
 
 /// Two processes that say the same birth can't be told apart; they do not take the name from one another without end.
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use glenwood_coordination::guard;
-use glenwood_coordination::view::Said;
+use glenwood_coordination::view::ViewEvent;
 use glenwood_core::{AttemptId, Core, Ended, Final, Incoming, Output, Token};
 use glenwood_list::{Dial, Health, Host, Merge, Protocol, Source, Update};
 use glenwood_policy::{
@@ -124,7 +124,7 @@
     fn listen(&mut self, world: &mut World) {
         let now = world.now;
         for said in world.views[0].take_said() {
-            let Said::List { whole, hosts } = said else { continue };
+            let ViewEvent::List { whole, hosts } = said else { continue };
             let update = Update { version: 0, whole, hosts };
             let update = self.merge.take(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -22,7 +22,7 @@
 pub struct At<M: Machine> {
     pub machine: M,
     conn: Option<ConnId>,
-    pub said: Vec<M::Said>,
+    pub said: Vec<M::Event>,
     /// Nothing gets through to the service, nor back.
     pub cut: bool,
 }
@@ -49,7 +49,7 @@
                     }
                 }
                 Step::Disconnect => self.conn.take().into_iter().for_each(|conn| ensemble.close(conn)),
-                Step::Said(said) => self.said.push(said),
+                Step::Event(said) => self.said.push(said),
             }
         }
         let Some(conn) = self.conn.filter(|_| !self.cut) else { return moved };
@@ -87,7 +87,7 @@
         ensemble.seen_over(self.conn.filter(|_| !self.cut)?)
     }
 
-    pub fn take_said(&mut self) -> Vec<M::Said> {
+    pub fn take_said(&mut self) -> Vec<M::Event> {
         std::mem::take(&mut self.said)
     }
 }
