--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -22,7 +22,7 @@
 /// each read transfers all of them. Removals are not delayed: the watch on the child's data reports them.
 const LIST_PAUSE_PER_NAME_MS: Millis = 0.02;
 /// Maximum size of a child's data in bytes; anything longer is not accepted as a registration.
-pub const DATA_MOST: usize = 16 * 1024;
+pub const MAX_DATA_BYTES: usize = 16 * 1024;
 
 /// Tags the follower's requests to its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     Set(String, Bytes),
     /// A child was removed.
     Removed(String),
-    /// A child's data exceeds [`DATA_MOST`]; its previous data stays in effect.
+    /// A child's data exceeds [`MAX_DATA_BYTES`]; its previous data stays in effect.
     Oversized(String),
 }
 
@@ -356,7 +356,7 @@
     fn handle_data(&mut self, name: String, answer: Result<Response, Failed>) {
         self.reads_in_flight.remove(&name);
         match answer {
-            Ok(Response::Data { data, .. }) if data.len() > DATA_MOST => {
+            Ok(Response::Data { data, .. }) if data.len() > MAX_DATA_BYTES => {
                 self.unfit.insert(name.clone());
                 self.outputs.push_back(Output::Change(Change::Oversized(name)));
             }
--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/frame.rs
@@ -6,7 +6,7 @@
 
 /// Default limit on the length of a record, in bytes. ZooKeeper accepts up to `jute.maxbuffer` (1 MiB less
 /// one byte) but applies that to data alone, so the records that a service sends may be longer.
-pub const LONGEST: usize = 4 * 1024 * 1024;
+pub const MAX_RECORD_BYTES: usize = 4 * 1024 * 1024;
 
 /// A record length that is negative or over the limit; the stream can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 }
 
 /// Returns the record with its length prepended.
-pub fn framed(record: &[u8]) -> Vec<u8> {
+pub fn with_length_prefix(record: &[u8]) -> Vec<u8> {
     let length = record.len().min(i32::MAX as usize);
     let mut out = Vec::with_capacity(length + 4);
     out.extend_from_slice(&(length as i32).to_be_bytes());
--- a/crates/coordination/src/guard.rs
+++ b/crates/coordination/src/guard.rs
@@ -24,12 +24,12 @@
     pub share: f64,
     /// Length of the window, in milliseconds; above 0.
     pub window: Millis,
-    /// How long a departure is delayed, in milliseconds; up to [`HOLD_MOST`].
+    /// How long a departure is delayed, in milliseconds; up to [`MAX_HOLD_MS`].
     pub hold: Millis,
 }
 
 /// Maximum delay of a departure: the drain rule's 500 ms, less the time a node needs to act on it.
-pub const HOLD_MOST: Millis = 400.0;
+pub const MAX_HOLD_MS: Millis = 400.0;
 
 /// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
         if !(settings.window > 0.0 && settings.window.is_finite()) {
             return Err(BadSetting("window: expected a finite number of milliseconds above 0"));
         }
-        if !(0.0..=HOLD_MOST).contains(&settings.hold) {
+        if !(0.0..=MAX_HOLD_MS).contains(&settings.hold) {
             return Err(BadSetting("hold: expected 0 to 400 ms, the most that the drain rule allows"));
         }
         let (listed, delayed) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 
-use crate::frame::{framed, Frames, LONGEST};
+use crate::frame::{with_length_prefix, Frames, MAX_RECORD_BYTES};
 use crate::jute::Reader;
 use crate::machine::{Machine, Step};
 use crate::proto::{
@@ -245,7 +245,7 @@
             order: (0..settings.members.max(1)).collect(),
             next_index: 0,
             failures: 0,
-            frames: Frames::new(LONGEST),
+            frames: Frames::new(MAX_RECORD_BYTES),
             out: Vec::new(),
             pending: VecDeque::new(),
             last_xid: 0,
@@ -354,14 +354,14 @@
             return;
         }
         self.state = State::Handshake(now);
-        self.frames = Frames::new(LONGEST);
+        self.frames = Frames::new(MAX_RECORD_BYTES);
         let connect_request = ConnectRequest {
             last_zxid: self.zxid,
             timeout: self.settings.timeout.clamp(1.0, f64::from(i32::MAX)) as i32,
             session: self.id,
             password: self.password.clone(),
         };
-        self.out = framed(&connect_request.write());
+        self.out = with_length_prefix(&connect_request.write());
         self.last_sent = now;
     }
 
@@ -403,7 +403,7 @@
     }
 
     fn send(&mut self, now: Millis, xid: i32, request: &Request) {
-        self.out.extend(framed(&request.write(xid)));
+        self.out.extend(with_length_prefix(&request.write(xid)));
         self.last_sent = now;
     }
 
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -201,7 +201,7 @@
                 Change::Set(name, data) => self.handle_registration(now, name, &data),
                 Change::Removed(name) => self.handle_removal(now, &name),
                 Change::Oversized(name) => {
-                    let reason = format!("longer than {} bytes", follow::DATA_MOST);
+                    let reason = format!("longer than {} bytes", follow::MAX_DATA_BYTES);
                     self.outputs.push_back(Step::Event(ViewEvent::Rejected { name, reason }));
                 }
             }
--- a/crates/coordination/tests/follow.rs
+++ b/crates/coordination/tests/follow.rs
@@ -2,12 +2,12 @@
 
 use bytes::Bytes;
 use glenwood_coordination::follow::{Change, Follower, Output};
-use glenwood_coordination::frame::{framed, Frames, LONGEST};
+use glenwood_coordination::frame::{with_length_prefix, Frames, MAX_RECORD_BYTES};
 use glenwood_coordination::proto::*;
 use glenwood_coordination::session::Settings;
 
 fn requests(f: &mut Follower) -> Vec<(i32, Request)> {
-    let mut frames = Frames::new(LONGEST);
+    let mut frames = Frames::new(MAX_RECORD_BYTES);
     frames.push(&f.output());
     let records = std::iter::from_fn(|| frames.poll().expect("valid record lengths"));
     records.map(|r| Request::read(r).expect("a request")).collect()
@@ -17,11 +17,11 @@
     f.connected(now);
     f.output();
     let accepted = ConnectResponse { timeout: 3000, session: 7, password: Bytes::new() };
-    f.received(now, &framed(&accepted.write()));
+    f.received(now, &with_length_prefix(&accepted.write()));
 }
 
 fn reply(f: &mut Follower, now: f64, xid: i32, zxid: i64, response: &Response) {
-    f.received(now, &framed(&ReplyHeader { xid, zxid, error: None }.write(response)));
+    f.received(now, &with_length_prefix(&ReplyHeader { xid, zxid, error: None }.write(response)));
 }
 
 /// A child's data changes and the connection ends before the data has been read again. The watch has already
@@ -40,7 +40,10 @@
     let sent = requests(&mut f);
     assert!(matches!(&sent[0].1, Request::GetData { path, watch: true } if path == "/servers/a"), "{sent:?}");
     reply(&mut f, 3.0, sent[0].0, 5, &data("old"));
-    f.received(4.0, &framed(&WatchEvent { kind: EventKind::DataChanged, path: "/servers/a".into() }.write()));
+    f.received(
+        4.0,
+        &with_length_prefix(&WatchEvent { kind: EventKind::DataChanged, path: "/servers/a".into() }.write()),
+    );
     assert_eq!(requests(&mut f).len(), 1);
     f.broken(5.0);
     let due = f.poll_timeout().expect("a reconnect is scheduled");
--- a/crates/coordination/tests/guard.rs
+++ b/crates/coordination/tests/guard.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use glenwood_coordination::follow::Change;
-use glenwood_coordination::guard::{Guard, Settings, HOLD_MOST};
+use glenwood_coordination::guard::{Guard, Settings, MAX_HOLD_MS};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -96,12 +96,12 @@
         ((0.5, 0.0, 1.0), "window"),
         ((0.5, f64::INFINITY, 1.0), "window"),
         ((0.5, 1.0, -1.0), "hold"),
-        ((0.5, 1.0, HOLD_MOST + 1.0), "hold"),
+        ((0.5, 1.0, MAX_HOLD_MS + 1.0), "hold"),
     ] {
         let error = create(settings.0, settings.1, settings.2).expect_err(field);
         assert!(error.starts_with(field), "{error}");
     }
-    assert_eq!(create(1.0, 1.0, HOLD_MOST), Ok(()));
+    assert_eq!(create(1.0, 1.0, MAX_HOLD_MS), Ok(()));
 }
 
 proptest! {
--- a/crates/coordination/tests/session.rs
+++ b/crates/coordination/tests/session.rs
@@ -1,7 +1,7 @@
 //! Tests of the session against scripted members in virtual time, and of the serialization of records.
 
 use bytes::Bytes;
-use glenwood_coordination::frame::{framed, Frames, LONGEST};
+use glenwood_coordination::frame::{with_length_prefix, Frames, MAX_RECORD_BYTES};
 use glenwood_coordination::jute::Reader;
 use glenwood_coordination::proto::*;
 use glenwood_coordination::session::{Event, Failed, Session, Settings};
@@ -25,7 +25,7 @@
 
 /// The records that a session has written.
 fn records(session: &mut TestSession) -> Vec<Bytes> {
-    let mut frames = Frames::new(LONGEST);
+    let mut frames = Frames::new(MAX_RECORD_BYTES);
     frames.push(&session.output());
     std::iter::from_fn(|| frames.poll().expect("valid record lengths")).collect()
 }
@@ -39,13 +39,13 @@
     let connect_request = ConnectRequest::read(records(session).remove(0)).expect("a connect request");
     let connect_response =
         ConnectResponse { timeout: 3000, session: id, password: Bytes::from_static(b"secret") };
-    session.received(now, &framed(&connect_response.write()));
+    session.received(now, &with_length_prefix(&connect_response.write()));
     connect_request
 }
 
 fn reply(session: &mut TestSession, now: f64, xid: i32, zxid: i64, answer: Result<Response, Code>) {
     let header = ReplyHeader { xid, zxid, error: answer.as_ref().err().copied() };
-    session.received(now, &framed(&header.write(&answer.unwrap_or(Response::Done))));
+    session.received(now, &with_length_prefix(&header.write(&answer.unwrap_or(Response::Done))));
 }
 
 fn get(path: &str) -> Request {
@@ -163,7 +163,7 @@
     s.connected(5000.0);
     s.output();
     let over = ConnectResponse { timeout: 0, session: 0, password: Bytes::new() };
-    s.received(5001.0, &framed(&over.write()));
+    s.received(5001.0, &with_length_prefix(&over.write()));
     assert!(events(&mut s).contains(&Event::Expired));
     assert_eq!(s.watches(), 0);
     let due = s.poll_timeout().expect("a reconnect is scheduled");
@@ -203,7 +203,7 @@
     // Missed events arrive before the answer, possibly twice.
     let fired = WatchEvent { kind: EventKind::Deleted, path: "/a".into() };
     for _ in 0..2 {
-        s.received(due, &framed(&fired.write()));
+        s.received(due, &with_length_prefix(&fired.write()));
     }
     reply(&mut s, due, XID_SET_WATCHES, 45, Ok(Response::Done));
     assert_eq!(events(&mut s), [Event::Fired(fired)]);
@@ -341,7 +341,7 @@
         accept_session(&mut s, 0.0, 7);
         s.ask(1.0, 1, Request::Multi(vec![get("/a")]));
         s.received(2.0, &bytes);
-        s.received(2.0, &framed(&bytes));
+        s.received(2.0, &with_length_prefix(&bytes));
         events(&mut s);
     }
 
@@ -356,9 +356,9 @@
             let answer = answer_to(request, *answer_seed);
             let xid = n as i32 + 1;
             let header = ReplyHeader { xid, zxid: n as i64, error: answer.as_ref().err().copied() };
-            stream.extend(framed(&header.write(answer.as_ref().unwrap_or(&Response::Done))));
+            stream.extend(with_length_prefix(&header.write(answer.as_ref().unwrap_or(&Response::Done))));
             if answer_seed.is_multiple_of(3) {
-                stream.extend(framed(&WatchEvent { kind: EventKind::DataChanged, path: "/a".into() }.write()));
+                stream.extend(with_length_prefix(&WatchEvent { kind: EventKind::DataChanged, path: "/a".into() }.write()));
             }
         }
         let run = |pieces: &[&[u8]]| {
--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use glenwood_coordination::frame::{framed, Frames, LONGEST};
+use glenwood_coordination::frame::{with_length_prefix, Frames, MAX_RECORD_BYTES};
 use glenwood_coordination::proto::{
     Code, ConnectRequest, ConnectResponse, EventKind, ReplyHeader, Request, Response, WatchEvent, XID_PING,
 };
@@ -296,7 +296,7 @@
         let id = ConnId(self.last_conn);
         let conn = Conn {
             member,
-            frames: Frames::new(LONGEST),
+            frames: Frames::new(MAX_RECORD_BYTES),
             session: None,
             greeting: None,
             asked: VecDeque::new(),
@@ -502,13 +502,13 @@
 impl Conn {
     fn greet(&mut self, session: i64, timeout: i32) {
         let word = ConnectResponse { timeout, session, password: password(session) };
-        self.out.extend(framed(&word.write()));
+        self.out.extend(with_length_prefix(&word.write()));
     }
 
     fn reply(&mut self, xid: i32, zxid: i64, answer: &Result<Response, Code>) {
         let header = ReplyHeader { xid, zxid, error: answer.as_ref().err().copied() };
         let response = answer.as_ref().unwrap_or(&Response::Done);
-        self.out.extend(framed(&header.write(response)));
+        self.out.extend(with_length_prefix(&header.write(response)));
     }
 
     fn fire(&mut self, event: &WatchEvent) {
@@ -519,7 +519,7 @@
             EventKind::ChildrenChanged => self.children.remove(path),
         };
         if watched {
-            self.out.extend(framed(&event.write()));
+            self.out.extend(with_length_prefix(&event.write()));
         }
     }
 
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use glenwood_coordination::follow::{Change, Output, DATA_MOST};
+use glenwood_coordination::follow::{Change, Output, MAX_DATA_BYTES};
 use glenwood_coordination::proto::Request;
 use glenwood_coordination::session::Event;
 use world::*;
@@ -163,7 +163,7 @@
     world.pass(10.0, |_| {});
     views(&mut world, 0, &mut view);
     let data = Bytes::from(vec![b'x'; 1024 * 1024 - 1]);
-    assert!(data.len() > DATA_MOST);
+    assert!(data.len() > MAX_DATA_BYTES);
     world.ask(1, "long", Request::SetData { path: "/servers/s1".into(), data, version: -1 });
     world.pass(10.0, |_| {});
     assert_eq!(world.followers[0].said, [Output::Change(Change::Oversized("s1".into()))]);
