--- a/crates/members/benches/members.rs
+++ b/crates/members/benches/members.rs
@@ -37,17 +37,17 @@
     let mut net = Net::converged(300, 2);
     (net.loss, net.duplication) = (0.05, 0.01);
     let (started, sent_datagrams) = (Instant::now(), |net: &Net| {
-        net.running().iter().map(|n| net.members(*n).figures().sent).sum::<u64>()
+        net.running().iter().map(|n| net.members(*n).counters().sent).sum::<u64>()
     });
     let before = sent_datagrams(&net);
     net.run(minutes * 60_000);
-    let sum = |counter: &dyn Fn(&glenwood_members::Figures) -> u64| {
-        net.running().iter().map(|n| counter(&net.members(*n).figures())).sum::<u64>()
+    let sum = |counter: &dyn Fn(&glenwood_members::Counters) -> u64| {
+        net.running().iter().map(|n| counter(&net.members(*n).counters())).sum::<u64>()
     };
     println!(
         "{minutes} minutes of 300 members, 5% of datagrams lost: {} probes failed, {} suspicions refuted, {} declared lost; \
          {:.1} us of CPU time per datagram for sender, receiver and network",
-        sum(&|f| f.failed),
+        sum(&|f| f.failed_probes),
         sum(&|f| f.refuted),
         net.lost().values().sum::<usize>(),
         started.elapsed().as_micros() as f64 / (sent_datagrams(&net) - before) as f64
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -19,7 +19,7 @@
 mod wire;
 
 pub use glenwood_datagram::Secret;
-pub use machine::{Event, Figures, Members, Shown, Transmit};
-pub use record::{Id, Member, State, NAME_MOST, ZONE_MOST};
+pub use machine::{Counters, Event, MemberInfo, Members, Transmit};
+pub use record::{Id, Member, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 pub use settings::Settings;
 pub use wire::DatagramError;
--- a/crates/members/src/machine.rs
+++ b/crates/members/src/machine.rs
@@ -56,32 +56,37 @@
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Figures {
+pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes in the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams received and accepted.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub received: u64,
     /// Datagrams rejected: from another cluster, not authenticated, or malformed.
     pub refused: u64,
     /// Probes that failed.
-    pub failed: u64,
+    #[serde(rename = "failed")]
+    pub failed_probes: u64,
     /// Members that this one declared lost when a suspicion timed out here.
-    pub declared: u64,
+    #[serde(rename = "declared")]
+    pub declared_lost: u64,
     /// Suspicions of itself that it refuted.
     pub refuted: u64,
     /// Stalls of this process.
     pub stalls: u64,
     /// Datagrams of another process that uses this member's name.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub name_conflicts: u64,
     /// Records ignored because the table of members was full.
-    pub beyond: u64,
+    #[serde(rename = "beyond")]
+    pub over_limit: u64,
 }
 
 /// One member as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Shown {
+pub struct MemberInfo {
     /// The member.
     #[serde(flatten)]
     pub member: Member,
@@ -148,7 +153,7 @@
     last_probe_number: u64,
     outgoing: VecDeque<Transmit>,
     events: VecDeque<Event>,
-    figures: Figures,
+    counters: Counters,
 }
 
 impl Members {
@@ -192,7 +197,7 @@
             random,
             outgoing: VecDeque::new(),
             events: VecDeque::new(),
-            figures: Figures::default(),
+            counters: Counters::default(),
             settings,
         })
     }
@@ -221,8 +226,8 @@
     }
 
     /// All other known members, ordered by id.
-    pub fn all(&self) -> Vec<Shown> {
-        let shown = |record: &Record| Shown {
+    pub fn all(&self) -> Vec<MemberInfo> {
+        let shown = |record: &Record| MemberInfo {
             member: record.member.clone(),
             state: record.state,
             incarnation: record.incarnation,
@@ -231,8 +236,8 @@
     }
 
     /// The counters.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// The local health penalty: 0 (healthy) to 8.
@@ -309,17 +314,17 @@
     /// # Errors
     /// When it is from another cluster, is not authenticated or is malformed. Nothing but the counter of
     /// rejected datagrams changes then.
-    pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), DatagramError> {
+    pub fn receive(&mut self, now: u64, bytes: &[u8]) -> Result<(), DatagramError> {
         self.detect_stall(now);
         let message =
-            Message::read(bytes, self.cluster, &self.secret).inspect_err(|_| self.figures.refused += 1)?;
-        self.figures.heard += 1;
+            Message::read(bytes, self.cluster, &self.secret).inspect_err(|_| self.counters.refused += 1)?;
+        self.counters.received += 1;
         let from = &message.from;
         let sender = from.member.id();
         if sender == self.own_id {
             if from.member.life != self.me.member.life && from.member.name == self.me.member.name {
-                self.figures.taken += 1;
-                if self.figures.taken == 1 {
+                self.counters.name_conflicts += 1;
+                if self.counters.name_conflicts == 1 {
                     self.events.push_back(Event::NameTaken(from.member.address));
                 }
                 self.handle_own_record(from);
@@ -365,7 +370,7 @@
         if stalled_ms <= self.settings.stall_ms() {
             return;
         }
-        self.figures.stalls += 1;
+        self.counters.stalls += 1;
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         self.probes.clear();
         // The members that asked for these probes have given up on them by now.
@@ -480,7 +485,7 @@
 
     /// Handles a failed probe: adjusts the local health penalty and suspects the target.
     fn probe_failed(&mut self, now: u64, probe: &Probe) {
-        self.figures.failed += 1;
+        self.counters.failed_probes += 1;
         // A live helper sends a nack even if the target is silent. Missing nacks suggest that this member
         // does not receive datagrams.
         let missing_nacks = match &probe.stage {
@@ -577,7 +582,7 @@
         for id in due {
             let Some(entry) = self.table.get(id) else { continue };
             let lost = Record { state: State::Lost, ..entry.record.clone() };
-            self.figures.declared += 1;
+            self.counters.declared_lost += 1;
             self.apply_record(now, &lost, &[]);
         }
     }
@@ -592,7 +597,7 @@
         let old = self.table.get(id).map(|entry| entry.record.member.clone());
         match self.table.apply(now, record, accusers, self.settings.most) {
             Change::Unchanged => {}
-            Change::Full => self.figures.beyond += 1,
+            Change::Full => self.counters.over_limit += 1,
             Change::Confirmed => self.queue_rumour(id),
             Change::New { previous } => {
                 self.queue_rumour(id);
@@ -644,7 +649,7 @@
             return;
         }
         if same_process {
-            self.figures.refuted += 1;
+            self.counters.refuted += 1;
             self.events.push_back(Event::Refuted);
             if record.state == State::Suspect {
                 self.raise_health_penalty(1);
@@ -773,8 +778,8 @@
 
     fn transmit(&mut self, to: SocketAddr, draft: Draft) {
         let bytes = draft.seal(&self.secret);
-        self.figures.sent += 1;
-        self.figures.sent_bytes += bytes.len() as u64;
+        self.counters.sent += 1;
+        self.counters.sent_bytes += bytes.len() as u64;
         self.outgoing.push_back(Transmit { to, bytes });
     }
 }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 
 /// Maximum length of a member's name, in bytes.
-pub const NAME_MOST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// Maximum length of a zone's name, in bytes.
-pub const ZONE_MOST: usize = 24;
+pub const MAX_ZONE_BYTES: usize = 24;
 
 /// The id of a member: a digest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::record::{Member, NAME_MOST, ZONE_MOST};
+use crate::record::{Member, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 
 /// Settings of the membership protocol. All times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,11 +31,11 @@
             let fits = (min..=max).contains(&value);
             fits.then_some(()).ok_or_else(|| format!("{name}: {min} to {max} expected, not {value}"))
         };
-        if self.me.name.is_empty() || self.me.name.len() > NAME_MOST {
-            return Err(format!("name: 1 to {NAME_MOST} bytes expected, not {:?}", self.me.name));
+        if self.me.name.is_empty() || self.me.name.len() > MAX_NAME_BYTES {
+            return Err(format!("name: 1 to {MAX_NAME_BYTES} bytes expected, not {:?}", self.me.name));
         }
-        if self.me.zone.len() > ZONE_MOST {
-            return Err(format!("zone: {ZONE_MOST} bytes at most expected, not {:?}", self.me.zone));
+        if self.me.zone.len() > MAX_ZONE_BYTES {
+            return Err(format!("zone: {MAX_ZONE_BYTES} bytes at most expected, not {:?}", self.me.zone));
         }
         if self.me.address.ip().is_unspecified() || self.me.address.port() == 0 {
             return Err(format!("address: one that others can send to expected, not {}", self.me.address));
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -7,7 +7,7 @@
 
 use glenwood_datagram::{number_of, write_short, Reader, Secret, Unsealed, LONGEST, TAG};
 
-use crate::record::{Id, Member, Record, State, NAME_MOST, ZONE_MOST};
+use crate::record::{Id, Member, Record, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 
 /// The first four bytes of each datagram.
 pub const MAGIC: u32 = 0x474c_4d31;
@@ -108,7 +108,11 @@
     };
     let (incarnation, life) = (r.u64()?, r.u64()?);
     let (name, zone) = (r.text()?, r.text()?);
-    if name.is_empty() || name.len() > NAME_MOST || zone.len() > ZONE_MOST || incarnation > MAX_INCARNATION {
+    if name.is_empty()
+        || name.len() > MAX_NAME_BYTES
+        || zone.len() > MAX_ZONE_BYTES
+        || incarnation > MAX_INCARNATION
+    {
         return None;
     }
     let (name, zone) = (name.to_string(), zone.to_string());
--- a/crates/members/tests/common/mod.rs
+++ b/crates/members/tests/common/mod.rs
@@ -143,7 +143,7 @@
         if let Some(node) = &mut self.nodes[n] {
             node.paused = false;
             while let Some(bytes) = node.inbox.pop_front() {
-                let _ = node.members.hear(now, &bytes);
+                let _ = node.members.receive(now, &bytes);
             }
             node.members.tick(now);
         }
@@ -225,7 +225,7 @@
     pub fn deliver(&mut self, to: usize, bytes: &[u8]) {
         let now = self.now;
         if let Some(node) = &mut self.nodes[to] {
-            let _ = node.members.hear(now, bytes);
+            let _ = node.members.receive(now, bytes);
         }
         self.flush(to);
     }
@@ -257,7 +257,7 @@
                         node.inbox.push_back(bytes);
                         continue;
                     }
-                    let _ = node.members.hear(now, &bytes);
+                    let _ = node.members.receive(now, &bytes);
                     n
                 }
                 None => continue,
@@ -291,7 +291,7 @@
     /// The mean number of bytes that each member sends per second, measured over `duration` ms.
     pub fn bytes_per_second(&mut self, duration: u64) -> f64 {
         let sum =
-            |net: &Self| net.running().iter().map(|n| net.members(*n).figures().sent_bytes).sum::<u64>();
+            |net: &Self| net.running().iter().map(|n| net.members(*n).counters().sent_bytes).sum::<u64>();
         let before = sum(self);
         self.run(duration);
         (sum(self) - before) as f64 * 1000.0 / duration as f64 / self.running().len() as f64
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -48,7 +48,7 @@
     (net.loss, net.duplication, net.delay) = (0.05, 0.02, 20);
     net.run(180_000);
     assert_eq!(net.lost(), Default::default());
-    let refuted: u64 = net.running().iter().map(|n| net.members(*n).figures().refuted).sum();
+    let refuted: u64 = net.running().iter().map(|n| net.members(*n).counters().refuted).sum();
     assert!(refuted > 0, "some members must have been suspected for this test to mean anything");
 }
 
@@ -77,7 +77,7 @@
             net.observations.clear();
             net.run_until("the paused members are back", 4000, Net::is_converged);
         }
-        let stalls: u64 = net.running().iter().map(|n| net.members(*n).figures().stalls).sum();
+        let stalls: u64 = net.running().iter().map(|n| net.members(*n).counters().stalls).sum();
         assert!(stalls >= 36, "{stalls}");
     }
 }
@@ -102,7 +102,7 @@
     net.run(120_000);
     assert_eq!(net.lost(), Default::default());
     // Indirect probes reach it, so it is not even suspected.
-    let failed: u64 = net.running().iter().map(|n| net.members(*n).figures().failed).sum();
+    let failed: u64 = net.running().iter().map(|n| net.members(*n).counters().failed_probes).sum();
     assert_eq!(failed, 0);
 }
 
@@ -233,7 +233,7 @@
     net.deliver(to, &bytes);
     net.deliver(to, &[0; 3]);
     net.deliver(to, &[0; 3000]);
-    assert_eq!(net.members(to).figures().refused, 3);
+    assert_eq!(net.members(to).counters().refused, 3);
     assert_eq!(net.members(to).all(), before);
 }
 
@@ -249,7 +249,8 @@
     net.run(3000);
     net.nodes[2] = second_process;
     net.run(3000);
-    let datagrams_of_others = net.running().iter().map(|n| net.members(*n).figures().taken).sum::<u64>();
+    let datagrams_of_others =
+        net.running().iter().map(|n| net.members(*n).counters().name_conflicts).sum::<u64>();
     let alarms = net.observations.iter().filter(|(_, _, e)| matches!(e, Event::NameTaken(_))).count();
     assert!(datagrams_of_others == 0 || alarms > 0);
     // Deliver what one process sent to the other.
@@ -276,7 +277,7 @@
     net.nodes[0].as_mut().expect("the member runs").members = limited;
     net.run(10_000);
     assert_eq!(net.members(0).living().count(), 3);
-    assert!(net.members(0).figures().beyond > 0);
+    assert!(net.members(0).counters().over_limit > 0);
     assert_eq!(net.members(1).living().count(), 7);
 }
 
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -11,7 +11,7 @@
 use glenwood_datagram::LONGEST;
 use glenwood_fields::{Fields, Value};
 use glenwood_members::{
-    Event, Figures, Id, Member, Members, Secret, Settings, Shown, State, NAME_MOST, ZONE_MOST,
+    Counters, Event, Id, Member, MemberInfo, Members, Secret, Settings, State, MAX_NAME_BYTES, MAX_ZONE_BYTES,
 };
 use glenwood_operation::figures::Figure;
 use serde::Serialize;
@@ -66,13 +66,15 @@
         let address = |v: &Value| v.as_str().and_then(|text| text.parse().ok());
         let seeds = |value: Value| value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>();
         let seeds = |value| seeds(value).filter(|all| (1..=64).contains(&all.len()));
-        let zone = |value: Value| text(value).filter(|zone| zone.len() <= ZONE_MOST);
+        let zone = |value: Value| text(value).filter(|zone| zone.len() <= MAX_ZONE_BYTES);
         let parsed = Self {
             cluster: f.text("cluster", "a name")?.unwrap_or_else(|| "glenwood".into()),
             secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
             listen: f.need("listen", "an IP address and port", |v| address(&v))?,
             address: f.address("address")?,
-            zone: f.take("zone", &format!("a name of {ZONE_MOST} bytes at most"), zone)?.unwrap_or_default(),
+            zone: f
+                .take("zone", &format!("a name of {MAX_ZONE_BYTES} bytes at most"), zone)?
+                .unwrap_or_default(),
             seeds: f.need("seeds", "a list of 1 to 64 IP addresses and ports", seeds)?,
             probe_ms: f.within("probe_ms", 20..=10_000, 100)? as u64,
             most: f.within("most", 2..=4096, 1000)?,
@@ -121,8 +123,8 @@
     /// The number of known members in each state.
     states: BTreeMap<State, usize>,
     health: u32,
-    figures: Figures,
-    members: Vec<Shown>,
+    figures: Counters,
+    members: Vec<MemberInfo>,
 }
 
 impl Membership {
@@ -132,9 +134,9 @@
     /// One line with the field and the reason.
     pub fn new(config: &Config) -> Result<Option<Rc<Self>>, String> {
         let Some(table) = config.operator.members.clone() else { return Ok(None) };
-        if config.name.len() > NAME_MOST {
+        if config.name.len() > MAX_NAME_BYTES {
             return Err(format!(
-                "name: {NAME_MOST} bytes at most expected among members, not {:?}",
+                "name: {MAX_NAME_BYTES} bytes at most expected among members, not {:?}",
                 config.name
             ));
         }
@@ -285,7 +287,7 @@
                 let now = self.now();
                 if let Some(machine) = &mut *self.machine.borrow_mut() {
                     // Invalid datagrams are counted there, and change nothing.
-                    let _ = machine.hear(now, &bytes[..length]);
+                    let _ = machine.receive(now, &bytes[..length]);
                 }
             }
             let now = self.now();
@@ -303,13 +305,13 @@
 impl Part for Membership {
     fn figures(&self) -> Vec<Figure> {
         let machine = self.machine.borrow();
-        let figures = machine.as_ref().map(Members::figures).unwrap_or_default();
+        let figures = machine.as_ref().map(Members::counters).unwrap_or_default();
         let living = machine.as_ref().map_or(0, |machine| machine.living().count() as u64);
         let gauge = |name, value, help| Figure { name, counts: false, help, value };
         let counter = |name, value, help| Figure { name, counts: true, help, value };
         vec![
             gauge("members_living", living, "Other nodes that are considered living."),
-            counter("members_declared", figures.declared, "Nodes that this one declared lost."),
+            counter("members_declared", figures.declared_lost, "Nodes that this one declared lost."),
             counter("members_refuted", figures.refuted, "Suspicions of this node that it refuted."),
             counter("members_stalls", figures.stalls, "Times that this node was stalled."),
             counter("members_refused", figures.refused, "Datagrams that were rejected."),
@@ -336,7 +338,7 @@
             living: machine.as_ref().map_or(0, |machine| machine.living().count()),
             states,
             health: machine.as_ref().map_or(0, Members::health),
-            figures: machine.as_ref().map(Members::figures).unwrap_or_default(),
+            figures: machine.as_ref().map(Members::counters).unwrap_or_default(),
             members: all.into_iter().take(MAX_REPORTED_MEMBERS).collect(),
         };
         serde_json::to_value(report).unwrap_or_default()
--- a/crates/scale/src/scenario/members.rs
+++ b/crates/scale/src/scenario/members.rs
@@ -92,7 +92,7 @@
 
     fn receive(&mut self, now: Time, _from: usize, bytes: &[u8], out: &mut Outbox) {
         // What can't be read is counted by the machine itself.
-        let _ = self.machine.hear(now, bytes);
+        let _ = self.machine.receive(now, bytes);
         self.after(now, out);
     }
 }
