--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -10,7 +10,7 @@
 use glenwood_policy::Tenant;
 use glenwood_settings::NodeSettings;
 use glenwood_usage::wire::LONGEST;
-use glenwood_usage::{Boot, Datagram, Explained, Key, Peers, Share, Usage};
+use glenwood_usage::{Datagram, Key, KeyUsage, PeerKeyUsage, PeerStatus, RunId, Usage};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 use tokio::net::UdpSocket;
@@ -50,8 +50,8 @@
 pub struct Shown {
     name: String,
     #[serde(flatten)]
-    share: Share,
-    at: Vec<Explained>,
+    share: KeyUsage,
+    at: Vec<PeerKeyUsage>,
 }
 
 /// The report for inspection.
@@ -63,7 +63,7 @@
     /// Whether the node has its own part of this window.
     own_part: bool,
     tenants: Vec<Shown>,
-    peers: Vec<Peers>,
+    peers: Vec<PeerStatus>,
     refused: u64,
 }
 
@@ -77,9 +77,13 @@
         let number = table.instances.iter().position(|(name, _)| *name == config.name);
         let number = number.ok_or_else(|| format!("usage.instance: {} is not among them", config.name))?;
         let secret = identity::secret("usage", &table.secret)?;
-        let machine =
-            Usage::new(table.settings(number), secret, Boot(identity::unique_start_number(config.seed)), now)
-                .map_err(|reason| format!("usage.{reason}"))?;
+        let machine = Usage::new(
+            table.settings(number),
+            secret,
+            RunId(identity::unique_start_number(config.seed)),
+            now,
+        )
+        .map_err(|reason| format!("usage.{reason}"))?;
         let shares = Self {
             machine: RefCell::new(machine),
             tenants: RefCell::default(),
@@ -122,22 +126,22 @@
     /// The report for inspection.
     pub fn report(&self) -> Report {
         let (machine, tenants) = (self.machine.borrow(), self.tenants.borrow());
-        let top = machine.top(MAX_REPORTED_TENANTS);
+        let top = machine.top_keys(MAX_REPORTED_TENANTS);
         // Looks the names up in one pass over the tenants, of whom there may be very many.
         let mut names: BTreeMap<usize, &str> = top.iter().map(|(handle, _)| (*handle, "")).collect();
         for (name, handle) in tenants.iter() {
             names.entry(*handle).and_modify(|shown| *shown = name);
         }
-        let shown = |(handle, share): (usize, Share)| Shown {
+        let shown = |(handle, share): (usize, KeyUsage)| Shown {
             name: names[&handle].to_string(),
-            at: machine.explain(handle),
+            at: machine.peer_key_usage(handle),
             share,
         };
         Report {
             instances: self.instances.iter().map(|(name, _)| name.clone()).collect(),
             window: machine.window(),
             window_ms: self.window_ms,
-            own_part: machine.holds_own(),
+            own_part: machine.owns_part(),
             tenants: top.iter().cloned().map(shown).collect(),
             peers: machine.peers(),
             refused: machine.refused,
@@ -168,13 +172,13 @@
     shares.open.set(true);
     let (mut bytes, mut out) = ([0; LONGEST + 1], Vec::new());
     while !hub.leaving.get() {
-        let due = Duration::from_millis(shares.machine.borrow().due_in());
+        let due = Duration::from_millis(shares.machine.borrow().ms_until_tick());
         tokio::select! {
             came = socket.recv_from(&mut bytes) => {
                 // An error reports a datagram that reached nobody: that node is not up yet.
                 if let Ok((length, _)) = came {
                     // Invalid datagrams are counted there, and change nothing.
-                    let _ = shares.machine.borrow_mut().hear(&bytes[..length], &mut out);
+                    let _ = shares.machine.borrow_mut().receive(&bytes[..length], &mut out);
                 }
             }
             () = sleep(due) => {}
--- a/crates/scale/src/scenario/usage.rs
+++ b/crates/scale/src/scenario/usage.rs
@@ -1,7 +1,7 @@
 //! Usage counts by nodes and by tenants: what each instance holds, says and computes.
 
 use glenwood_usage::wire::Secret;
-use glenwood_usage::{Boot, Datagram, Key, Settings, Usage};
+use glenwood_usage::{Datagram, Key, RunId, Settings, Usage};
 
 use crate::measure::measure;
 use crate::network::{Network, Outbox, Process, Time};
@@ -48,7 +48,7 @@
             gone_ms: 10_000,
             shared_most: 4096,
         };
-        let boot = Boot(1 + number as u64);
+        let boot = RunId(1 + number as u64);
         let secret = Secret::new(b"a secret of all instances");
         let mut machine = Usage::new(settings, secret, boot, now).expect("good settings");
         let allow = |tenant: usize| machine.allow(Key(tenant as u64 + 1), 1_000);
@@ -76,15 +76,15 @@
         let mut datagrams = Vec::new();
         self.machine.tick(now, &mut datagrams);
         Self::send(out, datagrams);
-        self.due = now + self.machine.due_in().max(1);
+        self.due = now + self.machine.ms_until_tick().max(1);
     }
 
     fn receive(&mut self, now: Time, _from: usize, bytes: &[u8], out: &mut Outbox) {
         let mut datagrams = Vec::new();
         // What can't be read is counted by the machine itself.
-        let _ = self.machine.hear(bytes, &mut datagrams);
+        let _ = self.machine.receive(bytes, &mut datagrams);
         Self::send(out, datagrams);
-        self.due = now + self.machine.due_in().max(1);
+        self.due = now + self.machine.ms_until_tick().max(1);
     }
 }
 
--- a/crates/usage/benches/usage.rs
+++ b/crates/usage/benches/usage.rs
@@ -37,7 +37,7 @@
         let ns_per_decision = started.elapsed().as_nanos() as f64 / handles.len() as f64;
         println!("decision, {pass}: {ns_per_decision:.0} ns, {granted} of {} granted", handles.len());
     }
-    println!("memory of {tenants} tenants: {} bytes each", usage.count_size());
+    println!("memory of {tenants} tenants: {} bytes each", usage.key_counter_bytes());
 }
 
 /// Measures the cost of rejecting a forged datagram of the maximum length.
@@ -46,7 +46,7 @@
     let (usage, mut out, bytes) = (fleet.usage(0), Vec::new(), [7; 1200]);
     let started = Instant::now();
     for _ in 0..100_000 {
-        let _ = black_box(usage.hear(black_box(&bytes), &mut out));
+        let _ = black_box(usage.receive(black_box(&bytes), &mut out));
     }
     println!(
         "forged datagram: {:.0} ns, {} rejected",
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -4,7 +4,7 @@
 
 /// Identifies one run of an instance: a number that differs for each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Boot(pub u64);
+pub struct RunId(pub u64);
 
 /// Identifies a tenant and a dimension of its usage; the same at all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,11 +51,11 @@
 
 /// The slots of all other instances, a state-based CRDT.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Slots(BTreeMap<(u16, Boot), Slot>);
+pub struct Slots(BTreeMap<(u16, RunId), Slot>);
 
 impl Slots {
     /// Merges reported counters into one slot; returns whether it changed.
-    pub fn update(&mut self, instance: u16, boot: Boot, reported: Slot) -> bool {
+    pub fn update(&mut self, instance: u16, boot: RunId, reported: Slot) -> bool {
         let slot = self.0.entry((instance, boot)).or_default();
         let previous = *slot;
         *slot = Slot { spent: slot.spent.max(reported.spent), given: slot.given.max(reported.given) };
@@ -81,7 +81,7 @@
 
     /// The totals of one instance over all its runs.
     pub fn total_of(&self, instance: u16) -> Slot {
-        let range = (instance, Boot(0))..=(instance, Boot(u64::MAX));
+        let range = (instance, RunId(0))..=(instance, RunId(u64::MAX));
         self.0.range(range).fold(Slot::default(), |sum, (_, slot)| Slot {
             spent: sum.spent.saturating_add(slot.spent),
             given: sum.given.saturating_add(slot.given),
@@ -89,7 +89,7 @@
     }
 
     /// The amount that one run of an instance has transferred to this one.
-    pub fn given_by(&self, instance: u16, boot: Boot) -> u32 {
+    pub fn given_by(&self, instance: u16, boot: RunId) -> u32 {
         self.0.get(&(instance, boot)).map_or(0, |slot| slot.given)
     }
 
@@ -112,7 +112,7 @@
     /// What the other instances have reported, and transferred to this one.
     pub slots: Slots,
     /// The amount transferred to each run of the other instances.
-    given: BTreeMap<(u16, Boot), u32>,
+    given: BTreeMap<(u16, RunId), u32>,
 }
 
 impl Rights {
@@ -127,7 +127,7 @@
     }
 
     /// The amount transferred to one run of another instance.
-    pub fn given_to(&self, instance: u16, boot: Boot) -> u32 {
+    pub fn given_to(&self, instance: u16, boot: RunId) -> u32 {
         self.given.get(&(instance, boot)).copied().unwrap_or(0)
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Transfers up to `amount`, limited by the rights that remain; returns the amount transferred.
-    pub fn transfer(&mut self, instance: u16, boot: Boot, amount: u32, base: u32, spent: u32) -> u32 {
+    pub fn transfer(&mut self, instance: u16, boot: RunId, amount: u32, base: u32, spent: u32) -> u32 {
         let amount = amount.min(self.held(base, spent));
         if amount > 0 {
             *self.given.entry((instance, boot)).or_default() += amount;
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -16,5 +16,5 @@
 pub mod votes;
 pub mod wire;
 
-pub use ledger::{Boot, Key};
-pub use machine::{Datagram, Explained, Peers, Settings, Share, Usage};
+pub use ledger::{Key, RunId};
+pub use machine::{Datagram, KeyUsage, PeerKeyUsage, PeerStatus, Settings, Usage};
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::ledger::{base_rights, equal_part, mix, Boot, Key, Rights, Slot};
+use crate::ledger::{base_rights, equal_part, mix, Key, Rights, RunId, Slot};
 use crate::votes::{Replay, Runs, Votes};
 use crate::wire::{max_entries, DatagramError, Entry, Message, Secret, MAX_INSTANCES};
 
@@ -139,7 +139,7 @@
 
 /// The state of one key at this instance, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Share {
+pub struct KeyUsage {
     /// The key.
     pub key: u64,
     /// The window.
@@ -162,7 +162,7 @@
 
 /// What this instance knows of one key at another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Explained {
+pub struct PeerKeyUsage {
     /// The instance.
     pub instance: usize,
     /// The amount it has spent.
@@ -175,7 +175,7 @@
 
 /// What this instance knows of another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Peers {
+pub struct PeerStatus {
     /// The instance.
     pub instance: usize,
     /// Time since it last proved to be running, in milliseconds.
@@ -193,7 +193,7 @@
 pub struct Usage {
     settings: Settings,
     secret: Secret,
-    boot: Boot,
+    boot: RunId,
     /// The latest time passed in, corrected by `offset`, in milliseconds.
     now: u64,
     /// The correction of the local clock by the other instances' clocks, in milliseconds.
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     /// The invalid field of the settings and what was expected.
-    pub fn new(settings: Settings, secret: Secret, boot: Boot, now: u64) -> Result<Self, String> {
+    pub fn new(settings: Settings, secret: Secret, boot: RunId, now: u64) -> Result<Self, String> {
         settings.check()?;
         let window = now / settings.window_ms;
         Ok(Self {
@@ -358,7 +358,7 @@
     }
 
     /// Milliseconds until [`Usage::tick`] is to be called again.
-    pub fn due_in(&self) -> u64 {
+    pub fn ms_until_tick(&self) -> u64 {
         let window_end = (self.window + 1) * self.settings.window_ms;
         let until_exchange = (self.last_exchange + self.settings.exchange_ms).saturating_sub(self.now);
         until_exchange.min(window_end.saturating_sub(self.now)).clamp(1, self.settings.exchange_ms)
@@ -597,7 +597,7 @@
     }
 
     /// The entries of a key for the current window and the next.
-    fn entries_of(&self, handle: usize, to: usize, to_boot: Boot) -> Option<[Entry; 2]> {
+    fn entries_of(&self, handle: usize, to: usize, to_boot: RunId) -> Option<[Entry; 2]> {
         let (shared, count) = (self.shared.get(&handle)?, &self.counts[handle]);
         Some([0, 1].map(|which| Entry {
             key: Key(count.key),
@@ -612,7 +612,7 @@
 
     /// The entries for a peer, as far as there is room: the transfers that it has not acknowledged, then the
     /// amounts wanted from it. Also returns the version up to which the transfers are complete.
-    fn entries_for(&self, to: usize, to_boot: Boot, acked_version: u64) -> (Vec<Entry>, u64) {
+    fn entries_for(&self, to: usize, to_boot: RunId, acked_version: u64) -> (Vec<Entry>, u64) {
         let max_count = max_entries(self.settings.instances);
         let entries_of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
         let transfers = self.peers[to].changed_handles.iter().flat_map(|handle| entries_of(*handle));
@@ -684,7 +684,7 @@
 
     /// Handles a received datagram and appends the datagrams to be sent at once. Invalid datagrams change
     /// nothing but the counter of rejected ones.
-    pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), DatagramError> {
+    pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), DatagramError> {
         let result = Message::read(bytes, self.settings.list, self.settings.instances, &self.secret);
         if result == Err(DatagramError::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
             self.update_parts();
@@ -806,7 +806,7 @@
     }
 
     /// The state of a key at this instance.
-    pub fn show(&self, handle: usize) -> Share {
+    pub fn key_usage(&self, handle: usize) -> KeyUsage {
         let count = &self.counts[handle];
         let current = count.window == self.window;
         let before = match self.window - count.window.min(self.window) {
@@ -815,7 +815,7 @@
             _ => (0, 0),
         };
         let shared = self.shared.get(&handle);
-        Share {
+        KeyUsage {
             key: count.key,
             window: self.window,
             allowance: count.allowance,
@@ -830,21 +830,21 @@
 
     /// The `most` keys with the highest known spending, each with its handle, out of those that were
     /// requested lately or are shared.
-    pub fn top(&self, max_count: usize) -> Vec<(usize, Share)> {
+    pub fn top_keys(&self, max_count: usize) -> Vec<(usize, KeyUsage)> {
         let mut handles: Vec<usize> = self.active.iter().chain(self.shared.keys()).copied().collect();
         handles.sort_unstable();
         handles.dedup();
-        let mut shares: Vec<(usize, Share)> =
-            handles.into_iter().map(|handle| (handle, self.show(handle))).collect();
+        let mut shares: Vec<(usize, KeyUsage)> =
+            handles.into_iter().map(|handle| (handle, self.key_usage(handle))).collect();
         shares.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
-        let total_spent = |s: &Share| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
+        let total_spent = |s: &KeyUsage| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
         shares.sort_by_key(|(_, s)| std::cmp::Reverse(total_spent(s)));
         shares.truncate(max_count);
         shares
     }
 
     /// What is known of a key at each of the other instances.
-    pub fn explain(&self, handle: usize) -> Vec<Explained> {
+    pub fn peer_key_usage(&self, handle: usize) -> Vec<PeerKeyUsage> {
         let Some(shared) = self.shared.get(&handle) else { return Vec::new() };
         let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
         let explained = |index: usize| {
@@ -854,18 +854,18 @@
                 .current
                 .map_or(0, |boot| shared.rights[0].given_to(index as u16, boot));
             let held = shared.others[0].get(&(index as u16)).map(|(held, _)| *held);
-            Explained { instance: index, spent: slot.spent, held, given: (slot.given, given_to) }
+            PeerKeyUsage { instance: index, spent: slot.spent, held, given: (slot.given, given_to) }
         };
         others.map(explained).collect()
     }
 
     /// What is known of the other instances.
-    pub fn peers(&self) -> Vec<Peers> {
+    pub fn peers(&self) -> Vec<PeerStatus> {
         let gone = self.votes.gone(self.window);
         let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
         let peer_info = |index: usize| {
             let peer = &self.peers[index];
-            Peers {
+            PeerStatus {
                 instance: index,
                 age_ms: peer.last_seen.map(|at| self.now.saturating_sub(at)),
                 ahead_ms: peer.min_clock_ahead(),
@@ -877,12 +877,12 @@
     }
 
     /// Whether this instance owns its part of the current window.
-    pub fn holds_own(&self) -> bool {
+    pub fn owns_part(&self) -> bool {
         self.votes.owns_part(self.window, self.strict_majority)
     }
 
     /// The size in bytes of the counters of a key that is not shared, without its entry in the index of keys.
-    pub fn count_size(&self) -> usize {
+    pub fn key_counter_bytes(&self) -> usize {
         std::mem::size_of::<Count>()
     }
 
--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -7,7 +7,7 @@
 //! partition into equal halves leaves each part with its instance; in an unequal one the smaller side loses
 //! its parts to the larger.
 
-use crate::ledger::Boot;
+use crate::ledger::RunId;
 
 /// A set of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -242,10 +242,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Runs {
     /// The run that last proved to be running.
-    pub current: Option<Boot>,
+    pub current: Option<RunId>,
     /// The latest run seen that has not proved to be running yet.
-    pub candidate: Option<Boot>,
-    ended: Vec<Boot>,
+    pub candidate: Option<RunId>,
+    ended: Vec<RunId>,
 }
 
 /// Number of ended runs that are remembered.
@@ -254,7 +254,7 @@
 impl Runs {
     /// Records that a run has proved to be running. Returns whether it is a new run, or `None` if it has
     /// ended before: an ended run does not return.
-    pub fn confirm(&mut self, boot: Boot) -> Option<bool> {
+    pub fn confirm(&mut self, boot: RunId) -> Option<bool> {
         if self.ended.contains(&boot) {
             return None;
         }
@@ -272,7 +272,7 @@
     }
 
     /// Records a run named by a datagram that may be a replay.
-    pub fn set_candidate(&mut self, boot: Boot) {
+    pub fn set_candidate(&mut self, boot: RunId) {
         if self.current != Some(boot) && !self.ended.contains(&boot) {
             self.candidate = Some(boot);
         }
@@ -280,9 +280,9 @@
 
     /// The run that the next datagram is addressed to: every second one goes to the candidate, which may be a
     /// new run.
-    pub fn addressee(&self, number: u64) -> Boot {
+    pub fn addressee(&self, number: u64) -> RunId {
         let (current, candidate) = (self.current, self.candidate);
         if number.is_multiple_of(2) { candidate.or(current) } else { current.or(candidate) }
-            .unwrap_or(Boot(0))
+            .unwrap_or(RunId(0))
     }
 }
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -7,7 +7,7 @@
 use glenwood_datagram::{Reader, Unsealed, TAG};
 pub use glenwood_datagram::{Secret, LONGEST};
 
-use crate::ledger::{Boot, Key};
+use crate::ledger::{Key, RunId};
 use crate::votes::{Ballot, InstanceSet};
 
 const MAGIC: u32 = 0x474c_5531;
@@ -45,9 +45,9 @@
     /// The index of the receiver.
     pub to: u16,
     /// The sender's run.
-    pub boot: Boot,
+    pub boot: RunId,
     /// The receiver's run that it is addressed to; 0 if none is known.
-    pub to_boot: Boot,
+    pub to_boot: RunId,
     /// The number of the datagram in the sender's run.
     pub number: u64,
     /// The sender's clock, in milliseconds.
@@ -143,7 +143,7 @@
             return None;
         }
         let (list, from, to) = (r.u32()?, r.u16()?, r.u16()?);
-        let (boot, to_boot) = (Boot(r.u64()?), Boot(r.u64()?));
+        let (boot, to_boot) = (RunId(r.u64()?), RunId(r.u64()?));
         let (number, time, received_version, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
         let mut ballots = Vec::new();
         for _ in 0..r.take(1)?[0].min(3) {
--- a/crates/usage/tests/common/mod.rs
+++ b/crates/usage/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use glenwood_usage::wire::Secret;
-use glenwood_usage::{Boot, Datagram, Key, Settings, Usage};
+use glenwood_usage::{Datagram, Key, RunId, Settings, Usage};
 
 pub const WINDOW_MS: u64 = 5000;
 
@@ -118,7 +118,7 @@
     /// Starts a new run of an instance.
     pub fn start_with(&mut self, n: usize, settings: Settings) {
         self.boots += 1;
-        let boot = Boot(self.random.next() | 1);
+        let boot = RunId(self.random.next() | 1);
         let mut usage = Usage::new(settings, secret(), boot, self.clock(n)).expect("valid settings");
         for (key, allowance) in self.allowances.iter().enumerate() {
             assert_eq!(usage.allow(Key(key as u64 + 1), *allowance), key);
@@ -154,7 +154,7 @@
     pub fn deliver(&mut self, to: usize, bytes: &[u8]) {
         let mut out = Vec::new();
         if let Some(usage) = &mut self.instances[to] {
-            let _ = usage.hear(bytes, &mut out);
+            let _ = usage.receive(bytes, &mut out);
         }
         self.send(to, out);
     }
--- a/crates/usage/tests/fleet.rs
+++ b/crates/usage/tests/fleet.rs
@@ -38,7 +38,7 @@
     fleet.run(2 * WINDOW_MS, &[400.0], |_, _| 0);
     let elapsed = fleet.now % WINDOW_MS;
     fleet.run(WINDOW_MS - elapsed + 20, &[400.0], |_, _| 0);
-    let share = fleet.usage(0).show(0);
+    let share = fleet.usage(0).key_usage(0);
     assert!(share.spent + share.held > 900, "more than its own part of 250: {share:?}");
 }
 
@@ -49,12 +49,12 @@
     fleet.run(WINDOW_MS - elapsed + 20, &[], |_, _| 0);
     fleet.muted[1] = true;
     fleet.run(2000, &[2000.0], |_, _| 0);
-    assert_eq!(fleet.usage(1).show(0).held, 0, "it has transferred all of its rights");
-    let share = fleet.usage(0).show(0);
+    assert_eq!(fleet.usage(1).key_usage(0).held, 0, "it has transferred all of its rights");
+    let share = fleet.usage(0).key_usage(0);
     assert_eq!(share.spent + share.held, 500, "the transfers were lost");
     fleet.muted[1] = false;
     fleet.run(300, &[2000.0], |_, _| 0);
-    let share = fleet.usage(0).show(0);
+    let share = fleet.usage(0).key_usage(0);
     assert_eq!(share.spent + share.held, 1000);
 }
 
@@ -123,12 +123,12 @@
     fleet.reset_counts();
     fleet.run(4 * WINDOW_MS, &[400.0], any_instance(4));
     assert_eq!(fleet.overshoot(), 0.0);
-    assert!(!fleet.usage(3).holds_own() && fleet.usage(0).peers()[2].gone);
+    assert!(!fleet.usage(3).owns_part() && fleet.usage(0).peers()[2].gone);
     assert!(fleet.used(0, 4) > 0.97, "the other three can spend all of it: {}", fleet.used(0, 4));
     // It returns with the rights that it still holds of the previous window.
     fleet.side = vec![0; 4];
     fleet.run(SETTLE_MS, &[400.0], any_instance(4));
-    assert!(fleet.usage(3).holds_own() && !fleet.usage(0).peers()[2].gone);
+    assert!(fleet.usage(3).owns_part() && !fleet.usage(0).peers()[2].gone);
     assert_eq!(fleet.overshoot(), 0.0);
 }
 
@@ -194,7 +194,7 @@
         for (instance, ahead) in offsets.iter().enumerate() {
             let window = fleet.now.saturating_add_signed(*ahead) / WINDOW_MS;
             assert_eq!(fleet.usage(instance).window(), window, "{offsets:?}: {instance}");
-            assert!(fleet.usage(instance).holds_own(), "{offsets:?}: {instance}");
+            assert!(fleet.usage(instance).owns_part(), "{offsets:?}: {instance}");
         }
         assert_eq!(fleet.overshoot(), 0.0);
     }
@@ -228,7 +228,7 @@
     fleet.start(3);
     fleet.run(SETTLE_MS, &[500.0], any_instance(4));
     assert_eq!(fleet.overshoot(), 0.0);
-    assert!(fleet.usage(3).holds_own());
+    assert!(fleet.usage(3).owns_part());
     fleet.reset_counts();
     fleet.run(4 * WINDOW_MS, &[500.0], |_, _| 3);
     assert!(fleet.used(0, 4) > 0.9, "{}", fleet.used(0, 4));
@@ -285,7 +285,7 @@
     fleet.start(1);
     fleet.run(SETTLE_MS, &[300.0], |_, _| 0);
     let before = fleet.usage(0).refused;
-    let held: Vec<_> = (0..3).map(|n| fleet.usage(n).show(0)).collect();
+    let held: Vec<_> = (0..3).map(|n| fleet.usage(n).key_usage(0)).collect();
     for (to, bytes) in &recording {
         // Unchanged, to the wrong receiver, with one bit flipped, truncated, and too long.
         fleet.deliver(*to, bytes);
@@ -297,7 +297,7 @@
         fleet.deliver(*to, &bytes[..offset]);
         fleet.deliver(*to, &[&bytes[..], &vec![0; 1300]].concat());
     }
-    assert_eq!((0..3).map(|n| fleet.usage(n).show(0)).collect::<Vec<_>>(), held);
+    assert_eq!((0..3).map(|n| fleet.usage(n).key_usage(0)).collect::<Vec<_>>(), held);
     assert!(fleet.usage(0).refused > before + 100);
     fleet.reset_counts();
     fleet.run(3 * WINDOW_MS, &[300.0], |_, _| 0);
@@ -323,7 +323,7 @@
             fleet.run(SETTLE_MS + 1700, &[400.0], any_instance(4));
             assert_eq!(fleet.overshoot(), 0.0, "seed {seed}: after {n} switched lists");
         }
-        assert!((0..5).all(|n| fleet.usage(n).holds_own()), "{seed}");
+        assert!((0..5).all(|n| fleet.usage(n).owns_part()), "{seed}");
         fleet.reset_counts();
         fleet.run(4 * WINDOW_MS, &[400.0], any_instance(5));
         assert!(fleet.overshoot() == 0.0 && fleet.used(0, 4) > 0.97, "{seed}: {}", fleet.used(0, 4));
@@ -365,7 +365,7 @@
             fleet.ask(0, key, 1);
         }
     }
-    let share = fleet.usage(0).show(0);
+    let share = fleet.usage(0).key_usage(0);
     assert!(share.spent + share.held > 800, "more than its own part of 500: {share:?}");
 }
 
--- a/crates/usage/tests/laws.rs
+++ b/crates/usage/tests/laws.rs
@@ -4,14 +4,14 @@
 
 use glenwood_usage::ledger::{base_rights, equal_part, Rights, Slot, Slots};
 use glenwood_usage::votes::{Ballot, InstanceSet, Replay, Votes};
-use glenwood_usage::{Boot, Key};
+use glenwood_usage::{Key, RunId};
 use proptest::prelude::*;
 
 fn slots() -> impl Strategy<Value = Slots> {
     prop::collection::vec((0..4u16, 0..3u64, 0..50u32, 0..50u32), 0..12).prop_map(|all| {
         let mut slots = Slots::default();
         for (instance, boot, spent, given) in all {
-            slots.update(instance, Boot(boot), Slot { spent, given });
+            slots.update(instance, RunId(boot), Slot { spent, given });
         }
         slots
     })
@@ -65,12 +65,12 @@
             match action {
                 0 if rights[a].held(bases[a], spent[a]) >= amount => spent[a] += amount,
                 1 if a != b => {
-                    rights[a].transfer(b as u16, Boot(1), amount, bases[a], spent[a]);
-                    transfers.push((a, b, rights[a].given_to(b as u16, Boot(1))));
+                    rights[a].transfer(b as u16, RunId(1), amount, bases[a], spent[a]);
+                    transfers.push((a, b, rights[a].given_to(b as u16, RunId(1))));
                 }
                 2 if !transfers.is_empty() => {
                     let (from, to, given) = transfers[amount as usize % transfers.len()];
-                    rights[to].slots.update(from as u16, Boot(1), Slot { spent: 0, given });
+                    rights[to].slots.update(from as u16, RunId(1), Slot { spent: 0, given });
                 }
                 _ => {}
             }
