--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -13,7 +13,7 @@
 
 use crate::machine::{Machine, Step};
 use crate::proto::{Code, EventKind, Request, Response};
-use crate::session::{Event, Failed, Session, Settings};
+use crate::session::{Event, RequestError, Session, Settings};
 use crate::Millis;
 
 /// Limit on data reads in flight, so that loading a large list uses bounded memory.
@@ -314,7 +314,7 @@
                     }
                 }
             }
-            Event::Answer(RequestTag::Names, Err(Failed::Service(Code::NoNode))) => {
+            Event::Answer(RequestTag::Names, Err(RequestError::Service(Code::NoNode))) => {
                 // A missing parent is not an empty list: nothing has registered yet, or the tree is still
                 // being created. A watch reports its creation.
                 self.list_in_flight = false;
@@ -328,7 +328,7 @@
         }
     }
 
-    fn handle_names(&mut self, now: Millis, answer: Result<Response, Failed>) {
+    fn handle_names(&mut self, now: Millis, answer: Result<Response, RequestError>) {
         self.list_in_flight = false;
         let names: BTreeSet<String> = match answer {
             Ok(Response::Children { names, .. }) => names.into_iter().collect(),
@@ -353,7 +353,7 @@
         }
     }
 
-    fn handle_data(&mut self, name: String, answer: Result<Response, Failed>) {
+    fn handle_data(&mut self, name: String, answer: Result<Response, RequestError>) {
         self.reads_in_flight.remove(&name);
         match answer {
             Ok(Response::Data { data, .. }) if data.len() > MAX_DATA_BYTES => {
@@ -370,7 +370,7 @@
                     self.outputs.push_back(Output::Change(Change::Set(name, data)));
                 }
             }
-            Err(Failed::Service(Code::NoNode)) => self.remove_child(&name),
+            Err(RequestError::Service(Code::NoNode)) => self.remove_child(&name),
             // The connection was lost; the read is repeated on the next one.
             Ok(_) | Err(_) => self.queue_read(name),
         }
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -18,7 +18,7 @@
 
 use crate::machine::{Machine, Step};
 use crate::proto::{Acl, Code, Mode, Request, Response};
-use crate::session::{Event, Failed, Session, Settings};
+use crate::session::{Event, RequestError, Session, Settings};
 use crate::Millis;
 
 /// Initial and maximum delay before a retry, in milliseconds; it doubles with each failure.
@@ -227,11 +227,11 @@
         self.send_request(now, RequestTag::ReadEntry, request);
     }
 
-    fn handle_answer(&mut self, now: Millis, tag: RequestTag, answer: Result<Response, Failed>) {
-        use Failed::{Lost, NotSent, Service};
+    fn handle_answer(&mut self, now: Millis, tag: RequestTag, answer: Result<Response, RequestError>) {
+        use RequestError::{ConnectionLost, NotSent, Service};
         match (tag, answer) {
             // Repeated on the next connection.
-            (_, Err(Lost | NotSent)) => self.state = State::Unregistered(None),
+            (_, Err(ConnectionLost | NotSent)) => self.state = State::Unregistered(None),
             (RequestTag::CreateEntry, Err(Service(Code::NoNode))) => self.create_ancestors(now, 0),
             (RequestTag::CreateAncestor(n), Ok(_) | Err(Service(Code::NodeExists))) => {
                 self.create_ancestors(now, n + 1)
--- a/crates/coordination/src/saved.rs
+++ b/crates/coordination/src/saved.rs
@@ -12,7 +12,7 @@
 
 /// A snapshot of a view.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Saved {
+pub struct SavedView {
     /// When the snapshot was taken, Unix time in milliseconds.
     pub at_unix_ms: Millis,
     /// The entries of the view.
@@ -49,7 +49,7 @@
     hasher.finalize()
 }
 
-impl Saved {
+impl SavedView {
     /// Serializes the view. The time is rounded to integer milliseconds: not every fraction survives JSON
     /// unchanged, and the checksum covers all bits of the time.
     pub fn write(&self) -> Vec<u8> {
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -46,15 +46,15 @@
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum RequestError {
     /// The service returned an error.
     Service(Code),
     /// The connection ended before the answer arrived; the request may have been executed.
-    Lost,
+    ConnectionLost,
     /// The request was not sent because there was no connection.
     NotSent,
     /// The answer is malformed.
-    Garbled,
+    Malformed,
 }
 
 /// An action for the driver, or an event for the user.
@@ -75,7 +75,7 @@
     /// The service reported that the session expired. A new one is requested automatically.
     Expired,
     /// The result of the request with this tag.
-    Answer(T, Result<Response, Failed>),
+    Answer(T, Result<Response, RequestError>),
     /// A watch fired.
     Fired(WatchEvent),
     /// The session disconnected from a member whose zxid was older than the newest one seen.
@@ -116,13 +116,13 @@
 
 impl Watches {
     /// Records the watch that an answered request has set.
-    fn set(&mut self, request: &Request, answer: &Result<Response, Failed>) {
+    fn set(&mut self, request: &Request, answer: &Result<Response, RequestError>) {
         match (request, answer) {
             (Request::Exists { path, watch: true }, Ok(_))
             | (Request::GetData { path, watch: true }, Ok(_)) => {
                 self.data.insert(path.clone());
             }
-            (Request::Exists { path, watch: true }, Err(Failed::Service(Code::NoNode))) => {
+            (Request::Exists { path, watch: true }, Err(RequestError::Service(Code::NoNode))) => {
                 self.exist.insert(path.clone());
             }
             (Request::GetChildren { path, watch: true, .. }, Ok(_)) => {
@@ -387,7 +387,7 @@
         }
         for pending in std::mem::take(&mut self.pending) {
             if let Some(tag) = pending.tag {
-                self.events.push_back(Event::Answer(tag, Err(Failed::Lost)));
+                self.events.push_back(Event::Answer(tag, Err(RequestError::ConnectionLost)));
             }
         }
         self.failures += 1;
@@ -410,7 +410,7 @@
     /// Sends a request; an [`Event::Answer`] with the same tag follows, in request order.
     pub fn ask(&mut self, now: Millis, tag: T, request: Request) {
         if self.state != State::Connected {
-            self.events.push_back(Event::Answer(tag, Err(Failed::NotSent)));
+            self.events.push_back(Event::Answer(tag, Err(RequestError::NotSent)));
             return;
         }
         // Negative xids are reserved by the protocol.
@@ -429,7 +429,7 @@
         self.state = State::Closed;
         for pending in std::mem::take(&mut self.pending) {
             if let Some(tag) = pending.tag {
-                self.events.push_back(Event::Answer(tag, Err(Failed::Lost)));
+                self.events.push_back(Event::Answer(tag, Err(RequestError::ConnectionLost)));
             }
         }
     }
@@ -522,8 +522,8 @@
             return false;
         }
         let answer = match header.error {
-            Some(code) => Err(Failed::Service(code)),
-            None => Response::read(&pending.request, &mut r).map_err(|_| Failed::Garbled),
+            Some(code) => Err(RequestError::Service(code)),
+            None => Response::read(&pending.request, &mut r).map_err(|_| RequestError::Malformed),
         };
         // A failed `multi` has its errors in the body, one per operation.
         self.watches.set(&pending.request, &answer);
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -39,12 +39,12 @@
     /// Path of the tree node whose children are the servers.
     pub path: String,
     /// Interval at which the names are read again even if no watch has fired, in milliseconds.
-    pub look_every: Millis,
+    pub relist_interval: Millis,
     /// Settings of the guard against mass expiry; `None` to pass on every departure at once.
     pub guard: Option<guard::Settings>,
     /// How long a server that still answers after its registration ended stays listed as draining, in
     /// milliseconds; 0 to remove it at once.
-    pub suspect: Millis,
+    pub suspect_ms: Millis,
 }
 
 /// An event for the view's user.
@@ -53,7 +53,7 @@
     /// Changed entries; removed ones are marked [`Health::Left`].
     List {
         /// Whether this is the first list of this process, with all entries.
-        whole: bool,
+        is_complete: bool,
         /// The entries.
         hosts: Vec<Host>,
     },
@@ -136,10 +136,10 @@
     pub fn new(now: Millis, settings: Settings, answers: Answers) -> Result<Self, BadSetting> {
         let disabled = guard::Settings { share: 1.0, window: 1.0, hold: 0.0 };
         let mut view = Self {
-            follower: Follower::new(now, settings.session, &settings.path, settings.look_every),
+            follower: Follower::new(now, settings.session, &settings.path, settings.relist_interval),
             guard: Guard::new(settings.guard.unwrap_or(disabled))?,
             answers,
-            suspect: settings.suspect,
+            suspect: settings.suspect_ms,
             registered: BTreeMap::new(),
             claims: HashMap::new(),
             suspects: BTreeMap::new(),
@@ -191,11 +191,11 @@
             }
         }
         self.guard.handle_timeout(now);
-        let mut whole = false;
+        let mut is_complete = false;
         while let Some(change) = self.guard.poll() {
             match change {
                 Change::Snapshot(all) => {
-                    (whole, self.has_first_list) = (true, true);
+                    (is_complete, self.has_first_list) = (true, true);
                     all.into_iter().for_each(|(name, data)| self.handle_registration(now, name, &data));
                 }
                 Change::Set(name, data) => self.handle_registration(now, name, &data),
@@ -207,7 +207,7 @@
             }
         }
         self.expire(now);
-        self.report(whole);
+        self.report(is_complete);
     }
 
     /// Removes expired suspects and ends expired exclusions.
@@ -325,7 +325,7 @@
         Some(host.clone())
     }
 
-    fn report(&mut self, whole: bool) {
+    fn report(&mut self, is_complete: bool) {
         if !self.has_first_list {
             return;
         }
@@ -357,8 +357,8 @@
                 break;
             }
         }
-        if whole || !hosts.is_empty() {
-            self.outputs.push_back(Step::Event(ViewEvent::List { whole, hosts }));
+        if is_complete || !hosts.is_empty() {
+            self.outputs.push_back(Step::Event(ViewEvent::List { is_complete, hosts }));
         }
     }
 }
--- a/crates/coordination/tests/session.rs
+++ b/crates/coordination/tests/session.rs
@@ -4,7 +4,7 @@
 use glenwood_coordination::frame::{with_length_prefix, Frames, MAX_RECORD_BYTES};
 use glenwood_coordination::jute::Reader;
 use glenwood_coordination::proto::*;
-use glenwood_coordination::session::{Event, Failed, Session, Settings};
+use glenwood_coordination::session::{Event, RequestError, Session, Settings};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -68,7 +68,7 @@
     assert_eq!(requests(&mut s).iter().map(|(xid, _)| *xid).collect::<Vec<_>>(), [1, 2]);
     reply(&mut s, 3.0, 1, 5, Ok(data()));
     reply(&mut s, 3.0, 2, 5, Err(Code::NoNode));
-    let answers = [Event::Answer(1, Ok(data())), Event::Answer(2, Err(Failed::Service(Code::NoNode)))];
+    let answers = [Event::Answer(1, Ok(data())), Event::Answer(2, Err(RequestError::Service(Code::NoNode)))];
     assert_eq!(events(&mut s), answers);
     assert_eq!((s.zxid(), s.watches()), (5, 2));
     let due = s.poll_timeout().expect("a ping is due");
@@ -141,7 +141,7 @@
     reply(&mut s, 6.0, XID_SET_WATCHES, 99, Ok(Response::Done));
     let all = events(&mut s);
     assert!(all.contains(&Event::Stale { member: stale }) && all.contains(&Event::Disconnect), "{all:?}");
-    assert!(all.contains(&Event::Answer(2, Err(Failed::Lost))));
+    assert!(all.contains(&Event::Answer(2, Err(RequestError::ConnectionLost))));
     // Both members have failed in a row, so the session backs off before it tries the other one.
     let due = s.poll_timeout().expect("a reconnect is scheduled");
     assert!(due > 6.0 && due <= 16.0, "{due}");
@@ -192,7 +192,7 @@
     reply(&mut s, 2.0, 2, 40, Ok(children));
     // The connection ends before the third answer: that watch is not set, and the caller gets an error.
     s.broken(3.0);
-    assert!(events(&mut s).contains(&Event::Answer(3, Err(Failed::Lost))));
+    assert!(events(&mut s).contains(&Event::Answer(3, Err(RequestError::ConnectionLost))));
     let due = s.poll_timeout().expect("a reconnect is scheduled");
     s.handle_timeout(due);
     accept_session(&mut s, due, 7);
@@ -241,14 +241,14 @@
     let mut s = session(1);
     events(&mut s);
     s.ask(0.0, 4, Request::Ping);
-    assert_eq!(events(&mut s), [Event::Answer(4, Err(Failed::NotSent))]);
+    assert_eq!(events(&mut s), [Event::Answer(4, Err(RequestError::NotSent))]);
     accept_session(&mut s, 1.0, 7);
     events(&mut s);
     s.ask(2.0, 5, get("/a"));
     s.close(3.0);
     let last = requests(&mut s).pop().map(|(_, r)| r);
     assert_eq!((last, s.poll_timeout()), (Some(Request::CloseSession), None));
-    assert_eq!(events(&mut s), [Event::Answer(5, Err(Failed::Lost))]);
+    assert_eq!(events(&mut s), [Event::Answer(5, Err(RequestError::ConnectionLost))]);
 }
 
 fn path() -> impl Strategy<Value = String> {
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -48,8 +48,13 @@
 
 fn view(service: &Service) -> Driver<View> {
     let session = session::Settings { members: service.members.len(), timeout: 1000.0, seed: 77 };
-    let settings =
-        Settings { session, path: "/servers".into(), look_every: 60_000.0, guard: None, suspect: 0.0 };
+    let settings = Settings {
+        session,
+        path: "/servers".into(),
+        relist_interval: 60_000.0,
+        guard: None,
+        suspect_ms: 0.0,
+    };
     let view = View::new(0.0, settings, Box::new(|_| false)).expect("good settings");
     Driver::new(view, service.members.clone(), Instant::now())
 }
@@ -64,7 +69,8 @@
         runtime.block_on(async {
             let session = session::Settings { members: members.len(), timeout: 1000.0, seed: 77 };
             let path = "/servers".to_string();
-            let settings = Settings { session, path, look_every: 60_000.0, guard: None, suspect: 0.0 };
+            let settings =
+                Settings { session, path, relist_interval: 60_000.0, guard: None, suspect_ms: 0.0 };
             let view = View::new(0.0, settings, Box::new(|_| false)).expect("good settings");
             let mut driver = Driver::new(view, members, Instant::now());
             while !stopped.load(Ordering::Relaxed) {
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use glenwood_coordination::net::Driver;
-use glenwood_coordination::saved::Saved;
+use glenwood_coordination::saved::SavedView;
 use glenwood_coordination::view::{Settings, View, ViewEvent};
 use glenwood_coordination::{guard, session};
 use tokio::task::JoinHandle;
@@ -37,7 +37,7 @@
     match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
         Err(e) => log::line(format!("registrations: {shown}: {e}; no saved view")),
-        Ok(bytes) => match Saved::read(&bytes) {
+        Ok(bytes) => match SavedView::read(&bytes) {
             Err(e) => log::line(format!("registrations: {shown}: {e}; the saved view is not used")),
             Ok(saved) => {
                 let age = ((unix_ms() - saved.at_unix_ms) / 1000.0).max(0.0);
@@ -55,7 +55,7 @@
     new.push(".new");
     let written = (|| {
         let mut file = File::create(&new)?;
-        file.write_all(&Saved { at_unix_ms: unix_ms(), hosts }.write())?;
+        file.write_all(&SavedView { at_unix_ms: unix_ms(), hosts }.write())?;
         file.sync_all()
     })();
     if let Err(error) = written {
@@ -132,13 +132,13 @@
     let view_settings = Settings {
         session: session::Settings { members, timeout: settings.timeout_ms as f64, seed },
         path: settings.path.clone(),
-        look_every: settings.look_every_ms as f64,
+        relist_interval: settings.look_every_ms as f64,
         guard: (settings.guard_hold_ms > 0).then_some(guard::Settings {
             share: settings.guard_share,
             window: settings.guard_window_ms as f64,
             hold: settings.guard_hold_ms as f64,
         }),
-        suspect: settings.suspect_ms as f64,
+        suspect_ms: settings.suspect_ms as f64,
     };
     let (known, max_age) = (hub.clone(), settings.answer_ms as f64);
     let answers = Box::new(move |name: &str| known.has_answered_within(name, max_age));
@@ -172,7 +172,7 @@
         };
         let (listed, _, _) = driver.machine().counts();
         match output {
-            Some(ViewEvent::List { whole, hosts }) => {
+            Some(ViewEvent::List { is_complete: whole, hosts }) => {
                 if whole {
                     log::line(format!("registrations: {} servers", hosts.len()));
                 }
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -52,7 +52,7 @@
     fn take(&mut self, world: &mut World) {
         for said in world.views[0].take_said() {
             match said {
-                ViewEvent::List { whole, hosts } => {
+                ViewEvent::List { is_complete: whole, hosts } => {
                     if whole {
                         self.hosts.clear();
                     }
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -124,7 +124,7 @@
     fn listen(&mut self, world: &mut World) {
         let now = world.now;
         for said in world.views[0].take_said() {
-            let ViewEvent::List { whole, hosts } = said else { continue };
+            let ViewEvent::List { is_complete: whole, hosts } = said else { continue };
             let update = Update { version: 0, whole, hosts };
             let update = self.merge.take(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use glenwood_coordination::machine::{Machine, Step};
 use glenwood_coordination::proto::{Acl, Code, Mode, Request, Response};
 use glenwood_coordination::registrar::Registrar;
-use glenwood_coordination::session::{Event, Failed, Session, Settings};
+use glenwood_coordination::session::{Event, RequestError, Session, Settings};
 use glenwood_coordination::view::{self, Answers, View};
 use glenwood_list::Host;
 use glenwood_testkit::coordination::ensemble::{ConnId, Ensemble};
@@ -140,9 +140,9 @@
         let settings = view::Settings {
             session: self.settings(seed),
             path: "/servers".into(),
-            look_every: 60_000.0,
+            relist_interval: 60_000.0,
             guard,
-            suspect: 10_000.0,
+            suspect_ms: 10_000.0,
         };
         let view = View::new(self.now, settings, answers).expect("good settings");
         self.views.push(At::new(view));
@@ -229,7 +229,10 @@
         match event {
             Event::Established { new: true } => world.ask(id, "register", create(&path, true)),
             // Perhaps it was done, perhaps not: asking again tells.
-            Event::Answer("register" | "renew", Err(Failed::Lost | Failed::NotSent)) => {
+            Event::Answer(
+                "register" | "renew",
+                Err(RequestError::ConnectionLost | RequestError::NotSent),
+            ) => {
                 world.clients.get_mut(&id).expect("it is there").said.push(event);
                 if world.clients[&id].machine.is_connected() {
                     world.clients.get_mut(&id).expect("it is there").said.pop();
@@ -237,7 +240,7 @@
                 }
                 return;
             }
-            Event::Answer("register", Err(Failed::Service(Code::NodeExists))) => {
+            Event::Answer("register", Err(RequestError::Service(Code::NodeExists))) => {
                 // Of the session before, or of this one: the old session's end must not take the new one's along.
                 let renew = vec![Request::Delete { path: path.clone(), version: -1 }, create(&path, true)];
                 world.ask(id, "renew", Request::Multi(renew));
