--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -176,13 +176,13 @@
     }
 
     /// Number of requests so far for the names and for the data of a child.
-    pub fn asked(&self) -> (u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64) {
         self.request_counts
     }
 
     /// When the service last sent anything, which bounds the age of the known state.
-    pub fn heard(&self) -> Millis {
-        self.session.heard()
+    pub fn last_received(&self) -> Millis {
+        self.session.last_received()
     }
 
     /// When [`Follower::handle_timeout`] must be called next.
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -66,7 +66,7 @@
     }
 
     /// Numbers of bytes read and written so far.
-    pub fn moved(&self) -> (u64, u64) {
+    pub fn bytes_moved(&self) -> (u64, u64) {
         self.bytes_moved
     }
 
--- a/crates/coordination/src/proto.rs
+++ b/crates/coordination/src/proto.rs
@@ -222,7 +222,7 @@
 
 impl Acl {
     /// Grants all permissions to everyone.
-    pub fn open() -> Vec<Self> {
+    pub fn world_all() -> Vec<Self> {
         vec![Self { permissions: 31, scheme: "world".into(), id: "anyone".into() }]
     }
 }
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -151,7 +151,7 @@
 
     fn create_request(&self) -> Request {
         let mode = Mode { ephemeral: true, sequential: false };
-        Request::Create { path: self.path(), data: self.data(), acl: Acl::open(), mode, stat: false }
+        Request::Create { path: self.path(), data: self.data(), acl: Acl::world_all(), mode, stat: false }
     }
 
     fn send_request(&mut self, now: Millis, tag: RequestTag, request: Request) {
@@ -259,7 +259,7 @@
             Some(path) => {
                 let mode = Mode::default();
                 let request =
-                    Request::Create { path, data: Bytes::new(), acl: Acl::open(), mode, stat: false };
+                    Request::Create { path, data: Bytes::new(), acl: Acl::world_all(), mode, stat: false };
                 self.send_request(now, RequestTag::CreateAncestor(n), request);
             }
             // The whole folder exists. If it existed before, it was deleted in between. The entry is created
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -297,7 +297,7 @@
     }
 
     /// When the last valid record arrived from the service.
-    pub fn heard(&self) -> Millis {
+    pub fn last_received(&self) -> Millis {
         self.last_received
     }
 
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -160,8 +160,8 @@
     }
 
     /// When the service last sent anything, which bounds the age of the list.
-    pub fn heard(&self) -> Millis {
-        self.follower.heard()
+    pub fn last_received(&self) -> Millis {
+        self.follower.last_received()
     }
 
     /// The underlying follower.
--- a/crates/coordination/tests/session.rs
+++ b/crates/coordination/tests/session.rs
@@ -260,7 +260,13 @@
     prop_oneof![
         (path(), bytes(), any::<(bool, bool, bool)>()).prop_map(
             |(path, data, (ephemeral, sequential, stat))| {
-                Request::Create { path, data, acl: Acl::open(), mode: Mode { ephemeral, sequential }, stat }
+                Request::Create {
+                    path,
+                    data,
+                    acl: Acl::world_all(),
+                    mode: Mode { ephemeral, sequential },
+                    stat,
+                }
             }
         ),
         (path(), any::<i32>()).prop_map(|(path, version)| Request::Delete { path, version }),
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -250,7 +250,7 @@
             Request::Create {
                 path: "/servers".into(),
                 data: Bytes::new(),
-                acl: Acl::open(),
+                acl: Acl::world_all(),
                 mode: Mode::default(),
                 stat: false,
             },
@@ -278,7 +278,7 @@
         for n in from..to {
             let mode = Mode { ephemeral: true, sequential: false };
             let path = format!("/servers/server-{n:05}");
-            self.ask(n, Request::Create { path, data: data(n), acl: Acl::open(), mode, stat: false });
+            self.ask(n, Request::Create { path, data: data(n), acl: Acl::world_all(), mode, stat: false });
         }
         self.answers(to - from).await;
     }
@@ -311,7 +311,7 @@
             }
             let took = begin.elapsed().as_secs_f64() * 1000.0;
             let span = Duration::from_secs(5);
-            let (bytes, cpu) = (driver.moved(), node.cpu());
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
             let _ = tokio::time::timeout(span, async {
                 loop {
                     driver.next().await;
@@ -319,8 +319,8 @@
             })
             .await;
             let moved = |now: (u64, u64), before: (u64, u64)| (now.0 + now.1 - before.0 - before.1) / 5;
-            let rest = ((node.cpu() - cpu) * 2, moved(driver.moved(), bytes));
-            let (bytes, cpu) = (driver.moved(), node.cpu());
+            let rest = ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes));
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
             let changes = async {
                 for n in 0..5 {
                     many.remove(n).await;
@@ -333,7 +333,7 @@
                 () = changes => {}
                 () = async { loop { driver.next().await; } } => {}
             }
-            (took, rest, ((node.cpu() - cpu) * 2, moved(driver.moved(), bytes)))
+            (took, rest, ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes)))
         });
         let mb = node.resident() as f64 / 1e6;
         println!(
@@ -370,7 +370,7 @@
             () = async { while driver.machine().list().count() < 5000 { driver.next().await; } } => {}
         }
         let took = begin.elapsed().as_secs_f64();
-        let (names, data) = driver.machine().follower().asked();
+        let (names, data) = driver.machine().follower().request_counts();
         let registered = registered.map_or(0.0, |r| r.as_secs_f64());
         println!(
             "5000 within {registered:.2} s: all listed after {took:.2} s, {names} readings of names, {data} of data; \
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -161,7 +161,7 @@
     list.pass(&mut world, 6.0 * 3_600_000.0);
     assert_eq!((list.take_changes(), list.active(), list.away), (vec![], 12, 1));
     let view = &world.views[0].machine;
-    assert!(world.now - view.heard() >= 6.0 * 3_600_000.0 - TIMEOUT, "its age is known");
+    assert!(world.now - view.last_received() >= 6.0 * 3_600_000.0 - TIMEOUT, "its age is known");
     (0..MEMBERS).for_each(|m| world.ensemble.restore(m));
     list.pass(&mut world, 10_000.0);
     assert_eq!((list.take_changes(), list.active()), (vec![], 12));
@@ -470,9 +470,9 @@
         }
         // Without a leader the member answers nobody: the names are asked for, and the connection ends first.
         world.ensemble.kill(leader);
-        let asked = world.views[0].machine.follower().asked().0;
+        let asked = world.views[0].machine.follower().request_counts().0;
         list.pass(&mut world, 70.0);
-        assert_eq!((world.views[0].machine.follower().asked().0, list.active()), (asked + 1, 3));
+        assert_eq!((world.views[0].machine.follower().request_counts().0, list.active()), (asked + 1, 3));
         world.ensemble.kill(member);
         list.pass(&mut world, TIMEOUT);
         assert_eq!(list.health(4), Some(Health::Active), "seed {seed}");
@@ -498,13 +498,13 @@
     }
     list.pass(&mut world, 300.0);
     assert_eq!(list.active(), 5003);
-    let (names, data) = world.views[0].machine.follower().asked();
+    let (names, data) = world.views[0].machine.follower().request_counts();
     assert!(names < 60 && data < 5100, "{names} readings of names, {data} of data");
     // They end with one session, and are gone without the names being read again and again.
     list.take_changes();
     world.vanish(5);
     list.pass(&mut world, ENDS);
     assert_eq!((list.active(), list.take_changes().len()), (3, 5000));
-    let after = world.views[0].machine.follower().asked();
+    let after = world.views[0].machine.follower().request_counts();
     assert!(after.0 - names < 10 && after.1 == data, "{after:?}");
 }
--- a/crates/testkit/tests/tree.rs
+++ b/crates/testkit/tests/tree.rs
@@ -8,7 +8,13 @@
 
 fn create(path: &str, ephemeral: bool, sequential: bool) -> Request {
     let mode = Mode { ephemeral, sequential };
-    Request::Create { path: path.into(), data: Bytes::from_static(b"d"), acl: Acl::open(), mode, stat: false }
+    Request::Create {
+        path: path.into(),
+        data: Bytes::from_static(b"d"),
+        acl: Acl::world_all(),
+        mode,
+        stat: false,
+    }
 }
 
 fn delete(path: &str, version: i32) -> Request {
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -218,7 +218,7 @@
 
 pub fn create(path: &str, ephemeral: bool) -> Request {
     let mode = Mode { ephemeral, sequential: false };
-    Request::Create { path: path.into(), data: Bytes::new(), acl: Acl::open(), mode, stat: false }
+    Request::Create { path: path.into(), data: Bytes::new(), acl: Acl::world_all(), mode, stat: false }
 }
 
 /// A registrar: registers with each new session, again where the old node is still there.
