--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -136,8 +136,8 @@
             number,
             window_ms: self.window_ms,
             exchange_ms: self.exchange_ms,
-            gone_ms: self.gone_ms,
-            shared_most: self.shared_most,
+            instance_timeout_ms: self.gone_ms,
+            max_shared_keys: self.shared_most,
         }
     }
 }
--- a/crates/scale/src/scenario/usage.rs
+++ b/crates/scale/src/scenario/usage.rs
@@ -45,8 +45,8 @@
             number,
             window_ms: WINDOW_MS,
             exchange_ms: EXCHANGE_MS,
-            gone_ms: 10_000,
-            shared_most: 4096,
+            instance_timeout_ms: 10_000,
+            max_shared_keys: 4096,
         };
         let boot = RunId(1 + number as u64);
         let secret = Secret::new(b"a secret of all instances");
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -38,10 +38,10 @@
     /// Interval between exchanges, in milliseconds.
     pub exchange_ms: u64,
     /// An instance that was silent for this long counts as gone, in milliseconds.
-    pub gone_ms: u64,
+    pub instance_timeout_ms: u64,
     /// Maximum number of keys whose rights are transferred at a time; for other keys each instance is limited
     /// to its own part.
-    pub shared_most: usize,
+    pub max_shared_keys: usize,
 }
 
 impl Settings {
@@ -58,8 +58,8 @@
         check_range("number", self.number as u64, 0, self.instances as u64 - 1)?;
         check_range("window_ms", self.window_ms, 100, 3_600_000)?;
         check_range("exchange_ms", self.exchange_ms, 10, self.window_ms / 4)?;
-        check_range("gone_ms", self.gone_ms, 2 * self.exchange_ms, 3_600_000)?;
-        check_range("shared_most", self.shared_most as u64, 1, 1 << 16)
+        check_range("gone_ms", self.instance_timeout_ms, 2 * self.exchange_ms, 3_600_000)?;
+        check_range("shared_most", self.max_shared_keys as u64, 1, 1 << 16)
     }
 }
 
@@ -368,7 +368,9 @@
     /// included, and the median differs by more than half a window. With the clocks evenly divided no
     /// instance moves: otherwise both halves would, and would be as far apart as before.
     fn set_clock(&mut self) {
-        let alive = |p: &&Peer| p.last_seen.is_some_and(|at| self.now.abs_diff(at) < self.settings.gone_ms);
+        let alive = |p: &&Peer| {
+            p.last_seen.is_some_and(|at| self.now.abs_diff(at) < self.settings.instance_timeout_ms)
+        };
         let mut offsets: Vec<i64> = self.peers.iter().filter(alive).map(Peer::min_clock_ahead).collect();
         offsets.push(0);
         if 2 * offsets.len() <= self.settings.instances {
@@ -439,7 +441,7 @@
             self.slots = slots;
             self.changed.retain(|_, handle| self.shared.contains_key(handle));
         }
-        let (now, gone, started_at) = (self.now, self.settings.gone_ms, self.started_at);
+        let (now, gone, started_at) = (self.now, self.settings.instance_timeout_ms, self.started_at);
         let peers = &self.peers;
         let cast = self.votes.cast(self.window, |index| match peers[index].last_seen {
             Some(at) if now.abs_diff(at) < gone => Some(true),
@@ -485,7 +487,7 @@
         if self.shared.contains_key(&handle) {
             return true;
         }
-        if self.shared.len() >= self.settings.shared_most {
+        if self.shared.len() >= self.settings.max_shared_keys {
             return false;
         }
         let rights = [Rights::new(self.window), Rights::new(self.window + 1)];
--- a/crates/usage/tests/common/mod.rs
+++ b/crates/usage/tests/common/mod.rs
@@ -37,8 +37,8 @@
         number,
         window_ms: WINDOW_MS,
         exchange_ms: 100,
-        gone_ms: 10_000,
-        shared_most: 4096,
+        instance_timeout_ms: 10_000,
+        max_shared_keys: 4096,
     }
 }
 
--- a/crates/usage/tests/fleet.rs
+++ b/crates/usage/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 
-/// Time until votes and rights have settled: `gone_ms` (two windows) and two more windows, in milliseconds.
+/// Time until votes and rights have settled: `instance_timeout_ms` (two windows) and two more windows, in milliseconds.
 const SETTLE_MS: u64 = 4 * WINDOW_MS;
 
 fn settled(instances: usize, allowances: &[u32], seed: u64) -> Fleet {
@@ -137,8 +137,8 @@
     let mut fleet = settled(3, &[900], 7);
     fleet.stop(2);
     fleet.run(2 * WINDOW_MS - 100, &[400.0], any_instance(2));
-    assert!(!fleet.usage(0).peers()[1].gone, "its part is not divided before gone_ms has passed");
-    // It takes gone_ms, and then the start of the window that the vote is for.
+    assert!(!fleet.usage(0).peers()[1].gone, "its part is not divided before instance_timeout_ms has passed");
+    // It takes instance_timeout_ms, and then the start of the window that the vote is for.
     fleet.run(2 * WINDOW_MS + 200, &[400.0], any_instance(2));
     assert!(fleet.usage(0).peers()[1].gone);
     fleet.reset_counts();
@@ -260,7 +260,7 @@
     let mut fleet = Fleet::new(2, &[100; 8], 19);
     for n in 0..2 {
         let mut set = settings(2, n);
-        set.shared_most = 3;
+        set.max_shared_keys = 3;
         fleet.start_with(n, set);
     }
     fleet.run(SETTLE_MS, &[], any_instance(2));
