--- a/crates/glenctl/src/register.rs
+++ b/crates/glenctl/src/register.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, ValueEnum};
 use glenwood_coordination::net::Driver;
-use glenwood_coordination::registrar::{Registrar, Said};
+use glenwood_coordination::registrar::{Registrar, RegistrarEvent};
 use glenwood_coordination::session::Settings;
 use glenwood_list::{Dial, Host, Protocol};
 use rustix::process::{kill_process, Pid, Signal};
@@ -237,16 +237,16 @@
             event = driver.next() => {
                 let name = &arguments.name;
                 match event {
-                    Said::Registered => log(&format!("{name} is registered")),
-                    Said::Away => log("the coordination service can't be reached; retrying"),
-                    Said::GaveWay => log(&format!("a later process has registered the name {name}; not registered")),
-                    Said::Draining => {
+                    RegistrarEvent::Registered => log(&format!("{name} is registered")),
+                    RegistrarEvent::Unreachable => log("the coordination service can't be reached; retrying"),
+                    RegistrarEvent::Superseded => log(&format!("a later process has registered the name {name}; not registered")),
+                    RegistrarEvent::Draining => {
                         log(&format!("{name} is draining"));
                         if matches!(phase, Phase::Draining(_)) {
                             phase = Phase::Drained(after(arguments.drain_ms));
                         }
                     }
-                    Said::Ended => {}
+                    RegistrarEvent::Stopped => {}
                 }
             }
             () = sleep_until(due) => match phase {
@@ -277,7 +277,7 @@
     let now = driver.now();
     driver.machine_mut().end(now);
     let end = async {
-        while driver.next().await != Said::Ended {}
+        while driver.next().await != RegistrarEvent::Stopped {}
         driver.finish().await;
     };
     // If the service can't be reached, the session times out by itself.
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -17,7 +17,7 @@
 use glenwood_coordination::net::Driver;
 use glenwood_coordination::proto::{Acl, Mode, Request};
 use glenwood_coordination::session::{self, Event, Session};
-use glenwood_coordination::view::{Said, Settings, View};
+use glenwood_coordination::view::{Settings, View, ViewEvent};
 use glenwood_list::{Dial, Health, Host};
 use glenwood_testkit::client::{Ask, Client, Effect};
 use glenwood_testkit::coordination::net::Service;
@@ -48,8 +48,13 @@
 
 fn view(service: &Service) -> Driver<View> {
     let session = session::Settings { members: service.members.len(), timeout: 1000.0, seed: 77 };
-    let settings =
-        Settings { session, path: "/servers".into(), look_every: 60_000.0, guard: None, suspect: 0.0 };
+    let settings = Settings {
+        session,
+        path: "/servers".into(),
+        relist_interval: 60_000.0,
+        guard: None,
+        suspect_ms: 0.0,
+    };
     let view = View::new(0.0, settings, Box::new(|_| false)).expect("good settings");
     Driver::new(view, service.members.clone(), Instant::now())
 }
@@ -64,12 +69,13 @@
         runtime.block_on(async {
             let session = session::Settings { members: members.len(), timeout: 1000.0, seed: 77 };
             let path = "/servers".to_string();
-            let settings = Settings { session, path, look_every: 60_000.0, guard: None, suspect: 0.0 };
+            let settings =
+                Settings { session, path, relist_interval: 60_000.0, guard: None, suspect_ms: 0.0 };
             let view = View::new(0.0, settings, Box::new(|_| false)).expect("good settings");
             let mut driver = Driver::new(view, members, Instant::now());
             while !stopped.load(Ordering::Relaxed) {
                 let next = tokio::time::timeout(Duration::from_millis(100), driver.next()).await;
-                let Ok(Said::List { hosts, .. }) = next else { continue };
+                let Ok(ViewEvent::List { hosts, .. }) = next else { continue };
                 for host in hosts.iter().filter(|h| h.health == Health::Left) {
                     gone.lock().expect("times").entry(host.host.clone()).or_insert_with(Instant::now);
                 }
@@ -244,7 +250,7 @@
             Request::Create {
                 path: "/servers".into(),
                 data: Bytes::new(),
-                acl: Acl::open(),
+                acl: Acl::world_all(),
                 mode: Mode::default(),
                 stat: false,
             },
@@ -272,7 +278,7 @@
         for n in from..to {
             let mode = Mode { ephemeral: true, sequential: false };
             let path = format!("/servers/server-{n:05}");
-            self.ask(n, Request::Create { path, data: data(n), acl: Acl::open(), mode, stat: false });
+            self.ask(n, Request::Create { path, data: data(n), acl: Acl::world_all(), mode, stat: false });
         }
         self.answers(to - from).await;
     }
@@ -305,7 +311,7 @@
             }
             let took = begin.elapsed().as_secs_f64() * 1000.0;
             let span = Duration::from_secs(5);
-            let (bytes, cpu) = (driver.moved(), node.cpu());
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
             let _ = tokio::time::timeout(span, async {
                 loop {
                     driver.next().await;
@@ -313,8 +319,8 @@
             })
             .await;
             let moved = |now: (u64, u64), before: (u64, u64)| (now.0 + now.1 - before.0 - before.1) / 5;
-            let rest = ((node.cpu() - cpu) * 2, moved(driver.moved(), bytes));
-            let (bytes, cpu) = (driver.moved(), node.cpu());
+            let rest = ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes));
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
             let changes = async {
                 for n in 0..5 {
                     many.remove(n).await;
@@ -327,7 +333,7 @@
                 () = changes => {}
                 () = async { loop { driver.next().await; } } => {}
             }
-            (took, rest, ((node.cpu() - cpu) * 2, moved(driver.moved(), bytes)))
+            (took, rest, ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes)))
         });
         let mb = node.resident() as f64 / 1e6;
         println!(
@@ -364,7 +370,7 @@
             () = async { while driver.machine().list().count() < 5000 { driver.next().await; } } => {}
         }
         let took = begin.elapsed().as_secs_f64();
-        let (names, data) = driver.machine().follower().asked();
+        let (names, data) = driver.machine().follower().request_counts();
         let registered = registered.map_or(0.0, |r| r.as_secs_f64());
         println!(
             "5000 within {registered:.2} s: all listed after {took:.2} s, {names} readings of names, {data} of data; \
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -1,248 +1,259 @@
-//! One instance: what it holds and spends, and what it says to the others.
+//! The state machine of one instance: its rights and spending, and its exchange with the other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
 
-use crate::ledger::{base, mix, part, Boot, Key, Rights, Slot};
-use crate::votes::{Lives, Replay, Votes};
-use crate::wire::{room, Bad, Entry, Message, Secret, INSTANCES_MOST};
-
-/// How much more than it expects to need an instance asks for.
-const AHEAD: f64 = 1.1;
-/// The part of a window after which rights of the next are asked for.
-const EARLY: f64 = 0.4;
-/// How many datagrams go out by turns at an exchange, at the least, and how often each pair should speak in a window.
-const FAN_OUT: usize = 8;
-const WORDS_A_WINDOW: u64 = 4;
-/// One place of so many in a datagram is for wishes by turns, as the largest come first at the others.
-const BY_TURNS: usize = 4;
-/// One datagram in so many carries a digest.
-const DIGEST_EVERY: u64 = 16;
-/// The most slots of others that are kept for all keys together: 2.5 MB.
-const SLOTS_MOST: usize = 1 << 16;
-
-/// How instances share.
+use crate::ledger::{base_rights, equal_part, mix, Key, Rights, RunId, Slot};
+use crate::votes::{Replay, Runs, Votes};
+use crate::wire::{max_entries, DatagramError, Entry, Message, Secret, MAX_INSTANCES};
+
+/// An instance requests this many times its expected need.
+const DEMAND_HEADROOM_FACTOR: f64 = 1.1;
+/// The share of a window after which rights for the next window are requested.
+const NEXT_WINDOW_REQUEST_SHARE: f64 = 0.4;
+/// Minimum number of datagrams sent to peers in rotation at each exchange.
+const MIN_FAN_OUT: usize = 8;
+/// Minimum number of messages from each instance to each other one in a window.
+const MIN_MESSAGES_PER_WINDOW: u64 = 4;
+/// One of this many entry slots of a datagram is reserved for wants in rotation; the others go to the largest
+/// wants first.
+const ROTATION_SLOT_DIVISOR: usize = 4;
+/// One datagram in this many carries a digest.
+const DIGEST_INTERVAL_DATAGRAMS: u64 = 16;
+/// Maximum number of slots of other instances kept over all keys, about 2.5 MB.
+const MAX_SLOTS: usize = 1 << 16;
+
+/// Settings of the exchange between instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The number of the list of instances: those who go by another list are not heard.
+    /// The number of the list of instances; datagrams from instances with another list are rejected.
     pub list: u32,
-    /// How many instances there are.
+    /// The number of instances.
     pub instances: usize,
-    /// Which of them this is, from 0.
+    /// The index of this instance, from 0.
     pub number: usize,
-    /// How long a window is, in milliseconds.
+    /// Length of a window, in milliseconds.
     pub window_ms: u64,
-    /// How often instances speak.
+    /// Interval between exchanges, in milliseconds.
     pub exchange_ms: u64,
-    /// After how long without a word an instance counts as gone.
-    pub gone_ms: u64,
-    /// How many keys may be shared at a time; the others keep to the parts that each instance has by itself.
-    pub shared_most: usize,
+    /// An instance that was silent for this long counts as gone, in milliseconds.
+    pub instance_timeout_ms: u64,
+    /// Maximum number of keys whose rights are transferred at a time; for other keys each instance is limited
+    /// to its own part.
+    pub max_shared_keys: usize,
 }
 
 impl Settings {
-    /// Checks that they make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The field, and what is expected.
+    /// The invalid field and what was expected.
     pub fn check(&self) -> Result<(), String> {
-        let within = |name: &str, n: u64, least: u64, most: u64| {
-            let fits = (least..=most).contains(&n);
-            fits.then_some(()).ok_or_else(|| format!("{name}: {least} to {most} expected, not {n}"))
+        let check_range = |name: &str, value: u64, min: u64, max: u64| {
+            let fits = (min..=max).contains(&value);
+            fits.then_some(()).ok_or_else(|| format!("{name}: {min} to {max} expected, not {value}"))
         };
-        within("instances", self.instances as u64, 1, INSTANCES_MOST as u64)?;
-        within("number", self.number as u64, 0, self.instances as u64 - 1)?;
-        within("window_ms", self.window_ms, 100, 3_600_000)?;
-        within("exchange_ms", self.exchange_ms, 10, self.window_ms / 4)?;
-        within("gone_ms", self.gone_ms, 2 * self.exchange_ms, 3_600_000)?;
-        within("shared_most", self.shared_most as u64, 1, 1 << 16)
+        check_range("instances", self.instances as u64, 1, MAX_INSTANCES as u64)?;
+        check_range("number", self.number as u64, 0, self.instances as u64 - 1)?;
+        check_range("window_ms", self.window_ms, 100, 3_600_000)?;
+        check_range("exchange_ms", self.exchange_ms, 10, self.window_ms / 4)?;
+        check_range("gone_ms", self.instance_timeout_ms, 2 * self.exchange_ms, 3_600_000)?;
+        check_range("shared_most", self.max_shared_keys as u64, 1, 1 << 16)
     }
 }
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// To which instance.
+    /// The index of the receiving instance.
     pub to: usize,
     /// Its bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What is known of every key, of which there may be very many.
+/// The counters kept for every key. There may be very many keys, so this is kept small.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     key: u64,
-    /// Allowed in a window, over all instances.
+    /// The allowance in a window, over all instances.
     allowance: u32,
-    /// Which window the counts are of, as far as it was touched.
+    /// The window of the counters; they are rolled over lazily, when the key is next used.
     window: u64,
     spent: u32,
-    /// Asked for, in vain too.
+    /// Requested, whether granted or not.
     asked: u32,
-    /// The same of the window before.
+    /// `spent` and `asked` of the previous window.
     before: (u32, u32),
-    /// What is left to be spent in this window, as it was last reckoned.
+    /// Cached amount that can still be spent in this window.
     held: u32,
-    /// For which view of the votes `held` was reckoned.
-    view: u64,
+    /// The `Usage::votes_revision` that `held` was computed for; 0 if it must be recomputed.
+    votes_revision: u64,
 }
 
-/// A key whose rights change hands.
+/// A key whose rights are transferred between instances.
 #[derive(Clone, Debug)]
 struct Shared {
-    /// Of the present window and the next.
+    /// The rights in the current window and the next.
     rights: [Rights; 2],
-    /// What others last said that they hold of these, and by which of their versions.
+    /// The rights that each other instance last reported to hold, and the version of that report.
     others: [BTreeMap<u16, (u32, u64)>; 2],
-    /// What is wanted of each.
+    /// The amount wanted from the others in each window.
     wants: [u32; 2],
-    /// What all of them are thought to hold.
-    thought: [u64; 2],
-    /// By which change something of it was handed on last.
+    /// The estimated rights that all others hold together in each window.
+    estimated_total: [u64; 2],
+    /// The version of the last transfer of this key.
     version: u64,
 }
 
 /// Another instance.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    lives: Lives,
+    runs: Runs,
     replay: Replay,
-    /// When it last proved that it runs.
-    heard_at: Option<u64>,
-    /// By how much its clock seemed ahead of this one's, and this one's of its: either is too small by the time that the
-    /// datagram took.
-    ahead: (i64, i64),
-    /// Up to which version it has been heard.
-    theirs: u64,
-    /// Up to which version it has heard.
-    acked: u64,
-    /// Numbers the datagrams to it.
-    turn: u64,
-    /// It waits for rights, or its word is due.
+    /// When it last proved to be running.
+    last_seen: Option<u64>,
+    /// By how much its clock appeared ahead of this one's, and this one's ahead of its clock. Each is too
+    /// small by the network delay of the datagram.
+    clock_ahead: (i64, i64),
+    /// The latest version of the peer that was received here.
+    their_version: u64,
+    /// The latest version of this instance that the peer acknowledged.
+    acked_version: u64,
+    /// The number of the last datagram sent to it.
+    last_number: u64,
+    /// A datagram is to be sent to it: it waits for rights, or it is its turn in the rotation.
     urgent: bool,
-    /// Keys of which something was handed on to it since.
-    due: Vec<usize>,
+    /// Handles of the keys with transfers to it since the last datagram.
+    changed_handles: Vec<usize>,
 }
 
 impl Peer {
-    /// By how much its clock is ahead at the least; 0 where the delays of the network may explain all of it.
-    fn surely_ahead(&self) -> i64 {
-        let (least, most) = (self.ahead.0, self.ahead.1.saturating_neg());
-        0.clamp(least.min(most), most.max(least))
+    /// The least amount by which its clock must be ahead; 0 if network delays can explain all of the
+    /// difference.
+    fn min_clock_ahead(&self) -> i64 {
+        let (low, high) = (self.clock_ahead.0, self.clock_ahead.1.saturating_neg());
+        0.clamp(low.min(high), high.max(low))
     }
 }
 
-/// What an instance says of one key.
+/// The state of one key at this instance, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Share {
+pub struct KeyUsage {
     /// The key.
     pub key: u64,
     /// The window.
     pub window: u64,
-    /// Allowed in a window, over all instances.
+    /// The allowance in a window, over all instances.
     pub allowance: u32,
-    /// Spent here.
+    /// The amount spent here.
     pub spent: u32,
-    /// Held here, to be spent.
+    /// The amount that can still be spent here.
     pub held: u32,
-    /// Asked for here.
+    /// The amount requested here, whether granted or not.
     pub asked: u32,
-    /// Spent by the others, as far as they said.
+    /// The amount that the others have reported as spent.
     pub others: u32,
-    /// Spent and asked for here in the window before.
+    /// The amounts spent and requested here in the previous window.
     pub before: (u32, u32),
-    /// Its rights change hands.
+    /// Whether its rights are transferred between instances.
     pub shared: bool,
 }
 
-/// What an instance knows of one key at another.
+/// What this instance knows of one key at another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Explained {
+pub struct PeerKeyUsage {
     /// The instance.
     pub instance: usize,
-    /// What it has spent.
+    /// The amount it has spent.
     pub spent: u32,
-    /// What it held when it last said.
+    /// The amount it last reported to hold.
     pub held: Option<u32>,
-    /// What it has handed on to this one, and this one to it.
+    /// The amounts transferred from it to this instance and from this instance to it.
     pub given: (u32, u32),
 }
 
-/// What an instance knows of another.
+/// What this instance knows of another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Peers {
+pub struct PeerStatus {
     /// The instance.
     pub instance: usize,
-    /// How long ago it last proved that it runs, in milliseconds.
+    /// Time since it last proved to be running, in milliseconds.
     pub age_ms: Option<u64>,
-    /// By how much its clock is ahead.
+    /// By how much its clock is ahead, in milliseconds.
     pub ahead_ms: i64,
-    /// How many changes it has not heard yet.
+    /// The number of changes that it has not acknowledged yet.
     pub behind: u64,
-    /// Its part is divided among the others in this window.
+    /// Whether its part is divided among the others in this window.
     pub gone: bool,
 }
 
 /// One instance.
 #[derive(Debug)]
 pub struct Usage {
-    set: Settings,
+    settings: Settings,
     secret: Secret,
-    boot: Boot,
-    /// The last time that was told, by the clock as it was set right.
+    boot: RunId,
+    /// The latest time passed in, corrected by `offset`, in milliseconds.
     now: u64,
-    /// What the others' clocks say of this one.
+    /// The correction of the local clock by the other instances' clocks, in milliseconds.
     offset: i64,
-    began: u64,
+    started_at: u64,
     window: u64,
     votes: Votes,
-    /// Raised with each vote, as parts may have changed.
-    view: u64,
-    /// Whether it has its own part, and whose it divides: of the present window and the next.
+    /// Incremented with each vote, as the parts may have changed.
+    votes_revision: u64,
+    /// Whether this instance owns its part, and the instances whose parts are divided, in the current window
+    /// and the next.
     parts: [(bool, Vec<usize>); 2],
+    /// The counters of all keys, indexed by handle.
     counts: Vec<Count>,
+    /// Maps each key to its handle.
     by_key: HashMap<u64, usize>,
-    /// Those that were asked for in this window or the one before.
+    /// Handles of the keys requested in this window or the previous one.
     active: Vec<usize>,
+    /// The shared keys by handle.
     shared: BTreeMap<usize, Shared>,
+    /// The number of slots of other instances over all shared keys.
     slots: usize,
-    /// Counts the times that wishes were reckoned.
+    /// Counts the times that wants were computed.
     round: u64,
-    /// The keys that something is wanted of, the largest wish first.
-    wishes: Vec<usize>,
-    /// By which version something of which key was handed on last.
+    /// Handles of the keys that rights are wanted of, the largest want first.
+    wanted_handles: Vec<usize>,
+    /// Maps the version of the last transfer of a key to the key's handle.
     changed: BTreeMap<u64, usize>,
+    /// Incremented with each transfer.
     version: u64,
     peers: Vec<Peer>,
-    /// Others may go by another list: one was heard, or not all of this one were in this life.
-    strictly: bool,
-    /// Whose turn it is to be spoken to.
-    turn: usize,
-    spoke: u64,
-    /// Datagrams that were turned down.
+    /// Whether instances with another list may be running: one was seen, or not all of this list have been
+    /// seen in this run.
+    strict_majority: bool,
+    /// The peer last served by the rotation.
+    rotation: usize,
+    last_exchange: u64,
+    /// The number of rejected datagrams.
     pub refused: u64,
 }
 
 impl Usage {
-    /// An instance at its start. `boot` must differ from that of every start before.
+    /// Creates an instance. `boot` must differ from that of every earlier start.
     ///
     /// # Errors
-    /// Where the settings make no sense.
-    pub fn new(set: Settings, secret: Secret, boot: Boot, now: u64) -> Result<Self, String> {
-        set.check()?;
-        let window = now / set.window_ms;
+    /// The invalid field of the settings and what was expected.
+    pub fn new(settings: Settings, secret: Secret, boot: RunId, now: u64) -> Result<Self, String> {
+        settings.check()?;
+        let window = now / settings.window_ms;
         Ok(Self {
-            votes: Votes::new(set.instances, set.number, window),
-            peers: vec![Peer::default(); set.instances],
-            set,
+            votes: Votes::new(settings.instances, settings.number, window),
+            peers: vec![Peer::default(); settings.instances],
+            settings,
             secret,
             boot,
             now,
             offset: 0,
-            began: now,
+            started_at: now,
             window,
-            view: 1,
+            votes_revision: 1,
             parts: Default::default(),
             counts: Vec::new(),
             by_key: HashMap::new(),
@@ -250,17 +261,18 @@
             shared: BTreeMap::new(),
             slots: 0,
             round: 0,
-            wishes: Vec::new(),
+            wanted_handles: Vec::new(),
             changed: BTreeMap::new(),
             version: 0,
-            strictly: true,
-            turn: 0,
-            spoke: 0,
+            strict_majority: true,
+            rotation: 0,
+            last_exchange: 0,
             refused: 0,
         })
     }
 
-    /// Takes a key in, or its new allowance, which counts from the next window on for what is not spent yet; its handle.
+    /// Registers a key, or changes its allowance; returns its handle. The new allowance counts at once, less
+    /// what is already spent in the current window.
     pub fn allow(&mut self, key: Key, allowance: u32) -> usize {
         let handle = *self.by_key.entry(key.0).or_insert_with(|| {
             self.counts.push(Count { key: key.0, ..Count::default() });
@@ -268,24 +280,25 @@
         });
         if self.counts[handle].allowance != allowance {
             self.counts[handle].allowance = allowance;
-            self.counts[handle].view = 0;
+            self.counts[handle].votes_revision = 0;
         }
         handle
     }
 
-    /// The window by now.
+    /// The number of the current window.
     pub fn window(&self) -> u64 {
         self.window
     }
 
+    /// The rights to a key that this instance owns in a window without any transfer.
     fn base(&self, handle: usize, window: u64) -> u32 {
         let count = &self.counts[handle];
         let (own, gone) = &self.parts[(window - self.window) as usize];
-        let (me, n) = (self.set.number, self.set.instances);
-        base(count.allowance, Key(count.key), window, me, n, *own, gone)
+        let (me, n) = (self.settings.number, self.settings.instances);
+        base_rights(count.allowance, Key(count.key), window, me, n, *own, gone)
     }
 
-    /// What is held of a key in the present window (0) or the next (1).
+    /// The amount held of a key in the current window (0) or the next (1).
     fn held(&self, handle: usize, which: usize) -> u32 {
         let window = self.window + which as u64;
         let (base, count) = (self.base(handle, window), &self.counts[handle]);
@@ -296,116 +309,119 @@
         }
     }
 
-    /// Counts of the present window.
-    fn turned(&mut self, handle: usize) {
+    /// Rolls the counters of a key over to the current window and refreshes `held`.
+    fn roll_over(&mut self, handle: usize) {
         let (window, count) = (self.window, &mut self.counts[handle]);
         if count.window != window {
             if count.window + 1 < window {
                 self.active.push(handle);
             }
             count.before = if count.window + 1 == window { (count.spent, count.asked) } else { (0, 0) };
-            (count.window, count.spent, count.asked, count.view) = (window, 0, 0, 0);
+            (count.window, count.spent, count.asked, count.votes_revision) = (window, 0, 0, 0);
         }
-        if self.counts[handle].view != self.view {
+        if self.counts[handle].votes_revision != self.votes_revision {
             self.counts[handle].held = self.held(handle, 0);
-            self.counts[handle].view = self.view;
+            self.counts[handle].votes_revision = self.votes_revision;
         }
     }
 
-    /// May so much be spent of all these together? All of it is, or nothing.
+    /// Spends the given amounts of all these keys, or nothing at all; returns whether they were spent.
     pub fn spend(&mut self, wants: &[(usize, u32)]) -> bool {
         for (handle, amount) in wants {
-            self.turned(*handle);
+            self.roll_over(*handle);
             self.counts[*handle].asked = self.counts[*handle].asked.saturating_add(*amount);
         }
-        let within = wants.iter().all(|(handle, amount)| self.counts[*handle].held >= *amount);
-        if within {
+        let has_enough = wants.iter().all(|(handle, amount)| self.counts[*handle].held >= *amount);
+        if has_enough {
             for (handle, amount) in wants {
                 let count = &mut self.counts[*handle];
                 (count.held, count.spent) = (count.held - amount, count.spent + amount);
             }
         }
-        within
+        has_enough
     }
 
-    /// Tells the time; what is to be sent is appended.
+    /// Advances the time and appends the datagrams to be sent.
     pub fn tick(&mut self, clock: u64, out: &mut Vec<Datagram>) {
         self.now = clock.saturating_add_signed(self.offset).max(1);
-        // Not for each datagram that comes, of which whoever forges them may send very many.
-        let due = self.now.abs_diff(self.spoke) >= self.set.exchange_ms;
+        // Only at exchanges, not for each datagram: an attacker may send very many forged ones.
+        let due = self.now.abs_diff(self.last_exchange) >= self.settings.exchange_ms;
         if due {
             self.set_clock();
         }
-        self.enter();
+        self.enter_window();
         if due {
-            self.spoke = self.now;
-            self.reckon();
-            self.speak(out);
+            self.last_exchange = self.now;
+            self.compute_wants();
+            self.exchange(out);
         }
     }
 
-    /// When to tell the time again.
-    pub fn due_in(&self) -> u64 {
-        let end = (self.window + 1) * self.set.window_ms;
-        let speaks = (self.spoke + self.set.exchange_ms).saturating_sub(self.now);
-        speaks.min(end.saturating_sub(self.now)).clamp(1, self.set.exchange_ms)
+    /// Milliseconds until [`Usage::tick`] is to be called again.
+    pub fn ms_until_tick(&self) -> u64 {
+        let window_end = (self.window + 1) * self.settings.window_ms;
+        let until_exchange = (self.last_exchange + self.settings.exchange_ms).saturating_sub(self.now);
+        until_exchange.min(window_end.saturating_sub(self.now)).clamp(1, self.settings.exchange_ms)
     }
 
-    /// Goes by the others' clocks where more than half of all, this one among them, agree that this one is far off. Where they
-    /// are divided evenly nobody moves: both halves would, and be as far apart as before.
+    /// Adjusts the clock to the median of the running instances if they are a majority of all, this one
+    /// included, and the median differs by more than half a window. With the clocks evenly divided no
+    /// instance moves: otherwise both halves would, and would be as far apart as before.
     fn set_clock(&mut self) {
-        let alive = |p: &&Peer| p.heard_at.is_some_and(|at| self.now.abs_diff(at) < self.set.gone_ms);
-        let mut ahead: Vec<i64> = self.peers.iter().filter(alive).map(Peer::surely_ahead).collect();
-        ahead.push(0);
-        if 2 * ahead.len() <= self.set.instances {
+        let alive = |p: &&Peer| {
+            p.last_seen.is_some_and(|at| self.now.abs_diff(at) < self.settings.instance_timeout_ms)
+        };
+        let mut offsets: Vec<i64> = self.peers.iter().filter(alive).map(Peer::min_clock_ahead).collect();
+        offsets.push(0);
+        if 2 * offsets.len() <= self.settings.instances {
             return;
         }
-        ahead.sort_unstable();
-        let (low, high) = (ahead[(ahead.len() - 1) / 2], ahead[ahead.len() / 2]);
+        offsets.sort_unstable();
+        let (low, high) = (offsets[(offsets.len() - 1) / 2], offsets[offsets.len() / 2]);
         let median = 0.clamp(low, high);
-        if median.unsigned_abs() > self.set.window_ms / 2 {
+        if median.unsigned_abs() > self.settings.window_ms / 2 {
             self.offset += median;
-            let before = self.now;
+            let previous = self.now;
             self.now = self.now.saturating_add_signed(median).max(1);
-            // All that was noted by the old clock moves with it.
-            let move_on = |at: u64| at.saturating_add_signed(median);
-            self.began = move_on(self.began);
-            self.spoke = move_on(self.spoke);
+            // Shift all times that were taken by the old clock.
+            let shift = |at: u64| at.saturating_add_signed(median);
+            self.started_at = shift(self.started_at);
+            self.last_exchange = shift(self.last_exchange);
             for peer in &mut self.peers {
-                peer.ahead = (peer.ahead.0 - median, peer.ahead.1 + median);
-                peer.heard_at = peer.heard_at.map(move_on);
+                peer.clock_ahead = (peer.clock_ahead.0 - median, peer.clock_ahead.1 + median);
+                peer.last_seen = peer.last_seen.map(shift);
             }
-            if before / self.set.window_ms != self.now / self.set.window_ms {
-                let from = std::mem::replace(&mut self.window, self.now / self.set.window_ms);
-                self.votes.restart(from, self.window);
+            if previous / self.settings.window_ms != self.now / self.settings.window_ms {
+                let from_window = std::mem::replace(&mut self.window, self.now / self.settings.window_ms);
+                self.votes.move_to(from_window, self.window);
                 self.shared.clear();
                 self.changed.clear();
                 self.slots = 0;
-                self.revote();
+                self.update_parts();
                 for count in &mut self.counts {
-                    // Not a right of a window that was entered by a wrong clock is carried along.
+                    // No rights of a window that was entered by a wrong clock are kept.
                     (count.window, count.spent, count.asked, count.before) = (0, 0, 0, (0, 0));
                 }
             }
         }
     }
 
-    /// Something of the votes has changed.
-    fn revote(&mut self) {
-        self.view += 1;
+    /// Recomputes `parts` after a change of the votes.
+    fn update_parts(&mut self) {
+        self.votes_revision += 1;
         self.parts = [0, 1].map(|which| {
             let window = self.window + which;
-            (self.votes.holds(window, self.strictly), self.votes.gone(window))
+            (self.votes.owns_part(window, self.strict_majority), self.votes.gone(window))
         });
     }
 
-    /// Enters the window that it is by now.
-    fn enter(&mut self) {
-        let window = self.now / self.set.window_ms;
+    /// Enters the window of the current time if it is a new one, and casts the ballot that is due.
+    fn enter_window(&mut self) {
+        let window = self.now / self.settings.window_ms;
         if window > self.window {
             let next = window == self.window + 1;
             self.window = window;
-            self.revote();
+            self.update_parts();
             let counts = &self.counts;
             self.active.retain(|handle| counts[*handle].window + 1 >= window);
             let mut slots = 0;
@@ -425,20 +441,20 @@
             self.slots = slots;
             self.changed.retain(|_, handle| self.shared.contains_key(handle));
         }
-        let (now, gone, began) = (self.now, self.set.gone_ms, self.began);
+        let (now, gone, started_at) = (self.now, self.settings.instance_timeout_ms, self.started_at);
         let peers = &self.peers;
-        let cast = self.votes.cast(self.window, |who| match peers[who].heard_at {
+        let cast = self.votes.cast(self.window, |index| match peers[index].last_seen {
             Some(at) if now.abs_diff(at) < gone => Some(true),
-            // Who has just begun has not listened for long enough.
-            _ if now.abs_diff(began) < gone => None,
+            // After a start this instance has not listened for long enough to tell.
+            _ if now.abs_diff(started_at) < gone => None,
             _ => Some(false),
         });
         if cast {
-            self.revote();
+            self.update_parts();
         }
     }
 
-    /// How much of a key will be asked for here in the rest of this window, and in the next.
+    /// The expected demand for a key here in the rest of this window, and in the next.
     fn expected(&self, handle: usize) -> [f64; 2] {
         let count = &self.counts[handle];
         let (asked, before) = match self.window - count.window.min(self.window) {
@@ -446,18 +462,19 @@
             1 => (0, count.asked),
             _ => (0, 0),
         };
-        let into = (self.now % self.set.window_ms) as f64 / self.set.window_ms as f64;
-        let so_far = f64::from(asked) / into.max(0.02);
-        // The window before tells more at first, this one later.
-        let rate = if asked > 0 || into > 0.2 {
-            so_far * into + f64::from(before) * (1.0 - into)
+        let elapsed_share = (self.now % self.settings.window_ms) as f64 / self.settings.window_ms as f64;
+        let current_rate = f64::from(asked) / elapsed_share.max(0.02);
+        // Weights the previous window more at first and the current one later.
+        let rate = if asked > 0 || elapsed_share > 0.2 {
+            current_rate * elapsed_share + f64::from(before) * (1.0 - elapsed_share)
         } else {
             f64::from(before)
         };
-        [(rate * (1.0 - into)).max(0.0), rate]
+        [(rate * (1.0 - elapsed_share)).max(0.0), rate]
     }
 
-    fn touch(&mut self, handle: usize) {
+    /// Marks a key as changed under a new version, so that its transfers are sent to the peers.
+    fn mark_changed(&mut self, handle: usize) {
         let Some(shared) = self.shared.get_mut(&handle) else { return };
         self.changed.remove(&shared.version);
         self.version += 1;
@@ -465,117 +482,124 @@
         self.changed.insert(self.version, handle);
     }
 
-    /// Begins to share a key, where there is room.
-    fn share(&mut self, handle: usize) -> bool {
+    /// Starts sharing a key; returns `false` if too many are shared.
+    fn start_sharing(&mut self, handle: usize) -> bool {
         if self.shared.contains_key(&handle) {
             return true;
         }
-        if self.shared.len() >= self.set.shared_most {
+        if self.shared.len() >= self.settings.max_shared_keys {
             return false;
         }
         let rights = [Rights::new(self.window), Rights::new(self.window + 1)];
         self.shared.insert(
             handle,
-            Shared { rights, others: Default::default(), wants: [0; 2], thought: [0; 2], version: 0 },
+            Shared { rights, others: Default::default(), wants: [0; 2], estimated_total: [0; 2], version: 0 },
         );
         true
     }
 
-    /// What is wanted of the others, key by key.
-    fn reckon(&mut self) {
-        let early = (self.now % self.set.window_ms) as f64 >= EARLY * self.set.window_ms as f64;
-        if self.set.instances == 1 {
+    /// Computes the amounts wanted from the others for each active key.
+    fn compute_wants(&mut self) {
+        let requests_next = (self.now % self.settings.window_ms) as f64
+            >= NEXT_WINDOW_REQUEST_SHARE * self.settings.window_ms as f64;
+        if self.settings.instances == 1 {
             return;
         }
         self.round += 1;
-        let mut wishes = Vec::new();
+        let mut wanted_handles = Vec::new();
         for handle in self.active.clone() {
             let expected = self.expected(handle);
-            let want = |which: usize| {
-                let need = AHEAD * expected[which] + 1.0;
+            let amount_wanted = |which: usize| {
+                let need = DEMAND_HEADROOM_FACTOR * expected[which] + 1.0;
                 let held = f64::from(self.held(handle, which));
-                let asks = (which == 0 || early) && expected[which] > 0.0 && need > held;
-                if asks {
+                let is_short = (which == 0 || requests_next) && expected[which] > 0.0 && need > held;
+                if is_short {
                     (need - held).min(f64::from(self.counts[handle].allowance)).ceil() as u32
                 } else {
                     0
                 }
             };
-            let wants = [want(0), want(1)];
+            let wants = [amount_wanted(0), amount_wanted(1)];
             if wants == [0, 0] && !self.shared.contains_key(&handle) {
                 continue;
             }
-            if self.share(handle) {
-                let thought = [0, 1].map(|which| match wants[which] {
+            if self.start_sharing(handle) {
+                let estimated_total = [0, 1].map(|which| match wants[which] {
                     0 => 0,
-                    _ => self.thought_of_all(handle, which),
+                    _ => self.estimated_held_by_all(handle, which),
                 });
                 self.shared
                     .get_mut(&handle)
                     .into_iter()
-                    .for_each(|s| (s.wants, s.thought) = (wants, thought));
+                    .for_each(|s| (s.wants, s.estimated_total) = (wants, estimated_total));
                 if wants != [0, 0] {
-                    wishes.push((wants[0].max(wants[1]), handle));
+                    wanted_handles.push((wants[0].max(wants[1]), handle));
                 }
             }
         }
-        // The top talkers first.
-        wishes.sort_unstable_by(|a, b| b.cmp(a));
-        self.wishes = wishes.into_iter().map(|(_, handle)| handle).collect();
+        // The largest wants first.
+        wanted_handles.sort_unstable_by(|a, b| b.cmp(a));
+        self.wanted_handles = wanted_handles.into_iter().map(|(_, handle)| handle).collect();
     }
 
-    /// What another is thought to hold of a key.
-    fn thought(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u64 {
+    /// The estimated amount that another instance holds of a key.
+    fn estimated_held(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u64 {
         match shared.others[which].get(&(peer as u16)) {
             Some((held, _)) => u64::from(*held),
-            // Nothing heard: it has all of its part.
-            None => u64::from(part(self.counts[handle].allowance, self.set.instances, 0, 0)).max(1),
+            // Nothing was reported: assume that it holds all of its part.
+            None => {
+                u64::from(equal_part(self.counts[handle].allowance, self.settings.instances, 0, 0)).max(1)
+            }
         }
     }
 
-    /// What all others together are thought to hold.
-    fn thought_of_all(&self, handle: usize, which: usize) -> u64 {
+    /// The estimated amount that all other running instances hold together.
+    fn estimated_held_by_all(&self, handle: usize, which: usize) -> u64 {
         let Some(shared) = self.shared.get(&handle) else { return 0 };
-        let listened = |who: &usize| *who != self.set.number && self.peers[*who].lives.now.is_some();
-        let all = (0..self.set.instances).filter(listened);
-        all.map(|who| self.thought(shared, handle, which, who)).sum()
+        let is_running =
+            |index: &usize| *index != self.settings.number && self.peers[*index].runs.current.is_some();
+        let others = (0..self.settings.instances).filter(is_running);
+        others.map(|index| self.estimated_held(shared, handle, which, index)).sum()
     }
 
-    /// What this instance would have of another: a part of what it wants, by what the others are thought to hold.
+    /// The amount to request from one peer: the total wanted, in proportion to what the peers are estimated
+    /// to hold.
     fn want_of(&self, shared: &Shared, handle: usize, which: usize, peer: usize) -> u32 {
-        let (want, all) = (u64::from(shared.wants[which]), shared.thought[which]);
+        let (want, all) = (u64::from(shared.wants[which]), shared.estimated_total[which]);
         if want == 0 || all == 0 {
             return 0;
         }
-        (want * self.thought(shared, handle, which, peer)).div_ceil(all).min(want) as u32
+        (want * self.estimated_held(shared, handle, which, peer)).div_ceil(all).min(want) as u32
     }
 
-    /// Speaks to those who wait, and to some others by turns.
-    fn speak(&mut self, out: &mut Vec<Datagram>) {
-        let n = self.set.instances;
-        let a_window = (self.set.window_ms / self.set.exchange_ms).max(1);
-        let fan_out = FAN_OUT.max((n as u64 * WORDS_A_WINDOW).div_ceil(a_window) as usize).min(n - 1);
+    /// Sends datagrams to the peers that wait and to some others in rotation.
+    fn exchange(&mut self, out: &mut Vec<Datagram>) {
+        let n = self.settings.instances;
+        let exchanges_per_window = (self.settings.window_ms / self.settings.exchange_ms).max(1);
+        let fan_out = MIN_FAN_OUT
+            .max((n as u64 * MIN_MESSAGES_PER_WINDOW).div_ceil(exchanges_per_window) as usize)
+            .min(n - 1);
         for _ in 0..fan_out {
-            self.turn = (self.turn + 1) % n;
-            if self.turn == self.set.number {
-                self.turn = (self.turn + 1) % n;
+            self.rotation = (self.rotation + 1) % n;
+            if self.rotation == self.settings.number {
+                self.rotation = (self.rotation + 1) % n;
             }
-            self.peers[self.turn].urgent = true;
+            self.peers[self.rotation].urgent = true;
         }
-        self.answer(out);
+        self.send_urgent(out);
     }
 
-    /// Speaks to those who wait.
-    fn answer(&mut self, out: &mut Vec<Datagram>) {
-        for to in 0..self.set.instances {
-            if std::mem::take(&mut self.peers[to].urgent) && to != self.set.number {
-                out.push(Datagram { to, bytes: self.word_to(to).write(&self.secret) });
+    /// Sends datagrams to the peers marked urgent.
+    fn send_urgent(&mut self, out: &mut Vec<Datagram>) {
+        for to in 0..self.settings.instances {
+            if std::mem::take(&mut self.peers[to].urgent) && to != self.settings.number {
+                out.push(Datagram { to, bytes: self.message_to(to).write(&self.secret) });
             }
         }
     }
 
-    /// What is said of a key, in the present window and the next.
-    fn entries_of(&self, handle: usize, to: usize, to_boot: Boot) -> Option<[Entry; 2]> {
+    /// The entries of a key for the current window and the next.
+    fn entries_of(&self, handle: usize, to: usize, to_boot: RunId) -> Option<[Entry; 2]> {
         let (shared, count) = (self.shared.get(&handle)?, &self.counts[handle]);
         Some([0, 1].map(|which| Entry {
             key: Key(count.key),
@@ -588,153 +612,165 @@
         }))
     }
 
-    /// As far as there is room: what was handed on to the other one and it may not have heard, and what is wanted of it. And up to
-    /// which version the first is all.
-    fn news_for(&self, to: usize, to_boot: Boot, acked: u64) -> (Vec<Entry>, u64) {
-        let most = room(self.set.instances);
-        let of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
-        let due = self.peers[to].due.iter().flat_map(|handle| of(*handle));
-        let mut entries: Vec<Entry> = due.filter(|e| e.given > 0).take(most).collect();
-        let mut upto = self.version;
-        for (version, handle) in self.changed.range(acked + 1..) {
-            if entries.len() + 2 > most {
-                upto = version - 1;
+    /// The entries for a peer, as far as there is room: the transfers that it has not acknowledged, then the
+    /// amounts wanted from it. Also returns the version up to which the transfers are complete.
+    fn entries_for(&self, to: usize, to_boot: RunId, acked_version: u64) -> (Vec<Entry>, u64) {
+        let max_count = max_entries(self.settings.instances);
+        let entries_of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
+        let transfers = self.peers[to].changed_handles.iter().flat_map(|handle| entries_of(*handle));
+        let mut entries: Vec<Entry> = transfers.filter(|e| e.given > 0).take(max_count).collect();
+        let mut up_to_version = self.version;
+        for (version, handle) in self.changed.range(acked_version + 1..) {
+            if entries.len() + 2 > max_count {
+                up_to_version = version - 1;
                 break;
             }
-            entries.extend(of(*handle).filter(|e| e.given > 0));
+            entries.extend(entries_of(*handle).filter(|e| e.given > 0));
         }
-        let left = most - entries.len().min(most);
-        let first = left - left / BY_TURNS;
-        let start = (self.peers[to].turn as usize * left) % self.wishes.len().max(1);
-        let turns = self.wishes.iter().cycle().skip(start).take(self.wishes.len());
-        let wishes = self.wishes.iter().take(first).chain(turns.take(left));
-        entries.extend(wishes.flat_map(|handle| of(*handle)).filter(|e| e.want > 0).take(left));
-        (entries, upto)
+        let remaining = max_count - entries.len().min(max_count);
+        let by_size = remaining - remaining / ROTATION_SLOT_DIVISOR;
+        let start = (self.peers[to].last_number as usize * remaining) % self.wanted_handles.len().max(1);
+        let rotation = self.wanted_handles.iter().cycle().skip(start).take(self.wanted_handles.len());
+        let wants = self.wanted_handles.iter().take(by_size).chain(rotation.take(remaining));
+        entries.extend(wants.flat_map(|handle| entries_of(*handle)).filter(|e| e.want > 0).take(remaining));
+        (entries, up_to_version)
     }
 
-    fn word_to(&mut self, to: usize) -> Message {
-        self.peers[to].turn += 1;
+    /// Composes the next datagram to a peer.
+    fn message_to(&mut self, to: usize) -> Message {
+        self.peers[to].last_number += 1;
         let peer = &self.peers[to];
-        let to_boot = peer.lives.addressed(peer.turn);
-        let known = peer.lives.now == Some(to_boot);
-        let (entries, upto) =
-            if known { self.news_for(to, to_boot, peer.acked) } else { (Vec::new(), peer.acked) };
-        self.peers[to].due.clear();
+        let to_boot = peer.runs.addressee(peer.last_number);
+        let known = peer.runs.current == Some(to_boot);
+        let (entries, up_to_version) = if known {
+            self.entries_for(to, to_boot, peer.acked_version)
+        } else {
+            (Vec::new(), peer.acked_version)
+        };
+        self.peers[to].changed_handles.clear();
         let peer = &self.peers[to];
-        let digest = (known && peer.turn.is_multiple_of(DIGEST_EVERY) && upto == self.version)
+        let digest = (known
+            && peer.last_number.is_multiple_of(DIGEST_INTERVAL_DATAGRAMS)
+            && up_to_version == self.version)
             .then(|| self.digest(|rights| rights.given_to(to as u16, to_boot)));
         Message {
-            list: self.set.list,
-            from: self.set.number as u16,
+            list: self.settings.list,
+            from: self.settings.number as u16,
             to: to as u16,
             boot: self.boot,
             to_boot,
-            number: peer.turn,
+            number: peer.last_number,
             time: self.now,
-            heard: peer.theirs,
-            ahead: peer.ahead.0,
-            ballots: self.votes.own().to_vec(),
+            received_version: peer.their_version,
+            ahead: peer.clock_ahead.0,
+            ballots: self.votes.own_ballots().to_vec(),
             window: self.window,
-            versions: (peer.acked, upto),
+            versions: (peer.acked_version, up_to_version),
             digest,
             entries,
         }
     }
 
-    /// Over what was handed on, in the present window and the next.
-    fn digest(&self, of: impl Fn(&Rights) -> u32) -> u64 {
-        let each = self.shared.iter().flat_map(|(handle, shared)| {
+    /// A digest over the transfers in the current window and the next.
+    fn digest(&self, amount: impl Fn(&Rights) -> u32) -> u64 {
+        let rights_by_key = self.shared.iter().flat_map(|(handle, shared)| {
             let key = self.counts[*handle].key;
             shared.rights.iter().map(move |rights| (key, rights))
         });
-        let one = |(key, rights): (u64, &Rights)| match of(rights) {
+        let digest_one = |(key, rights): (u64, &Rights)| match amount(rights) {
             0 => 0,
             given => mix(key ^ mix(rights.window ^ mix(u64::from(given)))),
         };
-        each.map(one).fold(0, |sum, x| sum ^ x)
+        rights_by_key.map(digest_one).fold(0, |sum, x| sum ^ x)
     }
 
-    /// Takes a datagram; what is to be sent at once is appended. What can't be believed changes nothing.
-    pub fn hear(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), Bad> {
-        let read = Message::read(bytes, self.set.list, self.set.instances, &self.secret);
-        if read == Err(Bad::OtherList) && !std::mem::replace(&mut self.strictly, true) {
-            self.revote();
+    /// Handles a received datagram and appends the datagrams to be sent at once. Invalid datagrams change
+    /// nothing but the counter of rejected ones.
+    pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Datagram>) -> Result<(), DatagramError> {
+        let result = Message::read(bytes, self.settings.list, self.settings.instances, &self.secret);
+        if result == Err(DatagramError::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
+            self.update_parts();
         }
-        let message = read.inspect_err(|_| self.refused += 1)?;
+        let message = result.inspect_err(|_| self.refused += 1)?;
         let from = usize::from(message.from);
-        if usize::from(message.to) != self.set.number || from >= self.set.instances || from == self.set.number
+        if usize::from(message.to) != self.settings.number
+            || from >= self.settings.instances
+            || from == self.settings.number
         {
             self.refused += 1;
             return Ok(());
         }
         let peer = &mut self.peers[from];
         if message.to_boot != self.boot {
-            // It may be as old as it likes: it says at most whom to speak to.
-            peer.lives.named(message.boot);
+            // It may be a replay of any age, so it only proposes a run to address.
+            peer.runs.set_candidate(message.boot);
             return Ok(());
         }
-        let Some(begins) = peer.lives.proved(message.boot) else {
+        let Some(is_new_run) = peer.runs.confirm(message.boot) else {
             self.refused += 1;
             return Ok(());
         };
-        if begins {
+        if is_new_run {
             if message.window.abs_diff(self.window) <= 2 {
-                self.votes.not_before(message.window + 1);
+                self.votes.raise_first_window(message.window + 1);
             }
             for others in self.shared.values_mut().flat_map(|shared| &mut shared.others) {
                 others.remove(&message.from);
             }
-            let (lives, turn) = (std::mem::take(&mut peer.lives), peer.turn);
-            *peer = Peer { lives, turn, ..Peer::default() };
+            let (runs, last_number) = (std::mem::take(&mut peer.runs), peer.last_number);
+            *peer = Peer { runs, last_number, ..Peer::default() };
         }
-        if !peer.replay.fresh(message.number) {
+        if !peer.replay.accept(message.number) {
             self.refused += 1;
             return Ok(());
         }
-        peer.heard_at = Some(self.now);
-        peer.ahead = (message.time as i64 - self.now as i64, message.ahead);
-        peer.acked = peer.acked.max(message.heard.min(self.version));
-        let all = |(n, p): (usize, &Peer)| n == self.set.number || p.lives.now.is_some();
-        let mut voted = begins && self.strictly && self.peers.iter().enumerate().all(all);
-        // All go by this list now, and none by the one before.
-        self.strictly &= !voted;
-        voted |= begins;
+        peer.last_seen = Some(self.now);
+        peer.clock_ahead = (message.time as i64 - self.now as i64, message.ahead);
+        peer.acked_version = peer.acked_version.max(message.received_version.min(self.version));
+        let is_known = |(n, p): (usize, &Peer)| n == self.settings.number || p.runs.current.is_some();
+        let mut votes_changed =
+            is_new_run && self.strict_majority && self.peers.iter().enumerate().all(is_known);
+        // All instances use this list now, so none uses the previous one.
+        self.strict_majority &= !votes_changed;
+        votes_changed |= is_new_run;
         let peer = &mut self.peers[from];
         for ballot in &message.ballots {
-            voted |= self.votes.hear(self.window, from, ballot);
+            votes_changed |= self.votes.record(self.window, from, ballot);
         }
-        let (after, upto) = message.versions;
-        // What was handed on and is lost is said again, until it is heard.
-        if after <= peer.theirs {
-            peer.theirs = peer.theirs.max(upto);
+        let (after, up_to_version) = message.versions;
+        // Transfers in lost datagrams are sent again until they are acknowledged.
+        if after <= peer.their_version {
+            peer.their_version = peer.their_version.max(up_to_version);
         }
-        if voted {
-            self.revote();
+        if votes_changed {
+            self.update_parts();
         }
         for entry in &message.entries {
-            self.take(from, &message, entry);
+            self.apply_entry(from, &message, entry);
         }
         if let Some(digest) = message.digest {
-            let (boot, whose) = (message.boot, message.from);
-            let heard = self.peers[from].theirs == upto && message.window == self.window;
-            if heard && digest != self.digest(|rights| rights.slots.said(whose, boot)) {
-                // From the beginning, then.
-                self.peers[from].theirs = 0;
+            let (boot, sender) = (message.boot, message.from);
+            let is_complete =
+                self.peers[from].their_version == up_to_version && message.window == self.window;
+            if is_complete && digest != self.digest(|rights| rights.slots.given_by(sender, boot)) {
+                // Something was missed: ask for all transfers again.
+                self.peers[from].their_version = 0;
             }
         }
-        self.answer(out);
+        self.send_urgent(out);
         Ok(())
     }
 
-    /// Takes what another says of a key.
-    fn take(&mut self, from: usize, message: &Message, entry: &Entry) {
+    /// Applies an entry about a key from another instance, and transfers rights that it wants and this one
+    /// can spare.
+    fn apply_entry(&mut self, from: usize, message: &Message, entry: &Entry) {
         let window = message.window + u64::from(entry.next);
         let Some(which) = window.checked_sub(self.window).filter(|which| *which < 2) else { return };
         let which = which as usize;
         let Some(handle) = self.by_key.get(&entry.key.0).copied() else { return };
         let base = self.base(handle, window);
         let spare = {
-            // What it will need itself it keeps.
+            // Keep the expected demand of this instance.
             let keeps = self.expected(handle)[which].ceil() as u32;
             self.held(handle, which).saturating_sub(keeps)
         };
@@ -742,37 +778,37 @@
             count if which == 0 && count.window == window => count.spent,
             _ => 0,
         };
-        // What others merely say of a key that nothing changes hands of here is not kept.
-        let matters = entry.given > 0 || (entry.want > 0 && spare > 0);
-        if self.slots >= SLOTS_MOST || (matters && !self.share(handle)) {
+        // Do not start sharing a key just because a peer reports it: something must be transferred.
+        let affects_rights = entry.given > 0 || (entry.want > 0 && spare > 0);
+        if self.slots >= MAX_SLOTS || (affects_rights && !self.start_sharing(handle)) {
             return;
         }
         let Some(shared) = self.shared.get_mut(&handle) else { return };
         let rights = &mut shared.rights[which];
-        let slots = rights.slots.len();
-        let said = Slot { spent: entry.spent, given: entry.given };
-        let mut changed = rights.slots.hear(message.from, message.boot, said);
-        self.slots += rights.slots.len() - slots;
-        // Of a window to come it may not have heard enough votes to know.
+        let previous_slots = rights.slots.len();
+        let reported = Slot { spent: entry.spent, given: entry.given };
+        let mut changed = rights.slots.update(message.from, message.boot, reported);
+        self.slots += rights.slots.len() - previous_slots;
+        // For the next window the peer may not have received enough votes yet to know its part.
         let held = if which == 1 { entry.held.max(1) } else { entry.held };
-        let before = shared.others[which].insert(message.from, (held, entry.version));
-        // Said again, it is the same wish.
-        let again = before.is_some_and(|(_, version)| version >= entry.version);
-        let want = if again { 0 } else { entry.want };
-        let given = rights.give(message.from, message.boot, want.min(spare), base, spent);
+        let previous = shared.others[which].insert(message.from, (held, entry.version));
+        // A repeated version is the same want and must not be granted twice.
+        let is_repeat = previous.is_some_and(|(_, version)| version >= entry.version);
+        let want = if is_repeat { 0 } else { entry.want };
+        let given = rights.transfer(message.from, message.boot, want.min(spare), base, spent);
         changed |= given > 0;
         if changed {
-            self.counts[handle].view = 0;
+            self.counts[handle].votes_revision = 0;
         }
         if given > 0 {
-            self.touch(handle);
+            self.mark_changed(handle);
             self.peers[from].urgent = true;
-            self.peers[from].due.push(handle);
+            self.peers[from].changed_handles.push(handle);
         }
     }
 
-    /// What is known of a key.
-    pub fn show(&self, handle: usize) -> Share {
+    /// The state of a key at this instance.
+    pub fn key_usage(&self, handle: usize) -> KeyUsage {
         let count = &self.counts[handle];
         let current = count.window == self.window;
         let before = match self.window - count.window.min(self.window) {
@@ -781,7 +817,7 @@
             _ => (0, 0),
         };
         let shared = self.shared.get(&handle);
-        Share {
+        KeyUsage {
             key: count.key,
             window: self.window,
             allowance: count.allowance,
@@ -794,62 +830,65 @@
         }
     }
 
-    /// The keys of which most is spent, as far as is known here, each with its handle; of those that were asked for lately or
-    /// change hands.
-    pub fn top(&self, most: usize) -> Vec<(usize, Share)> {
+    /// The `most` keys with the highest known spending, each with its handle, out of those that were
+    /// requested lately or are shared.
+    pub fn top_keys(&self, max_count: usize) -> Vec<(usize, KeyUsage)> {
         let mut handles: Vec<usize> = self.active.iter().chain(self.shared.keys()).copied().collect();
         handles.sort_unstable();
         handles.dedup();
-        let mut all: Vec<(usize, Share)> =
-            handles.into_iter().map(|handle| (handle, self.show(handle))).collect();
-        all.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
-        let sum = |s: &Share| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
-        all.sort_by_key(|(_, s)| std::cmp::Reverse(sum(s)));
-        all.truncate(most);
-        all
+        let mut shares: Vec<(usize, KeyUsage)> =
+            handles.into_iter().map(|handle| (handle, self.key_usage(handle))).collect();
+        shares.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
+        let total_spent = |s: &KeyUsage| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
+        shares.sort_by_key(|(_, s)| std::cmp::Reverse(total_spent(s)));
+        shares.truncate(max_count);
+        shares
     }
 
-    /// What is known of a key at each other instance.
-    pub fn explain(&self, handle: usize) -> Vec<Explained> {
+    /// What is known of a key at each of the other instances.
+    pub fn peer_key_usage(&self, handle: usize) -> Vec<PeerKeyUsage> {
         let Some(shared) = self.shared.get(&handle) else { return Vec::new() };
-        let others = (0..self.set.instances).filter(|who| *who != self.set.number);
-        let one = |who: usize| {
-            let slot = shared.rights[0].slots.of(who as u16);
-            let to = self.peers[who].lives.now.map_or(0, |boot| shared.rights[0].given_to(who as u16, boot));
-            let held = shared.others[0].get(&(who as u16)).map(|(held, _)| *held);
-            Explained { instance: who, spent: slot.spent, held, given: (slot.given, to) }
+        let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
+        let explained = |index: usize| {
+            let slot = shared.rights[0].slots.total_of(index as u16);
+            let given_to = self.peers[index]
+                .runs
+                .current
+                .map_or(0, |boot| shared.rights[0].given_to(index as u16, boot));
+            let held = shared.others[0].get(&(index as u16)).map(|(held, _)| *held);
+            PeerKeyUsage { instance: index, spent: slot.spent, held, given: (slot.given, given_to) }
         };
-        others.map(one).collect()
+        others.map(explained).collect()
     }
 
-    /// What is known of the others.
-    pub fn peers(&self) -> Vec<Peers> {
+    /// What is known of the other instances.
+    pub fn peers(&self) -> Vec<PeerStatus> {
         let gone = self.votes.gone(self.window);
-        let others = (0..self.set.instances).filter(|who| *who != self.set.number);
-        let one = |who: usize| {
-            let peer = &self.peers[who];
-            Peers {
-                instance: who,
-                age_ms: peer.heard_at.map(|at| self.now.saturating_sub(at)),
-                ahead_ms: peer.surely_ahead(),
-                behind: self.version - peer.acked.min(self.version),
-                gone: gone.contains(&who),
+        let others = (0..self.settings.instances).filter(|index| *index != self.settings.number);
+        let peer_info = |index: usize| {
+            let peer = &self.peers[index];
+            PeerStatus {
+                instance: index,
+                age_ms: peer.last_seen.map(|at| self.now.saturating_sub(at)),
+                ahead_ms: peer.min_clock_ahead(),
+                behind: self.version - peer.acked_version.min(self.version),
+                gone: gone.contains(&index),
             }
         };
-        others.map(one).collect()
+        others.map(peer_info).collect()
     }
 
-    /// Whether this instance has its own part of the present window.
-    pub fn holds_own(&self) -> bool {
-        self.votes.holds(self.window, self.strictly)
+    /// Whether this instance owns its part of the current window.
+    pub fn owns_part(&self) -> bool {
+        self.votes.owns_part(self.window, self.strict_majority)
     }
 
-    /// How many bytes a key takes of which nothing changes hands, but for its place in the index of keys.
-    pub fn count_size(&self) -> usize {
+    /// The size in bytes of the counters of a key that is not shared, without its entry in the index of keys.
+    pub fn key_counter_bytes(&self) -> usize {
         std::mem::size_of::<Count>()
     }
 
-    /// How many keys change hands now, and how many slots of others are kept for them.
+    /// The number of shared keys, and the number of slots of other instances kept for them.
     pub fn sharing(&self) -> (usize, usize) {
         (self.shared.len(), self.slots)
     }
