--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -554,7 +554,7 @@
         let Some(change) = self.book.change.clone() else { return false };
         let Some(name) = self.current_instance() else {
             let (outcome, reason) = match change.undone_for {
-                None => (Outcome::Done, "all instances run their targets".to_string()),
+                None => (Outcome::Done, "all instances run it".to_string()),
                 Some(reason) => (Outcome::RolledBack, reason),
             };
             self.write(Fact::Finished { outcome, reason });
@@ -605,10 +605,12 @@
         if !(late || failing) {
             return false;
         }
-        let reason = if failing { "exited unexpectedly" } else { "was not ready in time" };
+        let reason = if failing { "ended by itself" } else { "was not ready in time" };
         if is_rollback {
-            let reason =
-                format!("{name} {reason} during the rollback; {}", change.undone_for.unwrap_or_default());
+            let reason = format!(
+                "{name} {reason} when the change was undone; {}",
+                change.undone_for.unwrap_or_default()
+            );
             self.notify(format!("operator intervention is needed: {reason}"));
             self.write(Fact::Finished { outcome: Outcome::Mixed, reason });
             return false;
--- a/crates/fleet/tests/agent.rs
+++ b/crates/fleet/tests/agent.rs
@@ -369,7 +369,7 @@
 fn a_release_that_is_not_ready_crashes_or_fails_is_rolled_back() {
     for (release, reason) in [
         ("never", "n0 was not ready in time"),
-        ("crash", "n0 exited unexpectedly"),
+        ("crash", "n0 ended by itself"),
         ("errors", "n0 fails more requests than its peers"),
     ] {
         let mut machine = Machine::serving(4, "r1", RULES);
--- a/crates/glenctl/src/fleet.rs
+++ b/crates/glenctl/src/fleet.rs
@@ -465,7 +465,7 @@
         let held = match &now.lease {
             Some((who, _)) if who.starts_with(&format!("{} (", arguments.who)) => None,
             Some((who, why)) => return Err(CommandError::Refused(format!("held by {who} ({why})"))),
-            None => Some(HeldLease::acquire(arguments, "control a change")?),
+            None => Some(HeldLease::acquire(arguments, "a word on a change")?),
         };
         let epoch = held.as_ref().map_or(now.epoch, |held| held.epoch);
         if let Reply::Done(message) = send(agent, &request(epoch))? {
