--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use glenwood_list::{Health, Host};
+use glenwood_list::{Health, ListEntry};
 
 use crate::machine::{Machine, Step};
 use crate::proto::{Acl, Code, Mode, Request, Response};
@@ -68,7 +68,7 @@
 pub struct Registrar {
     session: Session<Ask>,
     folder: String,
-    host: Host,
+    host: ListEntry,
     /// How often the entry has changed.
     changes: u64,
     /// That count, as the request under way has it.
@@ -84,7 +84,7 @@
 
 impl Registrar {
     /// Registers `host` under the folder `folder` from now on.
-    pub fn new(now: Millis, settings: Settings, folder: &str, host: Host) -> Self {
+    pub fn new(now: Millis, settings: Settings, folder: &str, host: ListEntry) -> Self {
         let mut registrar = Self {
             session: Session::new(now, settings),
             folder: folder.trim_end_matches('/').to_string(),
@@ -102,7 +102,7 @@
     }
 
     /// What is registered, or is to be.
-    pub fn host(&self) -> &Host {
+    pub fn host(&self) -> &ListEntry {
         &self.host
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Registers something else of the same server; its name stays.
-    pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut Host)) {
+    pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut ListEntry)) {
         let name = self.host.host.clone();
         change(&mut self.host);
         self.host.host = name;
@@ -267,8 +267,8 @@
             }
             return;
         }
-        let other: Option<Host> = serde_json::from_slice(data).ok();
-        if other.is_some_and(|other| other.born_ms > self.host.born_ms) {
+        let other: Option<ListEntry> = serde_json::from_slice(data).ok();
+        if other.is_some_and(|other| other.started_ms > self.host.started_ms) {
             self.session.close(now);
             self.state = State::Over;
             self.outputs.push_back(Step::Said(Said::GaveWay));
--- a/crates/coordination/src/saved.rs
+++ b/crates/coordination/src/saved.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use glenwood_list::Host;
+use glenwood_list::ListEntry;
 use serde_json::{json, Value};
 
 use crate::Millis;
@@ -16,7 +16,7 @@
     /// When, Unix time in milliseconds.
     pub at_unix_ms: Millis,
     /// Its entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListEntry>,
 }
 
 /// Why a file is not taken.
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use glenwood_list::{Health, Host};
+use glenwood_list::{Health, ListEntry};
 use serde_json::Value;
 
 use crate::follow::{self, Change, Follower};
@@ -51,7 +51,7 @@
         /// All that there are: the first list of this process.
         whole: bool,
         /// The entries.
-        hosts: Vec<Host>,
+        hosts: Vec<ListEntry>,
     },
     /// A registration is not taken, and what was known of that server still holds.
     Unfit {
@@ -84,13 +84,13 @@
     answers: Answers,
     suspect: Millis,
     /// What is registered, as far as it can be read.
-    registered: BTreeMap<String, Host>,
+    registered: BTreeMap<String, ListEntry>,
     /// Who registered each address.
     claims: HashMap<SocketAddr, BTreeSet<String>>,
-    suspects: BTreeMap<String, (Millis, Host)>,
+    suspects: BTreeMap<String, (Millis, ListEntry)>,
     flaps: BTreeMap<String, Flaps>,
     /// What was last said of each.
-    said: BTreeMap<String, Host>,
+    said: BTreeMap<String, ListEntry>,
     /// How many of these are in service.
     in_service: usize,
     touched: BTreeSet<String>,
@@ -99,22 +99,22 @@
 }
 
 /// Reads the entry of one child.
-fn entry(name: &str, data: &[u8]) -> Result<Host, String> {
+fn entry(name: &str, data: &[u8]) -> Result<ListEntry, String> {
     let mut value: Value = serde_json::from_slice(data).map_err(|e| format!("not JSON: {e}"))?;
     let object = value.as_object_mut().ok_or("a JSON object expected")?;
     let host = object.entry("host").or_insert_with(|| name.into());
     if host.as_str() != Some(name) {
         return Err(format!("host: {name:?} expected, as the node is called, not {host}"));
     }
-    let host: Host = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    if host.dial.is_none() {
+    let host: ListEntry = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    if host.endpoint.is_none() {
         return Err("dial is missing".into());
     }
     if !(host.weight.is_finite() && host.weight > 0.0) {
         return Err(format!("share: above 0 expected, not {}", host.weight));
     }
-    if !(host.born_ms.is_finite() && host.born_ms >= 0.0) {
-        return Err(format!("born_ms: 0 or more expected, not {}", host.born_ms));
+    if !(host.started_ms.is_finite() && host.started_ms >= 0.0) {
+        return Err(format!("born_ms: 0 or more expected, not {}", host.started_ms));
     }
     Ok(host)
 }
@@ -146,7 +146,7 @@
     }
 
     /// What was last said of each server.
-    pub fn list(&self) -> impl Iterator<Item = &Host> {
+    pub fn list(&self) -> impl Iterator<Item = &ListEntry> {
         self.said.values()
     }
 
@@ -227,14 +227,14 @@
         if host.health == Health::Left {
             return self.gone(now, &name);
         }
-        let address = host.dial.map(|d| d.address);
+        let address = host.endpoint.map(|d| d.address);
         if host.health != Health::Active {
             self.departed(now, &name);
         }
         self.suspects.remove(&name);
         // Who has the address of a suspect is there in its place.
         self.suspects.retain(|other, (_, suspect)| {
-            let replaced = suspect.dial.map(|d| d.address) == address;
+            let replaced = suspect.endpoint.map(|d| d.address) == address;
             replaced.then(|| self.touched.insert(other.clone()));
             !replaced
         });
@@ -248,7 +248,7 @@
     }
 
     fn unclaim(&mut self, name: &str) {
-        let address = self.registered.get(name).and_then(|h| h.dial).map(|d| d.address);
+        let address = self.registered.get(name).and_then(|h| h.endpoint).map(|d| d.address);
         let Some(address) = address else { return };
         if let Some(claims) = self.claims.get_mut(&address) {
             claims.remove(name);
@@ -266,7 +266,7 @@
         self.touched.insert(name.to_string());
         let listed = self.said.contains_key(name);
         if listed && host.health == Health::Active && self.suspect > 0.0 && (self.answers)(name) {
-            let host = Host { health: Health::Leaving, ..host };
+            let host = ListEntry { health: Health::Leaving, ..host };
             self.suspects.insert(name.to_string(), (now + self.suspect, host));
         }
     }
@@ -288,16 +288,16 @@
     }
 
     /// What is to be said of a server now.
-    fn wanted(&self, name: &str) -> Option<Host> {
+    fn wanted(&self, name: &str) -> Option<ListEntry> {
         if let Some((_, suspect)) = self.suspects.get(name) {
             return Some(suspect.clone());
         }
         let host = self.registered.get(name)?;
-        let claims = host.dial.and_then(|d| self.claims.get(&d.address));
+        let claims = host.endpoint.and_then(|d| self.claims.get(&d.address));
         if claims.is_some_and(|claims| claims.len() > 1) {
             let rank = |name: &String| {
-                let born = self.registered.get(name).map_or(0.0, |h| h.born_ms);
-                let first = self.said.get(name).is_some_and(|h| h.dial == host.dial);
+                let born = self.registered.get(name).map_or(0.0, |h| h.started_ms);
+                let first = self.said.get(name).is_some_and(|h| h.endpoint == host.endpoint);
                 (born, first)
             };
             let before = |a: &(f64, bool), b: &(f64, bool)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
@@ -308,7 +308,7 @@
             }
         }
         if self.flaps.get(name).is_some_and(|f| f.until.is_some()) {
-            return Some(Host { health: Health::Leaving, ..host.clone() });
+            return Some(ListEntry { health: Health::Leaving, ..host.clone() });
         }
         Some(host.clone())
     }
@@ -325,9 +325,10 @@
                 if before == wanted.as_ref() {
                     continue;
                 }
-                let active = |h: Option<&Host>| usize::from(h.is_some_and(|h| h.health == Health::Active));
+                let active =
+                    |h: Option<&ListEntry>| usize::from(h.is_some_and(|h| h.health == Health::Active));
                 self.in_service = self.in_service + active(wanted.as_ref()) - active(before);
-                hosts.extend(wanted.clone().or_else(|| before.map(Host::as_removed)));
+                hosts.extend(wanted.clone().or_else(|| before.map(ListEntry::as_removed)));
                 match wanted {
                     Some(host) => drop(self.said.insert(name, host)),
                     None => drop(self.said.remove(&name)),
--- a/crates/coordination/tests/saved.rs
+++ b/crates/coordination/tests/saved.rs
@@ -1,13 +1,17 @@
 //! The saved view.
 
 use glenwood_coordination::saved::{Saved, SavedError};
-use glenwood_list::{Dial, Health, Host, Protocol};
+use glenwood_list::{Endpoint, Health, ListEntry, Protocol};
 
 fn view() -> Saved {
-    let dial = |n: u8, protocol| Dial { address: ([127, 0, 0, n], 80).into(), protocol };
-    let first =
-        Host { zone: "z\u{fc}rich".into(), born_ms: 1.5e12, ..Host::active("a", dial(1, Protocol::Http1)) };
-    let second = Host { health: Health::Leaving, cell: 7, ..Host::active("b", dial(2, Protocol::Msgpack)) };
+    let dial = |n: u8, protocol| Endpoint { address: ([127, 0, 0, n], 80).into(), protocol };
+    let first = ListEntry {
+        zone: "z\u{fc}rich".into(),
+        started_ms: 1.5e12,
+        ..ListEntry::active("a", dial(1, Protocol::Http1))
+    };
+    let second =
+        ListEntry { health: Health::Leaving, cell: 7, ..ListEntry::active("b", dial(2, Protocol::Msgpack)) };
     Saved { at_unix_ms: 1.79e12, hosts: vec![first, second] }
 }
 
--- a/crates/glenctl/src/register.rs
+++ b/crates/glenctl/src/register.rs
@@ -9,7 +9,7 @@
 use glenwood_coordination::net::Driver;
 use glenwood_coordination::registrar::{Registrar, Said};
 use glenwood_coordination::session::Settings;
-use glenwood_list::{Dial, Host, Protocol};
+use glenwood_list::{Endpoint, ListEntry, Protocol};
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -173,13 +173,13 @@
         ServerProtocol::Http => Protocol::Http1,
         ServerProtocol::Rpc => Protocol::Msgpack,
     };
-    let host = Host {
+    let host = ListEntry {
         zone: arguments.zone.clone(),
         kind: arguments.kind.clone(),
         cell: arguments.cell,
         weight: arguments.weight,
-        born_ms: unix_ms(),
-        ..Host::active(&arguments.name, Dial { address: arguments.address, protocol })
+        started_ms: unix_ms(),
+        ..ListEntry::active(&arguments.name, Endpoint { address: arguments.address, protocol })
     };
     let mut child = match arguments.command.split_first() {
         None => None,
--- a/crates/list/src/entry.rs
+++ b/crates/list/src/entry.rs
@@ -18,7 +18,7 @@
 
 /// The address and protocol of a server, as given by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Dial {
+pub struct Endpoint {
     /// Its address.
     pub address: SocketAddr,
     /// Its protocol.
@@ -28,30 +28,30 @@
 /// The prefix of the address of a MessagePack-RPC server.
 const MSGPACK_SCHEME: &str = "msgpack-rpc://";
 
-impl fmt::Display for Dial {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let scheme = if self.protocol == Protocol::Msgpack { MSGPACK_SCHEME } else { "" };
         write!(f, "{scheme}{}", self.address)
     }
 }
 
-impl Serialize for Dial {
+impl Serialize for Endpoint {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(self)
     }
 }
 
-/// Parses a [`Dial`] from borrowed text.
-struct DialVisitor;
+/// Parses a [`Endpoint`] from borrowed text.
+struct EndpointVisitor;
 
-impl Visitor<'_> for DialVisitor {
-    type Value = Dial;
+impl Visitor<'_> for EndpointVisitor {
+    type Value = Endpoint;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("IP address and port")
     }
 
-    fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Dial, E> {
+    fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Endpoint, E> {
         let (protocol, address) = match text.strip_prefix(MSGPACK_SCHEME) {
             Some(rest) => (Protocol::Msgpack, rest),
             None => (Protocol::Http1, text),
@@ -59,13 +59,13 @@
         let address = address
             .parse()
             .map_err(|_| E::custom(format!("dial: IP address and port expected, not {text:?}")))?;
-        Ok(Dial { address, protocol })
+        Ok(Endpoint { address, protocol })
     }
 }
 
-impl<'de> Deserialize<'de> for Dial {
+impl<'de> Deserialize<'de> for Endpoint {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_str(DialVisitor)
+        from.deserialize_str(EndpointVisitor)
     }
 }
 
@@ -77,19 +77,20 @@
     pub version: u64,
     /// Whether this is the full list rather than changes.
     #[serde(rename = "whole")]
-    pub whole: bool,
+    pub is_full: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListEntry>,
 }
 
 /// An entry of an update: one server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Host {
+#[serde(expecting = "struct Host")]
+pub struct ListEntry {
     /// Its name, the same at every node.
     pub host: String,
     /// Its address; optional for a server that is gone.
     #[serde(default, rename = "dial")]
-    pub dial: Option<Dial>,
+    pub endpoint: Option<Endpoint>,
     /// Its zone.
     #[serde(default, rename = "site")]
     pub zone: String,
@@ -105,26 +106,26 @@
     #[serde(default = "default_weight", rename = "share")]
     pub weight: f64,
     /// When it last started, as Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: f64,
 }
 
 fn default_weight() -> f64 {
     1.0
 }
 
-impl Host {
+impl ListEntry {
     /// An active server with default values for all but its name and address.
-    pub fn active(name: &str, dial: Dial) -> Self {
+    pub fn active(name: &str, endpoint: Endpoint) -> Self {
         Self {
             host: name.to_string(),
-            dial: Some(dial),
+            endpoint: Some(endpoint),
             zone: String::new(),
             kind: String::new(),
             cell: 0,
             health: Health::Active,
             weight: 1.0,
-            born_ms: 0.0,
+            started_ms: 0.0,
         }
     }
 
@@ -168,7 +169,7 @@
 
 /// Checks that every server that is not gone has an address.
 fn validate(update: Update) -> Result<Update, String> {
-    match update.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
+    match update.hosts.iter().find(|h| h.endpoint.is_none() && h.health != Health::Left) {
         Some(host) => Err(format!("{}: dial is missing", host.host)),
         None => Ok(update),
     }
--- a/crates/list/src/lib.rs
+++ b/crates/list/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod start;
 pub mod succession;
 
-pub use entry::{parse_update, update_from_value, Dial, Health, Host, Protocol, Update};
+pub use entry::{parse_update, update_from_value, Endpoint, Health, ListEntry, Protocol, Update};
 pub use merge::{MergedList, Source};
 pub use succession::VersionCheck;
--- a/crates/list/src/lines.rs
+++ b/crates/list/src/lines.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// A blank line: the watch is alive and nothing has changed.
-    Alive,
+    KeepAlive,
     /// A JSON object, unparsed.
     Object(Vec<u8>),
 }
@@ -109,7 +109,7 @@
         let message = std::mem::replace(&mut self.buffer, rest);
         (self.scanned, self.line_start, self.escaped) = (0, 0, false);
         if message.trim_ascii().is_empty() {
-            Message::Alive
+            Message::KeepAlive
         } else {
             Message::Object(message)
         }
@@ -157,7 +157,7 @@
             for chunk_bytes in 1..text.len() {
                 let messages = read_all(&text, chunk_bytes).expect("valid messages");
                 assert_eq!(messages.len(), 4, "{text}");
-                assert_eq!((&messages[0], &messages[2]), (&Message::Alive, &Message::Alive));
+                assert_eq!((&messages[0], &messages[2]), (&Message::KeepAlive, &Message::KeepAlive));
                 assert_eq!(
                     (parsed(&messages[1]), parsed(&messages[3])),
                     (expected.clone(), expected.clone())
--- a/crates/list/src/merge.rs
+++ b/crates/list/src/merge.rs
@@ -15,7 +15,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::entry::{Health, Host, Update};
+use crate::entry::{Health, ListEntry, Update};
 
 /// The source of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,28 +30,28 @@
 #[derive(Debug, Default)]
 struct ServerRecord {
     /// The latest entry of each source that lists the server, indexed by [`Source`].
-    by_source: [Option<Host>; 2],
+    by_source: [Option<ListEntry>; 2],
     /// Set while one source has removed the server and the other still lists it: the latest start time known
     /// at the removal.
     removed_at_start: Option<f64>,
     /// The merged entry as last returned to the caller.
-    published: Option<Host>,
+    published: Option<ListEntry>,
 }
 
 impl ServerRecord {
     /// The latest start time in any source.
     fn latest_start(&self) -> f64 {
-        self.by_source.iter().flatten().map(|h| h.born_ms).fold(0.0, f64::max)
+        self.by_source.iter().flatten().map(|h| h.started_ms).fold(0.0, f64::max)
     }
 
     /// The merged entry; `None` if the server is removed.
-    fn entry(&self) -> Option<Host> {
+    fn entry(&self) -> Option<ListEntry> {
         if self.removed_at_start.is_some() {
             return None;
         }
         let [discovery, registration] = &self.by_source;
         let mut entry = match (discovery, registration) {
-            (Some(d), Some(r)) if d.born_ms > r.born_ms => d.clone(),
+            (Some(d), Some(r)) if d.started_ms > r.started_ms => d.clone(),
             (_, Some(r)) => r.clone(),
             (Some(d), None) => d.clone(),
             (None, None) => return None,
@@ -85,7 +85,7 @@
     pub fn apply(&mut self, source: Source, update: Update) -> Update {
         let slot = source as usize;
         let mut affected: Vec<String> = update.hosts.iter().map(|h| h.host.clone()).collect();
-        if update.whole {
+        if update.is_full {
             let listed: std::collections::BTreeSet<&str> =
                 update.hosts.iter().filter(|h| h.health != Health::Left).map(|h| h.host.as_str()).collect();
             let missing = self.known.iter().filter(|(_, k)| k.by_source[slot].is_some());
@@ -106,25 +106,25 @@
             let Some(known) = self.known.get_mut(&name) else { continue };
             let entry = known.entry();
             if entry != known.published {
-                changed.extend(entry.clone().or_else(|| known.published.as_ref().map(Host::as_removed)));
+                changed.extend(entry.clone().or_else(|| known.published.as_ref().map(ListEntry::as_removed)));
                 known.published = entry;
             }
             if known.by_source.iter().all(Option::is_none) {
                 self.known.remove(&name);
             }
         }
-        let whole = update.whole && source == Source::Discovery;
+        let whole = update.is_full && source == Source::Discovery;
         let hosts =
             if whole { self.known.values().filter_map(|k| k.published.clone()).collect() } else { changed };
-        Update { version: update.version, whole, hosts }
+        Update { version: update.version, is_full: whole, hosts }
     }
 
-    fn insert_entry(&mut self, slot: usize, host: Host) {
+    fn insert_entry(&mut self, slot: usize, host: ListEntry) {
         let known = self.known.entry(host.host.clone()).or_default();
         // Listed again by the source that removed it, or started later than the process that was removed.
         if known
             .removed_at_start
-            .is_some_and(|latest| known.by_source[slot].is_none() || host.born_ms > latest)
+            .is_some_and(|latest| known.by_source[slot].is_none() || host.started_ms > latest)
         {
             known.removed_at_start = None;
         }
--- a/crates/list/src/start.rs
+++ b/crates/list/src/start.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     /// The wall-clock time in the list.
-    born_ms: f64,
+    started_ms: f64,
     /// The estimate on the node's clock.
     estimate: f64,
 }
@@ -70,12 +70,12 @@
 
 impl StartTimes {
     /// When a server started; `None` for long ago. The first estimate for a given start time is kept.
-    pub fn estimate(&mut self, server: u64, born_ms: f64, claim: ClaimedStart) -> Option<f64> {
-        if born_ms <= 0.0 {
+    pub fn estimate(&mut self, server: u64, started_ms: f64, claim: ClaimedStart) -> Option<f64> {
+        if started_ms <= 0.0 {
             return None;
         }
-        let known = self.known.get(&server).filter(|start| start.born_ms == born_ms);
-        let start = known.copied().unwrap_or(Start { born_ms, estimate: claim.latest() });
+        let known = self.known.get(&server).filter(|start| start.started_ms == started_ms);
+        let start = known.copied().unwrap_or(Start { started_ms, estimate: claim.latest() });
         self.known.insert(server, start);
         Some(start.estimate)
     }
--- a/crates/list/src/succession.rs
+++ b/crates/list/src/succession.rs
@@ -18,13 +18,14 @@
     /// # Errors
     /// The reason why the update is rejected.
     pub fn accept(&mut self, update: &Update, known: usize) -> Result<(), String> {
-        if update.whole && update.hosts.is_empty() && known > 0 {
+        if update.is_full && update.hosts.is_empty() && known > 0 {
             return Err(format!("empty list received while {known} servers are known"));
         }
         if let Some(accepted) = self.accepted.filter(|accepted| update.version < *accepted) {
-            let is_restart = update.whole && self.rejected.is_some_and(|rejected| update.version >= rejected);
+            let is_restart =
+                update.is_full && self.rejected.is_some_and(|rejected| update.version >= rejected);
             if !is_restart {
-                if update.whole {
+                if update.is_full {
                     self.rejected = Some(update.version);
                 }
                 return Err(format!("version {}, older than the known {accepted}", update.version));
--- a/crates/list/tests/merge.rs
+++ b/crates/list/tests/merge.rs
@@ -3,32 +3,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use glenwood_list::Source::{Discovery, Registrations};
-use glenwood_list::{Dial, Health, Host, MergedList, Protocol, Source, Update};
+use glenwood_list::{Endpoint, Health, ListEntry, MergedList, Protocol, Source, Update};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn host(name: &str, port: u16, born_ms: f64, health: Health) -> Host {
-    let dial = Dial { address: ([127, 0, 0, 1], port).into(), protocol: Protocol::Http1 };
-    Host { born_ms, health, ..Host::active(name, dial) }
+fn host(name: &str, port: u16, born_ms: f64, health: Health) -> ListEntry {
+    let dial = Endpoint { address: ([127, 0, 0, 1], port).into(), protocol: Protocol::Http1 };
+    ListEntry { started_ms: born_ms, health, ..ListEntry::active(name, dial) }
 }
 
-fn up(name: &str, born_ms: f64) -> Host {
+fn up(name: &str, born_ms: f64) -> ListEntry {
     host(name, 1, born_ms, Health::Active)
 }
 
-fn left(name: &str) -> Host {
+fn left(name: &str) -> ListEntry {
     up(name, 0.0).as_removed()
 }
 
-fn line(whole: bool, hosts: &[Host]) -> Update {
-    Update { version: 1, whole, hosts: hosts.to_vec() }
+fn line(whole: bool, hosts: &[ListEntry]) -> Update {
+    Update { version: 1, is_full: whole, hosts: hosts.to_vec() }
 }
 
 /// Applies an update and returns the changes as name, health and start time.
-fn apply(merge: &mut MergedList, source: Source, whole: bool, hosts: &[Host]) -> Vec<(String, Health, f64)> {
+fn apply(
+    merge: &mut MergedList,
+    source: Source,
+    whole: bool,
+    hosts: &[ListEntry],
+) -> Vec<(String, Health, f64)> {
     let update = merge.apply(source, line(whole, hosts));
-    assert_eq!(update.whole, whole && source == Discovery);
-    update.hosts.into_iter().map(|h| (h.host, h.health, h.born_ms)).collect()
+    assert_eq!(update.is_full, whole && source == Discovery);
+    update.hosts.into_iter().map(|h| (h.host, h.health, h.started_ms)).collect()
 }
 
 fn change(name: &str, health: Health, born: f64) -> Vec<(String, Health, f64)> {
@@ -84,7 +89,7 @@
     let mut merge = MergedList::default();
     apply(&mut merge, Discovery, true, &[host("a", 1, 5.0, Health::Active)]);
     let moved = merge.apply(Registrations, line(false, &[host("a", 2, 5.0, Health::Active)]));
-    assert_eq!(moved.hosts[0].dial.expect("it has one").address.port(), 2);
+    assert_eq!(moved.hosts[0].endpoint.expect("it has one").address.port(), 2);
     let drained = apply(&mut merge, Discovery, false, &[host("a", 1, 5.0, Health::Leaving)]);
     assert_eq!(drained, change("a", Health::Leaving, 5.0));
     // The drain applies until discovery withdraws it, even after a registration with a later start.
@@ -94,17 +99,17 @@
     assert_eq!(back, change("a", Health::Active, 6.0));
     // A registration older than the process that discovery lists does not give the address of that process.
     let older = merge.apply(Discovery, line(false, &[host("a", 1, 7.0, Health::Active)]));
-    assert_eq!(older.hosts[0].dial.expect("it has one").address.port(), 1);
+    assert_eq!(older.hosts[0].endpoint.expect("it has one").address.port(), 1);
 }
 
 #[test]
 fn entries_survive_a_round_trip_through_json() {
     let text = r#"{"host":"a","dial":"msgpack-rpc://127.0.0.1:9","site":"z","class":"m1","block":3,"health":"leaving",
                    "share":2.5,"born_ms":7.0}"#;
-    let read: Host = serde_json::from_str(text).expect("an entry");
+    let read: ListEntry = serde_json::from_str(text).expect("an entry");
     let written = serde_json::to_string(&read).expect("it can be written");
-    assert_eq!(serde_json::from_str::<Host>(&written).expect("an entry"), read);
-    assert_eq!(read.dial.expect("it has one").to_string(), "msgpack-rpc://127.0.0.1:9");
+    assert_eq!(serde_json::from_str::<ListEntry>(&written).expect("an entry"), read);
+    assert_eq!(read.endpoint.expect("it has one").to_string(), "msgpack-rpc://127.0.0.1:9");
 }
 
 proptest! {
@@ -117,13 +122,13 @@
     #[test]
     fn updates_add_up_to_the_merged_list(steps in vec((0..2usize, any::<bool>(), vec((0..5u8, 0..3u8, 0..3u8), 0..4)), 1..40)) {
         let mut merge = MergedList::default();
-        let mut followed: BTreeMap<String, Host> = BTreeMap::new();
-        let mut sources: [BTreeMap<String, Host>; 2] = Default::default();
+        let mut followed: BTreeMap<String, ListEntry> = BTreeMap::new();
+        let mut sources: [BTreeMap<String, ListEntry>; 2] = Default::default();
         // Servers that have been in both sources at once, since they were last in neither.
         let mut both: BTreeSet<String> = BTreeSet::new();
         for (slot, whole, hosts) in steps {
             let source = [Discovery, Registrations][slot];
-            let mut hosts: Vec<Host> = hosts
+            let mut hosts: Vec<ListEntry> = hosts
                 .into_iter()
                 .map(|(n, health, born)| {
                     let health = [Health::Active, Health::Leaving, Health::Left][usize::from(health)];
@@ -142,7 +147,7 @@
                 }
             }
             let update = merge.apply(source, line(whole, &hosts));
-            if update.whole {
+            if update.is_full {
                 followed.clear();
             }
             for h in update.hosts {
@@ -153,7 +158,7 @@
             }
             prop_assert_eq!(followed.len(), merge.len());
             for (name, h) in &followed {
-                let entries: Vec<&Host> = sources.iter().filter_map(|s| s.get(name)).collect();
+                let entries: Vec<&ListEntry> = sources.iter().filter_map(|s| s.get(name)).collect();
                 prop_assert!(!entries.is_empty());
                 prop_assert_eq!(Some(h.health), entries.iter().map(|entry| entry.health).max());
             }
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -18,7 +18,7 @@
 use glenwood_coordination::proto::{Acl, Mode, Request};
 use glenwood_coordination::session::{self, Event, Session};
 use glenwood_coordination::view::{Said, Settings, View};
-use glenwood_list::{Dial, Health, Host};
+use glenwood_list::{Endpoint, Health, ListEntry};
 use glenwood_testkit::client::{Ask, Client, Effect};
 use glenwood_testkit::coordination::net::Service;
 use glenwood_testkit::coordination::register::{entry, Registration};
@@ -218,12 +218,12 @@
 
 fn data(n: usize) -> Bytes {
     let address = ([127, 1, (n >> 8) as u8, n as u8], 8080).into();
-    let dial = Dial { address, protocol: glenwood_list::Protocol::Http1 };
-    let host = Host {
-        born_ms: 1.0,
+    let dial = Endpoint { address, protocol: glenwood_list::Protocol::Http1 };
+    let host = ListEntry {
+        started_ms: 1.0,
         zone: "z1".into(),
         kind: "m1".into(),
-        ..Host::active(&format!("server-{n:05}"), dial)
+        ..ListEntry::active(&format!("server-{n:05}"), dial)
     };
     Bytes::from(serde_json::to_vec(&host).expect("an entry"))
 }
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -6,7 +6,7 @@
 use glenwood_configuration::resource::{self, Effect as ResourceEffect, Server};
 use glenwood_configuration::resources::Resources;
 use glenwood_configuration::{Body, Entry, Key, Kind};
-use glenwood_list::{Dial, Health, Host, Protocol};
+use glenwood_list::{Endpoint, Health, ListEntry, Protocol};
 use glenwood_policy::{Class, Effect, Group, Tenant};
 use glenwood_settings::NodeSettings;
 
@@ -25,7 +25,7 @@
     /// The changes of the settings.
     pub settings: SettingsChange,
     /// The changes of the list.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListEntry>,
     /// The file's values of the resources that the replica has then.
     pub base: Base,
 }
@@ -45,9 +45,9 @@
     }
 }
 
-fn host_of(name: &str, server: &Server, health: Health) -> Host {
-    let dial = Dial { address: server.address, protocol: Protocol::Http1 };
-    Host { zone: server.zone.clone(), weight: server.weight, health, ..Host::active(name, dial) }
+fn host_of(name: &str, server: &Server, health: Health) -> ListEntry {
+    let dial = Endpoint { address: server.address, protocol: Protocol::Http1 };
+    ListEntry { zone: server.zone.clone(), weight: server.weight, health, ..ListEntry::active(name, dial) }
 }
 
 impl Base {
@@ -112,7 +112,7 @@
 }
 
 /// The list entry of a removed server.
-fn removed_host(entry: &Entry) -> Option<Host> {
+fn removed_host(entry: &Entry) -> Option<ListEntry> {
     match &entry.body {
         Body::Server(server) => Some(host_of(&entry.name, server, Health::Left)),
         _ => None,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -126,7 +126,7 @@
             let first = !answered;
             (due, answered) = (Instant::now() + SILENCE_TIMEOUT, true);
             match message {
-                Message::Alive => hub.discovery_alive(first),
+                Message::KeepAlive => hub.discovery_alive(first),
                 Message::Object(text) => {
                     hub.apply_discovery_update(read(&text)?).map_err(Ended::Unreadable)?
                 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -234,7 +234,7 @@
     /// anything else.
     pub fn start(&self, outside: Rc<dyn HubActions>, known: Option<Update>) {
         let _ = self.outside.set(outside);
-        let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
+        let saved = known.unwrap_or(Update { version: 0, is_full: true, hosts: Vec::new() });
         // No server is known yet and no list was taken before, so this one is accepted.
         let _ = self.succession.borrow_mut().accept(&saved, 0);
         self.take_list(Source::Discovery, saved, true);
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -7,7 +7,7 @@
 use glenwood_trace::Doing;
 
 use super::Hub;
-use crate::list::{Health, Host, Update, UpdateTimes};
+use crate::list::{Health, ListEntry, Update, UpdateTimes};
 use crate::log;
 
 /// When each source of the list was last seen, in the core's time.
@@ -122,7 +122,7 @@
         self.succession.borrow_mut().accept(&update, known)?;
         self.last_discovery_error.borrow_mut().clear();
         self.list_received.set(true);
-        self.trace(|_| Doing::List { whole: update.whole, entries: update.hosts.len() });
+        self.trace(|_| Doing::List { whole: update.is_full, entries: update.hosts.len() });
         self.trace(|_| Doing::Version(update.version));
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
             self.trace(|_| Doing::Entry { server: host.host.clone(), health: format!("{:?}", host.health) });
@@ -137,17 +137,17 @@
 
     /// Registrations have changed; with `whole`, `hosts` are all there are. `saved` is set for those saved
     /// before the node's start.
-    pub fn apply_registrations(&self, whole: bool, hosts: Vec<Host>, saved: bool) {
+    pub fn apply_registrations(&self, whole: bool, hosts: Vec<ListEntry>, saved: bool) {
         if !saved {
             self.list_received.set(true);
         }
-        self.take_list(Source::Registrations, Update { version: 0, whole, hosts }, saved);
+        self.take_list(Source::Registrations, Update { version: 0, is_full: whole, hosts }, saved);
     }
 
     /// Configuration has added, changed or removed servers.
-    pub fn apply_configured_servers(&self, hosts: Vec<Host>) {
+    pub fn apply_configured_servers(&self, hosts: Vec<ListEntry>) {
         self.list_received.set(true);
-        self.take_list(Source::Registrations, Update { version: 0, whole: false, hosts }, false);
+        self.take_list(Source::Registrations, Update { version: 0, is_full: false, hosts }, false);
     }
 
     /// Has the server of that name answered within the last `max_age` milliseconds, and not failed since?
@@ -164,7 +164,7 @@
             Some(merge) => merge.borrow_mut().apply(source, update),
             None => update,
         };
-        let whole = update.whole;
+        let whole = update.is_full;
         let last_seen = self.list_last_seen.of(source);
         let heard = UpdateTimes {
             clock: &self.clock,
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use glenwood_list::start::{ClaimedStart, StartTimes};
-pub use glenwood_list::{parse_update, update_from_value, Dial, Health, Host, Protocol, Update};
+pub use glenwood_list::{parse_update, update_from_value, Endpoint, Health, ListEntry, Protocol, Update};
 use glenwood_policy::{Entry, Listed, Millis, Outcome, ServerId};
 
 use crate::clock::Clock;
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
     /// Its address and protocol.
-    pub dial: Dial,
+    pub dial: Endpoint,
     born_ms: f64,
 }
 
@@ -123,7 +123,7 @@
     /// Applies an update. Returns the entries for the core, and the servers whose connections are of no
     /// more use.
     pub fn take(&mut self, update: Update, heard: UpdateTimes<'_>) -> (Vec<Entry>, Vec<ServerId>) {
-        if update.whole {
+        if update.is_full {
             for host in self.known.values_mut() {
                 host.state = Listed::Gone;
             }
@@ -132,7 +132,7 @@
         let entries: Vec<Entry> =
             update.hosts.into_iter().filter_map(|h| self.apply_entry(h, heard, &mut stale)).collect();
         // Servers that a change leaves out are unchanged and need no check.
-        let touched: Vec<ServerId> = if update.whole {
+        let touched: Vec<ServerId> = if update.is_full {
             self.known.keys().copied().collect()
         } else {
             entries.iter().map(|e| e.server).collect()
@@ -152,7 +152,7 @@
     /// but not sent.
     fn apply_entry(
         &mut self,
-        host: Host,
+        host: ListEntry,
         heard: UpdateTimes<'_>,
         stale: &mut Vec<ServerId>,
     ) -> Option<Entry> {
@@ -167,16 +167,16 @@
             return None;
         }
         let marked = self.marks.kinds.contains(&host.kind) || self.marks.hosts.contains(&host.host);
-        let mut dial = host.dial.or(before.map(|b| b.place.dial));
+        let mut dial = host.endpoint.or(before.map(|b| b.place.dial));
         if let Some(dial) = dial.as_mut().filter(|_| marked) {
             dial.protocol = Protocol::Msgpack;
         }
-        if before.is_some_and(|b| b.place.born_ms != host.born_ms || Some(b.place.dial) != dial) {
+        if before.is_some_and(|b| b.place.born_ms != host.started_ms || Some(b.place.dial) != dial) {
             // Its connections ended with the old incarnation.
             stale.push(server);
         }
         if let Some(dial) = dial {
-            let place = Place { dial, born_ms: host.born_ms };
+            let place = Place { dial, born_ms: host.started_ms };
             let answered = before.filter(|b| b.place == place).and_then(|b| b.answered);
             let location = (number_of(&host.zone), host.cell);
             self.known.insert(server, KnownServer { name: host.host, place, location, state, answered });
@@ -188,7 +188,7 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started_at: self.start_time(server, host.born_ms, heard),
+            started_at: self.start_time(server, host.started_ms, heard),
         })
     }
 
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 
 use crate::hub::Hub;
-use crate::list::Host;
+use crate::list::ListEntry;
 use crate::log;
 use crate::operator::Registrations;
 
@@ -50,7 +50,7 @@
 }
 
 /// Replaces a file atomically: after a crash there is the old file or the new one, complete.
-fn save(path: &Path, hosts: Vec<Host>) -> std::io::Result<()> {
+fn save(path: &Path, hosts: Vec<ListEntry>) -> std::io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
     let written = (|| {
@@ -103,7 +103,7 @@
     }
 
     /// Starts to save the view, if a save is due.
-    fn save(&mut self, hosts: impl FnOnce() -> Vec<Host>) {
+    fn save(&mut self, hosts: impl FnOnce() -> Vec<ListEntry>) {
         if self.writing.is_some() || self.due.is_none_or(|due| due > Instant::now()) {
             return;
         }
--- a/crates/scale/src/deployment.rs
+++ b/crates/scale/src/deployment.rs
@@ -1,6 +1,6 @@
 //! Deployments of any size: the settings object and the list of servers, made up by number.
 
-use glenwood_list::{Dial, Health, Host, Protocol, Update};
+use glenwood_list::{Endpoint, Health, ListEntry, Protocol, Update};
 use serde_json::{json, Value};
 
 /// How many zones servers lie in.
@@ -36,21 +36,21 @@
 }
 
 /// The server of that number.
-pub fn host(number: usize) -> Host {
+pub fn host(number: usize) -> ListEntry {
     let address = format!("10.{}.{}.{}:9000", number >> 16 & 255, number >> 8 & 255, number & 255);
-    Host {
+    ListEntry {
         host: format!("s-{number:08x}"),
-        dial: Some(Dial { address: address.parse().expect("an address"), protocol: Protocol::Http1 }),
+        endpoint: Some(Endpoint { address: address.parse().expect("an address"), protocol: Protocol::Http1 }),
         zone: format!("zone-{}", number % ZONES),
         kind: format!("m{}", number % 3),
         cell: (number % 40) as u64,
         health: Health::Active,
         weight: 1.0,
-        born_ms: 0.0,
+        started_ms: 0.0,
     }
 }
 
 /// A whole list of so many servers.
 pub fn list(servers: usize) -> Update {
-    Update { version: 1, whole: true, hosts: (0..servers).map(host).collect() }
+    Update { version: 1, is_full: true, hosts: (0..servers).map(host).collect() }
 }
--- a/crates/scale/src/scenario/configuration.rs
+++ b/crates/scale/src/scenario/configuration.rs
@@ -183,7 +183,7 @@
 fn server(number: usize, services: usize) -> Entry {
     let body = Body::Server(Server {
         service: service_name(number % services),
-        address: crate::deployment::host(number).dial.expect("an address").address,
+        address: crate::deployment::host(number).endpoint.expect("an address").address,
         zone: format!("zone-{}", number % crate::deployment::ZONES),
         weight: 1.0,
     });
--- a/crates/scale/src/scenario/list.rs
+++ b/crates/scale/src/scenario/list.rs
@@ -82,7 +82,7 @@
     fn change(&mut self, server: usize, number: u64) -> [Cost; 3] {
         let mut host = deployment::host(server);
         host.health = if number.is_multiple_of(2) { Health::Leaving } else { Health::Active };
-        let change = Update { version: 2 + number, whole: false, hosts: vec![host] };
+        let change = Update { version: 2 + number, is_full: false, hosts: vec![host] };
         let text = serde_json::to_vec(&change).expect("JSON");
         let (update, reading) = measure(|| Self::read(&text));
         let heard =
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -6,7 +6,7 @@
 use glenwood_coordination::net::Driver;
 use glenwood_coordination::registrar::{Registrar, Said};
 use glenwood_coordination::session::Settings;
-use glenwood_list::{Dial, Host, Protocol};
+use glenwood_list::{Endpoint, ListEntry, Protocol};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
@@ -26,18 +26,22 @@
 }
 
 /// The entry of a stand-in server.
-pub fn entry(server: &StandIn, born_ms: f64) -> Host {
+pub fn entry(server: &StandIn, born_ms: f64) -> ListEntry {
     let protocol = match server.identity.protocol {
         server::Protocol::Http => Protocol::Http1,
         server::Protocol::Rpc => Protocol::Msgpack,
     };
-    let dial = Dial { address: server.address, protocol };
-    Host { cell: server.identity.cell, born_ms, ..Host::active(&server.identity.name, dial) }
+    let dial = Endpoint { address: server.address, protocol };
+    ListEntry {
+        cell: server.identity.cell,
+        started_ms: born_ms,
+        ..ListEntry::active(&server.identity.name, dial)
+    }
 }
 
 impl Registration {
     /// Registers under `/servers`, with a session of that time-out in milliseconds.
-    pub fn start(members: &[SocketAddr], host: Host, timeout: f64) -> Self {
+    pub fn start(members: &[SocketAddr], host: ListEntry, timeout: f64) -> Self {
         let (commands, told) = mpsc::unbounded_channel();
         let (say, said) = watch::channel(None);
         // A seed for the order in which members are tried: any will do, if it differs from server to server.
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -11,15 +11,15 @@
 use glenwood_coordination::registrar::Said as Told;
 use glenwood_coordination::session::Settings;
 use glenwood_coordination::view::Said;
-use glenwood_list::{Dial, Health, Host, Protocol};
+use glenwood_list::{Endpoint, Health, ListEntry, Protocol};
 use world::*;
 
 const GUARD: guard::Settings = guard::Settings { share: 0.3, window: 2000.0, hold: 400.0 };
 
-fn host(id: u64, born_ms: f64) -> Host {
+fn host(id: u64, born_ms: f64) -> ListEntry {
     let address = ([127, 0, (id >> 8) as u8, id as u8], 80).into();
-    let dial = Dial { address, protocol: Protocol::Http1 };
-    Host { born_ms, ..Host::active(&format!("s{id}"), dial) }
+    let dial = Endpoint { address, protocol: Protocol::Http1 };
+    ListEntry { started_ms: born_ms, ..ListEntry::active(&format!("s{id}"), dial) }
 }
 
 /// So many servers, and a view of them that has all; they answer as the switch says.
@@ -41,7 +41,7 @@
 /// What a node has of what its view said.
 #[derive(Default)]
 struct List {
-    hosts: BTreeMap<String, Host>,
+    hosts: BTreeMap<String, ListEntry>,
     /// Each change as it was said: name and health.
     changes: Vec<(String, Health)>,
     unfit: Vec<String>,
@@ -141,7 +141,7 @@
     world.registrars.get_mut(&1).expect("it is there").cut = false;
     list.pass(&mut world, 1000.0);
     assert_eq!(list.take_changes(), [change(1, Health::Active)]);
-    assert_eq!(list.hosts["s1"].born_ms, 1.0);
+    assert_eq!(list.hosts["s1"].started_ms, 1.0);
 }
 
 #[test]
@@ -243,7 +243,7 @@
     answers.store(false, Ordering::Relaxed);
     world.register_with(1, host(1, 2.0), Settings { members: MEMBERS, timeout: TIMEOUT, seed: 77 });
     list.pass(&mut world, 100.0);
-    assert_eq!(list.hosts["s1"].born_ms, 2.0);
+    assert_eq!(list.hosts["s1"].started_ms, 2.0);
     assert_eq!(told(&mut world, 1), [Told::Registered]);
     list.take_changes();
     list.pass(&mut world, 5.0 * TIMEOUT);
@@ -255,9 +255,9 @@
 #[test]
 fn the_earlier_of_two_processes_gives_way() {
     let (mut world, _, mut list) = set_up(2, None);
-    world.register(9, Host { born_ms: 5.0, ..host(1, 5.0) });
+    world.register(9, ListEntry { started_ms: 5.0, ..host(1, 5.0) });
     list.pass(&mut world, 10.0 * TIMEOUT);
-    assert_eq!((list.hosts["s1"].born_ms, list.active()), (5.0, 2));
+    assert_eq!((list.hosts["s1"].started_ms, list.active()), (5.0, 2));
     assert!(list.take_changes().len() <= 4);
     assert_eq!(told(&mut world, 1).last(), Some(&Told::GaveWay));
     // The earlier one again: it finds the later one's entry, and leaves it.
@@ -271,7 +271,7 @@
 fn two_processes_of_one_birth_cost_few_changes() {
     let (mut world, answers, mut list) = set_up(2, None);
     answers.store(false, Ordering::Relaxed);
-    world.register(9, Host { host: "s1".into(), ..host(9, 1.0) });
+    world.register(9, ListEntry { host: "s1".into(), ..host(9, 1.0) });
     list.pass(&mut world, 60_000.0);
     let changes = list.take_changes().len();
     assert!((2..60).contains(&changes), "{changes} changes in a minute");
@@ -344,7 +344,7 @@
 fn of_two_names_with_one_address_the_later_born_is_listed() {
     let (mut world, answers, mut list) = set_up(2, None);
     answers.store(false, Ordering::Relaxed);
-    let same = |name: &str, born_ms| Host { host: name.into(), born_ms, ..host(1, born_ms) };
+    let same = |name: &str, born_ms| ListEntry { host: name.into(), started_ms: born_ms, ..host(1, born_ms) };
     world.register(8, same("older", 0.5));
     list.pass(&mut world, 100.0);
     assert_eq!(list.take_changes(), []);
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -9,7 +9,7 @@
 use glenwood_coordination::guard;
 use glenwood_coordination::view::Said;
 use glenwood_core::{AttemptId, AttemptResult, Core, Final, Incoming, Output, Token};
-use glenwood_list::{Dial, Health, Host, MergedList, Protocol, Source, Update};
+use glenwood_list::{Endpoint, Health, ListEntry, MergedList, Protocol, Source, Update};
 use glenwood_policy::{
     Class, Discovery, Effect, Entry, Goal, Limits, Listed, Outcome, Rules, ServerId, Settings, Weights,
 };
@@ -131,7 +131,7 @@
         let now = world.now;
         for said in world.views[0].take_said() {
             let Said::List { whole, hosts } = said else { continue };
-            let update = Update { version: 0, whole, hosts };
+            let update = Update { version: 0, is_full: whole, hosts };
             let update = self.merge.apply(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
                 let id = id_of(&host.host);
@@ -151,7 +151,7 @@
                     kind: 0,
                     state: listed(host.health),
                     weight: 1.0,
-                    started_at: (host.born_ms > 0.0).then_some(host.born_ms),
+                    started_at: (host.started_ms > 0.0).then_some(host.started_ms),
                 }
             });
             let entries = entries.collect();
@@ -170,7 +170,7 @@
         for id in all {
             let data = tree.data(&format!("/servers/s{id}"));
             let inside = data
-                .and_then(|data| serde_json::from_slice::<Host>(data).ok())
+                .and_then(|data| serde_json::from_slice::<ListEntry>(data).ok())
                 .is_some_and(|host| host.health == Health::Active);
             let (now_in, other) =
                 if inside { (&mut self.inside, &mut self.out) } else { (&mut self.out, &mut self.inside) };
@@ -276,9 +276,12 @@
     }
 }
 
-fn host(id: u64, born_ms: f64) -> Host {
+fn host(id: u64, born_ms: f64) -> ListEntry {
     let address = ([127, 0, (id >> 8) as u8, id as u8], 80).into();
-    Host { born_ms, ..Host::active(&format!("s{id}"), Dial { address, protocol: Protocol::Http1 }) }
+    ListEntry {
+        started_ms: born_ms,
+        ..ListEntry::active(&format!("s{id}"), Endpoint { address, protocol: Protocol::Http1 })
+    }
 }
 
 /// A storm; servers that end do so as `drains` says, and members of the service fail as the seed says.
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use glenwood_coordination::registrar::Registrar;
 use glenwood_coordination::session::{Event, Failed, Session, Settings};
 use glenwood_coordination::view::{self, Answers, View};
-use glenwood_list::Host;
+use glenwood_list::ListEntry;
 use glenwood_testkit::coordination::ensemble::{ConnId, Ensemble};
 use glenwood_testkit::coordination::tree::Tree;
 
@@ -149,12 +149,12 @@
     }
 
     /// A server's registrar begins; one that has the number ends without a word.
-    pub fn register(&mut self, id: u64, host: Host) {
+    pub fn register(&mut self, id: u64, host: ListEntry) {
         let settings = self.settings(id);
         self.register_with(id, host, settings);
     }
 
-    pub fn register_with(&mut self, id: u64, host: Host, settings: Settings) {
+    pub fn register_with(&mut self, id: u64, host: ListEntry, settings: Settings) {
         let registrar = Registrar::new(self.now, settings, "/servers", host);
         if let Some(old) = self.registrars.insert(id, At::new(registrar)) {
             old.vanish(&mut self.ensemble);
