--- a/crates/list/src/entry.rs
+++ b/crates/list/src/entry.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Parses a [`Endpoint`] from borrowed text.
+/// Parses an [`Endpoint`] from borrowed text.
 struct EndpointVisitor;
 
 impl Visitor<'_> for EndpointVisitor {
--- a/crates/node/src/backend/http1/answer.rs
+++ b/crates/node/src/backend/http1/answer.rs
@@ -173,9 +173,9 @@
         servers.pool.record_unsolicited(server, seen);
         return;
     }
-    // If the server moved or restarted while the connection was in use, `Pool::forget` did not
+    // If the server moved or restarted while the connection was in use, `Pool::discard_connections` did not
     // see it.
-    let is_same_place = servers.hub.place(server) == Some(link.place);
+    let is_same_place = servers.hub.server_address(server) == Some(link.server_address);
     if may_reuse && pending == Pending::Nothing && is_same_place {
         link.exchange.finished(Instant::now());
         servers.pool.put(server, link);
--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -152,8 +152,8 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: ServerId) {
-        self.pool.forget(server);
+    pub fn discard_connections(&self, server: ServerId) {
+        self.pool.discard_connections(server);
     }
 
     /// Closes connections that have been idle for too long.
@@ -185,13 +185,13 @@
     loop {
         // A drain applies from the moment the node is notified, also to attempts that were waiting for a
         // connection.
-        let place = hub.place(server).ok_or(Outcome::NotSent)?;
+        let place = hub.server_address(server).ok_or(Outcome::NotSent)?;
         let pooled = match message {
             _ if !may_reuse => None,
             Message::Check => pool.take_oldest(server),
             Message::Call(_) | Message::Probe => pool.take(server),
         };
-        let pooled = pooled.filter(|link| link.place == place);
+        let pooled = pooled.filter(|link| link.server_address == place);
         let reused = pooled.is_some();
         let mut link = match pooled {
             Some(link) => link,
@@ -213,7 +213,7 @@
         }
         let accepts = match message {
             Message::Call(_) => hub.may_send_to(server, place),
-            Message::Probe | Message::Check => hub.place(server) == Some(place),
+            Message::Probe | Message::Check => hub.server_address(server) == Some(place),
         };
         let accepts = accepts && attempt.is_none_or(|attempt| hub.may_write(attempt));
         return if accepts { Ok(Acquired { link, reused }) } else { Err(Outcome::NotSent) };
@@ -249,7 +249,7 @@
         }
         let unanswered = pool.track_unanswered(server);
         let length = match message {
-            Message::Call(call) => call.length(),
+            Message::Call(call) => call.body_length(),
             Message::Probe | Message::Check => Some(0),
         };
         match (length, message.rest()) {
--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -20,7 +20,7 @@
 use crate::blocks::OutgoingBody;
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
-use crate::list::Place;
+use crate::list::ServerAddress;
 use crate::sock::{Io, Pending, TrackedSocket};
 
 /// The largest accepted head of an answer.
@@ -47,7 +47,7 @@
     /// Whether the connection has ended; it must not be polled again.
     pub is_over: bool,
     /// The server instance it leads to.
-    pub place: Place,
+    pub server_address: ServerAddress,
     /// The state of its exchange of requests and answers.
     pub exchange: Exchange,
     descriptor: Descriptor,
@@ -139,7 +139,7 @@
     }
 
     /// Closes the idle connections to a server whose address is served by another process from now on.
-    pub fn forget(&self, server: ServerId) {
+    pub fn discard_connections(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         self.idle.borrow_mut().remove(&server);
         self.doubt.borrow_mut().forget(server);
@@ -345,24 +345,25 @@
     /// Opens a connection, or returns the outcome of the attempt without one. If this node has no descriptor
     /// or port left, nothing was sent and the server is not at fault; reported as a failed connect it would
     /// eject a healthy server.
-    pub async fn connect(&self, place: Place, is_check: bool) -> Result<Link, Outcome> {
+    pub async fn connect(&self, server_address: ServerAddress, is_check: bool) -> Result<Link, Outcome> {
         let descriptor =
             if is_check { self.descriptors.reserve_for_check().await } else { self.descriptors.reserve() };
         let descriptor = descriptor.ok_or(Outcome::NotSent)?;
-        let stream = match timeout(self.max_connect_time, TcpStream::connect(place.dial.address)).await {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if is_own_connect_failure(&error) => {
-                self.descriptors.evict();
-                return Err(Outcome::NotSent);
-            }
-            Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
-        };
+        let stream =
+            match timeout(self.max_connect_time, TcpStream::connect(server_address.endpoint.address)).await {
+                Ok(Ok(stream)) => stream,
+                Ok(Err(error)) if is_own_connect_failure(&error) => {
+                    self.descriptors.evict();
+                    return Err(Outcome::NotSent);
+                }
+                Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
+            };
         let failed = Outcome::ConnectFailed;
         let sock = TrackedSocket::new(stream).map_err(|_| failed)?;
         let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(Io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         let (exchange, number) = (Exchange::new(Instant::now()), self.next_number());
-        Ok(Link { sock, send, conn, is_over: false, place, exchange, descriptor, number })
+        Ok(Link { sock, send, conn, is_over: false, server_address, exchange, descriptor, number })
     }
 }
 
--- a/crates/node/src/backend/mod.rs
+++ b/crates/node/src/backend/mod.rs
@@ -21,7 +21,7 @@
 
 /// The file descriptors available for connections to servers.
 pub struct Descriptors {
-    held: Rc<Cell<usize>>,
+    reserved: Rc<Cell<usize>>,
     limit: Cell<usize>,
     /// Limits how many of them health checks hold at the same time.
     checks: Arc<Semaphore>,
@@ -53,7 +53,7 @@
     pub fn new(most: usize) -> Rc<Self> {
         let for_checks = (most / CHECKS_DIVISOR).clamp(1, MAX_CHECK_DESCRIPTORS);
         Rc::new(Self {
-            held: Rc::default(),
+            reserved: Rc::default(),
             limit: Cell::new(most),
             checks: Arc::new(Semaphore::new(for_checks)),
             idle: RefCell::default(),
@@ -71,23 +71,23 @@
     }
 
     /// Sets the limit, and closes idle connections that exceed it.
-    pub fn bound(&self, most: usize) {
+    pub fn set_limit(&self, most: usize) {
         self.limit.set(most);
-        while self.held.get() > most && self.evict() {}
+        while self.reserved.get() > most && self.evict() {}
     }
 
     /// The number of reserved descriptors.
-    pub fn held(&self) -> usize {
-        self.held.get()
+    pub fn reserved_count(&self) -> usize {
+        self.reserved.get()
     }
 
     /// Reserves a descriptor, closing an idle connection if necessary; `None` if there is none to close.
     pub fn reserve(&self) -> Option<Descriptor> {
-        if self.held.get() >= self.limit.get() && !self.evict() {
+        if self.reserved.get() >= self.limit.get() && !self.evict() {
             return None;
         }
-        self.held.set(self.held.get() + 1);
-        Some(Descriptor { count: self.held.clone(), check_permit: None })
+        self.reserved.set(self.reserved.get() + 1);
+        Some(Descriptor { count: self.reserved.clone(), check_permit: None })
     }
 
     /// Reserves a descriptor for a health check; waits while too many checks hold one.
@@ -100,7 +100,7 @@
 
     /// Reserves a descriptor to keep a check's connection for requests, if more than half of all are free.
     pub fn keep_checked(&self) -> Option<Descriptor> {
-        if 2 * self.held.get() >= self.limit.get() {
+        if 2 * self.reserved.get() >= self.limit.get() {
             return None;
         }
         self.reserve()
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -25,7 +25,7 @@
 use crate::call::{Call, Content, Reply, MAX_BUFFERED_BODY_BYTES};
 use crate::errno::is_own_connect_failure;
 use crate::hub::Hub;
-use crate::list::Place;
+use crate::list::ServerAddress;
 use crate::log;
 use crate::sock::TrackedSocket;
 
@@ -86,7 +86,7 @@
 
 struct Conn {
     server: ServerId,
-    place: Place,
+    server_address: ServerAddress,
     /// When it was established.
     opened: Cell<Option<Instant>>,
     state: RefCell<State>,
@@ -158,11 +158,13 @@
 
     /// Starts an attempt.
     pub fn start(&self, attempt: AttemptId, server: ServerId, deadline: Instant, call: Rc<Call>) {
-        let Some(place) = self.hub.place(server) else { return self.report_ended(attempt, Outcome::NotSent) };
-        let conn = match self.least_loaded(server, place) {
+        let Some(server_address) = self.hub.server_address(server) else {
+            return self.report_ended(attempt, Outcome::NotSent);
+        };
+        let conn = match self.least_loaded(server, server_address) {
             Some(conn) => conn,
             None => match self.descriptors.reserve() {
-                Some(descriptor) => self.open(server, place, descriptor),
+                Some(descriptor) => self.open(server, server_address, descriptor),
                 None => return self.report_ended(attempt, Outcome::NotSent),
             },
         };
@@ -177,14 +179,14 @@
     }
 
     /// The connection to this incarnation of a server with the most free slots, if any has one.
-    fn least_loaded(&self, server: ServerId, place: Place) -> Option<Rc<Conn>> {
+    fn least_loaded(&self, server: ServerId, server_address: ServerAddress) -> Option<Rc<Conn>> {
         let conns = self.conns.borrow();
-        let fit = conns.get(&server)?.iter().filter(|c| c.place == place);
+        let fit = conns.get(&server)?.iter().filter(|c| c.server_address == server_address);
         let with_slots = fit.map(|c| (c.state.borrow().free_slots(), c)).filter(|(slots, _)| *slots > 0);
         with_slots.max_by_key(|(slots, _)| *slots).map(|(_, conn)| conn.clone())
     }
 
-    fn open(&self, server: ServerId, place: Place, descriptor: Descriptor) -> Rc<Conn> {
+    fn open(&self, server: ServerId, server_address: ServerAddress, descriptor: Descriptor) -> Rc<Conn> {
         let state = State {
             protocol: Connection::new(self.max_calls, Bounds::default()),
             waiting: VecDeque::new(),
@@ -197,7 +199,7 @@
         };
         let conn = Rc::new(Conn {
             server,
-            place,
+            server_address,
             opened: Cell::default(),
             state: RefCell::new(state),
             changed: Notify::new(),
@@ -259,7 +261,7 @@
     }
 
     /// Retires the connections to a server that moved, restarted or is gone.
-    pub fn forget(&self, server: ServerId) {
+    pub fn discard_connections(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         if let Some(conns) = self.conns.borrow().get(&server) {
             for conn in conns {
@@ -310,7 +312,8 @@
     }
 
     async fn establish(&self, conn: &Conn) -> Result<Rc<TrackedSocket>, Outcome> {
-        let mut connecting = pin!(timeout(self.connect_limit, TcpStream::connect(conn.place.dial.address)));
+        let mut connecting =
+            pin!(timeout(self.connect_limit, TcpStream::connect(conn.server_address.endpoint.address)));
         loop {
             let deadline = self.expire(conn);
             tokio::select! {
@@ -390,13 +393,15 @@
             return None;
         }
         // A server that restarted, moved or drains gets no further calls.
-        (self.hub.place(conn.server) == Some(conn.place)).then_some(idle_until)
+        (self.hub.server_address(conn.server) == Some(conn.server_address)).then_some(idle_until)
     }
 
     /// Hands waiting calls to the protocol state, a limited number at a time. A drain applies from the moment
     /// the node is notified, also to calls that were waiting.
     fn submit_waiting(&self, conn: &Conn, sock: &TrackedSocket) {
-        if !self.hub.may_send_to(conn.server, conn.place) || conn.state.borrow().protocol.is_retired() {
+        if !self.hub.may_send_to(conn.server, conn.server_address)
+            || conn.state.borrow().protocol.is_retired()
+        {
             let withdrawn = conn.state.borrow_mut().protocol.withdraw();
             for attempt in withdrawn {
                 self.forget_attempt(conn, attempt);
@@ -428,7 +433,7 @@
             }
             let now = Instant::now();
             let remaining_ms = deadline.saturating_duration_since(now).as_millis() as u64;
-            if state.protocol.call(attempt, &call.message(remaining_ms)).is_ok() {
+            if state.protocol.call(attempt, &call.to_rpc_call(remaining_ms)).is_ok() {
                 state.sent.insert(attempt, now);
                 state.last_used = now;
             }
@@ -542,7 +547,10 @@
                 }
                 Event::Stray(text) => {
                     self.stray_replies.set(self.stray_replies.get() + 1);
-                    log::line(format!("msgpack: {text}; {} stray replies so far", self.stray_replies.get()));
+                    log::write_line(format!(
+                        "msgpack: {text}; {} stray replies so far",
+                        self.stray_replies.get()
+                    ));
                     continue;
                 }
             };
@@ -591,13 +599,14 @@
     /// Sends a health call on a new connection: an existing one could not show whether the process still
     /// accepts them.
     async fn check_health(&self, server: ServerId) -> Outcome {
-        let Some(place) = self.hub.place(server) else { return Outcome::NotSent };
+        let Some(server_address) = self.hub.server_address(server) else { return Outcome::NotSent };
         let Some(_descriptor) = self.descriptors.reserve_for_check().await else { return Outcome::NotSent };
-        let stream = match timeout(self.connect_limit, TcpStream::connect(place.dial.address)).await {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if is_own_connect_failure(&error) => return Outcome::NotSent,
-            Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed,
-        };
+        let stream =
+            match timeout(self.connect_limit, TcpStream::connect(server_address.endpoint.address)).await {
+                Ok(Ok(stream)) => stream,
+                Ok(Err(error)) if is_own_connect_failure(&error) => return Outcome::NotSent,
+                Ok(Err(_)) | Err(_) => return Outcome::ConnectFailed,
+            };
         let Ok(sock) = TrackedSocket::new(stream) else { return Outcome::ConnectFailed };
         let mut protocol = Connection::new(1, Bounds::default());
         let call = message::Call { class: HEALTH_METHOD.to_string(), ..message::Call::default() };
--- a/crates/node/src/blocks.rs
+++ b/crates/node/src/blocks.rs
@@ -38,7 +38,7 @@
     }
 
     /// The body as one contiguous buffer.
-    pub fn whole(&self) -> Bytes {
+    pub fn to_contiguous(&self) -> Bytes {
         match &*self.parts {
             [] => Bytes::new(),
             [single] => single.clone(),
@@ -228,7 +228,11 @@
             let mut builder = BlocksBuilder::default();
             body.chunks(piece).for_each(|bytes| builder.push(bytes));
             let blocks = builder.finish();
-            assert_eq!((blocks.len(), blocks.whole()), (body.len(), Bytes::from(body.clone())), "{piece}");
+            assert_eq!(
+                (blocks.len(), blocks.to_contiguous()),
+                (body.len(), Bytes::from(body.clone())),
+                "{piece}"
+            );
             assert!(blocks.iter().all(|b| b.len() <= BLOCK_BYTES));
             // A single byte first makes at most one small block.
             assert!(blocks.iter().count() <= 100_000 / BLOCK_BYTES + 2, "{piece}: {}", blocks.iter().count());
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -152,7 +152,7 @@
 
 impl Call {
     /// The length of the complete body, if known.
-    pub fn length(&self) -> Option<usize> {
+    pub fn body_length(&self) -> Option<usize> {
         self.rest.as_ref().map_or(Some(self.body.len()), |rest| rest.length)
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// The client's estimate of the work, if there is a valid one.
-    pub fn work(&self) -> Option<Millis> {
+    pub fn estimated_work(&self) -> Option<Millis> {
         let Origin::Http(headers) = &self.origin else { return None };
         let microseconds: f64 = headers.get(ESTIMATE)?.to_str().ok()?.parse().ok()?;
         (microseconds.is_finite() && microseconds > 0.0).then_some(microseconds / 1000.0)
@@ -210,7 +210,7 @@
     }
 
     /// The request as a call to a MessagePack-RPC server, including how long the node waits for it.
-    pub fn message(&self, remaining_ms: u64) -> message::Call {
+    pub fn to_rpc_call(&self, remaining_ms: u64) -> message::Call {
         let target_path = self.target.path_and_query().map_or("", |p| p.as_str()).trim_start_matches('/');
         let class_end = target_path.find(['/', '?']).unwrap_or(target_path.len());
         let (org, user) = match &self.origin {
@@ -225,7 +225,7 @@
             user: user.map(str::to_string),
             remaining_ms: Some(remaining_ms),
             key: self.key.as_ref().map(|k| k.as_str().to_string()),
-            body: self.body.whole(),
+            body: self.body.to_contiguous(),
         }
     }
 }
@@ -285,7 +285,7 @@
 
     #[test]
     fn invalid_estimates_are_ignored() {
-        let work = |text: &str| call("t1", None, "/look", &[(ESTIMATE, text)]).work();
+        let work = |text: &str| call("t1", None, "/look", &[(ESTIMATE, text)]).estimated_work();
         assert_eq!(work("1500"), Some(1.5));
         for bad in ["", "x", "-1", "0", "NaN", "inf", "1e999"] {
             assert_eq!(work(bad), None, "{bad}");
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -21,11 +21,11 @@
 impl Clock {
     /// The current time in the core's time.
     pub fn now(&self) -> Millis {
-        self.at(Instant::now())
+        self.millis_at(Instant::now())
     }
 
     /// Converts the runtime's time to the core's.
-    pub fn at(&self, instant: Instant) -> Millis {
+    pub fn millis_at(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -120,7 +120,7 @@
 
     /// The most client connections: half of the descriptors that are left for connections, limited by the
     /// memory.
-    pub fn clients_most(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         self.split_descriptors(self.sockets).0
     }
 
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -127,7 +127,7 @@
             match self.apply_offer(&offer) {
                 Ok(()) => self.replica.borrow_mut().accept(now, offer),
                 Err(reason) => {
-                    log::line(format!("configuration: {version} is rejected: {reason}"));
+                    log::write_line(format!("configuration: {version} is rejected: {reason}"));
                     self.replica.borrow_mut().reject(now, version, reason);
                 }
             }
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -42,7 +42,7 @@
             Origin::Http(_) => header(&COOKIE),
             Origin::Rpc { user, .. } => user.as_deref().unwrap_or_default().as_bytes(),
         };
-        body = call.body.whole().to_vec();
+        body = call.body.to_contiguous().to_vec();
         parts.extend([&b"all"[..], target.as_bytes(), user, header(&ESTIMATE), header(&LABELS), &body]);
     }
     let digest = |salt: &'static [u8]| {
@@ -107,7 +107,7 @@
             write_bytes(&mut out, user.as_deref().unwrap_or_default().as_bytes());
         }
     }
-    write_bytes(&mut out, &call.body.whole());
+    write_bytes(&mut out, &call.body.to_contiguous());
     Some(Bytes::from(out))
 }
 
--- a/crates/node/src/custody/guard.rs
+++ b/crates/node/src/custody/guard.rs
@@ -43,8 +43,8 @@
         self.inner.probe(server);
     }
 
-    fn forget(&self, server: ServerId) {
-        self.inner.forget(server);
+    fn discard_connections(&self, server: ServerId) {
+        self.inner.discard_connections(server);
     }
 
     fn subscribe(&self) {
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -344,7 +344,7 @@
             began,
             deadline: began + remaining_ms as Millis,
             repeat_key: Some(call.repeat_key(self.hub.config.seed)),
-            work: call.work(),
+            work: call.estimated_work(),
             body_pending: false,
             prior_attempts: None,
             payload: Rc::new(call),
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -39,12 +39,12 @@
         let socket = loop {
             match UdpSocket::bind((self.hub.config.listen.ip(), 0)).await {
                 Ok(socket) => break socket,
-                Err(error) => log::line(format!("custody: {error}; trying again")),
+                Err(error) => log::write_line(format!("custody: {error}; trying again")),
             }
             tokio::time::sleep(BIND_RETRY_DELAY).await;
         };
         if let Ok(at) = socket.local_addr() {
-            log::line(format!("custody: asks from {at}, epoch {}", self.table.rosters.epoch));
+            log::write_line(format!("custody: asks from {at}, epoch {}", self.table.rosters.epoch));
         }
         let _ = self.socket.set(socket);
         let Some(socket) = self.socket.get() else { return };
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -31,7 +31,7 @@
     TXN,
 };
 use crate::headers::end_to_end;
-use crate::hub::{self, end_of, Hub};
+use crate::hub::{self, metrics_outcome, Hub};
 use crate::sock::{Io, Phase, TrackedSocket};
 
 /// How long a connection is still read after its last answer. Closing it with unread bytes would send a
@@ -151,7 +151,7 @@
         let class = class_of(hub, request.uri());
         let read = read(hub, &sock, class.clone(), request).await;
         // Dropped with this future if the client disconnects before it has its answer.
-        let ticket = class.map(|class| hub.ticket(&class));
+        let ticket = class.map(|class| hub.issue_ticket(&class));
         let (mut answer, end) = match read {
             Ok((parsed, _)) if clients.must_refuse() => {
                 (refusal(hub.retry_after(parsed.call.class_and_tenant.0.number)), End::Deferred)
@@ -183,7 +183,7 @@
     // An answer without a declared length is not watched for its end, so its connection is not reused.
     let has_no_length = body_length(&answer).is_none();
     if hub.closing.get()
-        || hub.leaving.get()
+        || hub.handed_over.get()
         || is_check_while_stopping
         || has_no_length
         || !is_fully_read
@@ -249,7 +249,7 @@
     arrived: Instant,
     remaining: Duration,
 ) -> (Response<AnswerBody>, End) {
-    let began = hub.clock.at(arrived);
+    let began = hub.clock.millis_at(arrived);
     let incoming = CoreRequest {
         class: parsed.call.class_and_tenant.0.number,
         tenant: parsed.call.class_and_tenant.1.as_ref().map(|tenant| tenant.number),
@@ -258,7 +258,7 @@
         began,
         deadline: began + remaining.as_secs_f64() * 1000.0,
         repeat_key: Some(parsed.call.repeat_key(hub.config.seed)),
-        work: parsed.call.work(),
+        work: parsed.call.estimated_work(),
         body_pending: parsed.call.rest.is_some(),
         prior_attempts: None,
         payload: Rc::new(parsed.call),
@@ -276,7 +276,7 @@
     let mut pending = PendingAnswer::new(hub, sock, asked);
     let Ok(answer) = answered.await else { return (plain(StatusCode::GATEWAY_TIMEOUT), End::Errored) };
     pending.answered = true;
-    let end = end_of(&answer);
+    let end = metrics_outcome(&answer);
     let answer = match answer {
         Final::Served(reply) => served(reply),
         Final::Refused { retry_after } => refusal(retry_after),
@@ -502,7 +502,7 @@
             false
         }
         fn probe(&self, _: ServerId) {}
-        fn forget(&self, _: ServerId) {}
+        fn discard_connections(&self, _: ServerId) {}
         fn subscribe(&self) {}
         fn unsubscribe(&self) {}
     }
@@ -608,7 +608,7 @@
     fn evicted_connection_that_is_used_again_is_not_counted_as_free() {
         run(async {
             let mut fixture = Fixture::new().await;
-            fixture.clients.bound(1);
+            fixture.clients.set_limit(1);
             assert!(fixture.clients.evict());
             let text = request_text("t2");
             assert_eq!(fixture.peer.try_write(text.as_bytes()).expect("the connection is open"), text.len());
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -45,7 +45,7 @@
     /// The connections of clients.
     pub clients: Rc<Clients>,
     /// Notified when listeners are to stop accepting; what their backlogs hold is still accepted.
-    pub no_more: Notify,
+    pub stop_accepting: Notify,
     http1: Rc<http1::Front>,
     msgpack: Rc<msgpack::Front>,
     descriptors: Rc<Descriptors>,
@@ -58,7 +58,7 @@
         let clients = Clients::new(hub.clone());
         let http1 = http1::Front::new(hub.clone(), clients.clone());
         let msgpack = msgpack::Front::new(hub.clone(), clients.clone());
-        Rc::new(Self { clients, no_more: Notify::new(), http1, msgpack, descriptors })
+        Rc::new(Self { clients, stop_accepting: Notify::new(), http1, msgpack, descriptors })
     }
 
     /// Accepts connections; never returns.
@@ -84,13 +84,13 @@
     }
 
     /// Returns whether another process takes over the backlogs.
-    pub fn left_to_another(&self) -> bool {
-        self.clients.left_to_another()
+    pub fn is_handed_over(&self) -> bool {
+        self.clients.is_handed_over()
     }
 
     /// Accepts what the backlog still holds, for a bounded time: under load new connections keep being added
     /// to it.
-    pub async fn empty_backlog(self: &Rc<Self>, listener: &TcpListener, protocol: ListenerProtocol) {
+    pub async fn drain_backlog(self: &Rc<Self>, listener: &TcpListener, protocol: ListenerProtocol) {
         let (began, mut errors) = (Instant::now(), AcceptErrors::default());
         while began.elapsed() < BACKLOG_DRAIN_TIMEOUT {
             match timeout(EMPTY_BACKLOG_WAIT, listener.accept()).await {
@@ -146,7 +146,7 @@
     fn record(&mut self, error: &std::io::Error) -> AcceptFailure {
         if self.last_logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.last_logged = Some(Instant::now());
-            log::line(format!("accept: {error}"));
+            log::write_line(format!("accept: {error}"));
         }
         let failure = accept_failure(error);
         self.delay = match failure {
--- a/crates/node/src/front/msgpack.rs
+++ b/crates/node/src/front/msgpack.rs
@@ -20,7 +20,7 @@
 use super::http1::LINGER_TIMEOUT;
 use super::table::{Client, Clients, Ending, ANSWER_STALL_TIMEOUT};
 use crate::call::{Call, Content, Origin, Reply, MAX_BUFFERED_BODY_BYTES};
-use crate::hub::{self, end_of, Hub};
+use crate::hub::{self, metrics_outcome, Hub};
 use crate::log;
 use crate::sock::{Phase, TrackedSocket, REQUEST_TIMEOUT};
 
@@ -118,7 +118,7 @@
             let Ok(has_written) = write(&sock, &conn) else { return };
             let (wants_bytes, has_output, idle, is_over, has_partial_message, has_open_calls) = {
                 let mut protocol = conn.protocol.borrow_mut();
-                if self.hub.failing.get() {
+                if self.hub.failing_all.get() {
                     protocol.finish();
                 }
                 let has_output = !protocol.output().is_empty();
@@ -172,7 +172,7 @@
                     break;
                 },
                 () = tokio::time::sleep_until(wake_at.into()) => {
-                    log::line("msgpack: a message or an answer timed out; connection closed".to_string());
+                    log::write_line("msgpack: a message or an answer timed out; connection closed".to_string());
                     return client.set_ending(Ending::Slow);
                 }
             }
@@ -202,7 +202,7 @@
                 Some(Event::Call { id, call }) => self.handle_call(conn, id, call),
                 Some(Event::Surplus { id, class }) => {
                     let class = self.class(&class);
-                    let ticket = class.as_ref().map(|class| self.hub.ticket(class));
+                    let ticket = class.as_ref().map(|class| self.hub.issue_ticket(class));
                     let class = class.map_or(0, |class| class.number);
                     let refusal = server::surplus(retry_after_ms(self.hub.retry_after(class)));
                     conn.protocol.borrow_mut().answer(id, &Err(refusal));
@@ -211,7 +211,7 @@
                 Some(Event::Bad { .. }) => {}
                 Some(Event::Notification) => self.count_notification(),
                 Some(Event::Ending(message)) => {
-                    log::line(format!("msgpack: closing a client's connection: {message}"));
+                    log::write_line(format!("msgpack: closing a client's connection: {message}"));
                     return (handled, false);
                 }
             }
@@ -225,7 +225,7 @@
         self.notifications.set(self.notifications.get() + 1);
         if self.last_logged.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.last_logged.set(Some(Instant::now()));
-            log::line(format!("msgpack: {} notifications dropped so far", self.notifications.get()));
+            log::write_line(format!("msgpack: {} notifications dropped so far", self.notifications.get()));
         }
     }
 
@@ -241,7 +241,7 @@
             return conn.protocol.borrow_mut().answer(id, &reply);
         }
         let began = Instant::now();
-        let mut ticket = self.class(&request.class).map(|class| self.hub.ticket(&class));
+        let mut ticket = self.class(&request.class).map(|class| self.hub.issue_ticket(&class));
         let answer = match self.validate(request, began) {
             Err(invalid) => Err(invalid),
             Ok(incoming) if self.clients.must_refuse() || !self.has_memory(incoming.payload.body.len()) => {
@@ -254,7 +254,10 @@
                 let ticket_cell = Rc::new(Cell::new(ticket.take()));
                 let shared_ticket = ticket_cell.clone();
                 let taken = self.hub.submit(incoming, move |final_answer| {
-                    shared_ticket.take().into_iter().for_each(|ticket| ticket.end(end_of(&final_answer)));
+                    shared_ticket
+                        .take()
+                        .into_iter()
+                        .for_each(|ticket| ticket.end(metrics_outcome(&final_answer)));
                     answering_conn.open.borrow_mut().remove(&id);
                     answering_conn.protocol.borrow_mut().answer(id, &answer_of(final_answer));
                     answering_conn.changed.notify_one();
@@ -326,7 +329,7 @@
             .parse()
             .map_err(|_| invalid("path: not a path and query"))?;
         let tenant = org.as_deref().and_then(|org| self.hub.tenant(org));
-        let began = self.hub.clock.at(began);
+        let began = self.hub.clock.millis_at(began);
         let deadline = began + remaining.min(MAX_CLIENT_WAIT as u64) as f64;
         // A small body is copied so that it does not keep the buffer of the complete message alive.
         let body =
@@ -351,7 +354,7 @@
             began,
             deadline,
             repeat_key,
-            work: call.work(),
+            work: call.estimated_work(),
             body_pending: false,
             prior_attempts: None,
             payload: Rc::new(call),
--- a/crates/node/src/front/table.rs
+++ b/crates/node/src/front/table.rs
@@ -106,18 +106,18 @@
 impl Clients {
     /// Creates an empty table.
     pub fn new(hub: Rc<Hub>) -> Rc<Self> {
-        let limit = Cell::new(hub.config.clients_most());
+        let limit = Cell::new(hub.config.max_client_connections());
         let (open, last_number, freed) = (RefCell::default(), Cell::new(0), Notify::new());
         Rc::new(Self { hub, open, last_number, limit, evicting: Cell::new(0), freed })
     }
 
     /// Returns whether another process accepts new connections from now on.
-    pub fn left_to_another(&self) -> bool {
-        self.hub.leaving.get()
+    pub fn is_handed_over(&self) -> bool {
+        self.hub.handed_over.get()
     }
 
     /// Sets the limit on connections.
-    pub fn bound(&self, limit: usize) {
+    pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         self.freed.notify_one();
     }
@@ -218,10 +218,10 @@
     pub fn must_refuse(&self) -> bool {
         // A request read from now on would fail at once or be lost with the process; a refusal can still be
         // sent.
-        if self.hub.failing.get() {
+        if self.hub.failing_all.get() {
             return true;
         }
-        if self.hub.leaving.get()
+        if self.hub.handed_over.get()
             || self.hub.stopping.get().is_none_or(|since| since.elapsed() < STOPPING_GRACE)
         {
             return false;
--- a/crates/node/src/hub/answers.rs
+++ b/crates/node/src/hub/answers.rs
@@ -58,7 +58,7 @@
             return;
         }
         let (node, name) = (&self.config.name, self.server_name(server));
-        log::line(format!(
+        log::write_line(format!(
             "{node} answer out of turn: server {name}, {phase}, {:.1} ms after, connection {:.1} ms old, {answers} answers",
             ms(after),
             ms(age)
@@ -68,7 +68,7 @@
                 Scope::Server => format!("server {name}"),
                 Scope::All => "all servers".to_string(),
             };
-            log::line(format!(
+            log::write_line(format!(
                 "{node} doubts answers of {whom}: connections stay idle for {:.0} ms when new and {:.0} ms after an answer",
                 ms(required_idle.new),
                 ms(required_idle.used)
@@ -91,7 +91,7 @@
         if self.answer_log_budget.take(Instant::now()) {
             let (node, name) = (&self.config.name, self.server_name(server));
             let request = attempt.request.0;
-            log::line(format!(
+            log::write_line(format!(
                 "{node} answer doubted: server {name}, request {request}, {reason}, {proof:?}"
             ));
         }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -28,7 +28,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::inspect::Stage;
-use crate::list::{Place, Servers, Update};
+use crate::list::{ServerAddress, Servers, Update};
 use crate::log;
 use crate::operator::Trace;
 use crate::usage::Shares;
@@ -44,7 +44,7 @@
     /// Probes a server; [`Hub::probed`] must be called with the result.
     fn probe(&self, server: ServerId);
     /// Discards the connections to a server that moved, restarted or is gone.
-    fn forget(&self, server: ServerId);
+    fn discard_connections(&self, server: ServerId);
     /// Subscribes to changes at discovery, in place of the subscription before.
     fn subscribe(&self);
     /// Ends the subscription at discovery.
@@ -94,7 +94,7 @@
 }
 
 /// How a final answer is counted in the metrics.
-pub fn end_of(answer: &Final<Reply>) -> End {
+pub fn metrics_outcome(answer: &Final<Reply>) -> End {
     match trace_answer(answer) {
         Answer::Served => End::Answered,
         Answer::Refused => End::Deferred,
@@ -121,18 +121,18 @@
     /// Memory budget for bodies that exceed the share of a connection.
     pub bodies: Budget,
     /// Tenants' usage over all nodes, where it is counted.
-    pub shares: Option<Rc<Shares>>,
+    pub usage_shares: Option<Rc<Shares>>,
     /// When the node was told to stop; it is not ready any more from then on.
     pub stopping: Cell<Option<Instant>>,
     /// The addresses for clients are open.
     pub listening: Cell<bool>,
     /// The node is to end and another process takes its new connections: clients are told with their
     /// answers to reconnect.
-    pub leaving: Cell<bool>,
+    pub handed_over: Cell<bool>,
     /// Set shortly before the node ends: connections are closed as soon as they can be.
     pub closing: Cell<bool>,
     /// Set when all open requests are failed: no new ones are taken.
-    pub failing: Cell<bool>,
+    pub failing_all: Cell<bool>,
     /// The settings in force, with classes and tenants by their slots. The tenants' names are left out, as
     /// `tenants` has them.
     settings: RefCell<Rc<NodeSettings>>,
@@ -195,12 +195,12 @@
             clock: Clock::default(),
             figures: Shared::default(),
             bodies: Budget::new(config.max_body_bytes(config.sockets)),
-            shares: shares.map(Rc::new),
+            usage_shares: shares.map(Rc::new),
             stopping: Cell::new(None),
             listening: Cell::new(false),
-            leaving: Cell::new(false),
+            handed_over: Cell::new(false),
             closing: Cell::new(false),
-            failing: Cell::new(false),
+            failing_all: Cell::new(false),
             settings: RefCell::new(Rc::new(settings)),
             classes: RefCell::new(classes),
             tenants: RefCell::new(tenants),
@@ -372,7 +372,7 @@
         // timeline.
         let at = self.clock.unix_ms();
         let record = Record { at, doing: doing(&name) };
-        log::line(if trace == Trace::Json { record.json() } else { record.to_string() });
+        log::write_line(if trace == Trace::Json { record.json() } else { record.to_string() });
     }
 
     /// A server's name in the list, or its number in hex.
@@ -403,7 +403,7 @@
     // ---- Metrics ----
 
     /// Counts a request of this class that was read; it counts as open until its ticket is returned.
-    pub fn ticket(&self, class: &Slot) -> Ticket {
+    pub fn issue_ticket(&self, class: &Slot) -> Ticket {
         self.figures.take(&class.name)
     }
 
@@ -495,7 +495,7 @@
     ) -> Result<RequestId, Rejection> {
         let (class, tenant) = (incoming.class, incoming.tenant);
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
-        let allowed_by_share = || self.shares.as_ref()?.count_request(tenant?);
+        let allowed_by_share = || self.usage_shares.as_ref()?.count_request(tenant?);
         let id = self.core.borrow_mut().accept_with_usage(self.clock.now(), incoming, allowed_by_share)?;
         self.trace(|_| Doing::Ask { request: id.0, class });
         if let Some(call) = payload {
@@ -519,7 +519,7 @@
 
     /// Fails all open requests: the node ends, and an answer is better than a connection reset.
     pub fn fail_all(&self) {
-        self.failing.set(true);
+        self.failing_all.set(true);
         self.update_core(|core, now| core.fail_open_requests(now));
         self.gate.get().into_iter().for_each(|gate| gate.fail_all());
     }
@@ -573,7 +573,7 @@
 
     /// A server has answered on a connection that was opened at `opened`.
     pub fn connection_answered(&self, server: ServerId, opened: Instant) {
-        let opened = self.clock.at(opened);
+        let opened = self.clock.millis_at(opened);
         self.update_core(|core, now| core.connection_answered(now, server, opened));
     }
 
@@ -583,8 +583,8 @@
     }
 
     /// A server's address and incarnation, if it is listed as up.
-    pub fn place(&self, server: ServerId) -> Option<Place> {
-        self.servers.borrow().place(server)
+    pub fn server_address(&self, server: ServerId) -> Option<ServerAddress> {
+        self.servers.borrow().server_address(server)
     }
 
     /// Is a server in use, that is not ejected for its own answers?
@@ -594,8 +594,8 @@
 
     /// May a request be sent to this incarnation of a server now? It may have begun to drain while the
     /// request waited for a connection.
-    pub fn may_send_to(&self, server: ServerId, place: Place) -> bool {
-        self.place(server) == Some(place) && self.core.borrow().accepts_new_attempts(server)
+    pub fn may_send_to(&self, server: ServerId, server_address: ServerAddress) -> bool {
+        self.server_address(server) == Some(server_address) && self.core.borrow().accepts_new_attempts(server)
     }
 
     /// May an attempt that was started still be written? A keyed request may be repeated only for as long
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -60,7 +60,7 @@
     /// has answered again: an agent that is down for hours is called three times a second.
     pub fn discovery_failed(&self, message: &str, failure: ListFailure) {
         if self.last_discovery_error.borrow().as_str() != message {
-            log::line(format!("discovery: {message}"));
+            log::write_line(format!("discovery: {message}"));
             *self.last_discovery_error.borrow_mut() = message.to_string();
         }
         self.trace(|_| Doing::CallFailed);
@@ -72,7 +72,7 @@
             self.list_lost_since.set(Some(now));
             let version = self.version.get().map_or("none".to_string(), |version| version.to_string());
             let due = due.unwrap_or_default();
-            log::line(format!("list lost: version {version}, {failure:?}, next call in {due:.0} ms"));
+            log::write_line(format!("list lost: version {version}, {failure:?}, next call in {due:.0} ms"));
         }
     }
 
@@ -105,7 +105,7 @@
         }
         let Some(lost) = self.list_lost_since.take() else { return };
         let version = self.version.get().unwrap_or_default();
-        log::line(format!(
+        log::write_line(format!(
             "list followed again: version {version}, after {:.0} ms; of {in_rotation} servers {proved} proved, \
              {seen} seen, {refusing} refused",
             self.clock.now() - lost
@@ -176,7 +176,7 @@
             last_seen.set(Some(self.clock.now()));
         }
         if let Some(outside) = self.outside.get() {
-            stale.into_iter().for_each(|server| outside.forget(server));
+            stale.into_iter().for_each(|server| outside.discard_connections(server));
         }
         self.update_core(|core, now| {
             if whole {
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -69,7 +69,7 @@
         let are_new = |slot_changes: &[SlotChange]| {
             slot_changes.iter().map(|change| !matches!(change, SlotChange::Stays(_))).collect()
         };
-        if let Some(shares) = &self.shares {
+        if let Some(shares) = &self.usage_shares {
             let places = self.tenants.borrow();
             let name = |slot: usize| places.name(slot).map_or_else(String::new, |name| name.to_string());
             shares.follow(&(0..new.policy.tenants.len()).map(name).collect::<Vec<_>>(), &new);
@@ -140,7 +140,7 @@
                 };
                 let (index, is_new) = places.insert(&name);
                 known.splice(index..known.len().min(index + 1), [tenant.clone()]);
-                self.shares.iter().for_each(|shares| shares.allow(index, &name, &tenant));
+                self.usage_shares.iter().for_each(|shares| shares.allow(index, &name, &tenant));
                 applied.push(TenantChange { index, tenant, is_new });
             }
             applied
--- a/crates/node/src/inspect.rs
+++ b/crates/node/src/inspect.rs
@@ -157,7 +157,7 @@
                 refused: counts.refused,
                 servers: hub.listed_servers(),
                 list_age_ms: hub.list_age().map(|age| age.as_secs_f64() * 1000.0),
-                usage: hub.shares.as_ref().map(|shares| shares.report()),
+                usage: hub.usage_shares.as_ref().map(|shares| shares.report()),
                 parts: parts.iter().map(|part| (part.name().to_string(), part.report())).collect(),
             };
             let mut line = serde_json::to_vec(&report).unwrap_or_default();
@@ -175,6 +175,6 @@
 /// Removes the socket when the node ends.
 pub fn remove(path: &Path) {
     if let Err(e) = std::fs::remove_file(path) {
-        log::line(format!("inspect: {}: {e}", path.display()));
+        log::write_line(format!("inspect: {}: {e}", path.display()));
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -57,7 +57,7 @@
     // in an inconsistent state. A process that ends is restarted; one that keeps running half broken is
     // not.
     std::panic::set_hook(Box::new(|fault| {
-        log::line(format!("panic: {fault}"));
+        log::write_line(format!("panic: {fault}"));
         // Leaves time to write the line; a full pipe must not delay the exit.
         std::thread::sleep(std::time::Duration::from_millis(50));
         std::process::exit(101);
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -29,10 +29,10 @@
 
 /// The address of one incarnation of a server: connections to another incarnation are of no use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct ServerAddress {
     /// Its address and protocol.
-    pub dial: Endpoint,
-    born_ms: f64,
+    pub endpoint: Endpoint,
+    started_ms: f64,
 }
 
 /// The servers that speak MessagePack-RPC by the operator's file, whatever the list says.
@@ -47,7 +47,7 @@
 /// What the node knows of a server, besides the core's data.
 struct KnownServer {
     name: String,
-    place: Place,
+    server_address: ServerAddress,
     /// Its zone and its cell, as the numbers that the core gets.
     location: (u64, u64),
     state: Listed,
@@ -91,8 +91,8 @@
     }
 
     /// A server's address and incarnation, if new requests may be sent to it.
-    pub fn place(&self, server: ServerId) -> Option<Place> {
-        self.known.get(&server).filter(|h| h.state == Listed::Up).map(|h| h.place)
+    pub fn server_address(&self, server: ServerId) -> Option<ServerAddress> {
+        self.known.get(&server).filter(|h| h.state == Listed::Up).map(|h| h.server_address)
     }
 
     /// The zone and the cell of a server, if it is known.
@@ -160,26 +160,29 @@
         let state = listed_state(host.health);
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != host.host) {
-            log::line(format!(
+            log::write_line(format!(
                 "discovery: {} and {} have the same number; the second is left out",
                 other.name, host.host
             ));
             return None;
         }
         let marked = self.marks.kinds.contains(&host.kind) || self.marks.hosts.contains(&host.host);
-        let mut dial = host.endpoint.or(before.map(|b| b.place.dial));
+        let mut dial = host.endpoint.or(before.map(|b| b.server_address.endpoint));
         if let Some(dial) = dial.as_mut().filter(|_| marked) {
             dial.protocol = Protocol::Msgpack;
         }
-        if before.is_some_and(|b| b.place.born_ms != host.started_ms || Some(b.place.dial) != dial) {
+        if before.is_some_and(|b| {
+            b.server_address.started_ms != host.started_ms || Some(b.server_address.endpoint) != dial
+        }) {
             // Its connections ended with the old incarnation.
             stale.push(server);
         }
         if let Some(dial) = dial {
-            let place = Place { dial, born_ms: host.started_ms };
-            let answered = before.filter(|b| b.place == place).and_then(|b| b.answered);
+            let server_address = ServerAddress { endpoint: dial, started_ms: host.started_ms };
+            let answered = before.filter(|b| b.server_address == server_address).and_then(|b| b.answered);
             let location = (number_of(&host.zone), host.cell);
-            self.known.insert(server, KnownServer { name: host.host, place, location, state, answered });
+            self.known
+                .insert(server, KnownServer { name: host.host, server_address, location, state, answered });
         }
         Some(Entry {
             server,
@@ -193,14 +196,14 @@
     }
 
     /// When a server started; `None` if that is long ago.
-    fn start_time(&mut self, server: ServerId, born_ms: Millis, heard: UpdateTimes<'_>) -> Option<Millis> {
+    fn start_time(&mut self, server: ServerId, started_ms: Millis, heard: UpdateTimes<'_>) -> Option<Millis> {
         let UpdateTimes { clock, before, warm_within } = heard;
         let claim = ClaimedStart {
-            claimed_start: clock.at_unix(born_ms),
+            claimed_start: clock.at_unix(started_ms),
             now: clock.now(),
             previous_list_at: before,
             warm_up_time: warm_within,
         };
-        self.starts.estimate(server.0, born_ms, claim)
+        self.starts.estimate(server.0, started_ms, claim)
     }
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -24,7 +24,7 @@
 }
 
 /// Logs one line, or drops it where the queue is full.
-pub fn line(text: String) {
+pub fn write_line(text: String) {
     if let Some(lines) = LINES.get() {
         let _ = lines.try_send(text);
     }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -220,13 +220,15 @@
         }
         for event in events {
             match &event {
-                Event::Joined(m) => log::line(format!("members: {} joined, at {}", m.name, m.address)),
-                Event::Lost(m) => log::line(format!("members: {} is lost, life {:016x}", m.name, m.life)),
-                Event::Left(m) => log::line(format!("members: {} has left", m.name)),
+                Event::Joined(m) => log::write_line(format!("members: {} joined, at {}", m.name, m.address)),
+                Event::Lost(m) => {
+                    log::write_line(format!("members: {} is lost, life {:016x}", m.name, m.life))
+                }
+                Event::Left(m) => log::write_line(format!("members: {} has left", m.name)),
                 Event::Refuted => {}
-                Event::Stalled(ms) => log::line(format!("members: this node stood still for {ms} ms")),
+                Event::Stalled(ms) => log::write_line(format!("members: this node stood still for {ms} ms")),
                 Event::NameTaken(at) => {
-                    log::line(format!("members: another process uses the name {}, at {at}", self.name));
+                    log::write_line(format!("members: another process uses the name {}, at {at}", self.name));
                 }
             }
             let observers = self.observers.borrow().clone();
@@ -250,7 +252,7 @@
             match UdpSocket::bind(self.table.listen).await {
                 Ok(socket) => break Rc::new(socket),
                 Err(error) if !std::mem::replace(&mut logged, true) => {
-                    log::line(format!("members: {}: {error}; trying again", self.table.listen));
+                    log::write_line(format!("members: {}: {error}; trying again", self.table.listen));
                 }
                 Err(_) => {}
             }
@@ -259,16 +261,16 @@
         let made = socket.local_addr().map_err(|e| e.to_string()).and_then(|bound| self.machine(bound));
         let machine = match made {
             Ok(machine) => machine,
-            Err(reason) => return log::line(format!("members: {reason}")),
+            Err(reason) => return log::write_line(format!("members: {reason}")),
         };
         if let Ok(at) = socket.local_addr() {
-            log::line(format!("members: listens at {at}, life {:016x}", self.life));
+            log::write_line(format!("members: listens at {at}, life {:016x}", self.life));
         }
         self.machine.replace(Some(machine));
         self.socket.replace(Some(socket.clone()));
         self.open.set(true);
         let mut bytes = [0; LONGEST + 1];
-        while !hub.leaving.get() {
+        while !hub.handed_over.get() {
             let due = self.machine.borrow().as_ref().map_or(0, |machine| machine.due());
             let wait = Duration::from_millis(due.saturating_sub(self.now()));
             tokio::select! {
@@ -296,7 +298,7 @@
         }
         self.open.set(false);
         self.socket.replace(None);
-        log::line("members: handed over to the other process".to_string());
+        log::write_line("members: handed over to the other process".to_string());
     }
 }
 
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -36,13 +36,13 @@
     let shown = path.display();
     match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
-        Err(e) => log::line(format!("registrations: {shown}: {e}; no saved view")),
+        Err(e) => log::write_line(format!("registrations: {shown}: {e}; no saved view")),
         Ok(bytes) => match Saved::read(&bytes) {
-            Err(e) => log::line(format!("registrations: {shown}: {e}; the saved view is not used")),
+            Err(e) => log::write_line(format!("registrations: {shown}: {e}; the saved view is not used")),
             Ok(saved) => {
                 let age = ((unix_ms() - saved.at_unix_ms) / 1000.0).max(0.0);
                 let count = saved.hosts.len();
-                log::line(format!("registrations: {count} servers of a saved view, {age:.0} s old"));
+                log::write_line(format!("registrations: {count} servers of a saved view, {age:.0} s old"));
                 hub.apply_registrations(true, saved.hosts, true);
             }
         },
@@ -112,7 +112,10 @@
         self.writing = Some(tokio::task::spawn_blocking(move || {
             let saved = save(&path, hosts);
             if let Err(error) = &saved {
-                log::line(format!("registrations: {}: {error}; the view is saved later", path.display()));
+                log::write_line(format!(
+                    "registrations: {}: {error}; the view is saved later",
+                    path.display()
+                ));
             }
             saved.is_ok()
         }));
@@ -145,12 +148,12 @@
     let view = match View::new(0.0, view_settings, answers) {
         Ok(view) => view,
         // The operator's file was checked before; this is for settings that only the view can check.
-        Err(e) => return log::line(format!("registrations: {e}; not followed")),
+        Err(e) => return log::write_line(format!("registrations: {e}; not followed")),
     };
     let mut driver = Driver::new(view, settings.members.clone(), Instant::now());
     let mut away: Option<Away> = None;
     let mut saver = settings.save.clone().map(Saver::new);
-    log::line(format!("registrations: follows {} at {members} members", settings.path));
+    log::write_line(format!("registrations: follows {} at {members} members", settings.path));
     let mut invalid: HashMap<String, String> = HashMap::new();
     loop {
         let log_away_again = async {
@@ -174,7 +177,7 @@
         match output {
             Some(Said::List { whole, hosts }) => {
                 if whole {
-                    log::line(format!("registrations: {} servers", hosts.len()));
+                    log::write_line(format!("registrations: {} servers", hosts.len()));
                 }
                 for host in &hosts {
                     invalid.remove(&host.host);
@@ -184,26 +187,26 @@
             }
             Some(Said::Unfit { name, reason }) => {
                 if invalid.len() < MAX_LOGGED_INVALID && invalid.get(&name) != Some(&reason) {
-                    log::line(format!("registrations: {name}: {reason}; not taken"));
+                    log::write_line(format!("registrations: {name}: {reason}; not taken"));
                     invalid.insert(name, reason);
                 }
             }
             Some(Said::Away) if away.is_none() => {
-                log::line(format!("registrations: the service is away; {listed} servers stay listed"));
+                log::write_line(format!("registrations: the service is away; {listed} servers stay listed"));
                 away = Some(Away { since: Instant::now(), next: AWAY_LOG_INTERVAL });
             }
             Some(Said::Away) => {}
             Some(Said::Back) => {
                 if let Some(away) = away.take() {
                     let span = away.since.elapsed().as_secs_f64();
-                    log::line(format!("registrations: the service is back after {span:.1} s"));
+                    log::write_line(format!("registrations: the service is back after {span:.1} s"));
                 }
             }
             None => {
                 let now = Instant::now();
                 if let Some(away) = away.as_mut().filter(|a| a.since + a.next <= now) {
                     let age = away.since.elapsed().as_secs();
-                    log::line(format!(
+                    log::write_line(format!(
                         "registrations: still away after {age} s; {listed} servers stay listed"
                     ));
                     away.next *= 2;
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -77,7 +77,7 @@
 
 impl HubActions for Actions {
     fn start(&self, attempt: AttemptId, server: ServerId, end: Instant, call: Rc<Call>) {
-        match self.hub.place(server).map(|place| place.dial.protocol) {
+        match self.hub.server_address(server).map(|place| place.endpoint.protocol) {
             Some(Protocol::Http1) => self.http1.start(attempt, server, end, call),
             // A MessagePack message is sent as one piece, and no server takes one this long: the attempt
             // was never sent.
@@ -100,15 +100,15 @@
     }
 
     fn probe(&self, server: ServerId) {
-        match self.hub.place(server).map(|place| place.dial.protocol) {
+        match self.hub.server_address(server).map(|place| place.endpoint.protocol) {
             Some(Protocol::Msgpack) => self.msgpack.probe(server),
             _ => self.http1.probe(server, self.hub.is_in_use(server)),
         }
     }
 
-    fn forget(&self, server: ServerId) {
-        self.http1.forget(server);
-        self.msgpack.forget(server);
+    fn discard_connections(&self, server: ServerId) {
+        self.http1.discard_connections(server);
+        self.msgpack.discard_connections(server);
     }
 
     fn subscribe(&self) {
@@ -199,7 +199,7 @@
     let hub = Hub::new(config, shares).map_err(|e| format!("settings: {e}"))?;
     if let Some(at) = hub.config.mgmt {
         let at = admin::open(at, hub.config.max_admin_callers(), hub.figures.clone())?;
-        log::line(format!("{} answers operators at {at}", hub.config.name));
+        log::write_line(format!("{} answers operators at {at}", hub.config.name));
     }
     let actions = Rc::new(Actions {
         http1: http1::Servers::new(hub.clone(), descriptors.clone()),
@@ -215,7 +215,7 @@
         Some(custody) => Guarded::new(custody.clone(), actions.clone()),
         None => actions.clone(),
     };
-    log::line(settings_line(&hub));
+    log::write_line(settings_line(&hub));
     hub.start(outside, known);
     if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.uses_discovery() {
         spawn_local(watch_agent(actions.clone()));
@@ -225,7 +225,7 @@
         spawn_local(registrations::follow(hub.clone(), source));
     }
     if other_listens {
-        log::line(format!("{}: another process listens at {}", hub.config.name, hub.config.listen));
+        log::write_line(format!("{}: another process listens at {}", hub.config.name, hub.config.listen));
         let until_ready = async {
             while !hub.ready() {
                 tokio::time::sleep(READY_POLL_INTERVAL).await;
@@ -241,7 +241,7 @@
             None => listen_all()?,
         };
     }
-    if let Some(shares) = hub.shares.clone() {
+    if let Some(shares) = hub.usage_shares.clone() {
         spawn_local(usage::share(hub.clone(), shares));
     }
     let mut parts: Vec<Rc<dyn Part>> = Vec::new();
@@ -268,7 +268,7 @@
     for (listener, protocol) in &listeners {
         let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
         let name = &hub.config.name;
-        log::line(match protocol {
+        log::write_line(match protocol {
             ListenerProtocol::Http1 | ListenerProtocol::Either => format!("{name} listens at {address}"),
             ListenerProtocol::Msgpack => format!("{name} takes MessagePack-RPC at {address}"),
         });
@@ -282,8 +282,8 @@
         move |max_descriptors: usize| {
             let (clients, servers) = hub.config.split_descriptors(max_descriptors);
             hub.bodies.bound(hub.config.max_body_bytes(max_descriptors));
-            fronts.clients.bound(clients);
-            descriptors.bound(servers);
+            fronts.clients.set_limit(clients);
+            descriptors.set_limit(servers);
         }
     };
     let all = hub.config.sockets;
@@ -295,7 +295,7 @@
     let handoff = open_handoff(&hub, &listeners).map(|(handoff, listener)| {
         let (hub, fronts) = (hub.clone(), fronts.clone());
         let count_descriptors =
-            move || hub.config.reserved_descriptors() + fronts.clients.count() + descriptors.held();
+            move || hub.config.reserved_descriptors() + fronts.clients.count() + descriptors.reserved_count();
         spawn_local(handoff.clone().serve_successors(listener, all, count_descriptors, set_limits));
         handoff
     });
@@ -309,20 +309,20 @@
             spawn_local(async move {
                 tokio::select! {
                     () = fronts.accept(&listener, protocol) => {}
-                    () = fronts.no_more.notified() => {}
+                    () = fronts.stop_accepting.notified() => {}
                 }
                 // The connections left in the backlog are the successor's, where there is one.
-                if !fronts.left_to_another() {
-                    fronts.empty_backlog(&listener, protocol).await;
+                if !fronts.is_handed_over() {
+                    fronts.drain_backlog(&listener, protocol).await;
                 }
             })
             .abort_handle()
         })
         .collect();
     stops.recv().await;
-    log::line(format!("{} stops: it was told to", hub.config.name));
+    log::write_line(format!("{} stops: it was told to", hub.config.name));
     handoff.iter().for_each(|handoff| handoff.stop());
-    hub.leaving.set(handoff.is_some_and(|handoff| handoff.stage() == Incumbent::Succeeded));
+    hub.handed_over.set(handoff.is_some_and(|handoff| handoff.stage() == Incumbent::Succeeded));
     stop(&hub, &fronts, &accepting).await;
     membership.iter().for_each(|membership| membership.leave());
     inspect.as_deref().into_iter().for_each(inspect::remove);
@@ -369,7 +369,7 @@
     let sockets = listeners.iter().map(copy).collect::<Option<Vec<_>>>()?;
     let opened = Handoff::open(upgrade::socket_path(first)?, sockets);
     if opened.is_some() {
-        log::line(format!("{} can hand its listening sockets on", hub.config.name));
+        log::write_line(format!("{} can hand its listening sockets on", hub.config.name));
     }
     opened
 }
@@ -395,7 +395,7 @@
         match applied {
             Ok((discovery, fields)) => {
                 actions.fields.replace(fields);
-                log::line(format!("reload: discovery is {discovery}"));
+                log::write_line(format!("reload: discovery is {discovery}"));
                 // An open call to an unchanged address is kept: asking again costs the service and brings
                 // nothing new.
                 let moved = actions.discovery.replace(discovery) != discovery;
@@ -406,7 +406,7 @@
             }
             Err(reason) => {
                 actions.hub.trace(|_| Doing::Reload { taken: false, moved: false });
-                log::line(format!("reload: {reason}; the old configuration stays"));
+                log::write_line(format!("reload: {reason}; the old configuration stays"));
             }
         }
     }
@@ -461,15 +461,15 @@
     hub.stop();
     let killed = kill_delay(hub.settings().longest_deadline);
     let after = |before: Duration| stop_requested.elapsed() >= killed.saturating_sub(before);
-    if hub.leaving.get() {
-        fronts.no_more.notify_waiters();
+    if hub.handed_over.get() {
+        fronts.stop_accepting.notify_waiters();
     }
-    let accept = if hub.leaving.get() { Duration::ZERO } else { MIN_ACCEPT_TIME };
+    let accept = if hub.handed_over.get() { Duration::ZERO } else { MIN_ACCEPT_TIME };
     while stop_requested.elapsed() < accept || (clients.count() > 0 && !after(CLOSE_BEFORE_KILL)) {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     hub.closing.set(true);
-    fronts.no_more.notify_waiters();
+    fronts.stop_accepting.notify_waiters();
     while !accepting.iter().all(AbortHandle::is_finished) {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
--- a/crates/node/src/upgrade.rs
+++ b/crates/node/src/upgrade.rs
@@ -111,7 +111,7 @@
                 listener,
             )),
             Err(error) => {
-                log::line(format!("upgrade: listening sockets can't be handed on: {error}"));
+                log::write_line(format!("upgrade: listening sockets can't be handed on: {error}"));
                 None
             }
         }
@@ -160,7 +160,7 @@
             }
             set_limit(self.stage().part(all));
             if self.send_sockets(&link).is_ok() {
-                log::line("upgrade: another process has the listening sockets too".to_string());
+                log::write_line("upgrade: another process has the listening sockets too".to_string());
                 // The successor sends nothing more; when it ends, the connection is closed.
                 let mut end = [0; 1];
                 loop {
@@ -172,7 +172,7 @@
                         break;
                     }
                 }
-                log::line("upgrade: the other process is gone".to_string());
+                log::write_line("upgrade: the other process is gone".to_string());
             }
             self.change(Incumbent::remove_successor);
             set_limit(self.stage().part(all));
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -157,17 +157,17 @@
         match UdpSocket::bind(shares.listen).await {
             Ok(socket) => break socket,
             Err(error) if !std::mem::replace(&mut logged, true) => {
-                log::line(format!("usage: {}: {error}; trying again", shares.listen));
+                log::write_line(format!("usage: {}: {error}; trying again", shares.listen));
             }
             Err(_) => {}
         }
         sleep(BIND_RETRY_DELAY).await;
     };
     let at = socket.local_addr().unwrap_or(shares.listen);
-    log::line(format!("usage: counted with {} nodes at {at}", shares.instances.len()));
+    log::write_line(format!("usage: counted with {} nodes at {at}", shares.instances.len()));
     shares.open.set(true);
     let (mut bytes, mut out) = ([0; LONGEST + 1], Vec::new());
-    while !hub.leaving.get() {
+    while !hub.handed_over.get() {
         let due = Duration::from_millis(shares.machine.borrow().due_in());
         tokio::select! {
             came = socket.recv_from(&mut bytes) => {
@@ -186,5 +186,5 @@
         }
     }
     shares.close();
-    log::line("usage: handed over to the other process".to_string());
+    log::write_line("usage: handed over to the other process".to_string());
 }
