--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -128,7 +128,7 @@
             answered: RefCell::default(),
             last_number: Cell::new(0),
             descriptors,
-            max_idle: ms(settings.keepalive * USABLE_KEEPALIVE_SHARE),
+            max_idle: ms(settings.keepalive_timeout * USABLE_KEEPALIVE_SHARE),
             max_connect_time: ms(settings.policy.limits.connect_timeout),
         }
     }
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -135,8 +135,8 @@
         let settings = hub.settings();
         let (max_calls, connect) =
             (hub.config.operator.calls_per_connection, settings.policy.limits.connect_timeout);
-        let max_idle = ms(settings.keepalive * USABLE_KEEPALIVE_SHARE);
-        let longest = settings.longest_deadline.min(SILENCE_LIMITS.1.as_secs_f64() * 1000.0);
+        let max_idle = ms(settings.keepalive_timeout * USABLE_KEEPALIVE_SHARE);
+        let longest = settings.max_deadline.min(SILENCE_LIMITS.1.as_secs_f64() * 1000.0);
         let servers = Rc::new_cyclic(|weak_self| Self {
             weak_self: weak_self.clone(),
             conns: RefCell::default(),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use glenwood_settings::apart::{Apart, Field};
 use glenwood_settings::shape::Shape;
+use glenwood_settings::split_field::{Field, ObjectWithField};
 use glenwood_settings::{NodeSettings, SettingsObject};
 use serde_json::Value;
 
@@ -46,7 +46,7 @@
 }
 
 /// A parsed configuration file.
-type File = Apart<SettingsField, SettingsObject>;
+type File = ObjectWithField<SettingsField, SettingsObject>;
 
 /// The fields of a configuration file, without their values: a reloaded file must have them too.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,8 +61,8 @@
     fn of(file: &File) -> Self {
         let settings = file.field.as_ref();
         Self {
-            file: Shape::of(&file.rest).without("known"),
-            settings: settings.map_or(Shape::Scalar, |settings| Shape::of(&settings.rest)),
+            file: Shape::from_value(&file.rest).without_field("known"),
+            settings: settings.map_or(Shape::Scalar, |settings| Shape::from_value(&settings.rest)),
             tenants: settings.and_then(|s| s.field.as_ref()).map(|tenants| tenants.common_fields.clone()),
         }
     }
--- a/crates/node/src/configuration/offer.rs
+++ b/crates/node/src/configuration/offer.rs
@@ -162,5 +162,5 @@
         }
     }
     let deadlines = settings.policy.classes.iter().map(|class| class.client_timeout);
-    settings.longest_deadline = deadlines.fold(0.0, f64::max);
+    settings.max_deadline = deadlines.fold(0.0, f64::max);
 }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -149,7 +149,7 @@
         let Some(table) = config.operator.custody.clone() else { return Ok(None) };
         let membership = membership.ok_or("custody: needs the table members")?.clone();
         let members_table = config.operator.members.as_ref().ok_or("custody: needs the table members")?;
-        let longest = hub.settings().longest_deadline;
+        let longest = hub.settings().max_deadline;
         if longest > table.life_ms as f64 / 2.0 {
             return Err(format!(
                 "custody.life_ms: twice the longest deadline of {longest} ms at the least expected, not {}",
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -184,7 +184,7 @@
             // No call to discovery is made, so none can go unanswered and the list does not count as lost.
             settings.policy.discovery = Discovery::Pushed;
         }
-        let mut core = Core::new(settings.policy.clone(), config.seed, settings.open_cap)?;
+        let mut core = Core::new(settings.policy.clone(), config.seed, settings.max_open_requests)?;
         core.limit_rotation(config.max_rotation());
         let (mut classes, mut tenants) = (Slots::default(), Slots::default());
         // All are new and take the slots in their order.
--- a/crates/node/src/hub/settings.rs
+++ b/crates/node/src/hub/settings.rs
@@ -115,7 +115,7 @@
                 (None, None) => {}
             }
         }
-        new.longest_deadline = classes.iter().map(|(_, class)| class.client_timeout).fold(0.0, f64::max);
+        new.max_deadline = classes.iter().map(|(_, class)| class.client_timeout).fold(0.0, f64::max);
         (new.classes, new.policy.classes) = classes.into_iter().unzip();
         new.policy.check()?;
         self.figures.with(|figures| figures.set_classes(new.classes.iter().map(String::as_str)));
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -10,7 +10,7 @@
 use glenwood_core::{AttemptId, AttemptResult};
 use glenwood_operation::upgrade::Incumbent;
 use glenwood_policy::{Discovery, Outcome, ServerId};
-use glenwood_signals::{Asks, Signals};
+use glenwood_signals::{SignalKind, Signals};
 use glenwood_trace::Doing;
 use tokio::net::{TcpListener, TcpSocket, UnixListener};
 use tokio::task::{spawn_local, AbortHandle};
@@ -172,9 +172,9 @@
 /// One line with the reason, where it can't start.
 pub async fn serve(mut config: Config, operator: Option<PathBuf>) -> Result<(), String> {
     let signals = |asks| retry_at_start(|| Signals::new(asks)).map_err(|e| format!("signals: {e}"));
-    let mut stops = signals(Asks::Stop)?;
+    let mut stops = signals(SignalKind::Stop)?;
     // Without a handler, SIGHUP would end the process with all its open requests.
-    let reloads = signals(Asks::Reload)?;
+    let reloads = signals(SignalKind::Reload)?;
     let protocol =
         if config.operator.msgpack_shared { ListenerProtocol::Either } else { ListenerProtocol::Http1 };
     let mut addresses = vec![(config.listen, protocol)];
@@ -339,7 +339,7 @@
         policy.nodes,
         policy.discovery,
         policy.rules.max_call_interval,
-        settings.longest_deadline,
+        settings.max_deadline,
         policy.limits.connect_timeout,
     )
 }
@@ -443,9 +443,9 @@
 }
 
 /// The time from SIGTERM until SIGKILL may come.
-fn kill_delay(longest_deadline: f64) -> Duration {
+fn kill_delay(max_deadline: f64) -> Duration {
     let longest = KILL_DELAY.0.as_secs_f64();
-    KILL_DELAY.1 + Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, longest))
+    KILL_DELAY.1 + Duration::from_secs_f64((max_deadline / 1000.0).clamp(0.0, longest))
 }
 
 /// Stops the node and finishes all requests that it has taken. `/ready` reports that the node is not ready,
@@ -459,7 +459,7 @@
     let stop_requested = Instant::now();
     let clients = &fronts.clients;
     hub.stop();
-    let killed = kill_delay(hub.settings().longest_deadline);
+    let killed = kill_delay(hub.settings().max_deadline);
     let after = |before: Duration| stop_requested.elapsed() >= killed.saturating_sub(before);
     if hub.handed_over.get() {
         fronts.stop_accepting.notify_waiters();
--- a/crates/publisher/src/lib.rs
+++ b/crates/publisher/src/lib.rs
@@ -15,7 +15,7 @@
 use clap::{Parser, Subcommand};
 use glenwood_configuration::resources::Resources;
 use glenwood_configuration::Entry;
-use glenwood_signals::{Asks, Signals};
+use glenwood_signals::{SignalKind, Signals};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
@@ -92,7 +92,7 @@
 
 /// Starts the publisher and serves until a stop signal arrives.
 async fn serve(command: &Command) -> Result<(), String> {
-    let mut stop_signals = Signals::new(Asks::Stop).map_err(|e| format!("signals: {e}"))?;
+    let mut stop_signals = Signals::new(SignalKind::Stop).map_err(|e| format!("signals: {e}"))?;
     let (listen, role) = match command {
         Command::Source { listen, first: file, epoch } => {
             let resources = file.as_deref().map_or(Ok(Resources::default()), read_first_resources)?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -23,9 +23,9 @@
     };
 }
 
-pub mod apart;
 pub mod fields;
 pub mod shape;
+pub mod split_field;
 pub mod tenants;
 
 use std::collections::HashSet;
@@ -35,8 +35,8 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use apart::{Apart, Field};
 use fields::{integer, text, FieldError, Fields};
+use split_field::{Field, ObjectWithField};
 use tenants::Tenants;
 
 fn read_class(value: &Value) -> Result<(String, Class), FieldError> {
@@ -78,7 +78,7 @@
 }
 
 /// A settings object from a file, with its tenants read one by one.
-pub type SettingsObject = Apart<Customers, Tenants>;
+pub type SettingsObject = ObjectWithField<Customers, Tenants>;
 
 /// The parsed settings object: the settings of the decision module, and those that only a node on sockets
 /// needs.
@@ -91,11 +91,11 @@
     /// The names of the tenants, by index.
     pub tenants: Vec<String>,
     /// The longest deadline of any class; infinite if a class has none.
-    pub longest_deadline: Millis,
+    pub max_deadline: Millis,
     /// The idle time after which servers close a connection.
-    pub keepalive: Millis,
+    pub keepalive_timeout: Millis,
     /// The maximum number of open requests at a node.
-    pub open_cap: usize,
+    pub max_open_requests: usize,
 }
 
 /// Returns the first name that occurs a second time, in a single pass over the names.
@@ -135,7 +135,7 @@
 fn read_settings(value: &Value, tenants: Tenants) -> Result<NodeSettings, FieldError> {
     let f = Fields::of(value, "Options")?;
     let classes = f.array("Classes")?.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
-    let longest_deadline = classes.iter().map(|c| c.1.client_timeout).fold(0.0, f64::max);
+    let max_deadline = classes.iter().map(|c| c.1.client_timeout).fold(0.0, f64::max);
     let (class_names, classes): (Vec<String>, _) = classes.into_iter().unzip();
     check_unique(&class_names, "Classes")?;
     if let Some(error) = tenants.error {
@@ -199,8 +199,8 @@
         policy,
         classes: class_names,
         tenants: tenant_names,
-        longest_deadline,
-        keepalive: l.number_or("Keepalive", 15_000.0)?,
-        open_cap: l.number_or("OpenCap", 20_000.0)? as usize,
+        max_deadline,
+        keepalive_timeout: l.number_or("Keepalive", 15_000.0)?,
+        max_open_requests: l.number_or("OpenCap", 20_000.0)? as usize,
     })
 }
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -16,11 +16,11 @@
 
 impl Shape {
     /// The shape of a value.
-    pub fn of(value: &Value) -> Self {
+    pub fn from_value(value: &Value) -> Self {
         match value {
             Value::Object(fields) => {
                 let present = fields.iter().filter(|(_, field)| !field.is_null());
-                Self::Object(present.map(|(key, field)| (key.clone(), Self::of(field))).collect())
+                Self::Object(present.map(|(key, field)| (key.clone(), Self::from_value(field))).collect())
             }
             Value::Array(entries) => Self::List(Box::new(Self::common_to(entries))),
             _ => Self::Scalar,
@@ -29,7 +29,7 @@
 
     /// Returns the shape without a field.
     #[must_use]
-    pub fn without(mut self, key: &str) -> Self {
+    pub fn without_field(mut self, key: &str) -> Self {
         if let Self::Object(fields) = &mut self {
             fields.retain(|(name, _)| name != key);
         }
@@ -41,7 +41,7 @@
         let Some(Value::Object(first)) = entries.first() else { return Self::Scalar };
         let in_all = |key: &String| entries.iter().all(|entry| entry.get(key).is_some());
         let common = first.iter().filter(|(key, field)| !field.is_null() && in_all(key));
-        Self::Object(common.map(|(key, field)| (key.clone(), Self::of(field))).collect())
+        Self::Object(common.map(|(key, field)| (key.clone(), Self::from_value(field))).collect())
     }
 
     /// The path of the first field that this shape has and `next` lacks.
--- a/crates/settings/src/apart.rs
+++ b/crates/settings/src/split_field.rs
@@ -15,7 +15,7 @@
 
 /// An object with one of its fields read as a `T`.
 #[derive(Clone, Debug)]
-pub struct Apart<F, T> {
+pub struct ObjectWithField<F, T> {
     /// The other fields; null if the value is not an object.
     pub rest: Value,
     /// The field; `None` if it is absent or null.
@@ -23,36 +23,36 @@
     marker: PhantomData<F>,
 }
 
-impl<F, T> Default for Apart<F, T> {
+impl<F, T> Default for ObjectWithField<F, T> {
     fn default() -> Self {
         Self { rest: Value::Null, field: None, marker: PhantomData }
     }
 }
 
-impl<'de, F: Field, T: Deserialize<'de>> Deserialize<'de> for Apart<F, T> {
+impl<'de, F: Field, T: Deserialize<'de>> Deserialize<'de> for ObjectWithField<F, T> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(ApartVisitor(PhantomData))
+        from.deserialize_any(ObjectWithFieldVisitor(PhantomData))
     }
 }
 
-struct ApartVisitor<F, T>(PhantomData<(F, T)>);
+struct ObjectWithFieldVisitor<F, T>(PhantomData<(F, T)>);
 
-impl<'de, F: Field, T: Deserialize<'de>> Visitor<'de> for ApartVisitor<F, T> {
-    type Value = Apart<F, T>;
+impl<'de, F: Field, T: Deserialize<'de>> Visitor<'de> for ObjectWithFieldVisitor<F, T> {
+    type Value = ObjectWithField<F, T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("an object")
     }
 
-    scalars!(Apart::default());
+    scalars!(ObjectWithField::default());
 
     fn visit_unit<E>(self) -> Result<Self::Value, E> {
-        Ok(Apart::default())
+        Ok(ObjectWithField::default())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Self::Value, A::Error> {
         while entries.next_element::<IgnoredAny>()?.is_some() {}
-        Ok(Apart::default())
+        Ok(ObjectWithField::default())
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
@@ -64,6 +64,6 @@
                 rest.insert(key, map.next_value::<Value>()?);
             }
         }
-        Ok(Apart { rest: Value::Object(rest), field, marker: PhantomData })
+        Ok(ObjectWithField { rest: Value::Object(rest), field, marker: PhantomData })
     }
 }
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -19,14 +19,14 @@
 
 /// The meaning of a signal for the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asks {
+pub enum SignalKind {
     /// Stop: SIGTERM or SIGINT.
     Stop,
     /// Reload the configuration: SIGHUP.
     Reload,
 }
 
-impl Asks {
+impl SignalKind {
     fn signals(self) -> &'static [i32] {
         match self {
             Self::Stop => &[SIGTERM, SIGINT],
@@ -49,11 +49,11 @@
     ///
     /// # Errors
     /// If the process is out of descriptors or memory, or no runtime is running.
-    pub fn new(asks: Asks) -> io::Result<Self> {
+    pub fn new(kind: SignalKind) -> io::Result<Self> {
         let (wake_reader, wake_writer) = Pipe::pair()?;
         wake_reader.set_nonblocking(true)?;
         let received = Arc::new(AtomicBool::new(false));
-        for signal in asks.signals() {
+        for signal in kind.signals() {
             // The flag is registered first, so that it is set before the task is woken.
             flag::register(*signal, received.clone())?;
             pipe::register(*signal, wake_writer.try_clone()?)?;
