--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -14,7 +14,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use glenwood_list::{Health, Host};
+use glenwood_list::{Health, ListEntry};
 
 use crate::machine::{Machine, Step};
 use crate::proto::{Acl, Code, Mode, Request, Response};
@@ -70,7 +70,7 @@
 pub struct Registrar {
     session: Session<RequestTag>,
     folder: String,
-    host: Host,
+    host: ListEntry,
     /// Number of changes of the entry so far.
     changes: u64,
     /// The change count whose data the request in flight contains.
@@ -86,7 +86,7 @@
 
 impl Registrar {
     /// Creates a registrar that keeps `host` registered under `folder`.
-    pub fn new(now: Millis, settings: Settings, folder: &str, host: Host) -> Self {
+    pub fn new(now: Millis, settings: Settings, folder: &str, host: ListEntry) -> Self {
         let mut registrar = Self {
             session: Session::new(now, settings),
             folder: folder.trim_end_matches('/').to_string(),
@@ -104,7 +104,7 @@
     }
 
     /// The entry that is registered or to be registered.
-    pub fn host(&self) -> &Host {
+    pub fn host(&self) -> &ListEntry {
         &self.host
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Changes the entry and registers the result; its name can't be changed.
-    pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut Host)) {
+    pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut ListEntry)) {
         let name = self.host.host.clone();
         change(&mut self.host);
         self.host.host = name;
@@ -279,8 +279,8 @@
             }
             return;
         }
-        let other: Option<Host> = serde_json::from_slice(data).ok();
-        if other.is_some_and(|other| other.born_ms > self.host.born_ms) {
+        let other: Option<ListEntry> = serde_json::from_slice(data).ok();
+        if other.is_some_and(|other| other.started_ms > self.host.started_ms) {
             self.session.close(now);
             self.state = State::Stopped;
             self.outputs.push_back(Step::Event(RegistrarEvent::Superseded));
--- a/crates/coordination/src/saved.rs
+++ b/crates/coordination/src/saved.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use glenwood_list::Host;
+use glenwood_list::ListEntry;
 use serde_json::{json, Value};
 
 use crate::Millis;
@@ -16,7 +16,7 @@
     /// When the snapshot was taken, Unix time in milliseconds.
     pub at_unix_ms: Millis,
     /// The entries of the view.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListEntry>,
 }
 
 /// Why a file was rejected.
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use glenwood_list::{Health, Host};
+use glenwood_list::{Health, ListEntry};
 use serde_json::Value;
 
 use crate::follow::{self, Change, Follower};
@@ -55,7 +55,7 @@
         /// Whether this is the first list of this process, with all entries.
         is_complete: bool,
         /// The entries.
-        hosts: Vec<Host>,
+        hosts: Vec<ListEntry>,
     },
     /// A registration was rejected; the previous entry of that server stays in effect.
     Rejected {
@@ -89,15 +89,15 @@
     answers: Answers,
     suspect: Millis,
     /// The registered entries that could be parsed.
-    registered: BTreeMap<String, Host>,
+    registered: BTreeMap<String, ListEntry>,
     /// The names registered with each address.
     claims: HashMap<SocketAddr, BTreeSet<String>>,
     /// Servers listed as suspects, with the time of their removal and their entry.
-    suspects: BTreeMap<String, (Millis, Host)>,
+    suspects: BTreeMap<String, (Millis, ListEntry)>,
     /// Recent departures of each server.
     flaps: BTreeMap<String, FlapState>,
     /// The entries as last reported.
-    reported: BTreeMap<String, Host>,
+    reported: BTreeMap<String, ListEntry>,
     /// Number of reported entries that are in service.
     in_service: usize,
     /// Names whose entry may have changed since the last report.
@@ -108,22 +108,22 @@
 }
 
 /// Parses and validates the entry of one child.
-fn parse_entry(name: &str, data: &[u8]) -> Result<Host, String> {
+fn parse_entry(name: &str, data: &[u8]) -> Result<ListEntry, String> {
     let mut value: Value = serde_json::from_slice(data).map_err(|e| format!("not JSON: {e}"))?;
     let object = value.as_object_mut().ok_or("a JSON object expected")?;
     let host = object.entry("host").or_insert_with(|| name.into());
     if host.as_str() != Some(name) {
         return Err(format!("host: {name:?} expected, the name of the node, not {host}"));
     }
-    let host: Host = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    if host.dial.is_none() {
+    let host: ListEntry = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    if host.endpoint.is_none() {
         return Err("dial is missing".into());
     }
     if !(host.weight.is_finite() && host.weight > 0.0) {
         return Err(format!("share: above 0 expected, not {}", host.weight));
     }
-    if !(host.born_ms.is_finite() && host.born_ms >= 0.0) {
-        return Err(format!("born_ms: 0 or more expected, not {}", host.born_ms));
+    if !(host.started_ms.is_finite() && host.started_ms >= 0.0) {
+        return Err(format!("born_ms: 0 or more expected, not {}", host.started_ms));
     }
     Ok(host)
 }
@@ -155,7 +155,7 @@
     }
 
     /// The servers as last reported.
-    pub fn list(&self) -> impl Iterator<Item = &Host> {
+    pub fn list(&self) -> impl Iterator<Item = &ListEntry> {
         self.reported.values()
     }
 
@@ -237,14 +237,14 @@
         if host.health == Health::Left {
             return self.handle_removal(now, &name);
         }
-        let address = host.dial.map(|d| d.address);
+        let address = host.endpoint.map(|d| d.address);
         if host.health != Health::Active {
             self.count_departure(now, &name);
         }
         self.suspects.remove(&name);
         // A registration with the address of a suspect replaces it.
         self.suspects.retain(|other, (_, suspect)| {
-            let replaced = suspect.dial.map(|d| d.address) == address;
+            let replaced = suspect.endpoint.map(|d| d.address) == address;
             replaced.then(|| self.changed.insert(other.clone()));
             !replaced
         });
@@ -258,7 +258,7 @@
     }
 
     fn remove_claim(&mut self, name: &str) {
-        let address = self.registered.get(name).and_then(|h| h.dial).map(|d| d.address);
+        let address = self.registered.get(name).and_then(|h| h.endpoint).map(|d| d.address);
         let Some(address) = address else { return };
         if let Some(claims) = self.claims.get_mut(&address) {
             claims.remove(name);
@@ -276,7 +276,7 @@
         self.changed.insert(name.to_string());
         let was_reported = self.reported.contains_key(name);
         if was_reported && host.health == Health::Active && self.suspect > 0.0 && (self.answers)(name) {
-            let host = Host { health: Health::Leaving, ..host };
+            let host = ListEntry { health: Health::Leaving, ..host };
             self.suspects.insert(name.to_string(), (now + self.suspect, host));
         }
     }
@@ -299,16 +299,16 @@
     }
 
     /// Returns the entry to list for a server, or `None` if it is not to be listed.
-    fn entry_to_list(&self, name: &str) -> Option<Host> {
+    fn entry_to_list(&self, name: &str) -> Option<ListEntry> {
         if let Some((_, suspect)) = self.suspects.get(name) {
             return Some(suspect.clone());
         }
         let host = self.registered.get(name)?;
-        let claims = host.dial.and_then(|d| self.claims.get(&d.address));
+        let claims = host.endpoint.and_then(|d| self.claims.get(&d.address));
         if claims.is_some_and(|claims| claims.len() > 1) {
             let rank = |name: &String| {
-                let born = self.registered.get(name).map_or(0.0, |h| h.born_ms);
-                let already_listed = self.reported.get(name).is_some_and(|h| h.dial == host.dial);
+                let born = self.registered.get(name).map_or(0.0, |h| h.started_ms);
+                let already_listed = self.reported.get(name).is_some_and(|h| h.endpoint == host.endpoint);
                 (born, already_listed)
             };
             let compare = |a: &(f64, bool), b: &(f64, bool)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
@@ -320,7 +320,7 @@
             }
         }
         if self.flaps.get(name).is_some_and(|f| f.excluded_until.is_some()) {
-            return Some(Host { health: Health::Leaving, ..host.clone() });
+            return Some(ListEntry { health: Health::Leaving, ..host.clone() });
         }
         Some(host.clone())
     }
@@ -337,9 +337,10 @@
                 if before == current.as_ref() {
                     continue;
                 }
-                let active = |h: Option<&Host>| usize::from(h.is_some_and(|h| h.health == Health::Active));
+                let active =
+                    |h: Option<&ListEntry>| usize::from(h.is_some_and(|h| h.health == Health::Active));
                 self.in_service = self.in_service + active(current.as_ref()) - active(before);
-                hosts.extend(current.clone().or_else(|| before.map(Host::as_removed)));
+                hosts.extend(current.clone().or_else(|| before.map(ListEntry::as_removed)));
                 match current {
                     Some(host) => drop(self.reported.insert(name, host)),
                     None => drop(self.reported.remove(&name)),
