--- a/crates/node/src/backend/http1/mod.rs
+++ b/crates/node/src/backend/http1/mod.rs
@@ -26,7 +26,7 @@
 use pool::{Link, Pool, Readiness};
 
 /// How many new connections in a row may receive unexpected bytes before the attempt fails.
-const MAX_SPOILT_CONNECTIONS: usize = 3;
+const MAX_UNUSABLE_CONNECTIONS: usize = 3;
 
 /// How long a server may accept nothing of a streamed request body, and how often it is checked whether the
 /// transfer waits for the client or for the server.
@@ -131,7 +131,7 @@
     }
 
     /// Returns whether the attempt belongs to this backend and is not fully written.
-    pub fn unsent(&self, attempt: AttemptId) -> bool {
+    pub fn is_unsent(&self, attempt: AttemptId) -> bool {
         self.in_flight.borrow().get(&attempt).is_some_and(|in_flight| in_flight.written_at.get().is_none())
     }
 
@@ -181,7 +181,7 @@
 ) -> Result<Acquired, Outcome> {
     let (hub, pool) = (&servers.hub, &servers.pool);
     let is_call = matches!(message, Message::Call(_));
-    let mut spoilt = 0;
+    let mut unusable = 0;
     loop {
         // A drain applies from the moment the node is notified, also to attempts that were waiting for a
         // connection.
@@ -205,8 +205,8 @@
         match readiness.map_err(|_| Outcome::NotSent)? {
             Readiness::Usable => {}
             Readiness::Closed | Readiness::ReceivedBytes if reused => continue,
-            Readiness::ReceivedBytes if spoilt + 1 < MAX_SPOILT_CONNECTIONS => {
-                spoilt += 1;
+            Readiness::ReceivedBytes if unusable + 1 < MAX_UNUSABLE_CONNECTIONS => {
+                unusable += 1;
                 continue;
             }
             Readiness::ReceivedBytes | Readiness::Closed => return Err(Outcome::ConnectFailed),
--- a/crates/node/src/backend/http1/pool.rs
+++ b/crates/node/src/backend/http1/pool.rs
@@ -104,7 +104,7 @@
 pub struct Pool {
     hub: Rc<Hub>,
     idle: RefCell<HashMap<ServerId, Vec<IdleLink>>>,
-    doubt: RefCell<DistrustTracker<ServerId>>,
+    distrust: RefCell<DistrustTracker<ServerId>>,
     /// The attempts for which no byte was received, by number and time of sending.
     unanswered: RefCell<HashMap<ServerId, Vec<(u64, Instant)>>>,
     /// The latest time of sending among the attempts that each server has answered.
@@ -123,7 +123,7 @@
         Self {
             hub,
             idle: RefCell::default(),
-            doubt: RefCell::default(),
+            distrust: RefCell::default(),
             unanswered: RefCell::default(),
             answered: RefCell::default(),
             last_number: Cell::new(0),
@@ -142,7 +142,7 @@
     pub fn discard_connections(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         self.idle.borrow_mut().remove(&server);
-        self.doubt.borrow_mut().forget(server);
+        self.distrust.borrow_mut().forget(server);
     }
 
     /// Closes connections that have been idle for too long, to release their descriptors.
@@ -162,22 +162,22 @@
 
     /// Records that a server answered in order.
     pub fn note_answer(&self, server: ServerId) {
-        self.doubt.borrow_mut().note_answer(server);
+        self.distrust.borrow_mut().note_answer(server);
     }
 
     /// How long connections to a server must be silent before an answer on them is trusted.
     pub fn required_idle(&self, server: ServerId) -> RequiredIdle {
-        self.doubt.borrow().required_idle(Instant::now(), server)
+        self.distrust.borrow().required_idle(Instant::now(), server)
     }
 
     /// Records the start of the first exchange of all; later calls have no effect.
     pub fn begin(&self) {
-        self.doubt.borrow_mut().begin(Instant::now());
+        self.distrust.borrow_mut().begin(Instant::now());
     }
 
     /// Records unexpected bytes from a server.
     pub fn record_unsolicited(&self, server: ServerId, seen: UnsolicitedBytes) {
-        let scope = self.doubt.borrow_mut().record_unsolicited(Instant::now(), server, seen);
+        let scope = self.distrust.borrow_mut().record_unsolicited(Instant::now(), server, seen);
         self.hub.report_unsolicited_bytes(server, seen, scope, self.required_idle(server));
     }
 
--- a/crates/node/src/backend/msgpack.rs
+++ b/crates/node/src/backend/msgpack.rs
@@ -226,7 +226,7 @@
 
     /// Returns whether the attempt belongs to this backend and no byte of it was written; after the first
     /// byte it can't be withdrawn.
-    pub fn unsent(&self, attempt: AttemptId) -> bool {
+    pub fn is_unsent(&self, attempt: AttemptId) -> bool {
         let in_flight = self.in_flight.borrow();
         let Some(conn) = in_flight.get(&attempt) else { return false };
         let state = conn.state.borrow();
--- a/crates/node/src/custody/guard.rs
+++ b/crates/node/src/custody/guard.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    fn unsent(&self, attempt: AttemptId) -> bool {
-        self.custody.is_pending(attempt) || self.inner.unsent(attempt)
+    fn is_unsent(&self, attempt: AttemptId) -> bool {
+        self.custody.is_pending(attempt) || self.inner.is_unsent(attempt)
     }
 
     fn probe(&self, server: ServerId) {
--- a/crates/node/src/custody/waiters.rs
+++ b/crates/node/src/custody/waiters.rs
@@ -86,7 +86,7 @@
             .flat_map(|local| local.numbers.keys().copied())
             .collect();
         let inner = self.inner.get();
-        let unsent = |a: &AttemptId| self.is_pending(*a) || inner.is_some_and(|inner| inner.unsent(*a));
+        let unsent = |a: &AttemptId| self.is_pending(*a) || inner.is_some_and(|inner| inner.is_unsent(*a));
         attempts.iter().all(unsent)
     }
 }
--- a/crates/node/src/front/http1.rs
+++ b/crates/node/src/front/http1.rs
@@ -498,7 +498,7 @@
             self.hub.get().expect("set").attempt_ended(attempt, AttemptResult::Served(reply));
         }
         fn abandon(&self, _: AttemptId) {}
-        fn unsent(&self, _: AttemptId) -> bool {
+        fn is_unsent(&self, _: AttemptId) -> bool {
             false
         }
         fn probe(&self, _: ServerId) {}
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -40,7 +40,7 @@
     /// Abandons an attempt, and reports its end before returning.
     fn abandon(&self, attempt: AttemptId);
     /// Was the attempt started, with its last byte not sent yet? Then no server has begun with it.
-    fn unsent(&self, attempt: AttemptId) -> bool;
+    fn is_unsent(&self, attempt: AttemptId) -> bool;
     /// Probes a server; [`Hub::probed`] must be called with the result.
     fn probe(&self, server: ServerId);
     /// Discards the connections to a server that moved, restarted or is gone.
@@ -158,7 +158,7 @@
     counts: Cell<Counts>,
     /// Limits the log lines about answers out of turn.
     answer_log_budget: LineBudget,
-    outside: OnceCell<Rc<dyn HubActions>>,
+    actions: OnceCell<Rc<dyn HubActions>>,
     gate: OnceCell<Rc<dyn Gate>>,
     /// Applies changes on top of the settings of a file.
     overlay: OnceCell<Rc<dyn Overlay>>,
@@ -206,7 +206,7 @@
             tenants: RefCell::new(tenants),
             core: RefCell::new(core),
             waiters: RefCell::default(),
-            servers: RefCell::new(Servers::new(config.operator.marks())),
+            servers: RefCell::new(Servers::new(config.operator.msgpack_servers())),
             merge: config.operator.has_additional_source().then(RefCell::default),
             succession: RefCell::default(),
             version: Cell::new(None),
@@ -216,7 +216,7 @@
             list_lost_since: Cell::default(),
             counts: Cell::default(),
             answer_log_budget: LineBudget::default(),
-            outside: OnceCell::new(),
+            actions: OnceCell::new(),
             gate: OnceCell::new(),
             overlay: OnceCell::new(),
             finished_attempts: RefCell::default(),
@@ -232,8 +232,8 @@
 
     /// Sets who carries out the core's actions, and takes the saved list. To be called once, before
     /// anything else.
-    pub fn start(&self, outside: Rc<dyn HubActions>, known: Option<Update>) {
-        let _ = self.outside.set(outside);
+    pub fn start(&self, actions: Rc<dyn HubActions>, known: Option<Update>) {
+        let _ = self.actions.set(actions);
         let saved = known.unwrap_or(Update { version: 0, is_full: true, hosts: Vec::new() });
         // No server is known yet and no list was taken before, so this one is accepted.
         let _ = self.succession.borrow_mut().accept(&saved, 0);
@@ -297,7 +297,7 @@
 
     /// Processes the core's outputs until there are none.
     fn process_outputs(&self) {
-        let Some(outside) = self.outside.get() else { return };
+        let Some(actions) = self.actions.get() else { return };
         if self.processing_outputs.replace(true) {
             return;
         }
@@ -322,18 +322,18 @@
                         attempt: attempt.number,
                         server: name(server),
                     });
-                    outside.start(attempt, server, self.clock.instant(end), payload);
+                    actions.start(attempt, server, self.clock.instant(end), payload);
                 }
-                Output::Abandon(attempt) => outside.abandon(attempt),
-                Output::Recall(attempt) if outside.unsent(attempt) => outside.abandon(attempt),
+                Output::Abandon(attempt) => actions.abandon(attempt),
+                Output::Recall(attempt) if actions.is_unsent(attempt) => actions.abandon(attempt),
                 Output::Recall(_) => {}
                 Output::Subscribe => {
                     self.trace(|_| Doing::Call);
-                    outside.subscribe();
+                    actions.subscribe();
                 }
                 Output::Probe(server) => {
                     self.trace(|name| Doing::Probe(name(server)));
-                    outside.probe(server);
+                    actions.probe(server);
                 }
             }
         }
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -40,8 +40,8 @@
     pub fn discovery_moved(&self) {
         self.succession.borrow_mut().reset();
         self.version.set(None);
-        if let Some(outside) = self.outside.get() {
-            outside.unsubscribe();
+        if let Some(actions) = self.actions.get() {
+            actions.unsubscribe();
         }
         self.update_core(|core, now| core.discovery_moved(now));
     }
@@ -166,17 +166,17 @@
         };
         let whole = update.is_full;
         let last_seen = self.list_last_seen.of(source);
-        let heard = UpdateTimes {
+        let times = UpdateTimes {
             clock: &self.clock,
             before: last_seen.get(),
             warm_within: self.settings().policy.rules.warm_up_time,
         };
-        let (entries, stale) = self.servers.borrow_mut().take(update, heard);
+        let (entries, stale) = self.servers.borrow_mut().take(update, times);
         if !saved {
             last_seen.set(Some(self.clock.now()));
         }
-        if let Some(outside) = self.outside.get() {
-            stale.into_iter().for_each(|server| outside.discard_connections(server));
+        if let Some(actions) = self.actions.get() {
+            stale.into_iter().for_each(|server| actions.discard_connections(server));
         }
         self.update_core(|core, now| {
             if whole {
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -58,7 +58,7 @@
 /// All listed servers that are not gone.
 #[derive(Default)]
 pub struct Servers {
-    marks: MsgpackServers,
+    msgpack_servers: MsgpackServers,
     known: HashMap<ServerId, KnownServer>,
     starts: StartTimes,
 }
@@ -76,8 +76,8 @@
 
 impl Servers {
     /// Creates an empty list.
-    pub fn new(marks: MsgpackServers) -> Self {
-        Self { marks, known: HashMap::new(), starts: StartTimes::default() }
+    pub fn new(msgpack_servers: MsgpackServers) -> Self {
+        Self { msgpack_servers, known: HashMap::new(), starts: StartTimes::default() }
     }
 
     /// The number of servers.
@@ -122,7 +122,7 @@
 
     /// Applies an update. Returns the entries for the core, and the servers whose connections are of no
     /// more use.
-    pub fn take(&mut self, update: Update, heard: UpdateTimes<'_>) -> (Vec<Entry>, Vec<ServerId>) {
+    pub fn take(&mut self, update: Update, times: UpdateTimes<'_>) -> (Vec<Entry>, Vec<ServerId>) {
         if update.is_full {
             for host in self.known.values_mut() {
                 host.state = Listed::Gone;
@@ -130,7 +130,7 @@
         }
         let mut stale = Vec::new();
         let entries: Vec<Entry> =
-            update.hosts.into_iter().filter_map(|h| self.apply_entry(h, heard, &mut stale)).collect();
+            update.hosts.into_iter().filter_map(|h| self.apply_entry(h, times, &mut stale)).collect();
         // Servers that a change leaves out are unchanged and need no check.
         let touched: Vec<ServerId> = if update.is_full {
             self.known.keys().copied().collect()
@@ -153,7 +153,7 @@
     fn apply_entry(
         &mut self,
         host: ListEntry,
-        heard: UpdateTimes<'_>,
+        times: UpdateTimes<'_>,
         stale: &mut Vec<ServerId>,
     ) -> Option<Entry> {
         let server = ServerId(number_of(&host.host));
@@ -166,7 +166,8 @@
             ));
             return None;
         }
-        let marked = self.marks.kinds.contains(&host.kind) || self.marks.hosts.contains(&host.host);
+        let marked = self.msgpack_servers.kinds.contains(&host.kind)
+            || self.msgpack_servers.hosts.contains(&host.host);
         let mut dial = host.endpoint.or(before.map(|b| b.server_address.endpoint));
         if let Some(dial) = dial.as_mut().filter(|_| marked) {
             dial.protocol = Protocol::Msgpack;
@@ -191,13 +192,13 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started_at: self.start_time(server, host.started_ms, heard),
+            started_at: self.start_time(server, host.started_ms, times),
         })
     }
 
     /// When a server started; `None` if that is long ago.
-    fn start_time(&mut self, server: ServerId, started_ms: Millis, heard: UpdateTimes<'_>) -> Option<Millis> {
-        let UpdateTimes { clock, before, warm_within } = heard;
+    fn start_time(&mut self, server: ServerId, started_ms: Millis, times: UpdateTimes<'_>) -> Option<Millis> {
+        let UpdateTimes { clock, before, warm_within } = times;
         let claim = ClaimedStart {
             claimed_start: clock.at_unix(started_ms),
             now: clock.now(),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -288,7 +288,7 @@
     }
 
     /// The servers marked as speaking MessagePack-RPC.
-    pub fn marks(&self) -> MsgpackServers {
+    pub fn msgpack_servers(&self) -> MsgpackServers {
         let set = |names: &[String]| names.iter().cloned().collect::<HashSet<String>>();
         MsgpackServers { kinds: set(&self.server_kinds), hosts: set(&self.server_hosts) }
     }
@@ -314,7 +314,10 @@
             (operator.msgpack_shared, operator.open_calls, operator.calls_per_connection),
             (true, 64, 4)
         );
-        assert!(operator.marks().kinds.contains("m2") && operator.marks().hosts.contains("s-2"));
+        assert!(
+            operator.msgpack_servers().kinds.contains("m2")
+                && operator.msgpack_servers().hosts.contains("s-2")
+        );
     }
 
     #[test]
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -95,8 +95,8 @@
         let _ = self.http1.abandon(attempt) || self.msgpack.abandon(attempt);
     }
 
-    fn unsent(&self, attempt: AttemptId) -> bool {
-        self.http1.unsent(attempt) || self.msgpack.unsent(attempt)
+    fn is_unsent(&self, attempt: AttemptId) -> bool {
+        self.http1.is_unsent(attempt) || self.msgpack.is_unsent(attempt)
     }
 
     fn probe(&self, server: ServerId) {
@@ -211,12 +211,12 @@
     });
     spawn_local(hub.clone().run_timer());
     let custody = Custody::new(&hub, membership.as_ref())?;
-    let outside: Rc<dyn HubActions> = match &custody {
+    let hub_actions: Rc<dyn HubActions> = match &custody {
         Some(custody) => Guarded::new(custody.clone(), actions.clone()),
         None => actions.clone(),
     };
     log::write_line(settings_line(&hub));
-    hub.start(outside, known);
+    hub.start(hub_actions, known);
     if hub.settings().policy.discovery == Discovery::Pushed && hub.config.operator.uses_discovery() {
         spawn_local(watch_agent(actions.clone()));
     }
