--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback sockets, between scripted peers.
+//! Runs the node binary on loopback sockets with scripted clients, servers and a scripted discovery service.
 
 mod peers;
 
@@ -10,14 +10,15 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// Servers that answer the first attempt of every request in one way, and serve further ones.
-fn twice(first: impl Fn() -> Say + Send + Sync + Clone + 'static) -> [Peer; 2] {
-    let tried = std::sync::Arc::new(Mutex::new(BTreeSet::new()));
+/// Starts two servers that share their record of requests: the first attempt of each request gets the reply
+/// `first`, later attempts are served.
+fn servers_failing_first(first: impl Fn() -> Say + Send + Sync + Clone + 'static) -> [Peer; 2] {
+    let attempted = std::sync::Arc::new(Mutex::new(BTreeSet::new()));
     [(); 2].map(|()| {
-        let (tried, first) = (tried.clone(), first.clone());
+        let (attempted, first) = (attempted.clone(), first.clone());
         Peer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or_default().to_string();
-            if m.path() != "/health" && tried.lock().expect("no panic").insert(txn) {
+            if m.path() != "/health" && attempted.lock().expect("no panic").insert(txn) {
                 first()
             } else {
                 Say::This(answer(200, "", "served"))
@@ -26,7 +27,8 @@
     })
 }
 
-/// Asks once in a class and gives the status, and how many attempts reached servers.
+/// Sends one request of `class` to servers in `cells`; returns its status and the number of attempts that
+/// reached the servers.
 fn outcome(
     class: &str,
     cells: [u64; 2],
@@ -34,27 +36,27 @@
 ) -> (u16, usize) {
     let first_never_ran = matches!(first(), Say::This(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
         && !bytes.starts_with(b"HTTP/1.1 404"));
-    let servers = twice(first);
+    let servers = servers_failing_first(first);
     let hosts: Vec<Value> =
         (0..2).map(|n| host(&format!("s{n}"), servers[n].address, "active", cells[n])).collect();
     let registry = Registry::new(&hosts);
     let node = Node::ready(&config(registry.address));
-    let heard = Client::to(&node).ask(&request(class, "t1", 15_000));
-    if heard.status() == 200 {
-        assert_eq!(heard.body, b"served");
+    let response = Client::to(&node).ask(&request(class, "t1", 15_000));
+    if response.status() == 200 {
+        assert_eq!(response.body, b"served");
     }
-    let seen = servers.each_ref().map(|s| s.seen().len());
-    if class == "pay" && cells[0] != cells[1] && !matches!(seen, [0, _] | [_, 0]) {
-        assert!(first_never_ran, "a keyed request left its cell: {seen:?}");
+    let received = servers.each_ref().map(|s| s.seen().len());
+    if class == "pay" && cells[0] != cells[1] && !matches!(received, [0, _] | [_, 0]) {
+        assert!(first_never_ran, "a keyed request left its cell: {received:?}");
     }
-    (heard.status(), seen.iter().sum())
+    (response.status(), received.iter().sum())
 }
 
-/// What proves that the request never ran is repeated in every class; anything else only where a repeat does
-/// no harm.
+/// A reply which proves that the request never ran is retried in every class. Any other failure may have run
+/// and is retried only where the class allows it.
 #[test]
-fn outcomes_that_may_have_run_are_repeated_only_where_that_is_harmless() {
-    let away = "X-Turned-Away: 1\r\n";
+fn attempts_that_may_have_run_are_retried_only_where_that_is_harmless() {
+    let turned_away_header = "X-Turned-Away: 1\r\n";
     let may_have_run: [fn() -> Say; 9] = [
         || Say::This(answer(500, "", "")),
         || Say::This(answer(503, "", "")),
@@ -62,7 +64,7 @@
         || Say::Last(Vec::new()),
         || Say::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
         || Say::Last(b"HTP/banana\r\n\r\n".to_vec()),
-        // Ended by the close alone: nobody can tell whether it is whole.
+        // Neither a length nor chunks: only the close ends it, so a truncated body can't be recognised.
         || Say::Last(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
         || {
             Say::This(
@@ -75,24 +77,26 @@
     for (n, first) in may_have_run.into_iter().enumerate() {
         assert_eq!(outcome("look", [1, 1], first), (200, 2), "safe, case {n}");
         assert_eq!(outcome("pay", [1, 1], first), (200, 2), "keyed, one cell, case {n}");
-        // Alone in its cell, a server that is up gets the repeat itself; no other may.
+        // Keyed retries stay within the cell: a server that is alone in its cell gets the retry itself.
         assert_eq!(outcome("pay", [1, 2], first), (200, 2), "keyed, two cells, case {n}");
         assert_eq!(outcome("slip", [1, 1], first), (502, 1), "unsafe, case {n}");
     }
     for status in [503, 504] {
         for class in ["look", "pay", "slip"] {
-            let first = move || Say::This(answer(status, away, ""));
+            let first = move || Say::This(answer(status, turned_away_header, ""));
             assert_eq!(outcome(class, [1, 2], first), (200, 2), "{class} turned away with {status}");
         }
     }
 }
 
-/// A refused connection never ran: the request goes to the other server, also an unsafe one.
+/// A refused connection proves that the request never ran: even an unsafe request is retried at the other
+/// server.
 #[test]
 fn a_refused_connection_costs_no_request() {
-    let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let good = Peer::good("good");
-    let registry = Registry::new(&[host("s0", dead, "active", 1), host("s1", good.address, "active", 2)]);
+    let registry =
+        Registry::new(&[host("s0", closed_port, "active", 1), host("s1", good.address, "active", 2)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     for n in 0..4 {
@@ -101,17 +105,18 @@
     assert_eq!(good.seen().len(), 4);
 }
 
-/// An answer that is longer than may be passed on has failed, and may have run.
+/// An answer over the length limit fails the attempt, and the request may have run: an unsafe one is not
+/// retried.
 #[test]
 fn an_answer_over_the_limit_is_not_passed_on() {
-    // Said to be longer than any may be, with a part of it behind.
+    // The announced length is over the limit; part of the body follows.
     let long = || {
         Say::This(format!("HTTP/1.1 200 X\r\nContent-Length: 34000000\r\n\r\n{}", "x".repeat(9999)).into())
     };
     assert_eq!(outcome("slip", [1, 1], long), (502, 1));
 }
 
-/// Request and answer go through unchanged, and each request on a kept connection gets one answer.
+/// Requests and answers pass through unchanged, and each request on a keep-alive connection gets one answer.
 #[test]
 fn bytes_pass_unchanged_and_each_request_has_one_answer() {
     let server =
@@ -120,82 +125,85 @@
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     for n in 0..5 {
-        let heard = client.ask(&request("pay", &format!("t{n}"), 15_000));
-        assert_eq!((heard.status(), heard.body), (200, format!("for t{n}").into_bytes()));
+        let response = client.ask(&request("pay", &format!("t{n}"), 15_000));
+        assert_eq!((response.status(), response.body), (200, format!("for t{n}").into_bytes()));
     }
-    let seen = server.seen();
-    assert_eq!(seen.len(), 5);
-    for (n, m) in seen.iter().enumerate() {
+    let received = server.seen();
+    assert_eq!(received.len(), 5);
+    for (n, m) in received.iter().enumerate() {
         assert!(m.head.starts_with("POST /pay/7?q=a%20b HTTP/1.1\r\n"), "{}", m.head);
         assert_eq!(m.header("x-txn"), Some(format!("t{n}").as_str()));
         assert_eq!(m.header("idempotency-key"), Some("k1"));
         assert_eq!(m.body, b"work");
-        let left: u64 = m.header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time left");
-        assert!((1..15_000).contains(&left), "{left}");
+        let remaining_ms: u64 =
+            m.header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the remaining time");
+        assert!((1..15_000).contains(&remaining_ms), "{remaining_ms}");
     }
-    // One connection serves them all, the one used last.
-    assert!(seen.iter().all(|m| m.conn == seen[0].conn));
+    // All share one connection: the pool reuses the most recently used one.
+    assert!(received.iter().all(|m| m.conn == received[0].conn));
 }
 
-/// A server that never answers: the client has its answer when its time is up, and it is no refusal.
+/// A server never answers: at its deadline the client gets 502, not a refusal, as the request may have run.
 #[test]
 fn a_silent_server_does_not_hold_the_answer_past_the_deadline() {
     let server = Peer::new(|_| Say::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    let asked = Instant::now();
-    let heard = Client::to(&node).ask(&request("slip", "t1", 1500));
-    assert!(asked.elapsed() < Duration::from_millis(4000), "{:?}", asked.elapsed());
-    assert_eq!(heard.status(), 502);
+    let started = Instant::now();
+    let response = Client::to(&node).ask(&request("slip", "t1", 1500));
+    assert!(started.elapsed() < Duration::from_millis(4000), "{:?}", started.elapsed());
+    assert_eq!(response.status(), 502);
     assert_eq!(server.seen().len(), 1);
     until("the attempt's connection is closed", || server.open() == 0);
 }
 
-/// A refusal comes at once and says when to come back.
+/// A refusal is sent at once and carries a Retry-After header.
 #[test]
-fn a_refusal_carries_the_modules_span() {
+fn a_refusal_carries_a_retry_after() {
     let registry = Registry::new(&[]);
     let node = Node::ready(&config(registry.address));
-    let heard = Client::to(&node).ask(&request("slip", "t1", 15_000));
-    assert_eq!(heard.status(), 503);
-    let span: f64 = heard.header("retry-after").and_then(|v| v.parse().ok()).expect("a span");
-    assert!(span > 0.0 && span <= 2.0, "{span}");
+    let response = Client::to(&node).ask(&request("slip", "t1", 15_000));
+    assert_eq!(response.status(), 503);
+    let retry_after_s: f64 =
+        response.header("retry-after").and_then(|v| v.parse().ok()).expect("a number of seconds");
+    assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
 }
 
-/// From the line that tells of it, a server that drains or is gone gets nothing new.
+/// Once the node has read the list line that marks a server as draining or gone, that server gets no new
+/// requests.
 #[test]
-fn a_drain_holds_from_the_line_that_tells_it() {
+fn a_drain_holds_from_the_list_line_that_announces_it() {
     let (a, b) = (Peer::good("a"), Peer::good("b"));
-    let (at_a, at_b) = (a.address, b.address);
-    let both = [host("s0", at_a, "active", 1), host("s1", at_b, "active", 1)];
+    let (address_a, address_b) = (a.address, b.address);
+    let both = [host("s0", address_a, "active", 1), host("s1", address_b, "active", 1)];
     for health in ["leaving", "left"] {
         let registry = Registry::new(&both);
         let node = Node::ready(&config(registry.address));
         let mut client = Client::to(&node);
         let mut ask = |n: usize| {
-            let heard = client.ask(&request("look", &format!("t{n}"), 15_000));
-            assert_eq!(heard.status(), 200);
-            heard.body
+            let response = client.ask(&request("look", &format!("t{n}"), 15_000));
+            assert_eq!(response.status(), 200);
+            response.body
         };
         let first: BTreeSet<Vec<u8>> = (0..4).map(&mut ask).collect();
-        assert_eq!(first.len(), 2, "both have turns");
-        registry.tell(2, &both[1..], &[host("s0", at_a, health, 1)]);
-        // The line is read when the turns stop going to both.
+        assert_eq!(first.len(), 2, "both servers are in rotation");
+        registry.tell(2, &both[1..], &[host("s0", address_a, health, 1)]);
+        // The line has been read once two requests in a row go to the other server.
         until("the drain is known", || ask(0) == b"b" && ask(0) == b"b");
         assert!((0..10).all(|n| ask(n) == b"b"));
     }
 }
 
-/// A send that waits for its connection is not written to a server that drains meanwhile.
+/// A request that waits for a connection is not written if its server starts to drain meanwhile.
 #[test]
 fn a_drain_reaches_sends_that_wait_for_a_connection() {
-    let shut = Shut::new();
-    let at_full = shut.address;
-    let registry = Registry::new(&[host("s0", at_full, "active", 1)]);
+    let unaccepting = Shut::new();
+    let unaccepting_address = unaccepting.address;
+    let registry = Registry::new(&[host("s0", unaccepting_address, "active", 1)]);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(50_000.0);
     config["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
-    // Those that ask whether the list is known give up soon.
+    // A short objective, so that the requests that check for the new list fail soon.
     config["settings"]["Classes"][0]["Slo"] = json!(800.0);
     let node = Node::ready(&config);
     let mut client = Client::to(&node);
@@ -203,39 +211,39 @@
     std::thread::sleep(Duration::from_millis(300));
     let good = Peer::good("good");
     let hosts = [host("s1", good.address, "active", 1)];
-    registry.tell(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
-    // Known once others are served by the new one.
+    registry.tell(2, &hosts, &[host("s0", unaccepting_address, "left", 1), hosts[0].clone()]);
+    // The node has the new list once the new server answers other requests.
     until("the list is known", || Client::to(&node).ask(&request("look", "t2", 500)).status() == 200);
-    let late = shut.open(|_| Say::This(answer(200, "", "late")));
+    let late_server = unaccepting.open(|_| Say::This(answer(200, "", "late")));
     assert_eq!(client.hear().expect("an answer").body, b"good");
-    assert!(late.seen().is_empty(), "{:?}", late.seen());
+    assert!(late_server.seen().is_empty(), "{:?}", late_server.seen());
 }
 
-/// Discovery goes down: the list is kept, calls back off; back up, its news count.
+/// While discovery is down the node keeps its list and calls with backoff; afterwards it takes the new list.
 #[test]
 fn discovery_lost_and_back() {
     let (a, b) = (Peer::good("a"), Peer::good("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     registry.down(true);
-    until("the node calls again", || registry.calls().len() >= 2);
+    until("the node retries", || registry.calls().len() >= 2);
     let (calls, start) = (registry.calls().len(), Instant::now());
     while start.elapsed() < Duration::from_secs(3) {
         assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).body, b"a");
         std::thread::sleep(Duration::from_millis(50));
     }
-    let storm = registry.calls().len() - calls;
-    assert!(storm <= 8, "{storm} calls in 3 s");
+    let retries = registry.calls().len() - calls;
+    assert!(retries <= 8, "{retries} calls in 3 s");
     let hosts = [host("s1", b.address, "active", 1)];
     registry.tell(9, &hosts, &[]);
     registry.down(false);
-    until("the new list counts", || {
-        let heard = Client::to(&node).ask(&request("look", "t2", 15_000));
-        heard.body == b"b"
+    until("the new list is in use", || {
+        let response = Client::to(&node).ask(&request("look", "t2", 15_000));
+        response.body == b"b"
     });
 }
 
-/// A line that can't be read is dropped, and the whole list asked for.
+/// A list line that can't be parsed is dropped, and the node requests the whole list.
 #[test]
 fn a_bad_line_makes_the_node_ask_for_the_whole_list() {
     let (a, b) = (Peer::good("a"), Peer::good("b"));
@@ -243,43 +251,46 @@
     let node = Node::ready(&config(registry.address));
     registry.tell(2, &[host("s1", b.address, "active", 1)], &[]);
     registry.say("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
-    until("the whole list is asked for", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
-    until("it counts", || Client::to(&node).ask(&request("look", "t1", 15_000)).body == b"b");
+    until("the whole list is requested", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
+    until("the whole list is in use", || Client::to(&node).ask(&request("look", "t1", 15_000)).body == b"b");
     assert!(node.logged("unreadable"));
 }
 
-/// A client that leaves has its attempts called off.
+/// When a client disconnects, its attempts are cancelled.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let server = Peer::new(|_| Say::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 20_000));
-    until("the attempt is out", || server.seen().len() == 1);
+    until("the attempt is sent", || server.seen().len() == 1);
     assert_eq!(server.open(), 1);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(client);
-    until("the attempt is called off", || server.open() == 0);
-    assert!(left.elapsed() < Duration::from_secs(15), "that was the deadline, not the close");
+    until("the attempt is cancelled", || server.open() == 0);
+    assert!(
+        disconnected_at.elapsed() < Duration::from_secs(15),
+        "the deadline ended the attempt, not the disconnect"
+    );
 }
 
-/// A kept connection that its server has closed is not written to, however late that shows: an unsafe request
-/// would fail for nothing.
+/// The node does not write to a pooled connection that its server has closed, however late it notices: an
+/// unsafe request would fail without need, as it can't be retried.
 #[test]
-fn a_stale_kept_connection_fails_nobody() {
+fn a_stale_pooled_connection_fails_no_request() {
     let server = Peer::new(|_| Say::Last(answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     for n in 0..10 {
-        let heard = Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000));
-        assert_eq!(heard.status(), 200, "request {n}");
+        let response = Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000));
+        assert_eq!(response.status(), 200, "request {n}");
         until("the server has closed", || server.open() == 0);
     }
     assert_eq!(server.seen().len(), 10);
 }
 
-/// Idle connections are closed well before their server would.
+/// The node closes idle connections well before the server's keep-alive time ends.
 #[test]
 fn idle_connections_end_before_the_servers_keep_alive() {
     let server = Peer::good("a");
@@ -292,66 +303,69 @@
     until("the node closes it", || server.open() == 0);
 }
 
-/// SIGTERM: what was taken is served, connections still come for a while, then the node ends with 0.
+/// After SIGTERM the node finishes the requests that it has accepted, accepts connections for a while longer,
+/// and exits with code 0.
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_accepted_requests() {
     let server = Peer::new(|m| {
         let long = m.header("x-txn") == Some("slow");
         Say::Later(Duration::from_millis(if long { 1500 } else { 0 }), answer(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
-    let (mut slow, mut kept) = (Client::to(&node), Client::to(&node));
-    assert_eq!(kept.ask(&request("slip", "before", 15_000)).status(), 200);
+    let (mut slow, mut keep_alive) = (Client::to(&node), Client::to(&node));
+    assert_eq!(keep_alive.ask(&request("slip", "before", 15_000)).status(), 200);
     slow.send(&request("slip", "slow", 15_000));
-    until("the slow one is out", || server.seen().len() == 2);
+    until("the slow request is sent", || server.seen().len() == 2);
     node.terminate();
-    // A connection that comes behind the signal is served, and so is one that was kept.
-    until("the signal has come", || {
+    // A connection opened after the signal is served; idle ones are closed in the end.
+    until("the node has handled the signal", || {
         Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
     });
     assert_eq!(Client::to(&node).ask(&request("slip", "after", 15_000)).status(), 200);
-    assert_eq!(slow.hear().expect("what was taken is answered").status(), 200);
-    assert!(kept.ended(), "idle connections are closed");
+    assert_eq!(slow.hear().expect("an accepted request is answered").status(), 200);
+    assert!(keep_alive.ended(), "idle connections are closed");
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// A client that is sent away as soon as a node is told to stop may have nowhere to go: others are down, or not back
-/// yet. It is served until the end is near, on the connection that it has and on new ones, and told before they close.
+/// A client that is turned away as soon as its node gets SIGTERM may find no other node: they may be down or
+/// still restarting. It is served until shortly before the exit, on its open connection and on new ones, and
+/// gets `Connection: close` before they are closed.
 #[test]
-fn sigterm_leaves_clients_their_node_until_the_end_is_near() {
+fn sigterm_serves_clients_until_shortly_before_the_exit() {
     let server = Peer::good("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
-    let mut kept = Client::to(&node);
-    assert_eq!(kept.ask(&request("look", "before", 15_000)).status(), 200);
-    let told = Instant::now();
+    let mut keep_alive = Client::to(&node);
+    assert_eq!(keep_alive.ask(&request("look", "before", 15_000)).status(), 200);
+    let stop_requested_at = Instant::now();
     node.terminate();
-    until("the signal has come", || {
-        let heard = Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        heard.status() == 503 && heard.header("connection") == Some("close")
+    until("the node has handled the signal", || {
+        let response = Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        response.status() == 503 && response.header("connection") == Some("close")
     });
     for n in 0.. {
-        let heard = kept.ask(&request("look", &format!("t{n}"), 15_000));
-        assert_eq!(heard.status(), 200, "request {n}");
-        if heard.header("connection") == Some("close") {
+        let response = keep_alive.ask(&request("look", &format!("t{n}"), 15_000));
+        assert_eq!(response.status(), 200, "request {n}");
+        if response.header("connection") == Some("close") {
             break;
         }
-        if told.elapsed() < Duration::from_millis(1200) {
-            let heard = Client::to(&node).ask(&request("look", &format!("n{n}"), 15_000));
-            assert_eq!((heard.status(), heard.header("connection")), (200, None), "new connection {n}");
+        if stop_requested_at.elapsed() < Duration::from_millis(1200) {
+            let response = Client::to(&node).ask(&request("look", &format!("n{n}"), 15_000));
+            assert_eq!((response.status(), response.header("connection")), (200, None), "new connection {n}");
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(told.elapsed() >= Duration::from_millis(1200), "{:?}", told.elapsed());
+    assert!(stop_requested_at.elapsed() >= Duration::from_millis(1200), "{:?}", stop_requested_at.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Clients of a stopping node get no new connections, and one that finds none free may take the node for gone: a burst
-/// must not take the last ones. What is one too many is refused at once, with a word on when to come back.
+/// A client that finds no free connection at a stopping node, where it can't open new ones, may conclude that
+/// the node is gone. So a burst must not occupy the last connections: requests beyond a limit are refused at
+/// once with Retry-After.
 #[test]
 fn a_stopping_node_keeps_some_connections_free() {
-    // So many that none is ever full: the module has no cause to refuse.
+    // Enough servers that none reaches its limit: only the stopping node has a reason to refuse.
     let servers = [(); 6].map(|()| {
         Peer::new(|m| {
             let slow = m.header("x-txn").is_some_and(|txn| txn.starts_with("slow"));
@@ -366,25 +380,26 @@
         assert_eq!(client.ask(&request("slip", &format!("before{n}"), 15_000)).status(), 200);
     }
     node.terminate();
-    until("the signal has come", || {
+    until("the node has handled the signal", || {
         Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
     });
     for (n, client) in clients.iter_mut().enumerate().take(6) {
         client.send(&request("slip", &format!("slow{n}"), 15_000));
     }
     let mut count = 0;
-    until("a further one is refused", || {
+    until("a further request is refused", || {
         count += 1;
-        let heard = clients[6].ask(&request("slip", &format!("more{count}"), 15_000));
-        heard.status() == 503 && heard.header("retry-after") == Some("0.750")
+        let response = clients[6].ask(&request("slip", &format!("more{count}"), 15_000));
+        response.status() == 503 && response.header("retry-after") == Some("0.750")
     });
     for client in clients.iter_mut().take(6) {
-        assert_eq!(client.hear().expect("what was taken is answered").status(), 200);
+        assert_eq!(client.hear().expect("an accepted request is answered").status(), 200);
     }
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Where all deadlines are short SIGKILL comes soon: what can't be finished is answered before that.
+/// Where all deadlines are short, SIGKILL follows SIGTERM soon: requests that can't be finished are failed
+/// before that.
 #[test]
 fn sigterm_ends_sooner_where_deadlines_are_short() {
     let server = Peer::new(|_| Say::Nothing);
@@ -396,45 +411,49 @@
     let mut node = Node::ready(&config);
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 25_000));
-    until("the attempt is out", || server.seen().len() == 1);
-    let told = Instant::now();
+    until("the attempt is sent", || server.seen().len() == 1);
+    let stop_requested_at = Instant::now();
     node.terminate();
     assert_eq!(client.hear().expect("an answer").status(), 502);
-    assert!(told.elapsed() < Duration::from_millis(2500), "{:?}", told.elapsed());
+    assert!(stop_requested_at.elapsed() < Duration::from_millis(2500), "{:?}", stop_requested_at.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// More connections than descriptors: idle ones make room, and the node goes on serving.
+/// With more connections than descriptors the node closes idle ones and goes on serving.
 #[test]
 fn descriptors_that_run_out_do_not_stop_the_node() {
     let server = Peer::good("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    // The kernel's limit is lower than the told one: accepting fails, too.
-    for (told, real) in [(64, 256), (256, 48)] {
+    // In the second case the kernel's limit is lower than the configured one, so accepting fails as well.
+    for (configured, actual) in [(64, 256), (256, 48)] {
         let mut config = config(registry.address);
-        config["limits"]["sockets"] = json!(told);
-        let mut node = Node::listening(&config, Some(real));
+        config["limits"]["sockets"] = json!(configured);
+        let mut node = Node::listening(&config, Some(actual));
         node.wait_ready();
-        let mut crowd = Vec::new();
+        let mut idle_clients = Vec::new();
         for n in 0..200 {
-            crowd.push(Client::to(&node));
+            idle_clients.push(Client::to(&node));
             if n % 20 == 0 {
-                let heard = Client::to(&node).ask(&request("slip", &format!("t{n}"), 20_000));
-                assert_eq!(heard.status(), 200, "told {told}, real {real}, connection {n}");
+                let response = Client::to(&node).ask(&request("slip", &format!("t{n}"), 20_000));
+                assert_eq!(
+                    response.status(),
+                    200,
+                    "configured {configured}, actual {actual}, connection {n}"
+                );
             }
         }
         assert!(node.running());
-        assert!(node.descriptors() <= told, "{} of {told}", node.descriptors());
+        assert!(node.descriptors() <= configured, "{} of {configured}", node.descriptors());
     }
 }
 
-/// What comes behind an answer is not the answer to the next request.
+/// Bytes that follow an answer are not taken for the answer to the next request.
 #[test]
-fn bytes_behind_an_answer_do_not_answer_the_next_request() {
+fn bytes_after_an_answer_do_not_answer_the_next_request() {
     for chunked in [false, true] {
         let server = Peer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or("?");
-            let one = if chunked {
+            let single = if chunked {
                 format!(
                     "HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{txn}\r\n0\r\n\r\n",
                     txn.len()
@@ -442,46 +461,46 @@
             } else {
                 String::from_utf8(answer(200, "", txn)).expect("text")
             };
-            Say::This(one.repeat(2).into_bytes())
+            Say::This(single.repeat(2).into_bytes())
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready(&config(registry.address));
         let mut client = Client::to(&node);
         for n in 0..6 {
             let txn = format!("t{n}");
-            let heard = client.ask(&request("slip", &txn, 15_000));
-            assert_eq!((heard.status(), heard.body), (200, txn.into_bytes()));
+            let response = client.ask(&request("slip", &txn, 15_000));
+            assert_eq!((response.status(), response.body), (200, txn.into_bytes()));
         }
     }
 }
 
-/// A request whose deadline lies beyond the end has its answer all the same.
+/// A request whose deadline lies after the node's exit is failed before the exit.
 #[test]
-fn sigterm_answers_what_can_not_be_finished() {
+fn sigterm_answers_requests_that_cannot_be_finished() {
     let server = Peer::new(|_| Say::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 25_000));
-    until("the attempt is out", || server.seen().len() == 1);
+    until("the attempt is sent", || server.seen().len() == 1);
     node.terminate();
     assert_eq!(client.hear().expect("an answer").status(), 502);
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// A watch that stays open and says nothing is a dead link: the node calls again.
+/// A watch that stays open without heartbeats is taken for a dead link: the node opens another.
 #[test]
 fn a_silent_watch_is_given_up() {
     let server = Peer::good("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    until("the watch stands", || registry.watches() == 1);
+    until("the watch is open", || registry.watches() == 1);
     registry.silent();
-    until("the node calls again", || registry.watches() >= 2);
+    until("the node opens another watch", || registry.watches() >= 2);
     assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
 }
 
-/// What can't be used is answered at once, without an attempt, and the connection stays of use.
+/// An invalid request is answered at once without an attempt, and its connection stays usable.
 #[test]
 fn bad_requests_are_answered_at_once() {
     let server = Peer::good("a");
@@ -503,65 +522,65 @@
         (404, good.replace("/slip/", "/slipper/")),
         (404, good.replace("/slip/7?q=a%20b", "/")),
     ];
-    for (status, words) in cases {
+    for (status, text) in cases {
         let mut client = Client::to(&node);
-        let asked = Instant::now();
-        assert_eq!(client.ask(&words).status(), status, "{words}");
-        assert!(asked.elapsed() < Duration::from_secs(10), "{words}");
-        assert_eq!(server.seen().len(), 0, "{words}");
+        let started = Instant::now();
+        assert_eq!(client.ask(&text).status(), status, "{text}");
+        assert!(started.elapsed() < Duration::from_secs(10), "{text}");
+        assert_eq!(server.seen().len(), 0, "{text}");
     }
     let long = good.replace("Content-Length: 4\r\n\r\nwork", "Content-Length: 34000000\r\n\r\n");
     assert_eq!(Client::to(&node).ask(&long).status(), 413);
     assert_eq!(Client::to(&node).ask(&(long + &"x".repeat(65_537))).status(), 413);
     assert_eq!(server.seen().len(), 0);
-    // A connection that was answered so still serves what comes next.
+    // The connection still serves the next request.
     let mut client = Client::to(&node);
     assert_eq!(client.ask(&request("look", "t1", 15_000).replace("/look/", "/lock/")).status(), 404);
     assert_eq!(client.ask(&good).status(), 200);
 }
 
-/// A node starts again with an old list while discovery is down: it serves by what it has.
+/// A node that restarts while discovery is down serves from its saved list.
 #[test]
 fn a_restart_with_an_old_list_serves_without_discovery() {
-    let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let good = Peer::good("a");
     let registry = Registry::new(&[]);
     registry.down(true);
     let mut config = config(registry.address);
-    let hosts = [host("s0", dead, "active", 1), host("s1", good.address, "active", 1)];
+    let hosts = [host("s0", closed_port, "active", 1), host("s1", good.address, "active", 1)];
     config["known"] = json!({"seq": 41, "whole": true, "hosts": hosts});
     let node = Node::ready(&config);
     for n in 0..4 {
         assert_eq!(Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000)).body, b"a");
     }
-    until("it watches from the saved version", || registry.calls().iter().any(|c| c.contains("from=41")));
+    until("it resumes from the saved version", || registry.calls().iter().any(|c| c.contains("from=41")));
 }
 
-/// Every node sorts the servers alike, whatever the order in which it hears of them.
+/// Every node orders the servers in the same way, whatever their order in the list.
 #[test]
-fn turns_do_not_depend_on_the_order_of_the_list() {
+fn round_robin_order_does_not_depend_on_the_order_of_the_list() {
     let servers = ["a", "b", "c", "d"].map(Peer::good);
     let mut hosts: Vec<Value> =
         servers.iter().enumerate().map(|(n, s)| host(&format!("s{n}"), s.address, "active", 1)).collect();
-    let turns = |hosts: &[Value]| -> Vec<Vec<u8>> {
+    let server_order = |hosts: &[Value]| -> Vec<Vec<u8>> {
         let registry = Registry::new(hosts);
         let node = Node::ready(&config(registry.address));
         let mut client = Client::to(&node);
         (0..8).map(|n| client.ask(&request("look", &format!("t{n}"), 15_000)).body).collect()
     };
-    let first = turns(&hosts);
+    let first = server_order(&hosts);
     assert_eq!(first[..4], first[4..], "round robin");
-    assert_eq!(first[..4].iter().collect::<BTreeSet<_>>().len(), 4, "each has its turn");
+    assert_eq!(first[..4].iter().collect::<BTreeSet<_>>().len(), 4, "every server is in rotation");
     hosts.reverse();
-    assert_eq!(turns(&hosts), first);
+    assert_eq!(server_order(&hosts), first);
 }
 
-/// A bad configuration ends the program with one line that names the field.
+/// With an invalid configuration the program exits with one line that names the field.
 #[test]
 fn a_bad_configuration_names_the_field() {
     let good = config("127.0.0.1:1".parse().expect("an address"));
-    type Spoil = fn(&mut Value);
-    let cases: [(&str, Spoil); 6] = [
+    type Corrupt = fn(&mut Value);
+    let cases: [(&str, Corrupt); 6] = [
         ("listen", |c| c["listen"] = json!("nowhere")),
         ("discovery", |c| c["discovery"] = json!(null)),
         ("seed", |c| c["seed"] = json!("xyz")),
@@ -569,11 +588,11 @@
         ("limits.sockets", |c| c["limits"]["sockets"] = json!("many")),
         ("known", |c| c["known"] = json!({"seq": 1, "whole": true, "hosts": [{"host": "a"}]})),
     ];
-    for (field, spoil) in cases {
+    for (field, corrupt) in cases {
         let mut config = good.clone();
-        spoil(&mut config);
-        let (code, words) = run(&config);
+        corrupt(&mut config);
+        let (code, text) = run(&config);
         assert!(code.is_some_and(|c| c != 0), "{field}: {code:?}");
-        assert!(words.contains(field) && words.trim().lines().count() == 1, "{field}: {words}");
+        assert!(text.contains(field) && text.trim().lines().count() == 1, "{field}: {text}");
     }
 }
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -1,4 +1,5 @@
-//! The real program on the days of service: reloads, bad clients, bad servers, tight limits.
+//! Runs the node binary through situations of everyday operation: reloads, misbehaving clients and servers,
+//! low limits.
 
 mod peers;
 
@@ -9,88 +10,89 @@
 use peers::*;
 use serde_json::json;
 
-/// SIGHUP moves discovery to where the file says, though the environment of the start names another address;
-/// a bad file changes nothing, the old list serves until the new one has come, and lines of the old address
-/// do not count any more. Also several times in quick succession, and while the node stops.
+/// SIGHUP moves discovery to the address in the file, even if the environment at the start names another one.
+/// An invalid file changes nothing, the old list is used until the new one has arrived, and lines from the
+/// old address are ignored from then on. This also holds for several reloads in quick succession and while
+/// the node stops.
 #[test]
 fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
     let (a, b) = (Peer::good("a"), Peer::good("b"));
-    let [at_a, at_b] = [a.address, b.address].map(|at| [host("s0", at, "active", 1)]);
-    let (old, new) = (Registry::new(&at_a), Registry::new(&at_b));
-    let told = config(old.address);
-    let moved = |to: std::net::SocketAddr| {
-        let mut config = told.clone();
+    let [list_a, list_b] = [a.address, b.address].map(|at| [host("s0", at, "active", 1)]);
+    let (old, new) = (Registry::new(&list_a), Registry::new(&list_b));
+    let node_config = config(old.address);
+    let config_with_discovery = |to: std::net::SocketAddr| {
+        let mut config = node_config.clone();
         config["discovery"] = json!(to.to_string());
         config.to_string()
     };
-    let mut node = Node::ready_with_discovery(&told, old.address);
+    let mut node = Node::ready_with_discovery(&node_config, old.address);
     let ask = |node: &Node| Client::to(node).ask(&request("look", "t1", 15_000));
     assert_eq!(ask(&node).body, b"a");
-    for bad in ["{", "{}", &moved(new.address).replace("127.0.0.1:", "nowhere:")] {
+    for bad in ["{", "{}", &config_with_discovery(new.address).replace("127.0.0.1:", "nowhere:")] {
         node.reload(bad);
     }
-    until("the bad file is logged", || node.logged("the old configuration stays"));
+    until("the invalid file is logged", || node.logged("the old configuration stays"));
     assert_eq!(ask(&node).body, b"a");
-    // The new address is down at first: the old list serves.
+    // The new address is down at first, so the old list stays in use.
     new.down(true);
-    node.reload(&moved(new.address));
-    until("the new address is asked", || !new.calls().is_empty());
+    node.reload(&config_with_discovery(new.address));
+    until("the new address is called", || !new.calls().is_empty());
     assert_eq!(ask(&node).body, b"a");
     new.down(false);
-    until("the new list counts", || ask(&node).body == b"b");
-    assert!(new.calls().iter().any(|c| c == "/v1/endpoints"), "the whole list is asked for");
-    old.tell(9, &at_a, &at_a);
-    let after = old.calls().len();
+    until("the new list is in use", || ask(&node).body == b"b");
+    assert!(new.calls().iter().any(|c| c == "/v1/endpoints"), "the whole list is requested");
+    old.tell(9, &list_a, &list_a);
+    let calls_after_move = old.calls().len();
     for _ in 0..20 {
         assert_eq!(ask(&node).body, b"b");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(old.calls().len(), after, "the old address is not asked again");
+    assert_eq!(old.calls().len(), calls_after_move, "the old address is not called again");
     for to in [&old, &new, &old, &new, &old] {
-        node.reload(&moved(to.address));
+        node.reload(&config_with_discovery(to.address));
     }
-    until("the last file counts", || ask(&node).body == b"a");
+    until("the last file is in use", || ask(&node).body == b"a");
     node.terminate();
-    node.reload(&moved(new.address));
+    node.reload(&config_with_discovery(new.address));
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Where lists are pushed the node still has to open the watch that brings them, and to open it again when it ends, goes
-/// silent, or moves: by the saved list alone it would send for ever to servers that are gone, and to whoever has their
-/// addresses now.
+/// With pushed lists the node still has to open the watch that delivers them, and to open it again when it
+/// ends, goes silent, or its address changes. On the saved list alone it would send forever to servers that
+/// are gone, or to whatever now uses their addresses.
 #[test]
 fn a_list_that_is_pushed_is_followed_by_a_watch_at_the_agent() {
     let [a, b, c] = ["a", "b", "c"].map(Peer::good);
-    let [at_a, at_b, at_c] = [&a, &b, &c].map(|p| [host("s0", p.address, "active", 1)]);
-    let (agent, other) = (Registry::new(&at_a), Registry::new(&at_c));
-    let mut told = config(agent.address);
-    told["settings"]["Discovery"] = json!("automatic");
-    told["known"] = serde_json::from_str(&line(1, true, &at_b)).expect("a list");
-    let node = Node::ready(&told);
+    let [list_a, list_b, list_c] = [&a, &b, &c].map(|p| [host("s0", p.address, "active", 1)]);
+    let (agent, other) = (Registry::new(&list_a), Registry::new(&list_c));
+    let mut node_config = config(agent.address);
+    node_config["settings"]["Discovery"] = json!("automatic");
+    node_config["known"] = serde_json::from_str(&line(1, true, &list_b)).expect("a list");
+    let node = Node::ready(&node_config);
     let ask = |node: &Node| Client::to(node).ask(&request("look", "t1", 15_000)).body;
-    until("the agent's list counts, not the saved one", || ask(&node) == b"a");
-    agent.tell(2, &at_b, &at_b);
-    until("a change counts", || ask(&node) == b"b");
+    until("the agent's list replaces the saved one", || ask(&node) == b"a");
+    agent.tell(2, &list_b, &list_b);
+    until("a change is in use", || ask(&node) == b"b");
     agent.down(true);
     let calls = agent.calls().len();
-    until("it is asked again while it is down", || agent.calls().len() >= calls + 4);
-    assert_eq!(ask(&node), b"b", "the last list serves");
-    assert!(node.log_lines("discovery:") <= 2, "hours of this must not flood the log");
-    agent.tell(3, &at_a, &at_a);
+    until("the node retries while the agent is down", || agent.calls().len() >= calls + 4);
+    assert_eq!(ask(&node), b"b", "the last list stays in use");
+    assert!(node.log_lines("discovery:") <= 2, "a long outage must not flood the log");
+    agent.tell(3, &list_a, &list_a);
     agent.down(false);
-    until("what changed meanwhile counts", || ask(&node) == b"a");
+    until("the change made meanwhile is in use", || ask(&node) == b"a");
     agent.silent();
     let watches = agent.watches();
-    until("a silent watch is given up for another", || agent.watches() > watches);
-    told["discovery"] = json!(other.address.to_string());
-    node.reload(&told.to_string());
-    until("the agent has moved", || ask(&node) == b"c");
+    until("a silent watch is replaced", || agent.watches() > watches);
+    node_config["discovery"] = json!(other.address.to_string());
+    node.reload(&node_config.to_string());
+    until("the new address of the agent is in use", || ask(&node) == b"c");
 }
 
-/// What a client asks for again is known, though its id is new: the server is told how long the node waits, which is until
-/// the aim of the first asking ends.
+/// A client's repeat is recognised although it has a new id: the X-Remaining-Ms that the server gets counts
+/// from the first request, up to the end of that request's objective (Slo).
 #[test]
-fn a_clients_repeat_has_only_the_time_that_is_left_of_its_first_asking() {
+fn a_clients_repeat_has_only_the_time_left_of_its_first_request() {
     let server = Peer::new(|m| {
         if m.header("x-txn") == Some("t1") {
             Say::Nothing
@@ -99,51 +101,56 @@
         }
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    let mut told = config(registry.address);
-    for class in told["settings"]["Classes"].as_array_mut().expect("classes") {
+    let mut node_config = config(registry.address);
+    for class in node_config["settings"]["Classes"].as_array_mut().expect("classes") {
         (class["Slo"], class["Deadline"], class["LateValue"]) =
             (json!(60_000.0), json!(120_000.0), json!(0.0));
     }
-    let node = Node::ready(&told);
+    let node = Node::ready(&node_config);
     let mut first = Client::to(&node);
-    let asked = Instant::now();
+    let first_sent_at = Instant::now();
     first.send(&request("look", "t1", 100_000));
-    until("it is out", || server.seen().len() == 1);
-    until("a while has passed", || asked.elapsed() > Duration::from_millis(500));
+    until("the request is sent", || server.seen().len() == 1);
+    until("a while has passed", || first_sent_at.elapsed() > Duration::from_millis(500));
     drop(first);
-    until("it is given up", || server.open() == 0);
+    until("the attempt is cancelled", || server.open() == 0);
     assert_eq!(Client::to(&node).ask(&request("look", "t2", 100_000)).status(), 200);
     assert_eq!(Client::to(&node).ask(&request("look", "t3", 100_000)).status(), 200);
-    let left =
-        |n: usize| server.seen()[n].header("x-remaining-ms").expect("told").parse::<u64>().expect("a number");
-    assert!(left(1) <= 59_500, "{} ms for a repeat", left(1));
-    assert!(left(2) > left(1), "one that comes after it repeats nothing: {} ms", left(2));
+    let remaining_ms =
+        |n: usize| server.seen()[n].header("x-remaining-ms").expect("sent").parse::<u64>().expect("a number");
+    assert!(remaining_ms(1) <= 59_500, "{} ms left for a repeat", remaining_ms(1));
+    assert!(
+        remaining_ms(2) > remaining_ms(1),
+        "the request after the repeat is not a repeat: {} ms left",
+        remaining_ms(2)
+    );
 }
 
-/// A connection that was busy while its server moved does not come back into use: it leads to the old place.
+/// A connection that was in use while its server's address changed is not returned to the pool: it leads to
+/// the old address.
 #[test]
-fn a_connection_that_was_busy_while_its_server_moved_is_not_kept() {
+fn a_connection_in_use_while_its_server_moved_is_not_pooled() {
     let a = Peer::new(|_| Say::Later(Duration::from_millis(700), answer(200, "", "old")));
     let b = Peer::good("new");
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut slow = Client::to(&node);
     slow.send(&request("slip", "t1", 15_000));
-    until("the slow one is out", || a.seen().len() == 1);
+    until("the slow request is sent", || a.seen().len() == 1);
     let moved = [host("s0", b.address, "active", 1)];
     registry.tell(2, &moved, &moved);
     until("the move is known", || Client::to(&node).ask(&request("look", "t2", 15_000)).body == b"new");
     assert_eq!(slow.hear().expect("an answer").body, b"old");
     for n in 0..4 {
-        let heard = Client::to(&node).ask(&request("slip", &format!("n{n}"), 15_000));
-        assert_eq!(heard.body, b"new", "request {n}");
+        let response = Client::to(&node).ask(&request("slip", &format!("n{n}"), 15_000));
+        assert_eq!(response.body, b"new", "request {n}");
     }
 }
 
-/// A server that breaks off single answers keeps its turns: one broken connection is no crash, and to take it for
-/// one would leave the server out, and cold for long after.
+/// A server that breaks off single answers stays in rotation. Taking one broken connection for a crash would
+/// eject the server and leave it cold for a long time after its return.
 #[test]
-fn a_single_broken_connection_does_not_cost_a_server_its_turns() {
+fn a_single_broken_connection_does_not_take_a_server_out_of_rotation() {
     let count = AtomicUsize::new(0);
     let flaky = Peer::new(move |m| {
         let breaks = m.path() != "/health" && count.fetch_add(1, Ordering::SeqCst) % 8 == 3;
@@ -161,60 +168,60 @@
     for n in 0..80 {
         assert_eq!(client.ask(&request("look", &format!("t{n}"), 15_000)).status(), 200, "request {n}");
     }
-    let seen = flaky.seen().len();
-    assert!(seen >= 30, "{seen} of 80 requests went to the flaky one");
+    let received = flaky.seen().len();
+    assert!(received >= 30, "{received} of 80 requests went to the flaky server");
 }
 
-/// A request with a length and a transfer coding may hide another in its body. Neither goes on, whichever header comes
-/// first, and nothing more is read from the connection.
+/// A request with both Content-Length and Transfer-Encoding may smuggle another one in its body. Neither is
+/// forwarded, whichever header comes first, and nothing more is read from the connection.
 #[test]
-fn a_request_with_two_framings_hides_no_other() {
+fn a_request_with_two_framings_smuggles_no_other() {
     let server = Peer::good("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    let hidden = request("slip", "hidden", 15_000);
-    let start = "POST /slip/7 HTTP/1.1\r\nHost: x\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n";
-    let (coding, length) =
-        ("Transfer-Encoding: chunked\r\n", format!("Content-Length: {}\r\n", hidden.len() + 5));
+    let smuggled = request("slip", "hidden", 15_000);
+    let head_start = "POST /slip/7 HTTP/1.1\r\nHost: x\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n";
+    let (transfer_encoding, content_length) =
+        ("Transfer-Encoding: chunked\r\n", format!("Content-Length: {}\r\n", smuggled.len() + 5));
     for framing in [
-        format!("{coding}{length}"),
-        format!("{length}{coding}"),
-        format!("{coding}{}", length.to_uppercase()),
-        format!("{coding}{coding}"),
+        format!("{transfer_encoding}{content_length}"),
+        format!("{content_length}{transfer_encoding}"),
+        format!("{transfer_encoding}{}", content_length.to_uppercase()),
+        format!("{transfer_encoding}{transfer_encoding}"),
         "Transfer-Encoding: gzip, chunked\r\n".to_string(),
     ] {
         let mut client = Client::to(&node);
-        client.send(&format!("{start}{framing}\r\n0\r\n\r\n{hidden}"));
+        client.send(&format!("{head_start}{framing}\r\n0\r\n\r\n{smuggled}"));
         assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
         assert!(client.hear().is_none(), "{framing}: nothing more is answered");
-        // The same behind a good request, in one write.
+        // The same after a valid request, in one write.
         let mut client = Client::to(&node);
         let good = request("look", "good", 15_000);
-        client.send(&format!("{good}{start}{framing}\r\n0\r\n\r\n{hidden}"));
+        client.send(&format!("{good}{head_start}{framing}\r\n0\r\n\r\n{smuggled}"));
         assert_eq!(client.hear().expect("an answer").status(), 200, "{framing}");
         assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
         assert!(client.hear().is_none(), "{framing}: nothing more is answered");
     }
     assert!(server.seen().iter().all(|m| m.header("x-txn") == Some("good")), "{:?}", server.seen());
-    // Chunks alone are as good as a length.
+    // A chunked body without a length is valid.
     let mut client = Client::to(&node);
-    let heard = client.ask(&format!("{start}{coding}\r\n4\r\nwork\r\n0\r\n\r\n"));
+    let response = client.ask(&format!("{head_start}{transfer_encoding}\r\n4\r\nwork\r\n0\r\n\r\n"));
     assert_eq!(
-        (heard.status(), server.seen().last().expect("it came").body.clone()),
+        (response.status(), server.seen().last().expect("a request").body.clone()),
         (200, b"work".to_vec())
     );
 }
 
-/// The id of a request that is open already: the newcomer is turned down at once and never sent, the first one is
-/// served. Afterwards the id may come again.
+/// A request with the id of one that is still open is rejected at once and never sent, and the first one is
+/// served. Afterwards the id may be used again.
 #[test]
-fn the_id_of_an_open_request_is_turned_down() {
+fn a_request_with_the_id_of_an_open_one_is_rejected() {
     let server = Peer::new(|_| Say::Later(Duration::from_millis(1500), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let (mut first, mut second) = (Client::to(&node), Client::to(&node));
     first.send(&request("slip", "t1", 15_000));
-    until("the first is out", || server.seen().len() == 1);
+    until("the first is sent", || server.seen().len() == 1);
     assert_eq!(second.ask(&request("slip", "t1", 15_000)).status(), 409);
     assert_eq!(first.hear().expect("an answer").status(), 200);
     assert_eq!(server.seen().len(), 1);
@@ -223,14 +230,14 @@
     assert_eq!(Client::to(&node).ask(&body).status(), 400, "a GET has no body");
 }
 
-/// Connections that say nothing, bring half a request, or half a one behind another, are closed in time.
+/// Connections that send nothing, half a request, or half a request after a whole one, are closed in time.
 #[test]
-fn connections_that_bring_no_whole_request_are_closed() {
+fn connections_without_a_whole_request_are_closed() {
     let server = Peer::new(|_| Say::Later(Duration::from_millis(200), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("slip", "t1", 15_000);
-    for (words, served) in [
+    for (text, served) in [
         (String::new(), false),
         ("POST /slip/7 HTTP/1.1\r\nHost".to_string(), false),
         (good[..good.len() - 2].to_string(), false),
@@ -238,19 +245,19 @@
     ] {
         let mut client = Client::to(&node);
         let start = Instant::now();
-        client.send(&words);
+        client.send(&text);
         if served {
             assert_eq!(client.hear().expect("an answer").status(), 200);
         }
-        assert!(client.ended_or_reset(), "{words}");
-        assert!(start.elapsed() < Duration::from_secs(8), "{words}: {:?}", start.elapsed());
+        assert!(client.ended_or_reset(), "{text}");
+        assert!(start.elapsed() < Duration::from_secs(8), "{text}: {:?}", start.elapsed());
     }
 }
 
-/// What a server finds bad in a request is the client's to hear: no other server is asked, and neither server loses
-/// its turns for it.
+/// A 400 from a server is passed on to the client: no other server is tried, and both servers stay in
+/// rotation.
 #[test]
-fn a_servers_word_on_a_bad_request_is_final_and_costs_no_turns() {
+fn a_400_from_a_server_is_final_and_keeps_it_in_rotation() {
     let servers = [(); 2].map(|()| {
         Peer::new(|m| {
             let bad = m.header("x-txn").is_some_and(|t| t.starts_with("bad"));
@@ -266,15 +273,16 @@
     for n in 0..20 {
         assert_eq!(client.ask(&request("look", &format!("bad{n}"), 15_000)).status(), 400);
     }
-    let seen = || servers.each_ref().map(|s| s.seen().len());
-    assert_eq!(seen(), [10, 10]);
+    let received = || servers.each_ref().map(|s| s.seen().len());
+    assert_eq!(received(), [10, 10]);
     for n in 0..10 {
         assert_eq!(client.ask(&request("slip", &format!("t{n}"), 15_000)).status(), 200);
     }
-    assert_eq!(seen(), [15, 15]);
+    assert_eq!(received(), [15, 15]);
 }
 
-/// More slow requests at once than there are places under a low limit: all are served, and the limit is kept.
+/// More slow requests at once than a low descriptor limit has room for: all are served, and the limit is
+/// kept.
 #[test]
 fn slow_requests_beyond_the_descriptors_wait_and_are_served() {
     let server = Peer::new(|_| Say::Later(Duration::from_millis(400), answer(200, "", "served")));
@@ -283,25 +291,25 @@
     config["limits"]["sockets"] = json!(40);
     config["settings"]["Classes"][2]["Slo"] = json!(20_000.0);
     let node = Node::ready(&config);
-    // Each sends before the next connects: one that has said nothing yet may have to make room.
-    let start = |n: usize| {
+    // Each sends before the next connects: a connection without a request may be closed to make room.
+    let send_slow = |n: usize| {
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("t{n}"), 20_000));
         client
     };
-    let clients: Vec<Client> = (0..16).map(start).collect();
-    let mut most = 0;
+    let clients: Vec<Client> = (0..16).map(send_slow).collect();
+    let mut max_descriptors = 0;
     for (n, mut client) in clients.into_iter().enumerate() {
-        most = most.max(node.descriptors());
+        max_descriptors = max_descriptors.max(node.descriptors());
         assert_eq!(client.hear().expect("an answer").status(), 200, "request {n}");
     }
-    assert!(most <= 40, "{most} of 40");
+    assert!(max_descriptors <= 40, "{max_descriptors} of 40");
 }
 
-/// All open connections of a server go silent at once, while new ones work: that costs the attempt that finds out,
-/// not one after another for each connection that was kept.
+/// All pooled connections to a server go silent at once while new ones work. Only the attempt that finds out
+/// fails, not one attempt for each pooled connection.
 #[test]
-fn kept_connections_that_went_silent_together_cost_one_attempt() {
+fn pooled_connections_that_went_silent_together_cost_one_attempt() {
     let silent = Arc::new(AtomicBool::new(false));
     let flag = silent.clone();
     let server = Peer::new(move |m| match flag.load(Ordering::SeqCst) {
@@ -324,11 +332,11 @@
     silent.store(true, Ordering::SeqCst);
     let mut ask = |n: usize| clients[0].ask(&request("slip", &format!("n{n}"), 2_000)).status();
     let served = (0..6).filter(|n| ask(*n) == 200).count();
-    assert_eq!(served, 5, "only the first is lost");
+    assert_eq!(served, 5, "only the first request fails");
 }
 
-/// Attempts on connections that went dead keep a server neither full until their deadlines nor, once they have timed out,
-/// under suspicion: it answers whatever comes on new ones.
+/// Attempts on dead connections must neither hold a server at its concurrency limit until their deadlines
+/// nor, once they have timed out, keep it suspected: it answers everything that arrives on new connections.
 #[test]
 fn attempts_on_dead_connections_do_not_keep_a_server_full() {
     let silent = Arc::new(AtomicBool::new(false));
@@ -353,8 +361,9 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&request("slip", &format!("dead{n}"), 9_000));
     }
-    // A connection rests before it is used again; what is sent before that tells nothing of what is sent then.
-    until("all are out", || server.seen().len() == 16);
+    // A connection is reused only after a minimum idle time, so wait until all requests are sent: an answer
+    // to an earlier one would say nothing about those sent later.
+    until("all are sent", || server.seen().len() == 16);
     let (mut other, mut count) = (Client::to(&node), 0);
     until("others are served", || {
         count += 1;
@@ -368,36 +377,49 @@
         client.send(&request("slip", &format!("later{n}"), 15_000));
     }
     for client in clients.iter_mut().take(6) {
-        assert_eq!(client.hear().expect("an answer").status(), 200, "its limit has not fallen");
+        assert_eq!(
+            client.hear().expect("an answer").status(),
+            200,
+            "the server's concurrency limit has not dropped"
+        );
     }
 }
 
-/// Clients that ask once and keep their connection for good must not use up what others need: from some idle ones on a
-/// new connection is closed, and said to be, with its first answer. One that is used again stays, and one that has
-/// brought a single request is let go after a while.
+/// Clients that send one request and keep their connection open must not use up the connections that others
+/// need. From a certain number of idle connections on, a new one is closed after its first answer, which
+/// announces that with `Connection: close`. A connection that is used again stays open, and one that has
+/// carried a single request is closed after a while.
 #[test]
-fn connections_that_are_used_once_are_not_collected() {
+fn connections_that_are_used_once_are_not_kept_open() {
     let server = Peer::good("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut used = Client::to(&node);
     for n in 0..2 {
-        let heard = used.ask(&request("look", &format!("used{n}"), 15_000));
-        assert_eq!((heard.status(), heard.header("connection")), (200, None));
+        let response = used.ask(&request("look", &format!("used{n}"), 15_000));
+        assert_eq!((response.status(), response.header("connection")), (200, None));
     }
-    let mut once: Vec<Client> = Vec::new();
+    let mut single_use: Vec<Client> = Vec::new();
     let mut closed = 0;
     for n in 0..60 {
         let mut client = Client::to(&node);
-        let heard = client.ask(&request("look", &format!("once{n}"), 15_000));
-        assert_eq!(heard.status(), 200);
-        closed += usize::from(heard.header("connection") == Some("close"));
-        once.push(client);
+        let response = client.ask(&request("look", &format!("once{n}"), 15_000));
+        assert_eq!(response.status(), 200);
+        closed += usize::from(response.header("connection") == Some("close"));
+        single_use.push(client);
     }
     assert!((30..60).contains(&closed), "{closed} of 60 were closed");
-    let heard = used.ask(&request("look", "again", 15_000));
-    assert_eq!((heard.status(), heard.header("connection")), (200, None), "one that is used stays");
-    assert!(once[0].ended(), "one that is not used again is let go");
-    let heard = used.ask(&request("look", "later", 15_000));
-    assert_eq!((heard.status(), heard.header("connection")), (200, None), "one that was used twice stays");
+    let response = used.ask(&request("look", "again", 15_000));
+    assert_eq!(
+        (response.status(), response.header("connection")),
+        (200, None),
+        "a reused connection stays open"
+    );
+    assert!(single_use[0].ended(), "a connection that is not reused is closed");
+    let response = used.ask(&request("look", "later", 15_000));
+    assert_eq!(
+        (response.status(), response.header("connection")),
+        (200, None),
+        "a connection that was used twice stays open"
+    );
 }
