--- a/crates/node/tests/differential.rs
+++ b/crates/node/tests/differential.rs
@@ -1,4 +1,5 @@
-//! One script, four pairs of protocols: the same final answers, attempts and executions, request by request.
+//! Runs each script over all four pairs of client and server protocol and compares the final answers,
+//! attempts and executions request by request.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,16 +13,16 @@
 use glenwood_testkit::server::{served_body, Identity, Protocol, StandIn};
 use glenwood_testkit::{wait, PATIENCE};
 
-/// How many scripts are played, each over all four pairs.
+/// Number of scripts, each run over all four pairs of protocols.
 const SCRIPTS: u64 = 200;
-/// Requests in each.
+/// Number of requests in each script.
 const REQUESTS: usize = 5;
 const CLASSES: [(&str, Effect); 3] =
     [("look", Effect::Safe), ("pay", Effect::Keyed), ("slip", Effect::Unsafe)];
-/// The servers' cells: two that know each other's keys, and one by itself.
+/// The servers' cells: two servers that share their idempotency keys, and one on its own.
 const CELLS: [u64; 3] = [1, 1, 2];
 
-/// SplitMix64: the same scripts in every run.
+/// SplitMix64, so that every run uses the same scripts.
 struct Random(u64);
 
 impl Random {
@@ -38,9 +39,9 @@
     }
 }
 
-/// What servers do with the attempts of one request, one after another; later ones are served.
+/// A request and what the servers do with its attempts, in their order; further attempts are served.
 #[derive(Clone, Debug)]
-struct Play {
+struct ScriptedRequest {
     ask: Ask,
     steps: Vec<Step>,
 }
@@ -61,41 +62,42 @@
     }
 }
 
-fn script(seed: u64) -> Vec<Play> {
+fn script(seed: u64) -> Vec<ScriptedRequest> {
     let mut random = Random(seed);
-    let mut plays: Vec<Play> = (0..REQUESTS)
+    let mut requests: Vec<ScriptedRequest> = (0..REQUESTS)
         .map(|n| {
             let (class, effect) = CLASSES[random.below(3) as usize];
             let mut steps: Vec<Step> = (0..3).map(|_| step(&mut random)).collect();
-            // A connection that broke may take a server out for a while, and how long is a matter of time: what has
-            // little of it does not come behind that.
+            // A broken connection may eject a server for a time that depends on the clock, so a request with
+            // a short deadline must not follow one: steps that break a connection before `Hold` become
+            // `TurnAway`.
             if let Some(at) = steps.iter().position(|s| *s == Step::Hold) {
                 let breaks = |s: &Step| {
                     matches!(s, Step::DropBefore | Step::DropAfter | Step::DropMidway | Step::Garble)
                 };
                 steps[..at].iter_mut().filter(|s| breaks(s)).for_each(|s| *s = Step::TurnAway);
             }
-            // One that a server holds ends by its client's time; all others have more than enough.
+            // A request that a server holds ends at its deadline; the deadline of all others is far away.
             let held = steps.contains(&Step::Hold);
             let mut ask = Ask::new(class, effect, &format!("r{seed}-{n}"), if held { 1200 } else { 20_000 });
             if !ask.safe {
                 ask.body = (0..random.below(2000)).map(|_| random.next() as u8).collect();
             }
-            Play { ask, steps }
+            ScriptedRequest { ask, steps }
         })
         .collect();
-    plays.sort_by_key(|p| !p.steps.contains(&Step::Hold));
-    plays
+    requests.sort_by_key(|p| !p.steps.contains(&Step::Hold));
+    requests
 }
 
-/// What became of one request.
-type Told = (Answer, Count, usize);
+/// The outcome of one request: its answer, the attempts and executions, and the executions of its key.
+type RequestOutcome = (Answer, Count, usize);
 
-fn play(plays: &[Play], client: Protocol, server: Protocol) -> Vec<Told> {
+fn run_script(requests: &[ScriptedRequest], client: Protocol, server: Protocol) -> Vec<RequestOutcome> {
     let ledger = Ledger::new(PATIENCE);
     let steps: BTreeMap<String, Vec<Step>> =
-        plays.iter().map(|p| (p.ask.txn.clone(), p.steps.clone())).collect();
-    let follow: Script = Arc::new(move |seen| {
+        requests.iter().map(|p| (p.ask.txn.clone(), p.steps.clone())).collect();
+    let server_script: Script = Arc::new(move |seen| {
         let step = steps.get(&seen.txn).and_then(|s| s.get(seen.before));
         *step.unwrap_or(&Step::Serve)
     });
@@ -104,12 +106,12 @@
         .enumerate()
         .map(|(n, cell)| {
             let identity = Identity { name: format!("s{n}"), cell: *cell, protocol: server };
-            StandIn::start(identity, follow.clone(), ledger.clone())
+            StandIn::start(identity, server_script.clone(), ledger.clone())
         })
         .collect();
     let discovery = Discovery::start(&servers.iter().map(active).collect::<Vec<_>>());
     let mut settings = settings(4000.0);
-    // Answers are of use until the client gives up, and no server rests for long.
+    // Late answers keep a value until the client gives up, and no server is ejected for long.
     for class in settings["Classes"].as_array_mut().expect("classes") {
         class["LateValue"] = 0.3.into();
     }
@@ -117,8 +119,8 @@
     let program = Program::new(env!("CARGO_BIN_EXE_glenwood"));
     let node = Node::start(&program, &config, Some("[msgpack]\nlisten = '127.0.0.1:0'\n"));
     node.wait_ready();
-    let told = plays.iter().map(|p| {
-        // Each on a connection of its own: what a client sees of one request is not about the next.
+    let outcomes = requests.iter().map(|p| {
+        // Each request has its own connection, so that the end of one does not affect the next.
         let answer = wait("an answer", async {
             let mut conn = Client::connect(client, node.takes(client)).await.expect("it listens");
             conn.ask(&p.ask).await
@@ -126,13 +128,13 @@
         let key = p.ask.key.as_deref().map_or(0, |key| ledger.runs_of_key(key));
         (answer, ledger.of(&p.ask.txn), key)
     });
-    let told = told.collect();
+    let outcomes = outcomes.collect();
     assert!(servers.iter().all(|s| s.identity.protocol == server));
-    told
+    outcomes
 }
 
-/// The body that must come back, byte for byte.
-fn body(ask: &Ask) -> Vec<u8> {
+/// The answer's body that the client must get, byte for byte.
+fn expected_body(ask: &Ask) -> Vec<u8> {
     served_body(&glenwood_testkit::script::Seen {
         server: String::new(),
         class: ask.class.clone(),
@@ -148,9 +150,9 @@
 }
 
 #[test]
-fn all_four_pairs_come_to_the_same() {
+fn all_four_pairs_of_protocols_have_the_same_outcomes() {
     let next = AtomicUsize::new(0);
-    let (seen, kinds) = (Mutex::new(Vec::new()), Mutex::new(BTreeMap::<&str, usize>::new()));
+    let (differences, kinds) = (Mutex::new(Vec::new()), Mutex::new(BTreeMap::<&str, usize>::new()));
     std::thread::scope(|scope| {
         for _ in 0..16 {
             scope.spawn(|| loop {
@@ -158,15 +160,15 @@
                 if seed >= SCRIPTS {
                     return;
                 }
-                let plays = script(seed);
+                let requests = script(seed);
                 let pairs = Protocol::BOTH.into_iter().flat_map(|c| Protocol::BOTH.map(|s| (c, s)));
-                let told: Vec<_> = pairs.map(|(c, s)| ((c, s), play(&plays, c, s))).collect();
-                for ((client, server), told) in &told {
-                    for (p, (answer, count, key_runs)) in plays.iter().zip(told) {
+                let outcomes: Vec<_> = pairs.map(|(c, s)| ((c, s), run_script(&requests, c, s))).collect();
+                for ((client, server), outcomes) in &outcomes {
+                    for (p, (answer, count, key_runs)) in requests.iter().zip(outcomes) {
                         let pair =
                             format!("{}->{}: {p:?}: {answer:?} {count:?}", client.name(), server.name());
-                        if let Answer::Served(got) = answer {
-                            assert_eq!(*got, body(&p.ask), "the body changed, {pair}");
+                        if let Answer::Served(received) = answer {
+                            assert_eq!(*received, expected_body(&p.ask), "the body changed, {pair}");
                         }
                         assert_ne!(*answer, Answer::Lost, "{pair}");
                         let limit = match p.ask.class.as_str() {
@@ -174,19 +176,19 @@
                             "pay" => *key_runs <= 1,
                             _ => true,
                         };
-                        assert!(limit, "carried out twice, {pair}");
-                        // A refusal says that trying again does no harm.
+                        assert!(limit, "executed twice, {pair}");
+                        // A refusal tells the client that a retry is harmless.
                         if p.ask.class == "slip" && matches!(answer, Answer::Refused(_)) {
-                            assert_eq!(count.executions, 0, "refused though it ran, {pair}");
+                            assert_eq!(count.executions, 0, "refused after it was executed, {pair}");
                         }
                     }
                 }
-                let (first, rest) = told.split_first().expect("four pairs");
-                for (pair, told) in rest {
-                    for ((p, a), b) in plays.iter().zip(&first.1).zip(told) {
+                let (first, rest) = outcomes.split_first().expect("four pairs");
+                for (pair, outcomes) in rest {
+                    for ((p, a), b) in requests.iter().zip(&first.1).zip(outcomes) {
                         let same = a.0.kind() == b.0.kind() && a.1 == b.1 && a.2 == b.2;
                         if !same {
-                            seen.lock().expect("no panic").push(format!(
+                            differences.lock().expect("no panic").push(format!(
                                 "{seed} {:?}/{pair:?} {:?} {:?}: {a:?} {b:?}",
                                 first.0, p.ask.class, p.steps
                             ));
@@ -200,9 +202,9 @@
             });
         }
     });
-    let seen = seen.into_inner().expect("no panic");
-    assert!(seen.is_empty(), "{} differ:\n{}", seen.len(), seen.join("\n"));
-    // All kinds of ends were met, or the scripts prove little.
+    let differences = differences.into_inner().expect("no panic");
+    assert!(differences.is_empty(), "{} differ:\n{}", differences.len(), differences.join("\n"));
+    // Every kind of answer must occur often, otherwise the scripts prove little.
     let kinds = kinds.into_inner().expect("no panic");
     println!("{kinds:?}");
     for kind in ["served", "refused", "failed", "bad request"] {
--- a/crates/node/tests/python/peer.py
+++ b/crates/node/tests/python/peer.py
@@ -1,7 +1,7 @@
-"""MessagePack-RPC by an implementation that shares no code with the node: Python's msgpack, as client and as server.
+"""Tests the node's MessagePack-RPC with an independent client and server: Python's msgpack.
 
-Runs one node between them, with the programs of a debug build, and counts what was carried out. Exits 0 only if all
-holds. Needs the package msgpack; .ci/run installs it in a virtual environment under target/.
+Runs one node of a debug build between them and counts the executed calls. Exits with 0 only if all checks
+hold. Needs the package msgpack; .ci/run installs it in a virtual environment under target/.
 """
 
 import json
@@ -22,10 +22,10 @@
 
 
 class Server:
-    """Answers calls out of order: every second one is held back until the next has been answered."""
+    """Answers calls out of order: those with an even msgid after the others that arrived with them."""
 
     def __init__(self):
-        self.runs = {}
+        self.executions = {}
         self.seen = []
         self.lock = threading.Lock()
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -54,7 +54,7 @@
                         held.append(answer)
                     else:
                         conn.sendall(answer)
-            # What was held goes behind what came with it.
+            # The held answers follow the others of the same read.
             for answer in held:
                 conn.sendall(answer)
             held.clear()
@@ -67,13 +67,13 @@
             first = txn not in self.seen
             self.seen.append(txn)
             assert isinstance(params["body"], bytes) and params["remaining_ms"] > 0
-            what = txn.split("-")[0]
-            if what == "away" and first:
+            scenario = txn.split("-")[0]
+            if scenario == "away" and first:
                 return [msgpack.packb([1, msgid, {"code": "turned_away", "message": "full"}, None])]
-            self.runs[txn] = self.runs.get(txn, 0) + 1
-            if what == "drop" and first:
+            self.executions[txn] = self.executions.get(txn, 0) + 1
+            if scenario == "drop" and first:
                 return [None]
-            if what == "error":
+            if scenario == "error":
                 return [msgpack.packb([1, msgid, {"code": "failed", "message": "no"}, None])]
             body = msgpack.packb([method, params.get("path"), params.get("key"), params.get("org"), params["body"]])
             return [msgpack.packb([1, msgid, None, body], use_bin_type=True)]
@@ -84,41 +84,44 @@
         self.conn = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
         self.unpacker = msgpack.Unpacker(raw=False)
         self.next = 0
-        self.early = {}
+        self.unclaimed = {}
 
     def send(self, method, params):
         msgid, self.next = self.next, self.next + 1
         self.conn.sendall(msgpack.packb([0, msgid, method, [params]], use_bin_type=True))
         return msgid
 
-    def hear(self, msgid):
-        while msgid not in self.early:
+    def receive(self, msgid):
+        while msgid not in self.unclaimed:
             data = self.conn.recv(65536)
             assert data, "the node closed the connection"
             self.unpacker.feed(data)
             for kind, other, error, result in self.unpacker:
-                assert kind == 1 and other not in self.early
-                self.early[other] = (error, result)
-        return self.early.pop(msgid)
+                assert kind == 1 and other not in self.unclaimed
+                self.unclaimed[other] = (error, result)
+        return self.unclaimed.pop(msgid)
 
 
-def started(args, words, env=None):
-    """Starts a program and waits for the line that names its address."""
+def start_program(args, patterns, env=None):
+    """Starts a program and waits until each pattern has matched a line of its output.
+
+    Returns the process and, for each pattern, the number that it captured.
+    """
     process = subprocess.Popen(args, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, env=env, text=True)
-    found = {}
+    numbers = {}
     for line in process.stdout:
-        for name, pattern in words.items():
+        for name, pattern in patterns.items():
             match = re.search(pattern, line)
             if match:
-                found[name] = int(match.group(1))
-        if len(found) == len(words):
+                numbers[name] = int(match.group(1))
+        if len(numbers) == len(patterns):
             threading.Thread(target=process.stdout.read, daemon=True).start()
-            return process, found
+            return process, numbers
     raise SystemExit(f"{args}: ended before it listened")
 
 
-def params(txn, **more):
-    return {"txn": txn, "org": "acme", "user": "u1", "remaining_ms": 15000, **more}
+def params(txn, **extra):
+    return {"txn": txn, "org": "acme", "user": "u1", "remaining_ms": 15000, **extra}
 
 
 def main():
@@ -128,7 +131,7 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             glenctl = os.path.join(BIN, "glenctl")
-            discovery, ports = started([glenctl, "stand-in", "discovery", *hosts], {"at": r"discovery \S+:(\d+)"})
+            discovery, ports = start_program([glenctl, "stand-in", "discovery", *hosts], {"at": r"discovery \S+:(\d+)"})
             processes.append(discovery)
             with open(os.path.join(ROOT, "deploy", "example", "config.json"), encoding="utf-8") as file:
                 config = json.load(file)
@@ -139,13 +142,13 @@
                 file.write("[msgpack]\nlisten = '127.0.0.1:0'\n")
             env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
             env["BALANCER_CONFIG"] = os.path.join(folder, "config.json")
-            words = {"http": r" listens at \S+:(\d+)", "rpc": r" takes MessagePack-RPC at \S+:(\d+)"}
-            node, ports = started(
-                [os.path.join(BIN, "glenwood"), "--operator", os.path.join(folder, "node.toml")], words, env)
+            patterns = {"http": r" listens at \S+:(\d+)", "rpc": r" takes MessagePack-RPC at \S+:(\d+)"}
+            node, ports = start_program(
+                [os.path.join(BIN, "glenwood"), "--operator", os.path.join(folder, "node.toml")], patterns, env)
             processes.append(node)
             check(Client(ports["rpc"]), servers)
             node.terminate()
-            assert node.wait(PATIENCE) == 0, "SIGTERM ends the node with 0"
+            assert node.wait(PATIENCE) == 0, "after SIGTERM the node exits with 0"
         finally:
             for process in processes:
                 process.kill()
@@ -155,43 +158,44 @@
 
 def check(client, servers):
     end = time.monotonic() + PATIENCE
-    while client.hear(client.send("ready", {}))[0] is not None:
-        assert time.monotonic() < end, "the node is never ready"
+    while client.receive(client.send("ready", {}))[0] is not None:
+        assert time.monotonic() < end, "the node does not become ready"
         time.sleep(0.05)
-    runs = lambda txn: sum(server.runs.get(txn, 0) for server in servers)
-    # Many calls open at once, answered out of order, each with its own body back.
+    executions = lambda txn: sum(server.executions.get(txn, 0) for server in servers)
+    # Many calls open at once, answered out of order: each gets its own body back.
     calls = []
     for n in range(12):
         body = bytes(range(256)) * n
-        kind = [("look", {}), ("pay", {"key": f"k{n}", "body": body}), ("slip", {"body": body})][n % 3]
-        method, more = kind
-        msgid = client.send(method, params(f"good-{n}", path=f"/7?q={n}", **more))
-        calls.append((msgid, n, method, more.get("key"), more.get("body", b"")))
+        case = [("look", {}), ("pay", {"key": f"k{n}", "body": body}), ("slip", {"body": body})][n % 3]
+        method, extra = case
+        msgid = client.send(method, params(f"good-{n}", path=f"/7?q={n}", **extra))
+        calls.append((msgid, n, method, extra.get("key"), extra.get("body", b"")))
     for msgid, n, method, key, body in calls:
-        error, result = client.hear(msgid)
+        error, result = client.receive(msgid)
         assert error is None, error
         assert msgpack.unpackb(result, raw=False) == [method, f"/7?q={n}", key, "acme", body]
-        assert runs(f"good-{n}") == 1
-    # What proves that nothing ran is repeated in every class; an unsafe call that may have run is not.
-    error, _ = client.hear(client.send("slip", params("away-1", body=b"x")))
-    assert error is None and runs("away-1") == 1, error
-    error, _ = client.hear(client.send("slip", params("drop-1", body=b"x")))
-    assert error["code"] == "failed" and runs("drop-1") == 1, error
-    error, _ = client.hear(client.send("pay", params("drop-2", key="kd", body=b"x")))
-    # Each server drops it once, and these do not remember keys: three attempts at the most.
-    assert error is None and 2 <= runs("drop-2") <= 3, error
-    error, _ = client.hear(client.send("slip", params("error-1", body=b"x")))
-    assert error["code"] == "failed" and runs("error-1") == 1, error
-    # Bad calls, each with its own word.
-    bad = [
+        assert executions(f"good-{n}") == 1
+    # A reply which proves that nothing ran is retried in every class; an unsafe call that may have run is
+    # not.
+    error, _ = client.receive(client.send("slip", params("away-1", body=b"x")))
+    assert error is None and executions("away-1") == 1, error
+    error, _ = client.receive(client.send("slip", params("drop-1", body=b"x")))
+    assert error["code"] == "failed" and executions("drop-1") == 1, error
+    error, _ = client.receive(client.send("pay", params("drop-2", key="kd", body=b"x")))
+    # Each server drops the call once, and these servers keep no keys: at most three attempts.
+    assert error is None and 2 <= executions("drop-2") <= 3, error
+    error, _ = client.receive(client.send("slip", params("error-1", body=b"x")))
+    assert error["code"] == "failed" and executions("error-1") == 1, error
+    # Invalid calls, each with its own error code.
+    invalid = [
         ("sell", params("bad-1"), "unknown_class"),
         ("pay", params("bad-2"), "bad_request"),
         ("slip", {"txn": "bad-3"}, "bad_request"),
         ("slip", params("bad-4", body="text"), "bad_request"),
         ("slip", params("bad-5", body=bytes(65537)), "too_large"),
     ]
-    for method, what, code in bad:
-        error, result = client.hear(client.send(method, what))
+    for method, call_params, code in invalid:
+        error, result = client.receive(client.send(method, call_params))
         assert error["code"] == code and result is None, (method, error)
     assert not any(txn.startswith("bad") for server in servers for txn in server.seen)
 
