--- a/crates/node/tests/inspect.rs
+++ b/crates/node/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! What the real program says of itself at its socket.
+//! The report on its own state that the node binary serves on its inspect socket.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use glenwood_testkit::until;
 use sha2::{Digest, Sha256};
 
-fn socket(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("glenwood-inspect-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder.join("n0.sock")
+fn socket_path(name: &str) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("glenwood-inspect-{}-{name}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a folder");
+    directory.join("n0.sock")
 }
 
 #[test]
-fn a_node_answers_for_itself_from_its_start_to_its_end() {
-    let path = socket("whole");
-    // One that a node before has left there is in nobody's way.
+fn a_node_reports_its_state_from_start_to_exit() {
+    let path = socket_path("whole");
+    // A file that an earlier node left at this path does not prevent the start.
     std::fs::write(&path, "left").expect("a file");
     let script: Script = std::sync::Arc::new(|seen| match seen.class.as_str() {
         "slip" => Step::Error { ran: true },
@@ -49,24 +49,24 @@
     let file = std::fs::read(env!("CARGO_BIN_EXE_glenwood")).expect("the program");
     let digest: String = Sha256::digest(&file).iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(report["release"], digest);
-    // Who asks and does not read is in nobody's way either.
+    // Clients that connect and never read do not delay the shutdown.
     let _idle: Vec<_> =
         (0..20).map(|_| std::os::unix::net::UnixStream::connect(&path).expect("it listens")).collect();
     node.terminate();
-    until("it says that it stops", || Node::inspect(&path).is_none_or(|r| r["stage"] == "stopping"));
+    until("the node reports that it stops", || Node::inspect(&path).is_none_or(|r| r["stage"] == "stopping"));
     assert_eq!(node.exit_code(), Some(0));
-    assert!(!path.exists(), "its socket goes with it");
+    assert!(!path.exists(), "the socket is removed at the exit");
     let _ = std::fs::remove_dir_all(path.parent().expect("a folder"));
 }
 
 #[test]
-fn a_socket_that_cannot_be_made_is_said_in_one_line() {
-    let path = socket("none").join("no-folder").join("n0.sock");
+fn a_socket_that_cannot_be_created_is_reported_in_one_line() {
+    let path = socket_path("none").join("no-folder").join("n0.sock");
     let discovery = Discovery::start(&[]);
-    let folder = path.ancestors().nth(2).and_then(|p| p.parent()).expect("a folder").to_path_buf();
-    let operator = folder.join("node.toml");
+    let directory = path.ancestors().nth(2).and_then(|p| p.parent()).expect("a folder").to_path_buf();
+    let operator = directory.join("node.toml");
     std::fs::write(&operator, format!("[inspect]\nsocket = '{}'\n", path.display())).expect("a file");
-    let config_file = folder.join("config.json");
+    let config_file = directory.join("config.json");
     let config = config("n0", discovery.address, settings(400.0));
     std::fs::write(&config_file, config.to_string()).expect("a file");
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_glenwood"))
@@ -75,10 +75,12 @@
         .env("BALANCER_CONFIG", &config_file)
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let error_text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && said.contains("inspect.socket: ") && said.contains("No such file"),
-        "{said}"
+        !output.status.success()
+            && error_text.contains("inspect.socket: ")
+            && error_text.contains("No such file"),
+        "{error_text}"
     );
-    let _ = std::fs::remove_dir_all(folder);
+    let _ = std::fs::remove_dir_all(directory);
 }
