--- a/crates/glenctl/tests/python/coordination.py
+++ b/crates/glenctl/tests/python/coordination.py
@@ -1,7 +1,7 @@
-"""The stand-in coordination service, checked by a client that nobody here wrote: Python's kazoo.
+"""Tests the stand-in coordination service with an independent client, Python's kazoo.
 
-Runs three members as a process and goes through kazoo's own operations and its recipes. Exits 0 only if all holds. Needs
-the package kazoo; .ci/run installs it in a virtual environment under target/.
+Runs three members in one process and uses kazoo's operations and recipes against them. Exits with 0 only if
+all checks hold. Needs the package kazoo; .ci/run installs it in a virtual environment under target/.
 """
 
 import json
@@ -24,10 +24,10 @@
 PATIENCE = 30
 
 
-def until(what, holds):
+def until(description, condition):
     end = time.monotonic() + PATIENCE
-    while not holds():
-        assert time.monotonic() < end, f"waited in vain: {what}"
+    while not condition():
+        assert time.monotonic() < end, f"timed out: {description}"
         time.sleep(0.02)
 
 
@@ -59,17 +59,17 @@
     assert client.create("/t/a/s-", b"", sequence=True) == "/t/a/s-0000000001"
     assert sorted(client.get_children("/t/a")) == ["s-0000000000", "s-0000000001"]
     assert client.get_children("/t/a", include_data=True)[1].numChildren == 2
-    done = client.transaction()
-    done.check("/t/a", 1)
-    done.create("/t/multi", b"m")
-    done.set_data("/t/multi", b"n")
-    done.delete("/t/a/s-0000000000")
-    results = done.commit()
+    committed = client.transaction()
+    committed.check("/t/a", 1)
+    committed.create("/t/multi", b"m")
+    committed.set_data("/t/multi", b"n")
+    committed.delete("/t/a/s-0000000000")
+    results = committed.commit()
     assert results[0] is True and results[1] == "/t/multi" and results[2].version == 1 and results[3] is True, results
-    undone = client.transaction()
-    undone.create("/t/never", b"")
-    undone.delete("/t/none")
-    results = undone.commit()
+    rolled_back = client.transaction()
+    rolled_back.create("/t/never", b"")
+    rolled_back.delete("/t/none")
+    results = rolled_back.commit()
     assert isinstance(results[0], RolledBackError) and isinstance(results[1], NoNodeError), results
     assert client.exists("/t/never") is None
     assert client.sync("/t") == "/t"
@@ -85,51 +85,51 @@
     other.create("/t/deep/x")
     until("the watches fire", lambda: b"2" in seen and children[-1] == ["path", "x"])
     other.delete("/t/watched")
-    until("the end is seen", lambda: seen[-1] is None)
+    until("the deletion is seen", lambda: seen[-1] is None)
 
 
 def recipes(hosts):
     clients = [connect(hosts) for _ in range(3)]
-    # A lock is held by one at a time.
-    inside, most, rounds = [0], [0], [0]
+    # A lock has one holder at a time.
+    holders, max_holders, acquisitions = [0], [0], [0]
 
     def work(client):
         for _ in range(5):
             with client.Lock("/t/lock"):
-                inside[0] += 1
-                most[0] = max(most[0], inside[0])
+                holders[0] += 1
+                max_holders[0] = max(max_holders[0], holders[0])
                 time.sleep(0.005)
-                inside[0] -= 1
-                rounds[0] += 1
+                holders[0] -= 1
+                acquisitions[0] += 1
 
     threads = [threading.Thread(target=work, args=(client,)) for client in clients]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join(PATIENCE)
-    assert (most[0], rounds[0]) == (1, 15), (most, rounds)
-    # Each is elected once.
-    led = []
+    assert (max_holders[0], acquisitions[0]) == (1, 15), (max_holders, acquisitions)
+    # Each candidate is elected once.
+    leaders = []
     threads = [
-        threading.Thread(target=c.Election("/t/election", str(n)).run, args=(led.append, n))
+        threading.Thread(target=c.Election("/t/election", str(n)).run, args=(leaders.append, n))
         for n, c in enumerate(clients)
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join(PATIENCE)
-    assert sorted(led) == [0, 1, 2], led
+    assert sorted(leaders) == [0, 1, 2], leaders
     parties = [Party(client, "/t/party", str(n)) for n, client in enumerate(clients)]
     for party in parties:
         party.join()
-    until("all are there", lambda: sorted(parties[0]) == ["0", "1", "2"])
+    until("all members have joined", lambda: sorted(parties[0]) == ["0", "1", "2"])
     clients[2].stop()
-    until("who left is gone", lambda: sorted(parties[0]) == ["0", "1"])
+    until("the stopped client has left", lambda: sorted(parties[0]) == ["0", "1"])
     return clients[:2], parties[:2]
 
 
 def registrations(client, hosts):
-    """Kazoo follows what glenctl register writes: the entry, its drain, its end."""
+    """Kazoo sees the entry that glenctl register writes, then its drain and its removal."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = "%s:%d" % server.getsockname()
         process = subprocess.Popen(
@@ -138,11 +138,11 @@
         try:
             seen = []
             DataWatch(client, "/servers/s1", lambda data, stat: seen.append(data and (json.loads(data), stat.ephemeralOwner)))
-            until("it is registered", lambda: seen[-1])
+            until("the server is registered", lambda: seen[-1])
             entry, owner = seen[-1]
             assert (entry["dial"], entry["block"], entry["health"]) == (address, 4, "active") and owner, entry
             process.send_signal(signal.SIGTERM)
-            until("its end is seen", lambda: seen[-1] is None)
+            until("the removal is seen", lambda: seen[-1] is None)
             assert [s[0]["health"] for s in seen if s] == ["active", "leaving"], seen
             assert process.wait(PATIENCE) == 0
         finally:
@@ -157,32 +157,33 @@
     try:
         hosts = [process.stdout.readline().split()[2] for _ in range(MEMBERS)]
 
-        def tell(words):
-            process.stdin.write(words + "\n")
+        def send_command(command):
+            process.stdin.write(command + "\n")
             process.stdin.flush()
-            assert process.stdout.readline().strip() == words
+            assert process.stdout.readline().strip() == command
 
         first, second = connect(hosts), connect(hosts)
         operations(first)
         watches(first, second)
         clients, parties = recipes(hosts)
-        # A member is restarted, each in its turn: sessions and what is ephemeral in them stay, recipes go on.
+        # Each member in turn is restarted: sessions and their ephemeral nodes persist, and recipes go on.
         sessions = [client.client_id[0] for client in clients]
         for member in range(MEMBERS):
-            tell(f"kill {member}")
+            send_command(f"kill {member}")
             with clients[0].Lock("/t/lock"):
                 assert sorted(parties[1]) == ["0", "1"]
-            tell(f"restore {member}")
+            send_command(f"restore {member}")
             time.sleep(0.3)
-        assert [client.client_id[0] for client in clients] == sessions, "the sessions moved, and did not end"
+        assert [client.client_id[0] for client in clients] == sessions, "the sessions moved and did not end"
         late = []
         ChildrenWatch(clients[0], "/t/deep", lambda names: late.append(names))
         clients[1].create("/t/deep/late")
-        until("watches stand", lambda: "late" in late[-1])
-        # Who ends without a word is gone a time-out later.
+        until("watches persist", lambda: "late" in late[-1])
+        # The ephemeral node of a client that dies without closing its session is removed after the session
+        # timeout.
         subprocess.run([sys.executable, __file__, "--brief", *hosts], check=True, timeout=PATIENCE)
         assert first.exists("/t/brief") is not None
-        until("its node ends with its session", lambda: first.exists("/t/brief") is None)
+        until("the node is removed with its session", lambda: first.exists("/t/brief") is None)
         registrations(first, hosts)
         for client in [first, second, *clients]:
             client.stop()
@@ -192,13 +193,13 @@
     print("kazoo: ok")
 
 
-def brief(hosts):
-    """A process that registers and ends without a word."""
+def create_ephemeral_and_exit(hosts):
+    """Creates an ephemeral node and exits without closing the session."""
     connect(hosts, timeout=2.0).create("/t/brief", ephemeral=True)
     os._exit(0)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--brief"]:
-        brief(sys.argv[2:])
+        create_ephemeral_and_exit(sys.argv[2:])
     main()
--- a/crates/node/tests/registrations.rs
+++ b/crates/node/tests/registrations.rs
@@ -1,4 +1,4 @@
-//! The real program with a list that follows registrations, between stand-ins on loopback.
+//! Runs the node binary with a server list that follows registrations, between stand-ins on loopback.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,24 +15,24 @@
 use glenwood_testkit::server::{Identity, Protocol, StandIn};
 use glenwood_testkit::{runtime, until, wait};
 
-/// Nobody listens there: the port is of the reserved ones.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address without a listener: the port is a reserved one.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
 fn program() -> Program {
     Program::new(env!("CARGO_BIN_EXE_glenwood"))
 }
 
-fn operator(service: &Service, more: &str) -> String {
+fn operator(service: &Service, extra: &str) -> String {
     let members: Vec<String> = service.members.iter().map(|m| format!("'{m}'")).collect();
-    format!("[registrations]\nmembers = [{}]\ntimeout_ms = 1000\n{more}\n", members.join(", "))
+    format!("[registrations]\nmembers = [{}]\ntimeout_ms = 1000\n{extra}\n", members.join(", "))
 }
 
 fn node(discovery: SocketAddr, operator: &str) -> Node {
     Node::start(&program(), &config("n0", discovery, settings(400.0)), Some(operator))
 }
 
-fn nobody() -> SocketAddr {
-    NOBODY.parse().expect("an address")
+fn unused_address() -> SocketAddr {
+    UNUSED_ADDRESS.parse().expect("an address")
 }
 
 fn server(name: &str, script: Script, ledger: &Ledger) -> StandIn {
@@ -58,7 +58,7 @@
     matches!(ask(node, id), Answer::Served(_))
 }
 
-/// Who served, of so many requests.
+/// The names of the servers that served `count` requests.
 fn servers_of(seen: &Mutex<BTreeMap<String, usize>>, node: &Node, tag: &str, count: usize) -> Vec<String> {
     seen.lock().expect("counts").clear();
     for n in 0..count {
@@ -77,8 +77,8 @@
     (seen, script)
 }
 
-fn said(node: &Node, words: &str) -> bool {
-    node.log().iter().any(|line| line.contains(words))
+fn logged(node: &Node, text: &str) -> bool {
+    node.log().iter().any(|line| line.contains(text))
 }
 
 #[test]
@@ -86,28 +86,29 @@
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(3);
-    let node = node(nobody(), &operator(&service, "alone = true"));
+    let node = node(unused_address(), &operator(&service, "alone = true"));
     let (a, b) = (server("a", script.clone(), &ledger), server("b", script.clone(), &ledger));
-    let (at_a, at_b) = (register(&service, &a, 1.0, 1000.0), register(&service, &b, 1.0, 1000.0));
+    let (registration_a, registration_b) =
+        (register(&service, &a, 1.0, 1000.0), register(&service, &b, 1.0, 1000.0));
     node.wait_ready();
     until("both serve", || servers_of(&seen, &node, "both", 10) == ["a", "b"]);
-    // Drained: its registration says so before it ends.
-    at_a.drain();
+    // A drain: the registration announces it before it ends.
+    registration_a.drain();
     until("a drains", || servers_of(&seen, &node, "drain", 6) == ["b"]);
-    at_a.end();
+    registration_a.end();
     drop(a);
-    // A new one, and the death of the old one without a word.
+    // A new server registers, and an old one dies without ending its registration.
     let c = server("c", script, &ledger);
-    let _at_c = register(&service, &c, 1.0, 1000.0);
+    let _registration_c = register(&service, &c, 1.0, 1000.0);
     until("c serves", || servers_of(&seen, &node, "new", 6).contains(&"c".to_string()));
-    drop((b, at_b));
+    drop((b, registration_b));
     until("b is gone", || servers_of(&seen, &node, "dead", 6) == ["c"]);
-    assert!(!said(&node, "discovery:"), "{:?}", node.log());
+    assert!(!logged(&node, "discovery:"), "{:?}", node.log());
 }
 
-/// Discovery still lists a server whose registration has ended: nothing new goes to it.
+/// Discovery still lists a server whose registration has ended: it gets no new requests.
 #[test]
-fn a_departure_counts_though_discovery_is_late() {
+fn an_ended_registration_takes_effect_before_discovery_reports_it() {
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(1);
@@ -115,157 +116,163 @@
     let discovery = Discovery::start(&servers.iter().map(active).collect::<Vec<_>>());
     let node = node(discovery.address, &operator(&service, ""));
     node.wait_ready();
-    until("discovery's list counts", || servers_of(&seen, &node, "all", 12) == ["a", "b", "c"]);
-    let at_a = register(&service, &servers[0], 0.0, 1000.0);
+    until("discovery's list is in use", || servers_of(&seen, &node, "all", 12) == ["a", "b", "c"]);
+    let registration_a = register(&service, &servers[0], 0.0, 1000.0);
     until("the node has the registration", || {
-        said(&node, "registrations: 1 servers") || {
+        logged(&node, "registrations: 1 servers") || {
             servers_of(&seen, &node, "reg", 3);
-            said(&node, "registrations:")
+            logged(&node, "registrations:")
         }
     });
     assert_eq!(servers_of(&seen, &node, "still", 12), ["a", "b", "c"]);
-    at_a.end();
-    until("a is out", || servers_of(&seen, &node, "out", 12) == ["b", "c"]);
-    let _at_a = register(&service, &servers[0], 0.0, 1000.0);
+    registration_a.end();
+    until("a is out of rotation", || servers_of(&seen, &node, "out", 12) == ["b", "c"]);
+    let _registration_a = register(&service, &servers[0], 0.0, 1000.0);
     until("a is back", || servers_of(&seen, &node, "back", 12) == ["a", "b", "c"]);
 }
 
-/// The whole service ends: the list holds, and what is registered after it is back is taken.
+/// The whole service goes down: the list stays in use, and servers that register after its return are added.
 #[test]
-fn a_service_that_is_away_takes_nobody_along() {
+fn an_outage_of_the_service_removes_no_server() {
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(3);
-    let node = node(nobody(), &operator(&service, "alone = true"));
+    let node = node(unused_address(), &operator(&service, "alone = true"));
     let (a, b) = (server("a", script.clone(), &ledger), server("b", script.clone(), &ledger));
-    let _at = (register(&service, &a, 1.0, 4000.0), register(&service, &b, 1.0, 4000.0));
+    let _registrations = (register(&service, &a, 1.0, 4000.0), register(&service, &b, 1.0, 4000.0));
     until("both serve", || is_served(&node, "x") && servers_of(&seen, &node, "both", 10).len() == 2);
     (0..3).for_each(|m| service.change(|e| e.kill(m)));
-    until("the node says so", || said(&node, "the service is away; 2 servers stay listed"));
+    until("the node logs the outage", || logged(&node, "the service is away; 2 servers stay listed"));
     for n in 0..40 {
         assert_eq!(servers_of(&seen, &node, &format!("away-{n}"), 10), ["a", "b"]);
     }
     (0..3).for_each(|m| service.change(|e| e.restore(m)));
-    until("the node says so", || said(&node, "the service is back after"));
+    until("the node logs the return", || logged(&node, "the service is back after"));
     let c = server("c", script, &ledger);
-    let _at_c = register(&service, &c, 1.0, 4000.0);
+    let _registration_c = register(&service, &c, 1.0, 4000.0);
     until("all serve", || servers_of(&seen, &node, "again", 12) == ["a", "b", "c"]);
 }
 
-/// A session is lost while its server is well: with the new session it is back, and its process is the one it was.
+/// A session is lost while its server is healthy: with the next session the server is back, as the same
+/// process.
 #[test]
-fn a_server_whose_session_was_lost_is_back_with_the_next() {
+fn a_server_whose_session_was_lost_returns_with_its_next_session() {
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(1);
-    let node = node(nobody(), &operator(&service, "alone = true"));
+    let node = node(unused_address(), &operator(&service, "alone = true"));
     let (a, b) = (server("a", script.clone(), &ledger), server("b", script, &ledger));
-    let (at_a, _at_b) = (register(&service, &a, 1.0, 500.0), register(&service, &b, 1.0, 500.0));
+    let (registration_a, _registration_b) =
+        (register(&service, &a, 1.0, 500.0), register(&service, &b, 1.0, 500.0));
     until("both serve", || is_served(&node, "x") && servers_of(&seen, &node, "both", 10).len() == 2);
-    drop(at_a);
-    until("a is a suspect", || servers_of(&seen, &node, "lost", 6) == ["b"]);
-    let _at_a = register(&service, &a, 1.0, 500.0);
+    drop(registration_a);
+    until("a is suspected", || servers_of(&seen, &node, "lost", 6) == ["b"]);
+    let _registration_a = register(&service, &a, 1.0, 500.0);
     until("a is back", || servers_of(&seen, &node, "back", 8) == ["a", "b"]);
 }
 
-fn saved_at(name: &str) -> std::path::PathBuf {
-    let folder = std::env::temp_dir().join(format!("glenwood-view-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder.join("view")
+fn view_path(name: &str) -> std::path::PathBuf {
+    let directory = std::env::temp_dir().join(format!("glenwood-view-{}-{name}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a folder");
+    directory.join("view")
 }
 
-/// A node that starts while neither service can be reached serves by what was saved; a file that was changed is not used.
+/// A node that starts while neither service can be reached serves from the saved view; a modified file is
+/// rejected.
 #[test]
-fn the_last_view_is_saved_and_taken_at_a_start_without_the_service() {
+fn the_last_view_is_saved_and_loaded_at_a_start_without_the_service() {
     let ledger = ledger();
-    let path = saved_at("taken");
+    let path = view_path("taken");
     let service = Service::start(1);
-    let more = format!("alone = true\nsave = '{}'", path.display());
-    let told = operator(&service, &more);
-    let first = node(nobody(), &told);
+    let extra = format!("alone = true\nsave = '{}'", path.display());
+    let operator_file = operator(&service, &extra);
+    let first = node(unused_address(), &operator_file);
     let a = server("a", always(Step::Serve), &ledger);
-    let _at_a = register(&service, &a, 1.0, 4000.0);
+    let _registration_a = register(&service, &a, 1.0, 4000.0);
     until("it is saved", || std::fs::read(&path).is_ok_and(|bytes| bytes.windows(3).any(|w| w == b"\"a\"")));
     drop(first);
     service.change(|e| e.kill(0));
-    let second = node(nobody(), &told);
-    until("the view is taken", || said(&second, "registrations: 1 servers of a saved view, "));
+    let second = node(unused_address(), &operator_file);
+    until("the view is loaded", || logged(&second, "registrations: 1 servers of a saved view, "));
     second.wait_ready();
     assert!(is_served(&second, "saved"));
     drop(second);
     let mut bytes = std::fs::read(&path).expect("it is there");
-    let at = bytes.len() - 9;
-    bytes[at] ^= 1;
+    let offset = bytes.len() - 9;
+    bytes[offset] ^= 1;
     std::fs::write(&path, bytes).expect("it can be written");
-    let third = node(nobody(), &told);
-    until("the view is turned down", || said(&third, "the checksum differs; the saved view is not used"));
+    let third = node(unused_address(), &operator_file);
+    until("the view is rejected", || logged(&third, "the checksum differs; the saved view is not used"));
     assert!(matches!(ask(&third, "none"), Answer::Refused(_) | Answer::Failed));
     let _ = std::fs::remove_dir_all(path.parent().expect("a folder"));
 }
 
-/// The disk does not take the view when it changes, and does later: it is saved then, with no further change.
+/// Saving the view fails when it changes, and would succeed later: it is then saved without a further change.
 #[test]
-fn a_view_that_the_disk_did_not_take_is_saved_later() {
+fn a_view_whose_save_failed_is_saved_later() {
     let ledger = ledger();
-    let path = saved_at("later");
-    let folder = path.parent().expect("a folder").to_path_buf();
+    let path = view_path("later");
+    let directory = path.parent().expect("a folder").to_path_buf();
     let service = Service::start(1);
-    let node = node(nobody(), &operator(&service, &format!("alone = true\nsave = '{}'", path.display())));
-    std::fs::remove_dir_all(&folder).expect("it is there");
+    let node =
+        node(unused_address(), &operator(&service, &format!("alone = true\nsave = '{}'", path.display())));
+    std::fs::remove_dir_all(&directory).expect("it is there");
     let a = server("a", always(Step::Serve), &ledger);
-    let _at_a = register(&service, &a, 1.0, 4000.0);
-    until("it is not saved", || said(&node, "the view is saved later"));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    until("it is saved", || path.exists());
-    let _ = std::fs::remove_dir_all(&folder);
+    let _registration_a = register(&service, &a, 1.0, 4000.0);
+    until("the save fails", || logged(&node, "the view is saved later"));
+    std::fs::create_dir_all(&directory).expect("a folder");
+    until("the view is saved", || path.exists());
+    let _ = std::fs::remove_dir_all(&directory);
 }
 
-/// A member accepts and says nothing, at the node's start and later: the node goes on to the next.
+/// A member accepts connections and never answers, at the node's start and later: the node uses the next
+/// member.
 #[test]
-fn a_mute_member_is_left() {
+fn a_member_that_never_answers_is_abandoned() {
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(3);
     service.change(|e| e.mute(0, true));
-    let node = node(nobody(), &operator(&service, "alone = true"));
+    let node = node(unused_address(), &operator(&service, "alone = true"));
     let a = server("a", script.clone(), &ledger);
-    let _at_a = register(&service, &a, 1.0, 1500.0);
+    let _registration_a = register(&service, &a, 1.0, 1500.0);
     node.wait_ready();
-    for (n, mute) in [1, 2].into_iter().enumerate() {
+    for (n, mute_member) in [1, 2].into_iter().enumerate() {
         service.change(|e| {
-            e.mute(mute - 1, false);
-            e.mute(mute, true);
+            e.mute(mute_member - 1, false);
+            e.mute(mute_member, true);
         });
         let name = format!("n{n}");
         let server = server(&name, script.clone(), &ledger);
-        let at = register(&service, &server, 1.0, 1500.0);
-        until("it serves", || servers_of(&seen, &node, "mute", 8).contains(&name));
-        at.end();
-        until("it is gone", || !servers_of(&seen, &node, "gone", 8).contains(&name));
+        let registered = register(&service, &server, 1.0, 1500.0);
+        until("the new server is in rotation", || servers_of(&seen, &node, "mute", 8).contains(&name));
+        registered.end();
+        until("the server is out of rotation", || !servers_of(&seen, &node, "gone", 8).contains(&name));
     }
 }
 
-/// Members are killed and restored, one at a time, servers come, drain, end and die, and clients ask all the while.
+/// Members are killed and restored one at a time, servers register, drain, end and die, and clients send
+/// requests all the time.
 #[test]
-fn a_short_storm_on_sockets() {
+fn no_requests_go_to_drained_servers_while_members_and_servers_change() {
     let ledger = ledger();
-    let late = Arc::new(AtomicUsize::new(0));
-    let drained: Arc<Mutex<BTreeMap<String, Instant>>> = Arc::default();
-    let (count, told) = (late.clone(), drained.clone());
+    let late_sends = Arc::new(AtomicUsize::new(0));
+    let drained_at: Arc<Mutex<BTreeMap<String, Instant>>> = Arc::default();
+    let (count, drain_times) = (late_sends.clone(), drained_at.clone());
     let script: Script = Arc::new(move |seen| {
-        let since = told.lock().expect("times").get(&seen.server).copied();
-        // The rule's 500 ms and a wide margin; the strict bound is counted in virtual time.
+        let since = drain_times.lock().expect("times").get(&seen.server).copied();
+        // The 500 ms of the drain rule and a wide margin; tests in virtual time check the strict bound.
         if since.is_some_and(|since| since.elapsed() > Duration::from_millis(1500)) {
             count.fetch_add(1, Ordering::Relaxed);
         }
         Step::ServeAfter(Duration::from_millis(3))
     });
     let service = Service::start(3);
-    let node = node(nobody(), &operator(&service, "alone = true\nguard_hold_ms = 400"));
+    let node = node(unused_address(), &operator(&service, "alone = true\nguard_hold_ms = 400"));
     let new = |n: usize| {
         let server = server(&format!("s{n}"), script.clone(), &ledger);
-        let at = register(&service, &server, 1.0, 1000.0);
-        (server, at)
+        let registered = register(&service, &server, 1.0, 1000.0);
+        (server, registered)
     };
     let mut servers: Vec<(StandIn, Registration)> = (0..4).map(new).collect();
     until("the node serves", || is_served(&node, "first"));
@@ -274,15 +281,15 @@
         .map(|client| {
             let (stop, to) = (stop.clone(), node.address);
             runtime().spawn(async move {
-                let (mut asked, mut served) = (0, 0);
+                let (mut sent, mut served) = (0, 0);
                 let mut conn = Client::connect(Protocol::Http, to).await.expect("it listens");
                 while !stop.load(Ordering::Relaxed) {
-                    let ask = Ask::new("look", Effect::Safe, &format!("c{client}-{asked}"), 2000);
-                    asked += 1;
+                    let ask = Ask::new("look", Effect::Safe, &format!("c{client}-{sent}"), 2000);
+                    sent += 1;
                     served += usize::from(matches!(conn.ask(&ask).await, Answer::Served(_)));
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
-                (asked, served)
+                (sent, served)
             })
         })
         .collect();
@@ -290,23 +297,23 @@
         let member = round % 3;
         service.change(|e| e.kill(member));
         servers.push(new(4 + round));
-        let (server, at) = servers.remove(0);
+        let (server, registered) = servers.remove(0);
         if round % 2 == 0 {
-            at.drain();
-            drained.lock().expect("times").insert(server.identity.name.clone(), Instant::now());
+            registered.drain();
+            drained_at.lock().expect("times").insert(server.identity.name.clone(), Instant::now());
             std::thread::sleep(Duration::from_millis(1800));
-            at.end();
+            registered.end();
         } else {
-            // It dies, and its session later.
-            drop((server, at));
+            // The server dies; its session expires later.
+            drop((server, registered));
         }
         service.change(|e| e.restore(member));
     }
     stop.store(true, Ordering::Relaxed);
     let counts: Vec<(usize, usize)> =
-        clients.into_iter().map(|c| wait("a client ends", c).expect("it ended well")).collect();
-    let (asked, served) = counts.iter().fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.1));
-    assert_eq!(late.load(Ordering::Relaxed), 0, "sends to a drained server");
-    // Safe requests may be repeated elsewhere: next to none fails.
-    assert!(asked > 300 && served * 100 >= asked * 98, "{served} of {asked}");
+        clients.into_iter().map(|c| wait("a client ends", c).expect("it did not panic")).collect();
+    let (sent, served) = counts.iter().fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.1));
+    assert_eq!(late_sends.load(Ordering::Relaxed), 0, "sends to a drained server");
+    // Safe requests may be retried at another server: almost none fails.
+    assert!(sent > 300 && served * 100 >= sent * 98, "{served} of {sent}");
 }
