--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! What a node knows of the list while the way to discovery fails: what discovery wrote counts as told, whether or not it
-//! arrived, and any change counts as told some time after discovery had it.
+//! What a node knows of the server list while its connection to discovery fails. A change "counts as told"
+//! from the moment at which the node must know it: at once if discovery wrote it to the node, whether or not
+//! it arrived, and otherwise a fixed time after discovery had it.
 
 mod peers;
 
@@ -15,324 +16,355 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// For how long something new may go to a server after the node was told that it drains, as the rules count it.
+/// How long new requests may still go to a draining server after the node was told of the drain, as the rules
+/// count it.
 const GRACE: Duration = Duration::from_millis(550);
-/// So long after it was due, what a watch that ended did not tell counts as told.
-const DUE: Duration = Duration::from_millis(2000);
-/// So long after a watch fell silent, what it missed counts as told.
-const SILENT: Duration = Duration::from_millis(6000);
-/// Processes that are asked at the same time: chance must not decide whether a test passes.
+/// How long after a change was due on a watch that ended without delivering it the change counts as told.
+const TOLD_AFTER_WATCH_END: Duration = Duration::from_millis(2000);
+/// How long after a watch fell silent the changes that it missed count as told.
+const TOLD_AFTER_SILENCE: Duration = Duration::from_millis(6000);
+/// Number of node processes under load at the same time, so that chance does not decide whether a test
+/// passes.
 const PROCESSES: u64 = 4;
 
-/// One process of a large fleet.
-fn one_of_many(discovery: SocketAddr, number: u64, fleet: u64) -> Node {
+/// Starts one process of a fleet of `fleet_size` processes, with tracing on, and waits until it is ready.
+fn start_fleet_member(discovery: SocketAddr, number: u64, fleet_size: u64) -> Node {
     let mut config = config(discovery);
     config["seed"] = json!(format!("{:x}", 0x5eed + number));
-    config["settings"]["PeersTotal"] = json!(fleet);
+    config["settings"]["PeersTotal"] = json!(fleet_size);
     config["settings"]["Me"] = json!(number);
-    // What it says of discovery is the timeline of a failure.
-    let node = Node::started_with_operator(&config, &traced()).wait_listening();
+    // A failing test prints the traced discovery calls as a timeline.
+    let node = Node::started_with_operator(&config, &trace_operator_file()).wait_listening();
     node.wait_ready();
     node
 }
 
-/// An operator's file that has nodes write down what they do.
-fn traced() -> PathBuf {
+/// Writes an operator's file that switches tracing on, and returns its path.
+fn trace_operator_file() -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("traced-{}.toml", std::process::id()));
     std::fs::write(&path, "[trace]\non = true\n").expect("a file");
     path
 }
 
-/// How many lines of a node's log tell what went wrong.
-const TIMELINE: usize = 400;
+/// How many lines of a node's log a failing test prints.
+const TIMELINE_LINES: usize = 400;
 
-/// What a node has said of discovery, servers and requests lately.
+/// The latest lines of a node's log about discovery, servers and requests.
 fn timeline(node: &Node) -> String {
-    let words = [" call", " asking", " answering", " version", " watch-ended", "list ", " probe"];
-    let of_requests = [" send ", " end ", " explain ", " entry "];
-    let about = |line: &str| words.iter().chain(&of_requests).any(|word| line.contains(word));
-    let lines = node.log_of(about);
-    lines[lines.len().saturating_sub(TIMELINE)..].join("\n")
+    let list_events = [" call", " asking", " answering", " version", " watch-ended", "list ", " probe"];
+    let request_events = [" send ", " end ", " explain ", " entry "];
+    let is_relevant =
+        |line: &str| list_events.iter().chain(&request_events).any(|event| line.contains(event));
+    let lines = node.log_of(is_relevant);
+    lines[lines.len().saturating_sub(TIMELINE_LINES)..].join("\n")
 }
 
-/// Asks a node again and again until `until`; gives when the last request was handed in that `server` answered.
+/// Sends requests to a node until `until`; returns when the last request that `server` answered was
+/// submitted.
 fn last_served_by(server: &[u8], node: &Node, until: Instant) -> Option<Instant> {
     let mut last = None;
     let mut count = 0;
     while Instant::now() < until {
-        let asked = Instant::now();
+        let submitted_at = Instant::now();
         let txn = format!("{}-{count}", node.address.port());
         count += 1;
         if Client::to(node).ask(&request("look", &txn, 9000)).body == server {
-            last = Some(asked);
+            last = Some(submitted_at);
         }
     }
     last
 }
 
-/// How long after `since` the last request went to `server`, at each of some nodes.
-fn served_after(server: &'static str, nodes: &[Node], since: Instant, for_long: Duration) -> Vec<Duration> {
+/// For each node, how long after `since` the last request that went to `server` was submitted.
+fn served_after(server: &'static str, nodes: &[Node], since: Instant, load_time: Duration) -> Vec<Duration> {
     std::thread::scope(|scope| {
-        let ask = |node| scope.spawn(move || last_served_by(server.as_bytes(), node, since + for_long));
-        let asking: Vec<_> = nodes.iter().map(ask).collect();
-        let last = |asking: std::thread::ScopedJoinHandle<'_, Option<Instant>>| {
-            asking.join().expect("no panic").map_or(Duration::ZERO, |at| at.saturating_duration_since(since))
+        let spawn_load =
+            |node| scope.spawn(move || last_served_by(server.as_bytes(), node, since + load_time));
+        let workers: Vec<_> = nodes.iter().map(spawn_load).collect();
+        let last_after = |worker: std::thread::ScopedJoinHandle<'_, Option<Instant>>| {
+            worker.join().expect("no panic").map_or(Duration::ZERO, |at| at.saturating_duration_since(since))
         };
-        asking.into_iter().map(last).collect()
+        workers.into_iter().map(last_after).collect()
     })
 }
 
-/// How a watch may end in the moment in which it has something to tell.
+/// How a watch ends at the moment at which it has a change to deliver.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
-    /// The connection is closed, between two messages.
+    /// The connection is closed between two messages.
     Closed,
-    /// It is reset, between two messages.
+    /// The connection is reset between two messages.
     Reset,
-    /// The length of the next piece has begun to come, and no byte of the piece itself.
-    ClosedAmidFraming,
-    /// The same, with a reset.
-    ResetAmidFraming,
-    /// Half of the message has come.
-    ClosedAmidMessage,
+    /// The connection is closed within the length of the next chunk, before any byte of its data.
+    ClosedInChunkHeader,
+    /// The same with a reset.
+    ResetInChunkHeader,
+    /// The connection is closed after half of the message.
+    ClosedInMessage,
 }
 
 impl Ending {
-    const ALL: [Self; 5] =
-        [Self::Closed, Self::Reset, Self::ClosedAmidFraming, Self::ResetAmidFraming, Self::ClosedAmidMessage];
+    const ALL: [Self; 5] = [
+        Self::Closed,
+        Self::Reset,
+        Self::ClosedInChunkHeader,
+        Self::ResetInChunkHeader,
+        Self::ClosedInMessage,
+    ];
 
     fn end(self, to: &mut TcpStream, message: &str) -> std::io::Result<()> {
         let length = format!("{:x}", message.len());
         match self {
             Self::Closed | Self::Reset => {}
-            Self::ClosedAmidFraming | Self::ResetAmidFraming => to.write_all(&length.as_bytes()[..1])?,
-            Self::ClosedAmidMessage => write!(to, "{length}\r\n{}", &message[..message.len() / 2])?,
+            Self::ClosedInChunkHeader | Self::ResetInChunkHeader => to.write_all(&length.as_bytes()[..1])?,
+            Self::ClosedInMessage => write!(to, "{length}\r\n{}", &message[..message.len() / 2])?,
         }
-        if matches!(self, Self::Reset | Self::ResetAmidFraming) {
+        if matches!(self, Self::Reset | Self::ResetInChunkHeader) {
             socket2::SockRef::from(&*to).set_linger(Some(Duration::ZERO))?;
         }
         Ok(())
     }
 }
 
-/// Waits until a test says so.
+/// Blocks until the test sets the flag.
 fn wait_for(flag: &AtomicBool) {
-    until("the test goes on", || flag.load(Ordering::SeqCst));
+    until("the test sets the flag", || flag.load(Ordering::SeqCst));
 }
 
 fn entry(name: &str, peer: &Peer, health: &str) -> Value {
     host(name, peer.address, health, 1)
 }
 
-/// Who can tell a node that a server drains while the list can't be followed.
+/// What can tell a node that a server drains while the node cannot follow the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tells {
-    /// Discovery alone, which has to be asked again.
+enum DrainSource {
+    /// Discovery alone, so that the node has to ask it again.
     Discovery,
-    /// The server itself, by its health check.
+    /// The server itself, through its health check.
     Server,
 }
 
-/// A watch that stood ends, in whatever way, in the moment in which it tells that a server drains. What was written counts as told,
-/// so each node must have asked anew, or the server itself, within the grace. In a fleet whose calls the service can't work off
-/// together, discovery alone is asked within the time that there is.
+/// An open watch ends, in one of several ways, at the moment at which it reports that a server drains. The
+/// report counts as told, so each node must have asked discovery again, or the server itself, within the
+/// grace. In a fleet whose calls the service cannot answer together, where discovery alone knows, a node has
+/// the longer time for an ended watch.
 #[test]
-fn news_lost_with_a_watch_is_asked_for_within_the_grace() {
+fn a_change_lost_with_a_watch_is_requested_again_within_the_grace() {
     let cases = [
-        (6, Tells::Discovery, GRACE, &[Ending::Closed][..]),
-        (26, Tells::Discovery, GRACE, &Ending::ALL),
-        (44, Tells::Discovery, DUE + GRACE, &[Ending::Reset]),
-        (44, Tells::Server, GRACE, &Ending::ALL),
-        (300, Tells::Server, GRACE, &[Ending::Closed]),
+        (6, DrainSource::Discovery, GRACE, &[Ending::Closed][..]),
+        (26, DrainSource::Discovery, GRACE, &Ending::ALL),
+        (44, DrainSource::Discovery, TOLD_AFTER_WATCH_END + GRACE, &[Ending::Reset]),
+        (44, DrainSource::Server, GRACE, &Ending::ALL),
+        (300, DrainSource::Server, GRACE, &[Ending::Closed]),
     ];
-    let mut late: Vec<(u64, Ending, Vec<Duration>)> = Vec::new();
-    for (fleet, tells, within, endings) in cases {
+    let mut too_late: Vec<(u64, Ending, Vec<Duration>)> = Vec::new();
+    for (fleet_size, drain_source, limit, endings) in cases {
         for ending in endings.iter().copied() {
-            let served = served_after_ending(fleet, ending, tells, within);
-            if served.iter().any(|after| *after >= within) {
-                late.push((fleet, ending, served));
+            let delays = delays_after_watch_end(fleet_size, ending, drain_source, limit);
+            if delays.iter().any(|delay| *delay >= limit) {
+                too_late.push((fleet_size, ending, delays));
             }
         }
     }
-    assert!(late.is_empty(), "to the draining server after the grace: {late:?}");
+    assert!(too_late.is_empty(), "the draining server got requests after the grace: {too_late:?}");
 }
 
-/// How long after its watch ended each node of a fleet still sent to the server that drains.
-fn served_after_ending(fleet: u64, ending: Ending, tells: Tells, within: Duration) -> Vec<Duration> {
-    let told = Arc::new(AtomicBool::new(false));
-    let says = if tells == Tells::Server { told.clone() } else { Arc::default() };
-    let (draining, other) = (Peer::good_until("draining", &says), Peer::good("other"));
+/// For each node of a fleet, how long after its watch ended it still sent requests to the draining server.
+fn delays_after_watch_end(
+    fleet_size: u64,
+    ending: Ending,
+    drain_source: DrainSource,
+    limit: Duration,
+) -> Vec<Duration> {
+    let drain_started = Arc::new(AtomicBool::new(false));
+    let health_flag =
+        if drain_source == DrainSource::Server { drain_started.clone() } else { Arc::default() };
+    let (draining, other) = (Peer::good_until("draining", &health_flag), Peer::good("other"));
     let hosts = |health| [entry("s0", &draining, health), entry("s1", &other, "active")];
-    let before = line(1, true, &hosts("active")) + "\n";
-    let news = line(2, true, &hosts("leaving")) + "\n";
-    let drains = told.clone();
+    let first_list = line(1, true, &hosts("active")) + "\n";
+    let changed_list = line(2, true, &hosts("leaving")) + "\n";
+    let list_flag = drain_started.clone();
     let lists = Lists::new(move |_, _, to| {
-        let newest = drains.load(Ordering::SeqCst);
-        if newest && tells == Tells::Server {
-            // Busy with the calls of all others.
+        let has_changed = list_flag.load(Ordering::SeqCst);
+        if has_changed && drain_source == DrainSource::Server {
+            // Does not answer, as if it were busy with the calls of all other nodes.
             return trickle(to, |_| Ok(()));
         }
         to.write_all(WATCH)?;
-        chunk(to, if newest { &news } else { &before })?;
-        if newest {
+        chunk(to, if has_changed { &changed_list } else { &first_list })?;
+        if has_changed {
             return stand(to);
         }
-        wait_for(&drains);
-        ending.end(to, &news)
+        wait_for(&list_flag);
+        ending.end(to, &changed_list)
     });
-    let nodes: Vec<Node> = (0..PROCESSES).map(|number| one_of_many(lists.address, number, fleet)).collect();
-    until("each has its watch", || lists.watches() as u64 >= PROCESSES);
+    let nodes: Vec<Node> =
+        (0..PROCESSES).map(|number| start_fleet_member(lists.address, number, fleet_size)).collect();
+    until("each node has its watch", || lists.watches() as u64 >= PROCESSES);
     let since = Instant::now();
-    told.store(true, Ordering::SeqCst);
-    served_after("draining", &nodes, since, within + GRACE)
+    drain_started.store(true, Ordering::SeqCst);
+    served_after("draining", &nodes, since, limit + GRACE)
 }
 
-/// A watch falls silent as a server begins to drain, and all calls from then on are taken and not answered: what the watch missed
-/// counts as told after 6 s.
+/// A watch falls silent as a server starts to drain, and all later calls are accepted but never answered:
+/// what the watch missed counts as told after 6 s.
 #[test]
 fn a_silent_watch_and_calls_that_are_not_answered_do_not_hide_a_drain() {
-    let told = Arc::new(AtomicBool::new(false));
-    let (draining, other) = (Peer::good_until("draining", &told), Peer::good("other"));
-    let before = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
-    let drains = told.clone();
+    let drain_started = Arc::new(AtomicBool::new(false));
+    let (draining, other) = (Peer::good_until("draining", &drain_started), Peer::good("other"));
+    let first_list = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
+    let list_flag = drain_started.clone();
     let lists = Lists::new(move |_, _, to| {
-        if !drains.load(Ordering::SeqCst) {
+        if !list_flag.load(Ordering::SeqCst) {
             to.write_all(WATCH)?;
-            chunk(to, &before)?;
-            while !drains.load(Ordering::SeqCst) {
+            chunk(to, &first_list)?;
+            while !list_flag.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(100));
                 chunk(to, "\n")?;
             }
         }
         trickle(to, |_| Ok(()))
     });
-    let nodes: Vec<Node> = (0..PROCESSES).map(|number| one_of_many(lists.address, number, 44)).collect();
-    until("each has its watch", || lists.watches() as u64 >= PROCESSES);
+    let nodes: Vec<Node> =
+        (0..PROCESSES).map(|number| start_fleet_member(lists.address, number, 44)).collect();
+    until("each node has its watch", || lists.watches() as u64 >= PROCESSES);
     let since = Instant::now();
-    told.store(true, Ordering::SeqCst);
-    let within = SILENT + GRACE;
-    let served = served_after("draining", &nodes, since, within + GRACE);
-    assert!(served.iter().all(|after| *after < within), "to the draining server after {served:?}");
+    drain_started.store(true, Ordering::SeqCst);
+    let limit = TOLD_AFTER_SILENCE + GRACE;
+    let delays = served_after("draining", &nodes, since, limit + GRACE);
+    assert!(
+        delays.iter().all(|delay| *delay < limit),
+        "the draining server got requests until {delays:?} after the drain began"
+    );
 }
 
-/// How many processes a crowd is; what each call costs the service is such that all of them together take 3.5 s, which is longer
-/// than there is.
-const CROWD: u64 = 44;
-const CROWDED: Crowd = Crowd { each: Duration::from_millis(80), most: Duration::from_millis(3000) };
-/// How often the list changes, and how many times.
+/// How many processes call the crowded service, and its time for each call: all of them together take 3.5 s,
+/// which is longer than a node has.
+const CROWD_SIZE: u64 = 44;
+const SERVICE_LOAD: Crowd = Crowd { each: Duration::from_millis(80), most: Duration::from_millis(3000) };
+/// The interval between changes of the list, and the number of changes.
 const CHANGES: (Duration, usize) = (Duration::from_millis(1200), 8);
-/// For how many changes each server drains.
-const DRAINS_FOR: usize = 3;
+/// For how many changes of the list each server stays draining.
+const CHANGES_PER_DRAIN: usize = 3;
 const SERVERS: [&str; 6] = ["s0", "s1", "s2", "s3", "s4", "s5"];
 
-/// When each change's server began to drain.
-type Drains = Mutex<Vec<Instant>>;
+/// For each change of the list, when its server began to drain.
+type DrainStarts = Mutex<Vec<Instant>>;
 
-/// What a server adds to its name where it answers a request that came while it drains.
-const DRAINS: &str = " drains";
+/// What a server appends to its name in the answer to a request that arrived while it drains.
+const DRAINING_SUFFIX: &str = " drains";
 
-/// A server that goes on serving while it drains, and says so in its answers and its health checks.
-fn says_if_it_drains(name: &'static str, drains: &Arc<AtomicBool>) -> Peer {
-    let drains = drains.clone();
+/// A server that keeps serving while it drains, and reports the drain in its answers and health checks.
+fn server_reporting_drain(name: &'static str, drain_flag: &Arc<AtomicBool>) -> Peer {
+    let drain_flag = drain_flag.clone();
     Peer::new(move |message| {
-        let is_draining = drains.load(Ordering::SeqCst);
+        let is_draining = drain_flag.load(Ordering::SeqCst);
         let status = if message.path() == "/health" && is_draining { 503 } else { 200 };
-        Say::This(answer(status, "", &format!("{name}{}", if is_draining { DRAINS } else { "" })))
+        Say::This(answer(status, "", &format!("{name}{}", if is_draining { DRAINING_SUFFIX } else { "" })))
     })
 }
 
-/// A request that went to a server that had drained for too long.
-struct Late<'n> {
+/// A request that went to a server that had been draining for too long.
+struct LateRequest<'n> {
     node: &'n Node,
     server: &'static str,
-    after: Duration,
+    drain_age: Duration,
 }
 
-/// A release under a list service that all nodes together keep busy, and that ends watches in place of telling: at each change one
-/// server begins to drain. No node may send to one that has drained for longer than there is.
+/// A release under a list service that the nodes together keep busy and that ends watches instead of
+/// delivering changes: at each change one server starts to drain. No node may send to a server that drains
+/// for longer than the rule allows.
 #[test]
 fn a_crowded_service_that_ends_watches_hides_no_drain() {
     let flags: Vec<Arc<AtomicBool>> = SERVERS.iter().map(|_| Arc::default()).collect();
-    let peers: Vec<Peer> =
-        SERVERS.iter().zip(&flags).map(|(name, drains)| says_if_it_drains(name, drains)).collect();
+    let peers: Vec<Peer> = SERVERS
+        .iter()
+        .zip(&flags)
+        .map(|(name, drain_flag)| server_reporting_drain(name, drain_flag))
+        .collect();
     let list = || -> Vec<Value> {
         let health = |n: usize| if flags[n].load(Ordering::SeqCst) { "leaving" } else { "active" };
         (0..SERVERS.len()).map(|n| entry(SERVERS[n], &peers[n], health(n))).collect()
     };
-    let lists = CrowdedLists::new(&list(), CROWDED);
-    let nodes: Vec<Node> = (0..CROWD).map(|number| one_of_many(lists.address, number, CROWD)).collect();
-    let ends = Instant::now() + CHANGES.0 * CHANGES.1 as u32;
-    let drains = Drains::default();
-    let late: Vec<Late<'_>> = std::thread::scope(|scope| {
-        let asking: Vec<_> =
-            nodes.iter().map(|node| scope.spawn(|| late_requests(node, &drains, ends))).collect();
+    let lists = CrowdedLists::new(&list(), SERVICE_LOAD);
+    let nodes: Vec<Node> =
+        (0..CROWD_SIZE).map(|number| start_fleet_member(lists.address, number, CROWD_SIZE)).collect();
+    let ends_at = Instant::now() + CHANGES.0 * CHANGES.1 as u32;
+    let drain_starts = DrainStarts::default();
+    let late: Vec<LateRequest<'_>> = std::thread::scope(|scope| {
+        let workers: Vec<_> =
+            nodes.iter().map(|node| scope.spawn(|| late_requests(node, &drain_starts, ends_at))).collect();
         for change in 0..CHANGES.1 {
             let now = Instant::now();
-            let mut known = drains.lock().expect("no panic");
+            let mut starts = drain_starts.lock().expect("no panic");
             flags[change % SERVERS.len()].store(true, Ordering::SeqCst);
-            known.push(now);
-            if let Some(back) = change.checked_sub(DRAINS_FOR) {
-                flags[back % SERVERS.len()].store(false, Ordering::SeqCst);
+            starts.push(now);
+            if let Some(undrained) = change.checked_sub(CHANGES_PER_DRAIN) {
+                flags[undrained % SERVERS.len()].store(false, Ordering::SeqCst);
             }
-            drop(known);
+            drop(starts);
             lists.change(&list());
             std::thread::sleep((now + CHANGES.0).saturating_duration_since(Instant::now()));
         }
-        asking.into_iter().flat_map(|asking| asking.join().expect("no panic")).collect()
+        workers.into_iter().flat_map(|worker| worker.join().expect("no panic")).collect()
     });
-    if let Some(latest) = late.iter().max_by_key(|late| late.after) {
+    if let Some(latest) = late.iter().max_by_key(|late| late.drain_age) {
         let (count, calls) = (late.len(), lists.calls());
-        let (server, after) = (latest.server, latest.after);
+        let (server, drain_age) = (latest.server, latest.drain_age);
         panic!(
-            "{count} requests too late, one to {server} after {after:?}; calls {calls:?}\n{}",
+            "{count} requests too late, one to {server} {drain_age:?} after its drain began; calls {calls:?}\n{}",
             timeline(latest.node)
         );
     }
 }
 
-/// Which server answered a request just now as one that drains, and how long it had drained when the request was handed in.
-fn drained_for(body: &[u8], asked: Instant, drains: &Drains) -> Option<(&'static str, Duration)> {
-    let name = body.strip_suffix(DRAINS.as_bytes())?;
-    let place = SERVERS.iter().position(|server| server.as_bytes() == name)?;
-    let drains = drains.lock().expect("no panic");
-    let since = drains.iter().skip(place).step_by(SERVERS.len()).next_back()?;
-    Some((SERVERS[place], asked.saturating_duration_since(*since)))
+/// Which draining server sent this answer, and how long it had been draining when the request was submitted.
+fn drained_for(
+    body: &[u8],
+    submitted_at: Instant,
+    drain_starts: &DrainStarts,
+) -> Option<(&'static str, Duration)> {
+    let name = body.strip_suffix(DRAINING_SUFFIX.as_bytes())?;
+    let index = SERVERS.iter().position(|server| server.as_bytes() == name)?;
+    let drain_starts = drain_starts.lock().expect("no panic");
+    let since = drain_starts.iter().skip(index).step_by(SERVERS.len()).next_back()?;
+    Some((SERVERS[index], submitted_at.saturating_duration_since(*since)))
 }
 
-/// Asks a node until `ends`; gives what it sent too late.
-fn late_requests<'n>(node: &'n Node, drains: &Drains, ends: Instant) -> Vec<Late<'n>> {
+/// Sends requests to a node until `ends_at`; returns those that reached a server too late.
+fn late_requests<'n>(node: &'n Node, drain_starts: &DrainStarts, ends_at: Instant) -> Vec<LateRequest<'n>> {
     let mut late = Vec::new();
     for count in 0.. {
-        let asked = Instant::now();
-        if asked > ends {
+        let submitted_at = Instant::now();
+        if submitted_at > ends_at {
             break;
         }
         let txn = format!("{}-{count}", node.address.port());
         let body = Client::to(node).ask(&request("look", &txn, 9000)).body;
-        if let Some((server, after)) =
-            drained_for(&body, asked, drains).filter(|(_, span)| *span > DUE + GRACE)
+        if let Some((server, drain_age)) = drained_for(&body, submitted_at, drain_starts)
+            .filter(|(_, age)| *age > TOLD_AFTER_WATCH_END + GRACE)
         {
-            late.push(Late { node, server, after });
+            late.push(LateRequest { node, server, drain_age });
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     late
 }
 
-/// A watch that is opened anew after it ended, and says that nothing has changed: that answers the call. The node opens no further
-/// watch, and asks the servers no more.
+/// A watch is reopened after it ended and sends a heartbeat, which says that nothing has changed. That
+/// answers the call: the node opens no further watch and probes the servers no more.
 #[test]
-fn a_sign_of_life_answers_the_call_for_a_watch() {
+fn a_heartbeat_answers_the_call_for_a_watch() {
     let server = Peer::good("served");
     let whole = answer(200, "", &line(1, true, &[entry("s0", &server, "active")]));
-    let end = Arc::new(AtomicBool::new(false));
-    let ends = end.clone();
-    let lists = Lists::new(move |path, before, to| match (path.contains("watch"), before) {
+    let end_watch = Arc::new(AtomicBool::new(false));
+    let end_requested = end_watch.clone();
+    let lists = Lists::new(move |path, earlier_calls, to| match (path.contains("watch"), earlier_calls) {
         (false, _) => to.write_all(&whole),
         (true, 0) => {
             to.write_all(WATCH)?;
             chunk(to, "\n")?;
-            wait_for(&ends);
+            wait_for(&end_requested);
             Ok(())
         }
         (true, _) => {
@@ -342,129 +374,145 @@
     });
     let mut config = config(lists.address);
     config["settings"]["Contract"]["AskWithin"] = json!(1500.0);
-    let node = Node::started_with_operator(&config, &traced()).wait_listening();
+    let node = Node::started_with_operator(&config, &trace_operator_file()).wait_listening();
     node.wait_ready();
-    until("the watch stands", || lists.watches() == 1);
-    end.store(true, Ordering::SeqCst);
-    until("it is opened anew", || lists.watches() == 2);
+    until("the watch is open", || lists.watches() == 1);
+    end_watch.store(true, Ordering::SeqCst);
+    until("the watch is reopened", || lists.watches() == 2);
     let probes = || node.log_lines(" probe ");
-    let before = probes();
+    let probes_before = probes();
     let began = Instant::now();
     let _ = last_served_by(b"served", &node, began + Duration::from_millis(3500));
     assert_eq!(lists.watches(), 2, "{}", timeline(&node));
-    assert!(probes() <= before + 1, "{}", timeline(&node));
+    assert!(probes() <= probes_before + 1, "{}", timeline(&node));
 }
 
-/// How often it is tried to have a check come ahead of a request that waits: the kernel decides when that knocks again.
-const TRIES: usize = 6;
-/// How long a node may take over what a check says.
-const TAKEN_WITHIN: Duration = Duration::from_millis(50);
+/// How many times the test tries to get a health check ahead of a waiting request: the kernel decides when it
+/// retries the request's connection.
+const MAX_TRIES: usize = 6;
+/// How long a node may take to apply the result of a health check.
+const CHECK_APPLIED_WITHIN: Duration = Duration::from_millis(50);
 
-/// A request has its turn at a server that lets nobody in for a moment. Its watch ends, and before the list is followed again the server
-/// says that it drains: the request is not sent when its connection comes up, and another server has it.
+/// A request waits for its connection to a server that briefly accepts none. The watch ends, and before the
+/// node follows the list again the server reports that it drains: the request is not sent when its connection
+/// comes up, and goes to another server.
 #[test]
 fn what_waits_for_a_connection_to_a_server_that_drains_goes_elsewhere() {
     for protocol in ["http", "msgpack-rpc"] {
-        let told_in_time = (0..TRIES).any(|_| goes_elsewhere_once_told(protocol));
-        assert!(told_in_time, "{protocol}: no check came ahead of the request in {TRIES} tries");
+        let check_came_first = (0..MAX_TRIES).any(|_| is_rerouted_after_drain(protocol));
+        assert!(
+            check_came_first,
+            "{protocol}: no health check came ahead of the request in {MAX_TRIES} tries"
+        );
     }
 }
 
-/// Plays that once; false where the request's connection came up before a check had told.
-fn goes_elsewhere_once_told(protocol: &str) -> bool {
-    let shut = Shut::new();
+/// Runs that once; false if the connection of the request came up before a health check had reported the
+/// drain.
+fn is_rerouted_after_drain(protocol: &str) -> bool {
+    let blocked = Shut::new();
     let other = Peer::good("other");
-    let mut late = host("s0", shut.address, "active", 1);
+    let mut blocked_entry = host("s0", blocked.address, "active", 1);
     if protocol == "msgpack-rpc" {
-        late["dial"] = json!(format!("msgpack-rpc://{}", shut.address));
+        blocked_entry["dial"] = json!(format!("msgpack-rpc://{}", blocked.address));
     }
-    let list = line(1, true, &[late, entry("s1", &other, "active")]) + "\n";
-    let end = Arc::new(AtomicBool::new(false));
-    let ends = end.clone();
-    let lists = Lists::new(move |_, before, to| {
-        if before > 0 {
-            // Busy with the calls of all others.
+    let list = line(1, true, &[blocked_entry, entry("s1", &other, "active")]) + "\n";
+    let end_watch = Arc::new(AtomicBool::new(false));
+    let end_requested = end_watch.clone();
+    let lists = Lists::new(move |_, earlier_calls, to| {
+        if earlier_calls > 0 {
+            // Does not answer, as if it were busy with the calls of all other nodes.
             return trickle(to, |_| Ok(()));
         }
         to.write_all(WATCH)?;
         chunk(to, &list)?;
-        wait_for(&ends);
+        wait_for(&end_requested);
         Ok(())
     });
     let mut config = config(lists.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(8000.0);
-    let node = Node::started_with_operator(&config, &traced()).wait_listening();
+    let node = Node::started_with_operator(&config, &trace_operator_file()).wait_listening();
     node.wait_ready();
     let mut clients: Vec<Client> = Vec::new();
     until("some wait for their connection", || {
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("{protocol}-{}", clients.len()), 15_000));
         clients.push(client);
-        shut.waiting() > 0
+        blocked.waiting() > 0
     });
-    end.store(true, Ordering::SeqCst);
-    let opened = Opened::by(protocol, shut);
+    end_watch.store(true, Ordering::SeqCst);
+    let opened = OpenedServer::start(protocol, blocked);
     let answers: Vec<_> = clients.iter_mut().map(|client| client.hear().map(|a| a.body)).collect();
-    if !opened.told_in_time() {
+    if !opened.drain_known_in_time() {
         return false;
     }
     assert_eq!(opened.requests(), 0, "{protocol}: {}", timeline(&node));
-    let elsewhere = answers.iter().all(|answer| answer.as_deref() == Some(b"other"));
-    assert!(elsewhere, "{protocol}: {answers:?}, {}", timeline(&node));
+    let all_rerouted = answers.iter().all(|answer| answer.as_deref() == Some(b"other"));
+    assert!(all_rerouted, "{protocol}: {answers:?}, {}", timeline(&node));
     true
 }
 
-/// What came to a server, and when.
+/// What arrived at a server, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Came {
+enum Arrival {
     Check(Instant),
     Request(Instant),
 }
 
-/// A server that lets connections in from now on, and says that it drains.
-struct Opened(Arc<Mutex<Vec<Came>>>);
+/// A server that accepts connections from now on and reports that it drains.
+struct OpenedServer(Arc<Mutex<Vec<Arrival>>>);
 
-impl Opened {
-    fn by(protocol: &str, shut: Shut) -> Self {
-        let came: Arc<Mutex<Vec<Came>>> = Arc::default();
-        let all = came.clone();
-        let note = move |is_check: bool| {
+impl OpenedServer {
+    fn start(protocol: &str, blocked: Shut) -> Self {
+        let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
+        let recorded = arrivals.clone();
+        let record_arrival = move |is_check: bool| {
             let now = Instant::now();
-            all.lock().expect("no panic").push(if is_check { Came::Check(now) } else { Came::Request(now) });
+            recorded.lock().expect("no panic").push(if is_check {
+                Arrival::Check(now)
+            } else {
+                Arrival::Request(now)
+            });
         };
         if protocol == "http" {
-            shut.open(move |message| {
+            blocked.open(move |message| {
                 let is_check = message.path() == "/health";
-                note(is_check);
+                record_arrival(is_check);
                 Say::This(answer(if is_check { 503 } else { 200 }, "", "draining"))
             });
         } else {
-            calls::serve(shut.into_listener(), move |call| {
+            calls::serve(blocked.into_listener(), move |call| {
                 let is_check = call.class == "health";
-                note(is_check);
+                record_arrival(is_check);
                 if is_check {
                     return Err(ErrorReply::new(Code::TurnedAway, "it drains"));
                 }
                 Ok(bytes::Bytes::from_static(b"draining"))
             });
         }
-        Self(came)
+        Self(arrivals)
     }
 
-    /// Had the node been told that it drains when the first request came, if one did?
-    fn told_in_time(&self) -> bool {
-        let came = self.0.lock().expect("no panic");
-        let check = came.iter().find_map(|c| if let Came::Check(at) = c { Some(*at) } else { None });
-        let request = came.iter().find_map(|c| if let Came::Request(at) = c { Some(*at) } else { None });
+    /// Whether the node knew of the drain when the first request arrived, if one did.
+    fn drain_known_in_time(&self) -> bool {
+        let arrivals = self.0.lock().expect("no panic");
+        let check = arrivals.iter().find_map(|c| if let Arrival::Check(at) = c { Some(*at) } else { None });
+        let request =
+            arrivals.iter().find_map(|c| if let Arrival::Request(at) = c { Some(*at) } else { None });
         match (check, request) {
-            (Some(check), Some(request)) => check + TAKEN_WITHIN < request,
+            (Some(check), Some(request)) => check + CHECK_APPLIED_WITHIN < request,
             (check, None) => check.is_some(),
             (None, Some(_)) => false,
         }
     }
 
-    /// How many requests came, without checks.
+    /// The number of requests that arrived, without health checks.
     fn requests(&self) -> usize {
-        self.0.lock().expect("no panic").iter().filter(|came| matches!(came, Came::Request(_))).count()
+        self.0
+            .lock()
+            .expect("no panic")
+            .iter()
+            .filter(|arrival| matches!(arrival, Arrival::Request(_)))
+            .count()
     }
 }
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -1,4 +1,5 @@
-//! Rare moments at which something is still owed, or nothing any more: each test forces the bad order.
+//! Races between clients that leave, a node that stops, connections that come up late and a list service that
+//! stalls. Each test forces the unfavourable order of events.
 
 mod peers;
 
@@ -16,25 +17,27 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// An operator's file with these words, which lies as long as the process runs.
-fn operator(name: &str, words: &str) -> PathBuf {
+/// Writes an operator's file with this content and returns its path, which is distinct for each test process.
+fn operator_file(name: &str, content: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.toml", std::process::id()));
-    std::fs::write(&path, words).expect("a file");
+    std::fs::write(&path, content).expect("a file");
     path
 }
 
 const TRACE: &str = "[trace]\non = true\n";
 
-/// A node that writes down what it takes.
-fn traced(name: &str, config: &Value, more: &str) -> Node {
-    let operator = operator(name, &format!("{TRACE}{more}"));
+/// Starts a node with tracing on and waits until it is ready. The trace shows which requests the node has
+/// accepted.
+fn start_traced(name: &str, config: &Value, extra_settings: &str) -> Node {
+    let operator = operator_file(name, &format!("{TRACE}{extra_settings}"));
     let node = Node::started_with_operator(config, &operator).wait_listening();
     node.wait_ready();
     node
 }
 
-/// Settings under which a connection may come up late, and whoever waits for it is not given up on.
-fn patient(discovery: SocketAddr, cancel: bool) -> Value {
+/// Settings with a connect timeout of 50 s and deadlines of 60 s: requests may wait long for a connection
+/// without being given up. `cancel` says whether attempts may be cancelled.
+fn long_timeout_config(discovery: SocketAddr, cancel: bool) -> Value {
     let mut config = config(discovery);
     let settings = &mut config["settings"];
     settings["Limits"]["Cancel"] = json!(cancel);
@@ -46,34 +49,34 @@
     config
 }
 
-fn taken(node: &Node, count: usize) {
-    until("all are taken", || node.log_lines(" ask ") == count);
+fn wait_accepted(node: &Node, count: usize) {
+    until("all requests are accepted", || node.log_lines(" ask ") == count);
 }
 
-/// The node has no connection to that client any more.
-fn dropped(node: SocketAddr, client: SocketAddr) {
+/// Waits until the node has no connection to that client any more.
+fn wait_disconnected(node: SocketAddr, client: SocketAddr) {
     until("the node sees that its client left", || sockets(Some(node), Some(client)) == 0);
 }
 
-/// Opens the server, waits until no connection of the node's is on its way there, and has it serve one more request.
-/// Gives the ids of all that came.
-fn all_that_comes(node: &Node, shut: Shut) -> Vec<String> {
-    let address = shut.address;
-    let server = shut.open(|_| Say::This(answer(200, "", "served")));
-    until("nobody waits for it", || sockets(None, Some(address)) == 0 || !server.seen().is_empty());
+/// Opens the blocked server, waits until the node has no pending connection to it, and sends one more request
+/// through the node. Returns the ids of all requests that the server received.
+fn open_and_collect_ids(node: &Node, blocked: Shut) -> Vec<String> {
+    let address = blocked.address;
+    let server = blocked.open(|_| Say::This(answer(200, "", "served")));
+    until("no connection is pending", || sockets(None, Some(address)) == 0 || !server.seen().is_empty());
     assert_eq!(Client::to(node).ask(&request("look", "last", 30_000)).status(), 200);
     server.seen().iter().map(|m| m.header("x-txn").unwrap_or_default().to_string()).collect()
 }
 
-/// Over HTTP: 204 requests, some of which have their turn and wait for a connection that is coming up, while the others wait
-/// for a turn; their clients leave. None of them is sent, in whatever way its client left, and whether or not attempts may
-/// be cancelled: what was never sent can be.
+/// Over HTTP: of 204 requests, some wait for a connection that is being established and the others for a free
+/// slot when their clients leave. None of them is sent, however its client left and whether or not attempts
+/// may be cancelled, as a request that was never sent can always be dropped.
 #[test]
-fn whoever_left_while_it_waited_is_not_sent_on() {
+fn a_waiting_request_is_not_sent_once_its_client_has_left() {
     for (how, cancel) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let shut = Shut::new();
-        let registry = Registry::new(&[host("s0", shut.address, "active", 1)]);
-        let node = traced("left", &patient(registry.address, cancel), "");
+        let blocked = Shut::new();
+        let registry = Registry::new(&[host("s0", blocked.address, "active", 1)]);
+        let node = start_traced("left", &long_timeout_config(registry.address, cancel), "");
         let classes = ["look", "pay", "slip"].into_iter().cycle();
         let clients: Vec<Client> = classes
             .take(34)
@@ -84,51 +87,57 @@
                 client
             })
             .collect();
-        taken(&node, 34);
-        until("some have their turn", || shut.waiting() > 3);
+        wait_accepted(&node, 34);
+        until("some wait for a connection", || blocked.waiting() > 3);
         let addresses: Vec<SocketAddr> = clients.iter().map(Client::address).collect();
-        let _kept: Vec<_> = clients.into_iter().map(|client| how.by(client.stream())).collect();
-        addresses.into_iter().for_each(|client| dropped(node.address, client));
-        assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}, attempts may be cancelled: {cancel}");
+        let _still_open: Vec<_> = clients.into_iter().map(|client| how.by(client.stream())).collect();
+        addresses.into_iter().for_each(|client| wait_disconnected(node.address, client));
+        assert_eq!(
+            open_and_collect_ids(&node, blocked),
+            ["last"],
+            "{how:?}, attempts may be cancelled: {cancel}"
+        );
     }
 }
 
-/// The same over MessagePack-RPC, with 36 calls on one connection each time, to servers of either protocol.
+/// The same over MessagePack-RPC, with 36 calls on one connection in each case, to servers of either
+/// protocol.
 #[test]
-fn whoever_left_while_it_waited_is_not_sent_on_over_msgpack_rpc() {
-    for (how, marked) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let shut = Shut::new();
-        let mut listed = host("s0", shut.address, "active", 1);
-        if marked {
-            listed["dial"] = json!(format!("msgpack-rpc://{}", shut.address));
+fn a_waiting_request_is_not_sent_once_its_client_has_left_over_msgpack_rpc() {
+    for (how, server_speaks_rpc) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+        let blocked = Shut::new();
+        let mut server_entry = host("s0", blocked.address, "active", 1);
+        if server_speaks_rpc {
+            server_entry["dial"] = json!(format!("msgpack-rpc://{}", blocked.address));
         }
-        let registry = Registry::new(&[listed]);
-        let rpc = "[msgpack]\nlisten = '127.0.0.1:0'\nopen_calls = 36\n";
-        let node = traced("left-rpc", &patient(registry.address, false), rpc);
-        let at: SocketAddr = node.said("takes MessagePack-RPC at ").parse().expect("an address");
-        let mut stream = TcpStream::connect(at).expect("the node listens");
+        let registry = Registry::new(&[server_entry]);
+        let rpc_settings = "[msgpack]\nlisten = '127.0.0.1:0'\nopen_calls = 36\n";
+        let node = start_traced("left-rpc", &long_timeout_config(registry.address, false), rpc_settings);
+        let rpc_address: SocketAddr = node.said("takes MessagePack-RPC at ").parse().expect("an address");
+        let mut stream = TcpStream::connect(rpc_address).expect("the node listens");
         let client = stream.local_addr().expect("bound");
-        stream.write_all(&written_calls(36)).expect("the node reads");
-        taken(&node, 36);
-        until("some have their turn", || shut.waiting() > 0);
-        let _kept = how.by(stream);
-        dropped(at, client);
-        if marked {
-            // A connection stays on its way there, with no call on it: what comes first is none of theirs.
-            let address = shut.address;
-            let server = peer_of_calls(shut);
+        stream.write_all(&encode_calls(36)).expect("the node reads");
+        wait_accepted(&node, 36);
+        until("some wait for a connection", || blocked.waiting() > 0);
+        let _still_open = how.by(stream);
+        wait_disconnected(rpc_address, client);
+        if server_speaks_rpc {
+            // One connection stays pending without a call on it. The first call that arrives is none of the
+            // dropped ones.
+            let address = blocked.address;
+            let server = serve_rpc(blocked);
             assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
             assert_eq!(*server.lock().expect("no panic"), ["last"], "{how:?}");
-            until("one connection is enough", || sockets(None, Some(address)) <= 1);
+            until("at most one connection remains", || sockets(None, Some(address)) <= 1);
         } else {
-            assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}");
+            assert_eq!(open_and_collect_ids(&node, blocked), ["last"], "{how:?}");
         }
     }
 }
 
-/// So many calls as they go over the wire.
-fn written_calls(count: usize) -> Vec<u8> {
-    let mut machine = Connection::new(count, Bounds::default());
+/// Encodes `count` calls as they go over the wire.
+fn encode_calls(count: usize) -> Vec<u8> {
+    let mut connection = Connection::new(count, Bounds::default());
     for n in 0..count {
         let class = ["look", "pay", "slip"][n % 3].to_string();
         let call = Call {
@@ -138,18 +147,18 @@
             remaining_ms: Some(40_000),
             ..Call::default()
         };
-        machine.call(n, &call).expect("it fits");
+        connection.call(n, &call).expect("it fits");
     }
-    machine.output().flatten().copied().collect()
+    connection.output().flatten().copied().collect()
 }
 
-/// A server of MessagePack-RPC that serves all, and says whom.
-fn peer_of_calls(shut: Shut) -> Arc<Mutex<Vec<String>>> {
-    calls::serve(shut.into_listener(), |_| Ok(bytes::Bytes::from_static(b"served")))
+/// Starts a MessagePack-RPC server that serves every call, and returns the ids of the calls it receives.
+fn serve_rpc(blocked: Shut) -> Arc<Mutex<Vec<String>>> {
+    calls::serve(blocked.into_listener(), |_| Ok(bytes::Bytes::from_static(b"served")))
 }
 
-/// What stands behind a request that is being served, a whole one or a part of one, must not hide that the client left: it
-/// is seen while the first is out, and the second is never sent.
+/// A pipelined request, whole or partial, behind one that is being served must not hide that the client left:
+/// the node notices it while the first request is pending, and never sends the second.
 #[test]
 fn a_request_behind_another_does_not_hide_that_its_client_left() {
     for (how, cancel, whole) in Leaving::ALL
@@ -157,25 +166,25 @@
         .flat_map(|how| [(how, false), (how, true)])
         .flat_map(|(how, cancel)| [(how, cancel, false), (how, cancel, true)])
     {
-        let gate = Arc::new(AtomicBool::new(false));
-        let opened = gate.clone();
+        let first_may_end = Arc::new(AtomicBool::new(false));
+        let released = first_may_end.clone();
         let server = Peer::new(move |message| {
             if message.header("x-txn") == Some("first") {
-                until("the gate opens", || opened.load(Ordering::SeqCst));
+                until("the first request may end", || released.load(Ordering::SeqCst));
             }
             Say::This(answer(200, "", "served"))
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let node = Node::ready(&patient(registry.address, cancel));
+        let node = Node::ready(&long_timeout_config(registry.address, cancel));
         let mut client = Client::to(&node);
         let second = request("slip", "second", 40_000);
-        let behind = if whole { &second[..] } else { &second[..second.len() / 2] };
-        client.send(&format!("{}{behind}", request("look", "first", 40_000)));
-        until("the first is out", || server.seen().len() == 1);
+        let pipelined = if whole { &second[..] } else { &second[..second.len() / 2] };
+        client.send(&format!("{}{pipelined}", request("look", "first", 40_000)));
+        until("the first request is sent", || server.seen().len() == 1);
         let address = client.address();
-        let _kept = how.by(client.stream());
-        dropped(node.address, address);
-        gate.store(true, Ordering::SeqCst);
+        let _still_open = how.by(client.stream());
+        wait_disconnected(node.address, address);
+        first_may_end.store(true, Ordering::SeqCst);
         assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
         let ids: Vec<String> =
             server.seen().iter().filter_map(|m| m.header("x-txn").map(str::to_string)).collect();
@@ -183,35 +192,35 @@
     }
 }
 
-/// A body that is too long to be held goes on while it comes. Its client leaves while what came of it waits for a connection,
-/// and the rest stands unread in front of the end.
+/// A body too long to be buffered is forwarded while it arrives. Its client leaves while the part that has
+/// arrived waits for a connection and the rest is still unread, ahead of the end of the stream.
 #[test]
 fn a_body_that_waits_half_read_does_not_hide_that_its_client_left() {
     for how in Leaving::ALL {
-        let shut = Shut::new();
-        let registry = Registry::new(&[host("s0", shut.address, "active", 1)]);
-        let mut config = patient(registry.address, false);
-        // A quarter of it may be taken by bodies.
+        let blocked = Shut::new();
+        let registry = Registry::new(&[host("s0", blocked.address, "active", 1)]);
+        let mut config = long_timeout_config(registry.address, false);
+        // Bodies may take a quarter of this.
         config["limits"]["memory_mb"] = json!(8);
-        let node = traced("body", &config, "");
+        let node = start_traced("body", &config, "");
         let client = Client::to(&node);
         let address = client.address();
         let mut stream = client.stream();
         let head = request("slip", "long", 40_000).replace("Content-Length: 4", "Content-Length: 6000000");
         stream.write_all(head.as_bytes()).expect("the node reads");
-        // More than is read before anybody wants it, and less than the kernel holds: what it can't hold would keep the end
-        // of it at the client.
+        // More than the node reads ahead, and less than the kernel buffers: otherwise the end of the stream
+        // would not leave the client.
         stream.write_all(&[b'x'; 60_000]).expect("the node reads");
-        taken(&node, 1);
-        until("it has its turn", || shut.waiting() == 1);
-        let _kept = how.by(stream);
-        dropped(node.address, address);
-        assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}");
+        wait_accepted(&node, 1);
+        until("it waits for a connection", || blocked.waiting() == 1);
+        let _still_open = how.by(stream);
+        wait_disconnected(node.address, address);
+        assert_eq!(open_and_collect_ids(&node, blocked), ["last"], "{how:?}");
     }
 }
 
-/// Connections that the kernel has taken and the node has not when it is told to stop, twice, each with a request: all are
-/// accepted and answered.
+/// Connections are in the kernel's backlog, each with a request, when the node receives SIGTERM twice: all of
+/// them are accepted and answered.
 #[test]
 fn what_stands_in_the_backlog_at_sigterm_is_answered() {
     let server = Peer::good("served");
@@ -233,37 +242,36 @@
     assert_eq!(server.seen().len(), 20, "each once");
 }
 
-/// The node is told to stop, twice and beside a new configuration, with one request half read, one that waits for its
-/// connection and one that its server does not answer. Each has one answer before the node ends, and what had not been sent
-/// is not sent.
+/// The node receives SIGTERM twice and a new configuration, while one request is half read, one waits for its
+/// connection and one is not answered by its server. Each gets exactly one answer before the node exits, and
+/// a request that had not been sent is not sent.
 #[test]
 fn each_request_has_one_answer_at_sigterm_whatever_its_state() {
-    let shut = Shut::new();
+    let blocked = Shut::new();
     let server = Peer::new(|message| match message.header("x-txn") {
         Some("sent") => Say::Nothing,
         _ => Say::This(answer(200, "", "served")),
     });
-    let (s0, s1) = (host("s0", server.address, "active", 1), host("s1", shut.address, "active", 1));
+    let (s0, s1) = (host("s0", server.address, "active", 1), host("s1", blocked.address, "active", 1));
     let registry = Registry::new(std::slice::from_ref(&s0));
-    let config = patient(registry.address, false);
-    let mut node = traced("sigterm", &config, "");
+    let config = long_timeout_config(registry.address, false);
+    let mut node = start_traced("sigterm", &config, "");
     let mut sent = Client::to(&node);
     sent.send(&request("slip", "sent", 40_000));
     until("it is sent", || server.seen().len() == 1);
-    // From now on all goes to the one that lets nobody in.
+    // From now on all requests go to the server that accepts no connection.
     registry.tell(2, std::slice::from_ref(&s1), &[host("s0", server.address, "left", 1), s1.clone()]);
-    let mut waits: Vec<Client> = Vec::new();
+    let mut waiting_clients: Vec<Client> = Vec::new();
     until("some wait for their connection", || {
         let mut client = Client::to(&node);
-        client.send(&request("slip", &format!("w{}", waits.len()), 40_000));
-        waits.push(client);
-        shut.waiting() > 0
+        client.send(&request("slip", &format!("w{}", waiting_clients.len()), 40_000));
+        waiting_clients.push(client);
+        blocked.waiting() > 0
     });
-    // A new connection may say nothing for 1.8 s, and a body may pause for 2.2 s: what else is made ready first is not
-    // counted.
+    // Created last, as a new connection may stay silent for 1.8 s only, and a body may pause for 2.2 s.
     let mut half = Client::to(&node);
-    let words = request("slip", "half", 40_000);
-    let (first, rest) = words.split_at(words.len() - 1);
+    let request_text = request("slip", "half", 40_000);
+    let (first, rest) = request_text.split_at(request_text.len() - 1);
     half.send(first);
     let began = Instant::now();
     node.terminate();
@@ -280,25 +288,25 @@
             node.log_of(|_| true).join("\n")
         );
     }
-    for client in &mut waits {
+    for client in &mut waiting_clients {
         let answer = client.hear().expect("an answer");
-        // The first of them may have gone to the other server, before the node was told that it left.
+        // The first ones may have gone to the other server before the node learned that it had left.
         assert!([200, 502, 503].contains(&answer.status()), "{}", answer.head);
     }
     assert_eq!(node.exit_code(), Some(0));
-    // Nothing is left on its way to the one that let nobody in.
-    assert_eq!(shut.waiting(), 0);
+    // No connection to the server that accepts none is still pending.
+    assert_eq!(blocked.waiting(), 0);
     let unsafe_sends = server.seen().iter().filter(|m| m.header("x-txn") == Some("sent")).count();
     assert_eq!(unsafe_sends, 1);
 }
 
-/// A stopping node is held up through the time in which it would have failed what is open: that is answered all the same, and
-/// before SIGKILL may come.
+/// A stopping node is suspended past the time at which it fails its open requests: it answers them all the
+/// same, and before SIGKILL may come.
 #[test]
 fn a_stopping_node_that_was_held_up_answers_what_is_open() {
     let server = Peer::new(|_| Say::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    let mut node = Node::ready(&patient(registry.address, false));
+    let mut node = Node::ready(&long_timeout_config(registry.address, false));
     let mut clients: Vec<Client> = ["look", "pay", "slip"]
         .iter()
         .map(|class| {
@@ -307,42 +315,48 @@
             client
         })
         .collect();
-    until("they are sent", || server.seen().len() == 3);
+    until("the requests are sent", || server.seen().len() == 3);
     node.terminate();
     node.wait_said("stops");
-    let told = Instant::now();
-    // What is open is failed 3.2 s after it was told to stop, the process ends after 3.5 s, and SIGKILL may come after 3.7 s.
+    let stopping_since = Instant::now();
+    // Open requests are failed 3.2 s after SIGTERM, the process exits after 3.5 s, and SIGKILL may come after
+    // 3.7 s.
     std::thread::sleep(Duration::from_millis(3100));
     node.stand_still();
-    let held_until = Duration::from_millis(3510);
-    std::thread::sleep(held_until.saturating_sub(told.elapsed()));
+    let suspended_until = Duration::from_millis(3510);
+    std::thread::sleep(suspended_until.saturating_sub(stopping_since.elapsed()));
     node.go_on();
-    // How late this test is by now is not the node's affair.
-    let went_on = Instant::now();
+    // Measured from here, so that a delay of this test so far does not count against the node.
+    let resumed_at = Instant::now();
     for client in &mut clients {
         assert_eq!(client.hear().map(|answer| answer.status()), Some(502));
     }
     assert_eq!(node.exit_code(), Some(0));
-    assert!(went_on.elapsed() < Duration::from_millis(3700) - held_until, "{:?}", went_on.elapsed());
+    assert!(
+        resumed_at.elapsed() < Duration::from_millis(3700) - suspended_until,
+        "{:?}",
+        resumed_at.elapsed()
+    );
 }
 
-/// When a stopping node fails what is still open it takes nothing more: a request that becomes whole then is refused at
-/// once, which tells its client that it may try elsewhere, and reaches no server.
+/// Once a stopping node fails its open requests it accepts no more: a request that arrives in full then is
+/// refused at once, which tells its client that it may try elsewhere, and reaches no server.
 #[test]
-fn what_comes_when_a_stopping_node_fails_the_rest_is_refused() {
+fn a_request_that_arrives_while_a_stopping_node_fails_the_rest_is_refused() {
     let server = Peer::new(|_| Say::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut open = Client::to(&node);
     open.send(&request("slip", "open", 25_000));
-    until("the attempt is out", || server.seen().len() == 1);
+    until("the attempt is sent", || server.seen().len() == 1);
     node.terminate();
     node.wait_said("stops");
-    // It has its time to come whole, which begins after the node was told to stop.
+    // The time that the next request has to arrive in full begins well after SIGTERM, so it does not run out
+    // first.
     std::thread::sleep(Duration::from_millis(1500));
     let mut late = Client::to(&node);
-    let words = request("slip", "late", 25_000);
-    let (first, rest) = words.split_at(words.len() - 1);
+    let request_text = request("slip", "late", 25_000);
+    let (first, rest) = request_text.split_at(request_text.len() - 1);
     late.send(first);
     assert_eq!(open.hear().expect("an answer").status(), 502);
     let refused = late.ask(rest);
@@ -351,32 +365,32 @@
     assert_eq!(server.seen().len(), 1, "{:?}", server.seen());
 }
 
-/// An answer comes before the request's last byte has gone out: it is to something else, as a server begins with the last
-/// byte. The request never ran there, and is served by another.
+/// An answer that arrives before the last byte of the request was sent belongs to something else, as a server
+/// starts work only with the last byte. The request never ran there, and another server serves it.
 #[test]
 fn an_answer_ahead_of_its_request_is_not_passed_on() {
     let good = Peer::good("good");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let hasty = listener.local_addr().expect("bound");
-    let came = Arc::new(AtomicBool::new(false));
-    let seen = came.clone();
+    let early_server = listener.local_addr().expect("bound");
+    let was_tried = Arc::new(AtomicBool::new(false));
+    let seen = was_tried.clone();
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut connections = Vec::new();
         for mut stream in listener.incoming().flatten() {
             let mut head = [0; 16];
-            // It reads no further: more than the kernel takes stays at the node.
+            // Reads no further: the part of the request that exceeds the kernel's buffers stays at the node.
             if stream.read(&mut head).is_ok_and(|n| n > 0) {
                 seen.store(true, Ordering::SeqCst);
-                let _ = stream.write_all(&answer(200, "", "hasty"));
+                let _ = stream.write_all(&answer(200, "", "early"));
             }
-            kept.push(stream);
+            connections.push(stream);
         }
     });
-    let hosts = [host("s0", hasty, "active", 1), host("s1", good.address, "active", 1)];
+    let hosts = [host("s0", early_server, "active", 1), host("s1", good.address, "active", 1)];
     let registry = Registry::new(&hosts);
-    let node = Node::ready(&patient(registry.address, true));
-    let words = request("slip", "t", 30_000).replace("Content-Length: 4", "Content-Length: 16000000");
-    let long = words + &"x".repeat(16_000_000 - 4);
+    let node = Node::ready(&long_timeout_config(registry.address, true));
+    let request_text = request("slip", "t", 30_000).replace("Content-Length: 4", "Content-Length: 16000000");
+    let long = request_text + &"x".repeat(16_000_000 - 4);
     for _ in 0..4 {
         let mut client = Client::to(&node);
         assert_eq!(
@@ -384,14 +398,15 @@
             b"good"
         );
     }
-    assert!(came.load(Ordering::SeqCst), "the hasty one had its turn");
+    assert!(was_tried.load(Ordering::SeqCst), "the early server was tried");
 }
 
-/// The first one brings what can't be read, so that the whole list is asked for; later ones stand.
-fn watch_that_begins_spoilt(to: &mut TcpStream, before: usize) -> std::io::Result<()> {
+/// The first watch sends a line that cannot be parsed, so that the node asks for the whole list; later
+/// watches stay open and send heartbeats.
+fn watch_with_invalid_start(to: &mut TcpStream, earlier_calls: usize) -> std::io::Result<()> {
     to.write_all(WATCH)?;
-    if before == 0 {
-        return chunk(to, "spoilt\n");
+    if earlier_calls == 0 {
+        return chunk(to, "broken\n");
     }
     stand(to)
 }
@@ -401,93 +416,95 @@
     serde_json::to_string_pretty(&value).expect("JSON")
 }
 
-/// The answer to a call for the whole list comes byte by byte and never ends: the call is due as a whole.
+/// The answer to a call for the whole list arrives byte by byte and never ends: the timeout covers the call
+/// as a whole.
 #[test]
-fn a_whole_list_that_trickles_is_asked_for_anew() {
+fn a_whole_list_that_trickles_is_requested_again() {
     let server = Peer::good("served");
     let list = line(1, true, &[host("s0", server.address, "active", 1)]);
-    let lists = Lists::new(move |path, before, to| {
+    let lists = Lists::new(move |path, earlier_calls, to| {
         if path.contains("watch") {
-            return watch_that_begins_spoilt(to, before);
+            return watch_with_invalid_start(to, earlier_calls);
         }
-        if before > 0 {
+        if earlier_calls > 0 {
             return to.write_all(&answer(200, "", &list));
         }
         to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")?;
         trickle(to, |to| to.write_all(b" "))
     });
     let mut config = config(lists.address);
-    // The module would ask anew by then whatever a call does.
+    // After this time the node would ask again whatever became of the call; it is longer than the test takes.
     config["settings"]["Contract"]["AskWithin"] = json!(60_000.0);
     let node = Node::ready(&config);
-    until("the list has come", || Client::to(&node).ask(&request("look", "t1", 9000)).status() == 200);
+    until("the list has arrived", || Client::to(&node).ask(&request("look", "t1", 9000)).status() == 200);
     assert_eq!(
         lists.calls.lock().expect("no panic").iter().filter(|path| !path.contains("watch")).count(),
         2
     );
 }
 
-/// A watch brings bytes and never a message, from its opening on or behind a first one, between two or within one: bytes are
-/// no sign of life. It is opened anew within the 6 s after which what it misses counts as told.
+/// A watch delivers bytes but never a complete message, from its opening or after a first one, between
+/// messages or within one: bytes alone are no heartbeat. The watch is reopened within 6 s, after which the
+/// node must know what it missed.
 #[test]
-fn a_watch_that_trickles_is_opened_anew() {
-    for (first, piece) in [(false, " "), (true, " "), (true, "[")] {
+fn a_watch_that_trickles_is_reopened() {
+    for (heartbeat_first, piece) in [(false, " "), (true, " "), (true, "[")] {
         let server = Peer::good("served");
         let list = line(1, true, &[host("s0", server.address, "active", 1)]);
-        let last: Arc<Mutex<Option<Instant>>> = Arc::default();
-        let said = last.clone();
-        let lists = Lists::new(move |path, before, to| {
+        let trickles_since: Arc<Mutex<Option<Instant>>> = Arc::default();
+        let noted_at = trickles_since.clone();
+        let lists = Lists::new(move |path, earlier_calls, to| {
             if !path.contains("watch") {
                 return to.write_all(&answer(200, "", &list));
             }
             to.write_all(WATCH)?;
-            if before > 0 {
+            if earlier_calls > 0 {
                 return stand(to);
             }
-            if first {
+            if heartbeat_first {
                 chunk(to, "\n")?;
             }
-            *said.lock().expect("no panic") = Some(Instant::now());
+            *noted_at.lock().expect("no panic") = Some(Instant::now());
             trickle(to, |to| chunk(to, piece))
         });
         let _node = Node::ready(&config(lists.address));
-        until("the watch is opened anew", || lists.watches() > 1);
-        let since = last.lock().expect("no panic").expect("a watch").elapsed();
-        assert!(since < Duration::from_secs(6), "after {since:?}");
+        until("the watch is reopened", || lists.watches() > 1);
+        let reopened_after = trickles_since.lock().expect("no panic").expect("a watch").elapsed();
+        assert!(reopened_after < Duration::from_secs(6), "reopened after {reopened_after:?}");
     }
 }
 
-/// A list may be indented, in a whole answer and on a watch, and then one object goes over many lines.
+/// A list may be indented, in a whole answer as well as on a watch, so that one object spans many lines.
 #[test]
 fn an_indented_list_is_read() {
     let (a, b) = (Peer::good("a"), Peer::good("b"));
     let entry = |name: &str, peer: &Peer, health: &str| host(name, peer.address, health, 1);
     let whole = pretty(&line(1, true, &[entry("a", &a, "active")]));
-    let news = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
-    let lists = Lists::new(move |path, before, to| {
+    let update = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
+    let lists = Lists::new(move |path, earlier_calls, to| {
         if !path.contains("watch") {
             return to.write_all(&answer(200, "", &whole));
         }
-        if before == 0 {
-            return watch_that_begins_spoilt(to, before);
+        if earlier_calls == 0 {
+            return watch_with_invalid_start(to, earlier_calls);
         }
         to.write_all(WATCH)?;
         chunk(to, &format!("{whole}\n"))?;
-        // In two pieces, cut behind a line.
-        let (first, rest) = news.split_at(news.find('\n').expect("lines") + 1);
+        // In two chunks, split at the end of a line.
+        let (first, rest) = update.split_at(update.find('\n').expect("lines") + 1);
         chunk(to, first)?;
         chunk(to, &format!("{rest}\n"))?;
         stand(to)
     });
     let node = Node::ready(&config(lists.address));
-    until("the news count", || Client::to(&node).ask(&request("look", "t1", 9000)).body == b"b");
+    until("the update is applied", || Client::to(&node).ask(&request("look", "t1", 9000)).body == b"b");
     assert_eq!((lists.watches(), node.log_lines("is not taken")), (2, 1));
 }
 
-/// Discovery moves while a call to the old address is out that is never answered, whether the list is asked for or pushed: what
-/// the new one says counts within 4 s of the signal.
+/// Discovery moves to another address while a call to the old one is pending and never answered, in both
+/// discovery modes: the list at the new address takes effect within 4 s of the signal.
 #[test]
-fn a_call_that_is_out_does_not_hold_up_a_move_of_discovery() {
+fn a_pending_call_does_not_delay_a_move_of_discovery() {
     for mode in ["subscribe", "automatic"] {
         let (a, b) = (Peer::good("a"), Peer::good("b"));
         let [at_a, at_b] = [&a, &b].map(|peer| host("s0", peer.address, "active", 1));
@@ -499,24 +516,25 @@
         let node = Node::ready(&config);
         let ask = || Client::to(&node).ask(&request("look", "t1", 9000)).body;
         assert_eq!(ask(), b"a", "{mode}");
-        until("the call is out", || !old.calls.lock().expect("no panic").is_empty());
+        until("the call is pending", || !old.calls.lock().expect("no panic").is_empty());
         config["discovery"] = json!(new.address.to_string());
-        let moved = Instant::now();
+        let moved_at = Instant::now();
         node.reload(&config.to_string());
-        until("the new list counts", || ask() == b"b");
-        assert!(moved.elapsed() < Duration::from_secs(4), "{mode}: after {:?}", moved.elapsed());
+        until("the new list is in use", || ask() == b"b");
+        assert!(moved_at.elapsed() < Duration::from_secs(4), "{mode}: after {:?}", moved_at.elapsed());
     }
 }
 
-/// Guards against a keyed request that is repeated after its servers have forgotten it, as its connection came up late.
+/// Guards against a keyed request being sent again after its servers have forgotten its key, because the
+/// connection for the second attempt came up late.
 #[test]
 fn a_repeat_that_waits_for_its_connection_is_not_written_once_its_key_is_forgotten() {
     let first = Peer::new(|message| match message.path() {
         "/health" => Say::This(answer(200, "", "")),
         _ => Say::Last(Vec::new()),
     });
-    let shut = Shut::new();
-    let hosts = [host("s0", first.address, "active", 1), host("s1", shut.address, "active", 1)];
+    let blocked = Shut::new();
+    let hosts = [host("s0", first.address, "active", 1), host("s1", blocked.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(20_000.0);
@@ -526,15 +544,18 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&request("pay", &format!("t{number}"), 15_000).replace("k1", &format!("k{number}")));
     }
-    // One that began at the server that lets nobody in yet may be written there.
-    until("a repeat waits", || !first.seen().is_empty() && shut.waiting() > 0);
-    let forgotten = Instant::now() + Duration::from_millis(700);
-    std::thread::sleep(forgotten.saturating_duration_since(Instant::now()));
+    // A request whose first attempt is at the blocked server may still be sent there.
+    until("a second attempt waits for its connection", || !first.seen().is_empty() && blocked.waiting() > 0);
+    let forgotten_at = Instant::now() + Duration::from_millis(700);
+    std::thread::sleep(forgotten_at.saturating_duration_since(Instant::now()));
     let ran: Vec<String> =
         first.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
-    let late = shut.open(|_| Say::This(answer(200, "", "late")));
+    let late = blocked.open(|_| Say::This(answer(200, "", "late")));
     clients.iter_mut().for_each(|client| drop(client.hear()));
     let again: Vec<String> =
         late.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
-    assert!(ran.iter().all(|id| !again.contains(id)), "at the first {ran:?}, then {again:?}");
+    assert!(
+        ran.iter().all(|id| !again.contains(id)),
+        "ran at the first server: {ran:?}, then at the second: {again:?}"
+    );
 }
--- a/crates/node/tests/list_change.rs
+++ b/crates/node/tests/list_change.rs
@@ -1,4 +1,5 @@
-//! What a change of one server costs a whole node, from the watch's line to the decision, where very many are listed.
+//! The processor time that a change of one server costs a whole node, from the line on the watch to the
+//! decision, when very many servers are listed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +13,9 @@
 const SERVERS: usize = 13_000;
 const NODES: usize = 1_300;
 const CHANGES: u32 = 20;
-/// Processor time of a change in a build without optimisation: what looks at each listed server takes several times as much (14 ms was seen).
-const MOST: Duration = Duration::from_millis(8);
+/// The most processor time per change in a build without optimisation. Code that looks at each listed server
+/// takes several times what a change normally costs: 14 ms was measured.
+const MAX_TIME_PER_CHANGE: Duration = Duration::from_millis(8);
 
 fn entry(number: usize, health: &str) -> Value {
     let address = SocketAddr::from(([127, 0, (number >> 8) as u8, number as u8], 9));
@@ -31,16 +33,16 @@
         Node::start(&program, &config("n0", discovery.address, settings), Some("[trace]\non = true\n"));
     node.wait_ready();
     let entries = || node.log().iter().filter(|line| line.contains(" entry ")).count();
-    let changed = |count: usize| until("the change is taken", || entries() == count);
-    // The first ones find the whole list just read.
+    let wait_applied = |count: usize| until("the change is applied", || entries() == count);
+    // Not measured: the first changes meet a list that has only just been read.
     (0..2).for_each(|number| discovery.tell(entry(SERVERS / 2 + number, "leaving")));
-    changed(2);
+    wait_applied(2);
     let before = node.processor_time();
     for number in 0..CHANGES as usize {
         discovery.tell(entry(SERVERS / 3 + number, "leaving"));
-        changed(3 + number);
+        wait_applied(3 + number);
     }
     let spent = (node.processor_time() - before) / CHANGES;
-    println!("{spent:?} a change");
-    assert!(spent < MOST, "{spent:?} a change");
+    println!("{spent:?} per change");
+    assert!(spent < MAX_TIME_PER_CHANGE, "{spent:?} per change");
 }
