--- a/crates/node/tests/fleet_size.rs
+++ b/crates/node/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! What a node that is one of many must do by itself, on the real program.
+//! What each node of a large fleet must handle by itself, tested on the real program.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -14,7 +14,7 @@
 use glenwood_trace::Tables;
 use serde_json::{json, Value};
 
-fn server() -> StandIn {
+fn start_server() -> StandIn {
     let script: Script = Arc::new(|_| Step::Serve);
     let identity = Identity { name: "s0".into(), cell: 0, protocol: Protocol::Http };
     StandIn::start(identity, script, Ledger::new(Duration::from_secs(8)))
@@ -24,21 +24,22 @@
     Program::new(env!("CARGO_BIN_EXE_glenwood"))
 }
 
-/// Guards a release that killed seven in ten nodes: those that discovery could not answer at once said for 2.5 s that they
-/// were not ready, though they had a list, and the three others were sent everything.
+/// Guards against a failure in which a release killed seven in ten nodes: nodes that discovery could not
+/// answer at once reported for 2.5 s that they were not ready, though they had a list, and the other three
+/// received all requests.
 #[test]
 fn a_node_with_a_saved_list_is_ready_before_discovery_answers() {
-    let server = server();
-    // Takes calls, and never says a word.
+    let server = start_server();
+    // Accepts connections and never answers.
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let mut told = config("n0", silent.local_addr().expect("bound"), settings(400.0));
-    told["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
-    let node = Node::start(&program(), &told, None);
-    assert!(node.says_ready(), "to the first that asks");
+    let mut node_config = config("n0", silent.local_addr().expect("bound"), settings(400.0));
+    node_config["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
+    let node = Node::start(&program(), &node_config, None);
+    assert!(node.says_ready(), "at the first readiness check");
     assert!(served(&node, "t1"));
 }
 
-/// Without a list there is nothing to be ready with.
+/// A node that has no list has no server to send requests to, so it is not ready.
 #[test]
 fn a_node_without_a_list_waits_for_discovery() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -47,14 +48,15 @@
     assert!(!node.says_ready());
 }
 
-/// What the operator's file switches on is enough to count what a fleet does; without it nothing is said.
+/// The trace that the operator's file switches on is enough to count what a fleet does; without it no trace
+/// is written.
 #[test]
 fn a_trace_tells_of_calls_connections_attempts_and_answers() {
-    let server = server();
+    let server = start_server();
     let discovery = Discovery::start(&[active(&server)]);
-    let told = config("n0", discovery.address, settings(400.0));
+    let node_config = config("n0", discovery.address, settings(400.0));
     for (operator, on) in [(Some("[trace]\non = true\n"), true), (Some("[trace]\n"), false), (None, false)] {
-        let node = Node::start(&program(), &told, operator);
+        let node = Node::start(&program(), &node_config, operator);
         node.wait_ready();
         for n in 0..3 {
             assert!(served(&node, &format!("t{n}")));
@@ -70,18 +72,18 @@
             assert_eq!(count(&node).0, 0);
             continue;
         }
-        until("all is written", || count(&node).1 .0.values().map(|s| s.answers[0]).sum::<usize>() == 3);
+        until("all is traced", || count(&node).1 .0.values().map(|s| s.answers[0]).sum::<usize>() == 3);
         let (_, (seconds, servers)) = count(&node);
-        let sum = |of: fn(&glenwood_trace::Second) -> usize| seconds.values().map(of).sum::<usize>();
+        let sum = |field: fn(&glenwood_trace::Second) -> usize| seconds.values().map(field).sum::<usize>();
         assert_eq!((sum(|s| s.asked), sum(|s| s.sends.0), sum(|s| s.sends.1)), (3, 3, 0));
         assert!(sum(|s| s.calls.0) >= 1 && sum(|s| s.lists) >= 1);
-        let of = &servers["s0"];
-        assert_eq!((of.sends, of.done.0, of.connects), (3, 3, 1), "kept connections are not opened again");
+        let totals = &servers["s0"];
+        assert_eq!((totals.sends, totals.done.0, totals.connects), (3, 3, 1), "idle connections are reused");
     }
 }
 
-/// A discovery that answers each call with the bytes that `script` makes of the call's number and path, and closes; an empty
-/// answer is a reset.
+/// A discovery service that answers each call with the bytes that `script` returns for the call's number and
+/// path, and then closes the connection; an empty answer amounts to a reset.
 struct Scripted {
     address: std::net::SocketAddr,
     calls: Arc<Mutex<Vec<String>>>,
@@ -106,7 +108,7 @@
                     seen.push(path.clone());
                     seen.len()
                 };
-                // A node that has given the call up is not waited for.
+                // Fails if the node has given up the call, which is fine.
                 let _ = stream.write_all(&script(number, &path));
             }
         });
@@ -135,11 +137,12 @@
     matches!(ask_once(Protocol::Http, node.address, &ask).0, Answer::Served(_))
 }
 
-/// Guards the rule on drains where discovery breaks off answers: a node that then waited with the patience that a jam asks
-/// for, 7 s, sent on to servers that it would have been told to leave. Here each of many cuts would cost that patience.
+/// Guards the rule on drains when discovery cuts answers off: a node that then waited for 7 s, as it does
+/// before an overloaded service, kept sending to servers that it would have been told to leave. Here each of
+/// many cuts would cost that wait.
 #[test]
 fn an_answer_that_is_cut_off_anywhere_is_asked_for_again_at_once_and_changes_nothing() {
-    let server = server();
+    let server = start_server();
     let whole = chunked(&[list(
         42,
         false,
@@ -147,25 +150,26 @@
         "block": 0, "health": "leaving", "share": 1.0, "born_ms": 0})],
     )]);
     let head = whole.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-    // From the first byte behind the head to the last one ahead of the line's end.
+    // From the first byte after the head to the last one before the end of the line.
     let cuts: Vec<usize> = (head..whole.len() - 3).step_by(30).collect();
-    let many = cuts.len();
-    let discovery = Scripted::new(move |number, _| whole[..cuts[(number - 1) % many]].to_vec());
-    let mut told = config("n0", discovery.address, settings(400.0));
-    told["settings"]["PeersTotal"] = 100.into();
-    told["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
-    let node = Node::start(&program(), &told, None);
-    until("all cuts were tried", || discovery.count() > many);
-    assert!(served(&node, "t1"), "the list is as it was");
-    let said = node.log().iter().filter(|line| line.contains("cut off")).count();
-    assert!(said >= 1, "{:?}", node.log());
+    let cut_count = cuts.len();
+    let discovery = Scripted::new(move |number, _| whole[..cuts[(number - 1) % cut_count]].to_vec());
+    let mut node_config = config("n0", discovery.address, settings(400.0));
+    node_config["settings"]["PeersTotal"] = 100.into();
+    node_config["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
+    let node = Node::start(&program(), &node_config, None);
+    until("all cuts were tried", || discovery.count() > cut_count);
+    assert!(served(&node, "t1"), "the list is unchanged");
+    let reports = node.log().iter().filter(|line| line.contains("cut off")).count();
+    assert!(reports >= 1, "{:?}", node.log());
     assert!(discovery.calls.lock().expect("no panic").iter().all(|path| path.contains("from=41")));
 }
 
-/// A list that is empty, older than what is known or can't be read leaves the list as it is, and is said once.
+/// A list that is empty, older than the known one or unreadable leaves the known list as it is, and is logged
+/// once.
 #[test]
-fn bad_lists_change_nothing_and_each_is_said_once() {
-    let server = server();
+fn bad_lists_change_nothing_and_each_is_logged_once() {
+    let server = start_server();
     let good = active(&server);
     let mut gone = good.clone();
     gone["dial"] = "127.0.0.1:1".into();
@@ -178,25 +182,32 @@
         ("status 503", b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec()),
         ("discovery:", Vec::new()),
     ];
-    for (words, bytes) in bad {
+    for (expected_log, bytes) in bad {
         let discovery = Scripted::new(move |_, _| bytes.clone());
-        let mut told = config("n0", discovery.address, settings(400.0));
-        told["known"] = json!({"seq": 41, "whole": true, "hosts": [good]});
-        // A node that is alone asks again soon after a failure of any kind.
-        let node = Node::start(&program(), &told, None);
-        // An old list that came twice in a row would be a service that counts anew; that is another test's.
+        let mut node_config = config("n0", discovery.address, settings(400.0));
+        node_config["known"] = json!({"seq": 41, "whole": true, "hosts": [good]});
+        // A single node asks again soon after any failure.
+        let node = Node::start(&program(), &node_config, None);
+        // Stops at the first report: an old list received twice in a row means a service that restarted its
+        // numbering, which another test covers.
         until("it was called", || {
-            discovery.count() >= 1 && node.log().iter().any(|line| line.contains(words))
+            discovery.count() >= 1 && node.log().iter().any(|line| line.contains(expected_log))
         });
-        assert!(served(&node, "t1"), "{words}: the list is as it was");
-        assert_eq!(node.log().iter().filter(|line| line.contains(words)).count(), 1, "{:?}", node.log());
+        assert!(served(&node, "t1"), "{expected_log}: the list is unchanged");
+        assert_eq!(
+            node.log().iter().filter(|line| line.contains(expected_log)).count(),
+            1,
+            "{:?}",
+            node.log()
+        );
     }
 }
 
-/// 5,000 names at one address, as after a fault of whoever writes the list: the node serves, and does not grow.
+/// 5,000 names at one address, as after a fault in the system that writes the list: the node serves and keeps
+/// running.
 #[test]
 fn a_list_of_five_thousand_names_at_one_address_serves() {
-    let server = server();
+    let server = start_server();
     let hosts: Vec<Value> = (0..5000)
         .map(|n| {
             let mut host = active(&server);
@@ -205,9 +216,9 @@
         })
         .collect();
     let discovery = Discovery::start(&hosts);
-    let mut told = config("n0", discovery.address, settings(5000.0));
-    told["settings"]["PeersTotal"] = 400.into();
-    let mut node = Node::start(&program(), &told, None);
+    let mut node_config = config("n0", discovery.address, settings(5000.0));
+    node_config["settings"]["PeersTotal"] = 400.into();
+    let mut node = Node::start(&program(), &node_config, None);
     node.wait_ready();
     for n in 0..50 {
         assert!(served(&node, &format!("t{n}")), "{n}");
@@ -215,8 +226,8 @@
     assert!(node.running());
 }
 
-/// Guards a release that the list tells of late, on sockets: a server that turns all away, as for too many connections or as
-/// it drains, is probed after two, and left alone after two more.
+/// Guards a release that the list reports late, over real sockets: a server that turns all requests away,
+/// because it has too many connections or drains, is probed after two of them and avoided after two more.
 #[test]
 fn a_server_that_turns_away_is_soon_left_alone() {
     let tried = Arc::new(Mutex::new(0));
@@ -226,14 +237,14 @@
         Step::TurnAway
     });
     let identity = Identity { name: "s1".into(), cell: 0, protocol: Protocol::Http };
-    let away = StandIn::start(identity, script, Ledger::new(Duration::from_secs(8)));
-    let good = server();
-    let discovery = Discovery::start(&[active(&good), active(&away)]);
+    let rejecting = StandIn::start(identity, script, Ledger::new(Duration::from_secs(8)));
+    let good = start_server();
+    let discovery = Discovery::start(&[active(&good), active(&rejecting)]);
     let node = Node::start(&program(), &config("n0", discovery.address, settings(400.0)), None);
     node.wait_ready();
     for n in 0..40 {
         assert!(served(&node, &format!("t{n}")), "{n}");
     }
     let tried = *tried.lock().expect("no panic");
-    assert!((1..=6).contains(&tried), "{tried} of 40 went to the one that turns away");
+    assert!((1..=6).contains(&tried), "{tried} of 40 requests went to the server that turns them away");
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership over real processes, with faults between them.
+//! Membership among real node processes, with faults on the network between them.
 
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,10 +12,10 @@
 use glenwood_testkit::until;
 use serde_json::Value;
 
-/// One rig at a time: several would each see the others as stalls.
-fn turn() -> MutexGuard<'static, ()> {
-    static TURN: Mutex<()> = Mutex::new(());
-    TURN.lock().unwrap_or_else(PoisonError::into_inner)
+/// Allows one rig at a time: the load of other rigs would look like stalls to each of them.
+fn exclusive() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn plan(nodes: usize) -> Plan {
@@ -23,28 +23,29 @@
     Plan::new(program, nodes, 2, always(Step::Serve))
 }
 
-/// What each of these thinks of another: the states, by its name.
+/// The state of node `of` as each of the nodes `by` reports it; empty where one has no report.
 fn states(rig: &Rig, by: &[usize], of: usize) -> Vec<String> {
-    let state = |n: &usize| {
+    let reported_state = |n: &usize| {
         let report = rig.report(*n)?;
         let found =
             report["members"]["members"].as_array()?.iter().find(|m| m["name"] == Rig::name(of))?.clone();
         found["state"].as_str().map(str::to_string)
     };
-    by.iter().map(|n| state(n).unwrap_or_default()).collect()
+    by.iter().map(|n| reported_state(n).unwrap_or_default()).collect()
 }
 
+/// How many log lines of the nodes `by` report node `of` as lost.
 fn lost_lines(rig: &Rig, by: &[usize], of: usize) -> usize {
     by.iter().map(|n| rig.lines(*n, &format!("members: {} is lost", Rig::name(of)))).sum()
 }
 
 #[test]
-fn twelve_nodes_know_who_is_lost_who_is_back_and_who_only_stood_still() {
-    let _turn = turn();
+fn twelve_nodes_detect_crashes_restarts_and_a_suspended_node() {
+    let _guard = exclusive();
     let rig = Rig::started(plan(12));
-    let others = |but: usize| (0..12).filter(|n| *n != but).collect::<Vec<usize>>();
+    let others = |except: usize| (0..12).filter(|n| *n != except).collect::<Vec<usize>>();
 
-    // A crash, and a restart at once under the same name and address.
+    // A crash that all notice, then a crash with an immediate restart, both under the same name and address.
     rig.cause(&Fault::Kill(4));
     until("all know the loss", || states(&rig, &others(4), 4).iter().all(|s| s == "lost"));
     rig.cause(&Fault::Start(4));
@@ -53,84 +54,85 @@
     rig.cause(&Fault::Start(7));
     rig.wait_known();
 
-    // Two seconds of standing still: it is lost to the others, and accuses none of them.
+    // A node suspended for about two seconds is lost to the others. Once resumed, it reports none of them as
+    // lost.
     rig.cause(&Fault::Stop(2));
-    until("it is missed", || states(&rig, &others(2), 2).iter().all(|s| s == "lost"));
+    until("all know that it is lost", || states(&rig, &others(2), 2).iter().all(|s| s == "lost"));
     rig.cause(&Fault::GoOn(2));
     rig.wait_known();
     assert!(rig.lines(2, "members: this node stood still for") >= 1);
     for of in (0..12).filter(|n| ![2, 4, 7].contains(n)) {
-        assert_eq!(lost_lines(&rig, &(0..12).collect::<Vec<_>>(), of), 0, "nobody took n{of} for lost");
+        assert_eq!(lost_lines(&rig, &(0..12).collect::<Vec<_>>(), of), 0, "no node reported n{of} as lost");
     }
 
-    // One that is told to end says so.
+    // A node that is told to stop announces that it leaves.
     rig.cause(&Fault::Terminate(9));
-    until("all have heard that it goes", || states(&rig, &others(9), 9).iter().all(|s| s == "left"));
+    until("all know that it left", || states(&rig, &others(9), 9).iter().all(|s| s == "left"));
     assert_eq!(lost_lines(&rig, &others(9), 9), 0);
 }
 
 #[test]
-fn two_sides_of_a_cut_lose_one_another_and_are_one_again() {
-    let _turn = turn();
+fn both_sides_of_a_network_partition_lose_each_other_and_reunite() {
+    let _guard = exclusive();
     let rig = Rig::started(plan(12));
-    let (some, rest): (Vec<usize>, Vec<usize>) = (0..12).partition(|n| *n < 6);
-    let ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
+    let (left_side, right_side): (Vec<usize>, Vec<usize>) = (0..12).partition(|n| *n < 6);
+    let endpoints = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
     let cut = |from: &[usize], to: &[usize]| {
-        rig.net.lay(Between { from: ends(from), to: ends(to), trouble: Trouble::Cut });
+        rig.net.lay(Between { from: endpoints(from), to: endpoints(to), trouble: Trouble::Cut });
     };
-    cut(&some, &rest);
-    cut(&rest, &some);
-    let alone = |side: &[usize]| side.iter().all(|n| rig.figure(*n, "members_living") == Some(5));
-    until("each side is alone", || alone(&some) && alone(&rest));
+    cut(&left_side, &right_side);
+    cut(&right_side, &left_side);
+    let is_isolated = |members: &[usize]| members.iter().all(|n| rig.figure(*n, "members_living") == Some(5));
+    until("each side sees its own nodes only", || is_isolated(&left_side) && is_isolated(&right_side));
     rig.net.heal();
     rig.wait_known();
     assert!(rig.net.passed.strangers.load(std::sync::atomic::Ordering::Relaxed) < 100);
 }
 
 #[test]
-fn a_way_that_is_cut_in_one_direction_and_datagrams_that_get_lost_are_no_loss() {
-    let _turn = turn();
+fn a_one_way_cut_and_lost_datagrams_make_no_node_count_as_lost() {
+    let _guard = exclusive();
     let rig = Rig::started(plan(9));
-    let lay = |from: Vec<End>, to: Vec<End>, trouble| rig.net.lay(Between { from, to, trouble });
-    lay(vec![End::Node(0)], vec![End::Node(1)], Trouble::Cut);
-    lay(Vec::new(), Vec::new(), Trouble::Loss(10));
-    lay(Vec::new(), Vec::new(), Trouble::Delay(0, 15));
-    let probes = |n: usize| rig.figure(n, "members_sent").unwrap_or(0);
-    // Some hundred datagrams of each: every pair has been probed many times.
-    until("they have spoken for a while", || (0..9).all(|n| probes(n) > 300));
+    let impair = |from: Vec<End>, to: Vec<End>, trouble| rig.net.lay(Between { from, to, trouble });
+    impair(vec![End::Node(0)], vec![End::Node(1)], Trouble::Cut);
+    impair(Vec::new(), Vec::new(), Trouble::Loss(10));
+    impair(Vec::new(), Vec::new(), Trouble::Delay(0, 15));
+    let sent_datagrams = |n: usize| rig.figure(n, "members_sent").unwrap_or(0);
+    // After several hundred datagrams from each node, every pair has been probed many times.
+    until("each node has sent many datagrams", || (0..9).all(|n| sent_datagrams(n) > 300));
     for of in 0..9 {
-        assert_eq!(lost_lines(&rig, &(0..9).collect::<Vec<_>>(), of), 0, "nobody took n{of} for lost");
+        assert_eq!(lost_lines(&rig, &(0..9).collect::<Vec<_>>(), of), 0, "no node reported n{of} as lost");
     }
 }
 
 #[test]
-fn very_many_processes_know_one_another_and_a_tenth_of_them_that_is_killed() {
-    let _turn = turn();
-    // Slower than by default: this is played beside other tests, on few cores.
-    let all = very_many();
-    let mut plan = plan(all);
+fn very_many_processes_know_each_other_and_detect_a_killed_tenth() {
+    let _guard = exclusive();
+    // Probes are slower than by default, as this runs beside other tests on few cores.
+    let count = very_many();
+    let mut plan = plan(count);
     plan.probe_ms = std::env::var("GLENWOOD_PROBE_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(500);
     let probe_ms = plan.probe_ms;
     let began = Instant::now();
     let rig = Rig::started(plan);
-    println!("{all} processes know one another after {:.1} s", began.elapsed().as_secs_f64());
+    println!("{count} processes know each other after {:.1} s", began.elapsed().as_secs_f64());
     let cpu = |rig: &Rig| rig.running().iter().filter_map(|n| rig.with(*n, |node| node.cpu())).sum::<u64>();
     let (before, since) = (cpu(&rig), Instant::now());
     let sent = |n: usize| rig.figure(n, "members_sent").unwrap_or(0);
     let first = sent(0);
-    until("some rounds have gone by", || {
-        // To ask costs too.
+    until("some rounds of probes have passed", || {
+        // Querying a node takes processor time too.
         std::thread::sleep(Duration::from_millis(200));
         sent(0) > first + 60
     });
     let used = (cpu(&rig) - before) as f64 / 100.0 / since.elapsed().as_secs_f64();
-    println!("all of them take {used:.2} of a core at probes of {probe_ms} ms");
-    let killed: Vec<usize> = (0..all).filter(|n| n % 10 == 7).collect();
+    println!("all of them use {used:.2} of a core with a probe every {probe_ms} ms");
+    let killed: Vec<usize> = (0..count).filter(|n| n % 10 == 7).collect();
     killed.iter().for_each(|n| rig.cause(&Fault::Kill(*n)));
     let since = Instant::now();
     rig.wait_known();
     println!("the loss of {} is known to all after {:.2} s", killed.len(), since.elapsed().as_secs_f64());
     let report: Value = rig.report(0).expect("it runs");
     assert_eq!(report["members"]["states"]["lost"], killed.len(), "{}", report["members"]["states"]);
-    assert_eq!(report["members"]["states"]["alive"], all - killed.len() - 1);
+    assert_eq!(report["members"]["states"]["alive"], count - killed.len() - 1);
 }
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -1,4 +1,5 @@
-//! Four real nodes that share a tenant's allowance, over a relay that loses, delays and reorders what they say.
+//! Four real nodes share a tenant's allowance, over a relay that loses, duplicates, delays and reorders their
+//! datagrams.
 
 mod peers;
 
@@ -19,18 +20,20 @@
 use serde_json::{json, Value};
 
 const NODES: usize = 4;
-const WINDOW: u64 = 1000;
-const ALLOWED: u64 = 80;
-/// What a node logs before the address of its socket.
+/// The length of a usage window, in milliseconds.
+const WINDOW_MS: u64 = 1000;
+/// The requests that the tenant may spend per window.
+const ALLOWANCE: u64 = 80;
+/// What a node logs before the address of its usage socket.
 const USAGE: &str = "usage: counted with 4 nodes at ";
 
-/// The most that was seen spent in each window, by each node in each of its lives.
-type Spent = BTreeMap<(u64, usize, usize), u64>;
+/// The most that a node has reported as spent, by window, node and number of restarts of the node.
+type MaxSpent = BTreeMap<(u64, usize, usize), u64>;
 
 struct Fleet {
     rig: Arc<Rig>,
-    spent: Spent,
-    lives: [usize; NODES],
+    spent: MaxSpent,
+    restarts: [usize; NODES],
 }
 
 impl Fleet {
@@ -40,40 +43,40 @@
         (plan.probe_ms, plan.sockets) = (0, vec![USAGE]);
         plan.change = |settings| {
             settings["Customers"] =
-                json!([{"Name": "acme", "QuotaPerS": ALLOWED as f64 * 1000.0 / WINDOW as f64}]);
+                json!([{"Name": "acme", "QuotaPerS": ALLOWANCE as f64 * 1000.0 / WINDOW_MS as f64}]);
         };
         plan.operator = Box::new(|rig, _| {
             let one =
                 |n| format!("[[usage.instance]]\nname = 'n{n}'\naddress = '{}'\n", rig.front_of(USAGE, n));
             format!(
-                "[usage]\nlist = 1\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\nwindow_ms = {WINDOW}\n\
+                "[usage]\nlist = 1\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\nwindow_ms = {WINDOW_MS}\n\
                  exchange_ms = 50\ngone_ms = 2000\n{}",
                 rig.folder().display(),
                 (0..NODES).map(one).collect::<String>()
             )
         });
-        Self { rig: Arc::new(Rig::started(plan)), spent: Spent::new(), lives: [0; NODES] }
+        Self { rig: Arc::new(Rig::started(plan)), spent: MaxSpent::new(), restarts: [0; NODES] }
     }
 
-    /// All datagrams go through that from now on; so many in a hundred are lost.
-    fn trouble(&self, loss: u8) {
+    /// From now on the relay loses `loss` percent of all datagrams, and duplicates and delays some.
+    fn impair_network(&self, loss: u8) {
         self.rig.net.heal();
         for trouble in [Trouble::Loss(loss), Trouble::Doubled(12), Trouble::Delay(0, 40)] {
             self.rig.net.lay(Between { from: Vec::new(), to: Vec::new(), trouble });
         }
     }
 
-    /// What a node says of its usage.
+    /// The usage section of a node's report.
     fn usage(&self, n: usize) -> Option<Value> {
         self.rig.report(n).map(|report| report["usage"].clone()).filter(|usage| !usage.is_null())
     }
 
     fn window(&self, n: usize) -> u64 {
-        self.usage(n).and_then(|usage| usage["window"].as_u64()).expect("it counts")
+        self.usage(n).and_then(|usage| usage["window"].as_u64()).expect("a usage report")
     }
 
-    /// Notes what each node says that it has spent.
-    fn look(&mut self) {
+    /// Records what each node reports as spent.
+    fn record_spent(&mut self) {
         for n in self.rig.running() {
             let Some(usage) = self.usage(n) else { continue };
             let (Some(window), Some(tenants)) = (usage["window"].as_u64(), usage["tenants"].as_array())
@@ -81,83 +84,85 @@
                 continue;
             };
             for tenant in tenants {
-                for (window, said) in [(window, &tenant["spent"]), (window - 1, &tenant["before"][0])] {
-                    let most = self.spent.entry((window, n, self.lives[n])).or_default();
-                    *most = (*most).max(said.as_u64().unwrap_or(0));
+                for (window, reported) in [(window, &tenant["spent"]), (window - 1, &tenant["before"][0])] {
+                    let max_spent = self.spent.entry((window, n, self.restarts[n])).or_default();
+                    *max_spent = (*max_spent).max(reported.as_u64().unwrap_or(0));
                 }
             }
         }
     }
 
-    /// Asks for the tenant at these nodes, for twice of what it may have, until so many windows were whole in it; how much was
-    /// spent in each of them.
-    fn ask(&mut self, windows: u64, at: &[usize]) -> Vec<u64> {
-        static LAST: AtomicUsize = AtomicUsize::new(0);
-        let round = LAST.fetch_add(1, Ordering::SeqCst);
+    /// Sends requests for the tenant to the nodes `at`, at twice its allowance, until `windows` full windows
+    /// have passed; returns how much was spent in each of them.
+    fn run_load(&mut self, windows: u64, at: &[usize]) -> Vec<u64> {
+        static LOADS: AtomicUsize = AtomicUsize::new(0);
+        let load_number = LOADS.fetch_add(1, Ordering::SeqCst);
         let rig = self.rig.clone();
-        let make = move |number: u64, _| Ask::new("look", Effect::Safe, &format!("t{round}-{number}"), 5000);
+        let make_request =
+            move |number: u64, _| Ask::new("look", Effect::Safe, &format!("t{load_number}-{number}"), 5000);
         let load = Load::start(
             at.to_vec(),
-            2.0 * ALLOWED as f64 * 1000.0 / WINDOW as f64,
+            2.0 * ALLOWANCE as f64 * 1000.0 / WINDOW_MS as f64,
             Arc::new(move |n| rig.address(n)),
-            Arc::new(make),
+            Arc::new(make_request),
             Arc::new(|_, _, _| Vec::new()),
         );
         let first = self.window(at[0]) + 1;
-        let mut now = first;
-        until("the windows go by", || {
-            self.look();
-            now = self.window(at[0]);
-            now >= first + windows
+        let mut current = first;
+        until("the windows pass", || {
+            self.record_spent();
+            current = self.window(at[0]);
+            current >= first + windows
         });
         let outcomes = load.end();
-        self.look();
+        self.record_spent();
         let served = |answer: &Answer| matches!(answer, Answer::Served(_));
         let all = outcomes.iter().all(|outcome| served(&outcome.answer));
-        assert!(all, "beyond its share it is served too, on an idle fleet");
+        assert!(all, "an idle fleet serves the tenant beyond its allowance too");
         let sum = |window: u64| self.spent.iter().filter(|((w, ..), _)| *w == window).map(|(_, n)| *n).sum();
-        (first..now).map(sum).collect()
+        (first..current).map(sum).collect()
     }
 }
 
 #[test]
 fn four_nodes_give_a_tenant_its_allowance_once_whatever_is_lost_between_them() {
     let mut fleet = Fleet::new();
-    until("all have their parts", || {
+    until("all nodes have their parts", || {
         (0..NODES).all(|n| fleet.usage(n).is_some_and(|usage| usage["own_part"] == true))
     });
-    // Rights for the next window are asked for by what was asked for in this one.
-    fleet.trouble(0);
-    fleet.ask(1, &[0, 1]);
+    // A node claims its part of the next window by the demand in the current one, so the first load only sets
+    // that.
+    fleet.impair_network(0);
+    fleet.run_load(1, &[0, 1]);
     for (loss, least) in [(0, 0.9), (30, 0.8), (50, 0.7)] {
-        fleet.trouble(loss);
+        fleet.impair_network(loss);
         for at in [&[0, 1, 2, 3][..], &[2]] {
-            let windows = fleet.ask(3, at);
-            assert!(windows.iter().all(|spent| *spent <= ALLOWED), "{loss}%: {windows:?}");
+            let windows = fleet.run_load(3, at);
+            assert!(windows.iter().all(|spent| *spent <= ALLOWANCE), "{loss}%: {windows:?}");
             let most = *windows.iter().max().expect("there are some") as f64;
-            assert!(most >= least * ALLOWED as f64, "{loss}% at {at:?}: {windows:?}");
+            assert!(most >= least * ALLOWANCE as f64, "{loss}% at {at:?}: {windows:?}");
         }
     }
-    fleet.trouble(10);
-    fleet.look();
+    fleet.impair_network(10);
+    fleet.record_spent();
     fleet.rig.cause(&Fault::Kill(1));
-    let windows = fleet.ask(2, &[0, 2, 3]);
+    let windows = fleet.run_load(2, &[0, 2, 3]);
     fleet.rig.cause(&Fault::Start(1));
-    fleet.lives[1] += 1;
-    let more = fleet.ask(5, &[0, 1, 2, 3]);
-    assert!([windows, more].concat().iter().all(|spent| *spent <= ALLOWED));
-    until("it has its part again", || fleet.usage(1).is_some_and(|usage| usage["own_part"] == true));
-    assert!(fleet.ask(3, &[1]).iter().any(|spent| *spent >= ALLOWED * 7 / 10));
+    fleet.restarts[1] += 1;
+    let more = fleet.run_load(5, &[0, 1, 2, 3]);
+    assert!([windows, more].concat().iter().all(|spent| *spent <= ALLOWANCE));
+    until("the node has its part again", || fleet.usage(1).is_some_and(|usage| usage["own_part"] == true));
+    assert!(fleet.run_load(3, &[1]).iter().any(|spent| *spent >= ALLOWANCE * 7 / 10));
 }
 
 #[test]
-fn what_cannot_be_shared_is_said_in_one_line() {
+fn settings_that_cannot_be_shared_are_reported_in_one_line() {
     let registry = Registry::new(&[]);
     let folder = std::env::temp_dir().join(format!("glenwood-usage-{}-bad", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let secret = folder.join("secret");
     std::fs::write(&secret, "short").expect("a file");
-    let file = |name: &str, secret: &Path| {
+    let operator_file = |name: &str, secret: &Path| {
         let path = folder.join("node.toml");
         let text = format!(
             "[usage]\nsecret = '{}'\n[[usage.instance]]\nname = '{name}'\naddress = '127.0.0.1:1'\n",
@@ -166,15 +171,16 @@
         std::fs::write(&path, text).expect("a file");
         path
     };
-    let none = folder.join("none");
-    for (name, secret, words) in [
+    let missing_file = folder.join("none");
+    for (name, secret, expected) in [
         ("n0", &secret, "16 bytes are needed"),
-        ("n0", &none, "usage.secret: "),
+        ("n0", &missing_file, "usage.secret: "),
         ("n7", &secret, "usage.instance: n0 is not among them"),
     ] {
-        let (code, said) = peers::run_with_operator(&config(registry.address), &file(name, secret));
+        let (code, output) =
+            peers::run_with_operator(&config(registry.address), &operator_file(name, secret));
         assert_eq!(code, Some(1));
-        assert!(said.contains(words) && said.trim().lines().count() == 1, "{said}");
+        assert!(output.contains(expected) && output.trim().lines().count() == 1, "{output}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
