--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of both protocols, with one form for what they ask and what they are answered.
+//! Clients of both protocols, with a common form for requests and answers.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,44 +14,44 @@
 use crate::http;
 use crate::server::Protocol;
 
-/// What kind of repeat a class bears, as its clients know it.
+/// How a class tolerates repeats, as its clients know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// Any.
+    /// Any repeat is safe.
     Safe,
-    /// With its key.
+    /// A repeat is safe with the same idempotency key.
     Keyed,
-    /// None.
+    /// No repeat is safe.
     Unsafe,
 }
 
 /// A request.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Its class.
+    /// Class.
     pub class: String,
-    /// Path and query behind it: empty, or begun by `/` or `?`.
+    /// Path and query after the class: empty, or starting with `/` or `?`.
     pub path: String,
-    /// Its id.
+    /// Transaction id.
     pub txn: String,
-    /// Its key, for a keyed class.
+    /// Idempotency key, for a keyed class.
     pub key: Option<String>,
-    /// Its tenant.
+    /// Tenant.
     pub org: Option<String>,
-    /// Its user.
+    /// User.
     pub user: Option<String>,
-    /// How long it is waited for.
+    /// How long the client waits, in milliseconds.
     pub remaining_ms: u64,
-    /// Is it safe to repeat?
+    /// Whether the request is safe to repeat.
     pub safe: bool,
-    /// It is marked as a client's repeat, where that can be said: over HTTP.
+    /// Whether the request is marked as a client's repeat. Only HTTP can express this.
     pub resent: bool,
-    /// Its body; none where it is safe.
+    /// Body; empty for a safe request.
     pub body: Vec<u8>,
 }
 
 impl Ask {
-    /// A request of a class with that effect; a keyed one has its id for a key.
+    /// A request of a class with this effect. The key of a keyed request is derived from its id.
     pub fn new(class: &str, effect: Effect, txn: &str, remaining_ms: u64) -> Self {
         Self {
             class: class.to_string(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// It as an HTTP request.
+    /// Encodes the request as HTTP.
     pub fn http(&self) -> Vec<u8> {
         let method = if self.safe { "GET" } else { "POST" };
         let mut head = format!(
@@ -94,7 +94,7 @@
         out
     }
 
-    /// It as a MessagePack-RPC call.
+    /// Encodes the request as a MessagePack-RPC call.
     pub fn rpc(&self, id: u32) -> BytesMut {
         let call = message::Call {
             class: self.class.clone(),
@@ -112,27 +112,27 @@
     }
 }
 
-/// An answer, in terms that both protocols share.
+/// An answer in terms that both protocols share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The body of a server's answer.
+    /// Served, with the body of the server's answer.
     Served(Vec<u8>),
-    /// Refused, and when to come back.
+    /// Refused, with the time after which to retry in milliseconds, if given.
     Refused(Option<u64>),
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// The request is bad.
+    /// The request is invalid.
     BadRequest,
-    /// No such class.
+    /// There is no such class.
     UnknownClass,
-    /// Too large.
+    /// The request is too large.
     TooLarge,
-    /// None: the connection ended first.
+    /// The connection ended before an answer arrived.
     Lost,
 }
 
 impl Answer {
-    /// What it is, without its details.
+    /// Kind of the answer, without details.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
@@ -145,7 +145,7 @@
         }
     }
 
-    /// What an HTTP answer says.
+    /// Interprets an HTTP response.
     pub fn of_http(message: &http::Message) -> Self {
         match message.status() {
             200 => Self::Served(message.body.clone()),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// What a reply says.
+    /// Interprets a MessagePack-RPC reply.
     pub fn of_rpc(answer: &message::Answer) -> Self {
         match answer {
             Ok(body) => Self::Served(body.to_vec()),
@@ -175,7 +175,7 @@
     }
 }
 
-/// One connection of a client, which asks one thing after another.
+/// A client connection that sends one request at a time.
 pub enum Client {
     /// Over HTTP.
     Http(BufReader<TcpStream>),
@@ -184,10 +184,10 @@
 }
 
 impl Client {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// Where it can't.
+    /// If the connection cannot be established.
     pub async fn connect(protocol: Protocol, to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
@@ -197,7 +197,8 @@
         })
     }
 
-    /// Asks one thing and waits for its answer, at most for a while longer than it says to wait.
+    /// Sends a request and waits for the answer, for up to ten seconds longer than the request's own time
+    /// limit.
     pub async fn ask(&mut self, ask: &Ask) -> Answer {
         let most = Duration::from_millis(ask.remaining_ms) + Duration::from_secs(10);
         let answer = tokio::time::timeout(most, async {
@@ -217,35 +218,35 @@
     }
 }
 
-/// A connection with as many calls open as its user likes.
+/// A MessagePack-RPC connection with any number of open calls.
 pub struct RpcClient {
     stream: TcpStream,
     frames: Frames,
     next: u32,
-    /// Answers that came before they were asked for.
+    /// Answers that arrived before the caller asked for them.
     early: HashMap<u32, Answer>,
 }
 
 impl RpcClient {
-    /// Over a connected stream.
+    /// Uses a connected stream.
     pub fn new(stream: TcpStream) -> Self {
         let frames = Frames::new(Bounds::default());
         Self { stream, frames, next: 0, early: HashMap::new() }
     }
 
-    /// Connects, from a thread that is not the runtime's.
+    /// Opens a connection. Must not be called from a thread of the runtime.
     ///
     /// # Panics
-    /// Where it can't.
+    /// If the connection cannot be established.
     pub fn to(address: SocketAddr) -> Self {
         let stream = crate::wait("a connection", TcpStream::connect(address)).expect("it listens");
         Self::new(stream)
     }
 
-    /// Sends a call; gives its number.
+    /// Sends a call and returns its id.
     ///
     /// # Errors
-    /// Where the connection has ended.
+    /// If the connection has ended.
     pub async fn send(&mut self, ask: &Ask) -> io::Result<u32> {
         let id = self.next;
         self.next += 1;
@@ -253,18 +254,18 @@
         Ok(id)
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     ///
     /// # Errors
-    /// Where the connection has ended.
+    /// If the connection has ended.
     pub async fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// The next answer, whichever call's it is.
+    /// Returns the next answer, for whichever call it is.
     ///
     /// # Errors
-    /// Where the connection ends first, or what comes is no answer.
+    /// If the connection ends first, or a message arrives that is not a valid reply.
     pub async fn next(&mut self) -> io::Result<(u32, Answer)> {
         let bad = |words: String| io::Error::new(io::ErrorKind::InvalidData, words);
         loop {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// The answer to one call.
+    /// Returns the answer to one call.
     ///
     /// # Errors
     /// As for [`RpcClient::next`].
@@ -300,7 +301,7 @@
         }
     }
 
-    /// All that comes until the connection ends.
+    /// Reads all answers until the connection ends.
     pub async fn rest(&mut self) -> Vec<(u32, Answer)> {
         let mut all = Vec::new();
         while let Ok(next) = self.next().await {
@@ -310,10 +311,11 @@
     }
 }
 
-/// Asks one thing on a connection of its own, from a thread that is not the runtime's; gives how long it took too.
+/// Sends one request on a new connection and returns the answer and the time that it took. Must not be called
+/// from a thread of the runtime.
 ///
 /// # Panics
-/// Where the node can't be reached.
+/// If the node cannot be reached.
 pub fn ask_once(protocol: Protocol, to: SocketAddr, ask: &Ask) -> (Answer, Duration) {
     crate::wait("an answer", async {
         let mut client = Client::connect(protocol, to).await.expect("it listens");
--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -1,8 +1,9 @@
-//! An ensemble of members in virtual time: one order of transactions, a leader with an epoch, members that apply what is
-//! in the order each in its time, sessions that end when nobody hears of them, and connections of clients.
+//! An ensemble in virtual time: a single order of transactions, a leader with an epoch, members that apply
+//! the transactions each with its own lag, sessions that expire when nothing is heard from them, and client
+//! connections.
 //!
-//! What is acknowledged is in the order and stays there: the order outlives every member, as logs and snapshots on disks
-//! would. A member that cannot reach a majority serves nobody.
+//! An acknowledged transaction stays in the order. The order outlives every member, as logs and snapshots on
+//! disk would. A member that cannot reach a majority serves nobody.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,16 +16,16 @@
 
 use super::tree::{Tree, Txn};
 
-/// How long it takes to agree on a leader.
+/// Time that the election of a leader takes.
 const ELECTION: Millis = 200.0;
-/// Bounds of a session's time-out.
+/// Lower and upper bound of session time-outs, in milliseconds.
 const TIMEOUTS: (i32, i32) = (100, 60_000);
 
-/// A connection of a client.
+/// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// A request whose answer waits for its transaction to be applied at its member.
+/// A request that is answered once its transaction is applied at its member.
 struct Waiting {
     xid: i32,
     zxid: i64,
@@ -34,9 +35,9 @@
 struct Conn {
     member: usize,
     frames: Frames,
-    /// Its session, once it has been greeted.
+    /// The session, once it is established.
     session: Option<i64>,
-    /// The zxid of the new session that its greeting waits for, and the session.
+    /// While a new session is being created: the zxid of its transaction, and the session id.
     greeting: Option<(i64, i64)>,
     asked: VecDeque<Bytes>,
     waiting: Option<Waiting>,
@@ -50,31 +51,31 @@
 struct Member {
     tree: Tree,
     up: bool,
-    /// Reaches no other member.
+    /// Cannot reach any other member.
     cut: bool,
-    /// Accepts and says nothing.
+    /// Accepts connections and data but does not answer.
     mute: bool,
-    /// How far behind the order it is.
+    /// How far the member lags behind the order.
     lag: Millis,
-    /// How much of the order it has applied.
+    /// Number of transactions applied.
     applied: usize,
 }
 
-/// All members, and what they agree on.
+/// All members and the state that they agree on.
 pub struct Ensemble {
     members: Vec<Member>,
-    /// The order: each transaction, and when it was agreed on.
+    /// The order: each transaction with the time at which it was agreed on.
     order: Vec<(Millis, Txn)>,
-    /// What all of the order makes.
+    /// The state after all transactions.
     newest: Tree,
     leader: Option<usize>,
-    /// When there will be a leader, where there is none and a majority is.
+    /// When the election ends, if there is no leader but a majority.
     elected: Option<Millis>,
     epoch: i64,
     counter: i64,
-    /// When each session was last heard of.
+    /// When each session was last heard from.
     heard: BTreeMap<i64, Millis>,
-    /// The connection that each session is at.
+    /// The connection that each session currently uses.
     at: BTreeMap<i64, ConnId>,
     conns: BTreeMap<ConnId, Conn>,
     last_conn: u64,
@@ -83,7 +84,7 @@
 }
 
 impl Ensemble {
-    /// So many members, all up, with a leader.
+    /// An ensemble with this many members, all up, and a leader.
     pub fn new(members: usize) -> Self {
         let member = || Member { up: true, ..Member::default() };
         let mut ensemble = Self {
@@ -105,17 +106,17 @@
         ensemble
     }
 
-    /// What all of the order makes.
+    /// The state after all transactions.
     pub fn newest(&self) -> &Tree {
         &self.newest
     }
 
-    /// The names under a path after each transaction of the order, for who wants to compare what a client saw.
+    /// The children of a path after each transaction, to compare with what a client saw.
     pub fn history(&self, path: &str) -> Vec<Vec<String>> {
         let mut tree = Tree::default();
         let names = Request::GetChildren { path: path.to_string(), watch: false, stat: false };
         let after = self.order.iter().map(|(_, txn)| {
-            // The answer was said long ago.
+            // The response was sent when the transaction was first applied.
             let _ = tree.apply(txn);
             match tree.read(&names) {
                 Some(Ok(Response::Children { names, .. })) => names,
@@ -125,14 +126,14 @@
         after.collect()
     }
 
-    /// The member that leads.
+    /// The current leader.
     pub fn leader(&self) -> Option<usize> {
         self.leader
     }
 
     // ---- Faults ----
 
-    /// Ends a member, with its clients' connections. What it had applied is on its disk.
+    /// Stops a member and closes its client connections. It keeps what it has applied, as on disk.
     pub fn kill(&mut self, member: usize) {
         self.members[member].up = false;
         self.drop_clients(member);
@@ -145,18 +146,18 @@
         self.look_for_leader();
     }
 
-    /// Cuts a member off from the others, not from its clients.
+    /// Cuts a member off from the other members, but not from its clients; or reconnects it.
     pub fn cut(&mut self, member: usize, cut: bool) {
         self.members[member].cut = cut;
         self.look_for_leader();
     }
 
-    /// A member accepts and says nothing.
+    /// Makes a member accept connections without answering; or ends that.
     pub fn mute(&mut self, member: usize, mute: bool) {
         self.members[member].mute = mute;
     }
 
-    /// A member is so far behind the order from now on.
+    /// Makes a member lag this far behind the order from now on.
     pub fn lag(&mut self, member: usize, lag: Millis) {
         self.members[member].lag = lag;
     }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Does a member reach a majority?
+    /// Whether a member is part of a majority.
     fn serves(&self, member: usize) -> bool {
         let reached = self.members.iter().filter(|m| m.up && !m.cut).count();
         let m = &self.members[member];
@@ -177,7 +178,8 @@
     fn look_for_leader(&mut self) {
         for member in 0..self.members.len() {
             if !self.serves(member) {
-                // Who can't tell what is agreed on serves nobody, not even readers.
+                // A member without a majority cannot know what is agreed on and serves nobody, not even
+                // reads.
                 self.drop_clients(member);
             }
         }
@@ -191,7 +193,8 @@
         };
     }
 
-    /// A new leader: a new epoch, and a whole time-out for every session, as nobody knows who was heard meanwhile.
+    /// Elects a leader and starts an epoch. Every session gets a full time-out, as nobody knows when it was
+    /// last heard from.
     fn lead(&mut self) {
         self.elected = None;
         self.leader = (0..self.members.len()).find(|m| self.serves(*m));
@@ -205,7 +208,7 @@
 
     // ---- Time ----
 
-    /// When [`Ensemble::handle_timeout`] is to be called.
+    /// When [`Ensemble::handle_timeout`] has to be called next.
     pub fn poll_timeout(&self) -> Option<Millis> {
         let ends = self.heard.iter().filter(|_| self.leader.is_some());
         let ends = ends.filter_map(|(id, heard)| {
@@ -217,7 +220,7 @@
         ends.chain(applies).chain(self.elected).min_by(f64::total_cmp)
     }
 
-    /// Does what is due by now.
+    /// Handles everything that is due by now.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.now = now.max(self.now);
         if self.elected.is_some_and(|at| at <= now) {
@@ -246,9 +249,9 @@
         (self.epoch << 32) | self.counter
     }
 
-    /// Puts a transaction into the order.
+    /// Appends a transaction to the order.
     fn agree(&mut self, txn: Txn) {
-        // What it answers is said by the member that its client is at.
+        // The response is sent by the member that the client is connected to.
         let _ = self.newest.apply(&txn);
         let newest = &self.newest;
         self.heard.retain(|id, _| newest.has_session(*id));
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Says what a transaction came to, to the client that waits for it here.
+    /// Sends the result of a transaction to the client of this member that waits for it.
     fn tell(&mut self, member: usize, zxid: i64, answer: &Result<Response, Code>) {
         for (id, conn) in self.conns.iter_mut().filter(|(_, c)| c.member == member && !c.closed) {
             if let Some((waits, session)) = conn.greeting.filter(|(waits, _)| *waits == zxid) {
@@ -286,7 +289,7 @@
 
     // ---- Clients ----
 
-    /// A client connects to a member; `None` where nobody listens.
+    /// Connects a client to a member; `None` if the member does not accept connections.
     pub fn open(&mut self, member: usize) -> Option<ConnId> {
         let m = &self.members[member];
         if !m.up || (!m.mute && !self.serves(member)) {
@@ -310,30 +313,30 @@
         Some(id)
     }
 
-    /// A client has gone.
+    /// Removes the connection of a client that has disconnected.
     pub fn close(&mut self, id: ConnId) {
         self.conns.remove(&id);
     }
 
-    /// Has the service ended this connection?
+    /// Whether the service has closed this connection.
     pub fn is_closed(&self, id: ConnId) -> bool {
         self.conns.get(&id).is_none_or(|c| c.closed)
     }
 
-    /// The member that a connection is to.
+    /// The member that a connection leads to.
     pub fn member_of(&self, id: ConnId) -> Option<usize> {
         self.conns.get(&id).map(|c| c.member)
     }
 
-    /// What a client could know over this connection: what its member has applied. `None` where its member says nothing,
-    /// or the connection has no session.
+    /// The state that a client can learn over this connection, which is what its member has applied; `None`
+    /// if the member does not answer or the connection has no session.
     pub fn seen_over(&self, id: ConnId) -> Option<&Tree> {
         let conn = self.conns.get(&id).filter(|c| !c.closed && c.session.is_some())?;
         let member = &self.members[conn.member];
         (!member.mute && self.serves(conn.member)).then_some(&member.tree)
     }
 
-    /// What is to be written to a client; it is taken by this.
+    /// Takes the bytes to be written to a client.
     pub fn output(&mut self, id: ConnId) -> Vec<u8> {
         let Some(conn) = self.conns.get_mut(&id) else { return Vec::new() };
         if self.members[conn.member].mute {
@@ -342,7 +345,7 @@
         std::mem::take(&mut conn.out)
     }
 
-    /// Takes what a client wrote.
+    /// Handles bytes from a client.
     pub fn received(&mut self, now: Millis, id: ConnId, bytes: &[u8]) {
         self.now = now.max(self.now);
         let Some(conn) = self.conns.get_mut(&id).filter(|c| !c.closed) else { return };
@@ -364,7 +367,7 @@
         self.apply_due();
     }
 
-    /// Serves what clients of a member have asked, each in its order.
+    /// Serves queued requests of a member's clients, each client's in order.
     fn serve_asked(&mut self, member: usize) {
         let ids: Vec<ConnId> =
             self.conns.iter().filter(|(_, c)| c.member == member).map(|(id, _)| *id).collect();
@@ -377,7 +380,7 @@
 
     fn next_asked(&mut self, id: ConnId) -> Option<Bytes> {
         let conn = self.conns.get_mut(&id)?;
-        // What changes something is served when there is a leader, and what stands behind it in its turn.
+        // Writes need a leader; requests queued behind one wait for their turn.
         if conn.closed || conn.waiting.is_some() || conn.greeting.is_some() || self.leader.is_none() {
             return None;
         }
@@ -420,7 +423,7 @@
             conn.waiting = Some(Waiting { xid, zxid: next, closes });
             self.counter += 1;
             self.agree(txn);
-            // The member may have it already: that is, at once.
+            // Without lag the member applies it at once.
             return self.apply_here(member);
         }
         let tree = &self.members[member].tree;
@@ -429,7 +432,7 @@
         conn.reply(xid, zxid, &answer);
     }
 
-    /// Applies what is due at one member, without serving more.
+    /// Applies the transactions that are due at one member, without serving further requests.
     fn apply_here(&mut self, n: usize) {
         loop {
             let member = &mut self.members[n];
@@ -454,7 +457,8 @@
             conn.closed = true;
             return;
         };
-        // Who has seen more than this member has is turned away: it would go back in time here.
+        // A client that has seen later transactions than this member is turned away, as it would go back in
+        // time here.
         if hello.last_zxid > self.members[member].tree.zxid() {
             conn.closed = true;
             return;
@@ -494,7 +498,7 @@
     }
 }
 
-/// A session's password: a stand-in has no secrets, and a wrong one must still be told from a right one.
+/// Derives a session's password. It is no secret, but lets a wrong password be told from the right one.
 fn password(session: i64) -> Bytes {
     Bytes::copy_from_slice(&[session.to_be_bytes(), (!session).to_be_bytes()].concat())
 }
--- a/crates/testkit/src/coordination/mod.rs
+++ b/crates/testkit/src/coordination/mod.rs
@@ -1,8 +1,10 @@
-//! A stand-in for a coordination service that speaks ZooKeeper's protocol, from its public description.
+//! A test implementation of a coordination service with ZooKeeper's protocol, written from its public
+//! description.
 //!
-//! [`tree`] is what each member holds: nodes and sessions, changed by transactions in one order. [`ensemble`] is members, a
-//! leader, sessions that end, and connections of clients, in virtual time: neither does I/O or reads a clock. [`net`] puts them on
-//! loopback sockets.
+//! [`tree`] is the state of each member: znodes and sessions, changed by transactions in a single order.
+//! [`ensemble`] adds members, a leader, session expiry and client connections, in virtual time. Neither of
+//! them does I/O or reads a clock. [`net`] runs an ensemble on loopback sockets, and [`register`] runs server
+//! registrations against it.
 
 pub mod ensemble;
 pub mod net;
--- a/crates/testkit/src/coordination/net.rs
+++ b/crates/testkit/src/coordination/net.rs
@@ -1,4 +1,4 @@
-//! The ensemble on loopback sockets, in real time.
+//! Runs an ensemble on loopback sockets, in real time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,13 +13,13 @@
 use super::ensemble::{ConnId, Ensemble};
 use crate::runtime;
 
-/// How long the clock sleeps where nothing is due.
+/// Longest sleep of the timer task when nothing is due.
 const IDLE: Duration = Duration::from_millis(500);
 
 struct Shared {
     ensemble: Mutex<Ensemble>,
     start: Instant,
-    /// Counts what happened: whoever waits looks whether it concerns them.
+    /// Incremented with each change, to wake up all connections.
     changed: watch::Sender<u64>,
 }
 
@@ -32,7 +32,7 @@
         self.ensemble.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something to the ensemble, at its time, and tells all.
+    /// Brings the ensemble up to the current time, changes it, and wakes up all connections.
     fn change<T>(&self, change: impl FnOnce(&mut Ensemble, Millis) -> T) -> T {
         let done = {
             let mut ensemble = self.lock();
@@ -45,19 +45,19 @@
     }
 }
 
-/// An ensemble that runs; it ends, with all its connections, when this is dropped.
+/// A running ensemble. Dropping it ends the service and all connections.
 pub struct Service {
-    /// Where each member listens.
+    /// Address of each member.
     pub members: Vec<SocketAddr>,
     shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Service {
-    /// Starts so many members at free ports of 127.0.0.1.
+    /// Starts this many members on free ports of 127.0.0.1.
     ///
     /// # Panics
-    /// Where there are none.
+    /// If no port is free.
     pub fn start(members: usize) -> Self {
         let (changed, _) = watch::channel(0);
         let ensemble = Mutex::new(Ensemble::new(members));
@@ -71,7 +71,7 @@
         Self { members: addresses, shared, tasks }
     }
 
-    /// Does something to the ensemble: a fault, or the end of one.
+    /// Changes the ensemble, for instance to cause or undo a fault.
     pub fn change<T>(&self, change: impl FnOnce(&mut Ensemble) -> T) -> T {
         self.shared.change(|ensemble, _| change(ensemble))
     }
@@ -89,7 +89,7 @@
         let due = shared.lock().poll_timeout();
         let span =
             due.map_or(IDLE, |due| Duration::from_secs_f64((due - shared.now()).clamp(0.0, 500.0) / 1000.0));
-        // A moment at least: a timer that is due again at once must not take the core.
+        // Sleeps a minimum time, so that a timer that is due again at once cannot occupy the core.
         let span = span.max(Duration::from_millis(1));
         tokio::select! {
             () = tokio::time::sleep(span) => shared.change(|_, _| {}),
@@ -101,11 +101,11 @@
 async fn accept(shared: Arc<Shared>, member: usize, listener: TcpListener) {
     let mut conns = tokio::task::JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
-        // A member that is down has a port that answers by closing: as good as none.
+        // The port of a member that is down closes each connection, which has the same effect as refusing it.
         let Some(id) = shared.change(|ensemble, _| ensemble.open(member)) else { continue };
         let shared = shared.clone();
         conns.spawn(async move {
-            // What breaks a connection is the other side's affair.
+            // An I/O error only ends this connection.
             let _ = serve(&shared, id, stream).await;
             shared.change(|ensemble, _| ensemble.close(id));
         });
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -1,4 +1,4 @@
-//! Registrations on sockets, in real time.
+//! Server registrations over sockets, in real time.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -18,14 +18,15 @@
     End,
 }
 
-/// A server's registration. It ends without a word when this is dropped: its entry stays until the session ends.
+/// A server's registration. Dropping it disconnects without ending the session, so the entry stays until the
+/// session expires.
 pub struct Registration {
     commands: mpsc::UnboundedSender<Command>,
     said: watch::Receiver<Option<RegistrarEvent>>,
     task: JoinHandle<()>,
 }
 
-/// The entry of a stand-in server.
+/// The list entry of a test server.
 pub fn entry(server: &StandIn, born_ms: f64) -> ListEntry {
     let protocol = match server.identity.protocol {
         server::Protocol::Http => Protocol::Http1,
@@ -40,11 +41,11 @@
 }
 
 impl Registration {
-    /// Registers under `/servers`, with a session of that time-out in milliseconds.
+    /// Registers a server under `/servers`, with this session time-out in milliseconds.
     pub fn start(members: &[SocketAddr], host: ListEntry, timeout: f64) -> Self {
         let (commands, told) = mpsc::unbounded_channel();
         let (say, said) = watch::channel(None);
-        // A seed for the order in which members are tried: any will do, if it differs from server to server.
+        // Seeds the order in which members are tried; it only has to differ between servers.
         let seed = host.host.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let settings = Settings { members: members.len(), timeout, seed };
         let driver =
@@ -53,28 +54,28 @@
         Self { commands, said, task }
     }
 
-    /// Waits until it is there.
+    /// Waits until the server is registered.
     ///
     /// # Panics
-    /// Where it does not come.
+    /// If the registration does not complete.
     pub fn wait_registered(&self) {
         crate::until("a server is registered", || *self.said.borrow() == Some(RegistrarEvent::Registered));
     }
 
-    /// Says that the server drains, and waits until that is written.
+    /// Marks the server as draining and waits until that is written.
     ///
     /// # Panics
-    /// Where it is not.
+    /// If it is not written.
     pub fn drain(&self) {
-        // A task that has ended says nothing more, and the wait tells.
+        // Sending fails only if the task has ended, and then the wait below fails.
         let _ = self.commands.send(Command::Drain);
         crate::until("a drain is written", || *self.said.borrow() == Some(RegistrarEvent::Draining));
     }
 
-    /// Ends the session, and the entry with it.
+    /// Ends the session and with it the entry.
     ///
     /// # Panics
-    /// Where it does not end.
+    /// If the session does not end.
     pub fn end(self) {
         let _ = self.commands.send(Command::End);
         crate::until("a registration ends", || self.task.is_finished());
--- a/crates/testkit/src/coordination/tree.rs
+++ b/crates/testkit/src/coordination/tree.rs
@@ -1,15 +1,15 @@
-//! The tree of nodes and sessions, as a machine: a request is turned into a transaction against the newest state, and the
-//! same transactions in the same order make the same tree at every member.
+//! The tree of znodes and the sessions, as a state machine. A request is turned into a transaction against
+//! the newest state, and the same transactions in the same order produce the same tree at every member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
 use glenwood_coordination::proto::{Code, EventKind, Mode, Request, Response, Stat, WatchEvent};
 
-/// The longest data of a node, as services have it by default.
+/// Maximum size of a znode's data, the default limit of ZooKeeper servers.
 pub const DATA_MOST: usize = 1024 * 1024 - 1;
 
-/// A node of the tree.
+/// A znode.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Node {
     data: Bytes,
@@ -18,13 +18,14 @@
 }
 
 impl Node {
-    /// Its stat as clients see it: births of children are what is counted, and a death is a change too.
+    /// The stat that clients see. Internally `cversion` counts only created children; clients expect removals
+    /// to be counted too.
     fn shown(&self) -> Stat {
         Stat { cversion: self.stat.cversion.wrapping_mul(2).wrapping_sub(self.stat.children), ..self.stat }
     }
 }
 
-/// One change, already checked.
+/// One validated change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Change {
     Create { path: String, data: Bytes, owner: i64 },
@@ -34,7 +35,7 @@
     CloseSession { id: i64 },
 }
 
-/// What a request is answered with once its transaction is applied.
+/// How a request is answered once its transaction is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Reply {
     Created { path: String, stat: bool },
@@ -44,42 +45,42 @@
     Done,
 }
 
-/// A transaction: all of its changes, or none, under one zxid.
+/// A transaction: all of its changes or none, under one zxid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Txn {
-    /// Its place in the one order.
+    /// Position in the order.
     pub zxid: i64,
-    /// When it was made, Unix time in milliseconds.
+    /// When it was created, in Unix time in milliseconds.
     pub time: i64,
     changes: Vec<Change>,
     replies: Vec<Result<Reply, Code>>,
     multi: bool,
 }
 
-/// What each member holds.
+/// The state that each member holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tree {
     nodes: BTreeMap<String, Node>,
-    /// Sessions that stand, with their time-outs in milliseconds.
+    /// Live sessions with their time-outs in milliseconds.
     sessions: BTreeMap<i64, i32>,
     zxid: i64,
 }
 
 impl Default for Tree {
-    /// The root alone.
+    /// A tree with only the root.
     fn default() -> Self {
         let root = Node { data: Bytes::new(), stat: Stat::default(), children: BTreeSet::new() };
         Self { nodes: BTreeMap::from([("/".to_string(), root)]), sessions: BTreeMap::new(), zxid: 0 }
     }
 }
 
-/// Where a node hangs, and its name there.
+/// Splits a path into the parent's path and the name.
 fn split(path: &str) -> (&str, &str) {
     let (parent, name) = path.rsplit_once('/').unwrap_or(("", path));
     (if parent.is_empty() { "/" } else { parent }, name)
 }
 
-/// Is this the path of a node?
+/// Whether this is a valid path.
 fn is_path(path: &str) -> bool {
     path == "/"
         || (path.starts_with('/')
@@ -89,27 +90,27 @@
 }
 
 impl Tree {
-    /// The newest transaction that it has.
+    /// zxid of the newest applied transaction.
     pub fn zxid(&self) -> i64 {
         self.zxid
     }
 
-    /// Does this session stand?
+    /// Whether the session is alive.
     pub fn has_session(&self, id: i64) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// All sessions that stand, with their time-outs in milliseconds.
+    /// Live sessions with their time-outs in milliseconds.
     pub fn sessions(&self) -> impl Iterator<Item = (i64, i32)> + '_ {
         self.sessions.iter().map(|(id, timeout)| (*id, *timeout))
     }
 
-    /// All paths, in order.
+    /// All paths in order.
     pub fn paths(&self) -> impl Iterator<Item = &str> {
         self.nodes.keys().map(String::as_str)
     }
 
-    /// The data of a node, if there is one.
+    /// Data of a znode, if it exists.
     pub fn data(&self, path: &str) -> Option<&Bytes> {
         self.nodes.get(path).map(|node| &node.data)
     }
@@ -118,7 +119,7 @@
         self.nodes.get(path).ok_or(Code::NoNode)
     }
 
-    /// Answers what only reads; `None` for what changes something.
+    /// Answers a read request; `None` for a request that writes.
     pub fn read(&self, request: &Request) -> Option<Result<Response, Code>> {
         let bad = |path: &str| !is_path(path);
         Some(match request {
@@ -148,8 +149,9 @@
         })
     }
 
-    /// What happened since a zxid to nodes that are watched, for a client that takes its watches up again. The watches
-    /// that are left, on data with those on nodes that are not there, and on children, are to be set.
+    /// Watch events that a reconnecting client missed since `since`, for the watches that it sets again: on
+    /// data, on the existence of absent znodes, and on children. The caller sets the watches for which there
+    /// is no event.
     pub fn missed(
         &self,
         since: i64,
@@ -173,15 +175,15 @@
         of_data.chain(of_exist).chain(of_children).collect()
     }
 
-    // ---- Making transactions, at the leader ----
+    // ---- Creating transactions, at the leader ----
 
-    /// A new session.
+    /// Transaction that opens a session.
     pub fn open_session(&self, zxid: i64, time: i64, id: i64, timeout: i32) -> Txn {
         let changes = vec![Change::OpenSession { id, timeout }];
         Txn { zxid, time, changes, replies: vec![Ok(Reply::Done)], multi: false }
     }
 
-    /// The end of a session, and of what is ephemeral in it.
+    /// Transaction that ends a session and deletes its ephemeral znodes.
     pub fn close_session(&self, zxid: i64, time: i64, id: i64) -> Txn {
         let owned = self.nodes.iter().filter(|(_, n)| n.stat.ephemeral_owner == id);
         let mut changes: Vec<Change> = owned.map(|(path, _)| Change::Delete { path: path.clone() }).collect();
@@ -189,8 +191,8 @@
         Txn { zxid, time, changes, replies: vec![Ok(Reply::Done)], multi: false }
     }
 
-    /// Turns what a session asks for into a transaction; `None` for what only reads. One that fails is a transaction
-    /// too, with no change in it: its place in the order is what its client is told.
+    /// Turns a session's request into a transaction; `None` for a request that only reads. A request that
+    /// fails also becomes a transaction, without changes, as its answer carries its position in the order.
     pub fn prepare(&self, zxid: i64, time: i64, session: i64, request: &Request) -> Option<Txn> {
         if !self.has_session(session) {
             let replies = vec![Err(Code::SessionExpired)];
@@ -221,7 +223,7 @@
         session: i64,
         all: &[Request],
     ) -> (Vec<Change>, Vec<Result<Reply, Code>>) {
-        // Each sees what those before it did.
+        // Each request sees the effects of those before it.
         let mut scratch = self.clone();
         let (mut changes, mut replies) = (Vec::new(), Vec::new());
         for (n, request) in all.iter().enumerate() {
@@ -229,13 +231,14 @@
                 Ok((change, reply)) => {
                     let step: Vec<Change> = change.into_iter().collect();
                     let txn = Txn { zxid, time, changes: step.clone(), replies: Vec::new(), multi: false };
-                    // What it would answer is said when the whole is applied.
+                    // The response is computed when the whole transaction is applied.
                     let _ = scratch.apply(&txn);
                     changes.extend(step);
                     replies.push(Ok(reply));
                 }
                 Err(code) => {
-                    // The one that failed says why; those before it were undone, those behind it not tried.
+                    // The failing request reports its error, those before it that they were rolled back, and
+                    // those after it that they were not tried.
                     let other = |i: usize| match i.cmp(&n) {
                         std::cmp::Ordering::Less => Code::RolledBack,
                         std::cmp::Ordering::Equal => code,
@@ -291,10 +294,10 @@
         }
     }
 
-    /// The path that a new node gets, where it may be made.
+    /// Path of a new znode, if it may be created.
     fn place_for(&self, path: &str, mode: Mode) -> Result<String, Code> {
         let (parent, _) = split(path);
-        // A sequential node may have nothing but its number for a name.
+        // The name of a sequential znode may consist of its number alone.
         let named = if mode.sequential { format!("{path}0") } else { path.to_string() };
         if !is_path(&named) || named == "/" {
             return Err(if path == "/" { Code::NodeExists } else { Code::BadArguments });
@@ -310,10 +313,10 @@
         Ok(path)
     }
 
-    // ---- Applying them, at every member ----
+    // ---- Applying transactions, at every member ----
 
-    /// Applies the next transaction; gives what it answers, and what watches are to fire, in order. One that was applied
-    /// before is left alone.
+    /// Applies the next transaction and returns its response and the watch events, in order. Each transaction
+    /// must be applied once only; this is not checked.
     pub fn apply(&mut self, txn: &Txn) -> (Result<Response, Code>, Vec<WatchEvent>) {
         let mut fired = Vec::new();
         let mut fire = |kind, path: &str| fired.push(WatchEvent { kind, path: path.to_string() });
@@ -385,14 +388,15 @@
         }
     }
 
-    /// Hangs a node under its parent, or takes it off; gives the parent's path.
+    /// Adds a znode to its parent's children or removes it; returns the parent's path.
     fn hang(&mut self, path: &str, zxid: i64, on: bool) -> String {
         let (parent, name) = split(path);
         if let Some(node) = self.nodes.get_mut(parent) {
             let changed =
                 if on { node.children.insert(name.to_string()) } else { node.children.remove(name) };
             debug_assert!(changed, "{path} hung there already, or did not");
-            // Numbers of sequential nodes come of this, so it grows by births alone here and never runs back.
+            // Numbers of sequential znodes derive from this counter, so it counts only created children and
+            // never decreases.
             node.stat.cversion = node.stat.cversion.wrapping_add(i32::from(on));
             node.stat.pzxid = zxid;
             node.stat.children = node.children.len() as i32;
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in discovery service: the list, and watches on its changes.
+//! A test discovery service: the server list, and watches on its changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,10 +14,10 @@
 use crate::runtime;
 use crate::server::{Protocol, StandIn};
 
-/// How often a watch with no news says that it stands.
+/// Interval at which a watch without changes sends an empty line to show that it is alive.
 const ALIVE: Duration = Duration::from_millis(500);
 
-/// One entry of the list.
+/// One entry of the server list.
 pub fn host(
     name: &str,
     address: SocketAddr,
@@ -34,7 +34,7 @@
            "born_ms": born_ms})
 }
 
-/// The entry of a stand-in server that is in service.
+/// The entry of a test server that is active.
 pub fn active(server: &StandIn) -> Value {
     let me = &server.identity;
     host(&me.name, server.address, me.protocol, me.cell, "active", 0)
@@ -43,14 +43,14 @@
 #[derive(Default)]
 struct State {
     hosts: Vec<Value>,
-    /// Each change, by the version that it made.
+    /// Each change with the version that it produced.
     changes: Vec<(u64, Value)>,
     version: u64,
 }
 
-/// A discovery service that runs; it ends when this is dropped.
+/// A running discovery service. Dropping it ends the service.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     changed: watch::Sender<u64>,
@@ -62,18 +62,18 @@
 }
 
 impl Discovery {
-    /// Starts one with a list, at any free port of 127.0.0.1.
+    /// Starts a service with this list on a free port of 127.0.0.1.
     ///
     /// # Panics
-    /// Where there is none.
+    /// If no port is free.
     pub fn start(hosts: &[Value]) -> Self {
         Self::start_at("127.0.0.1:0".parse().expect("an address"), hosts)
     }
 
-    /// Starts one with a list at an address.
+    /// Starts a service with this list at an address.
     ///
     /// # Panics
-    /// Where the address can't be had.
+    /// If the address is not available.
     pub fn start_at(at: SocketAddr, hosts: &[Value]) -> Self {
         let listener = crate::wait("a listener", TcpListener::bind(at)).expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -83,7 +83,8 @@
         Self { address, state, changed, accepting }
     }
 
-    /// Changes one entry, or adds it; tells all watches.
+    /// Changes or adds one entry and notifies all watches. An entry with the health `left` is removed from
+    /// the list.
     pub fn tell(&self, host: Value) {
         let mut state = lock(&self.state);
         state.version += 1;
@@ -110,7 +111,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let (state, changed) = (state.clone(), changed.clone());
         conns.spawn(async move {
-            // What breaks a connection is the other side's affair.
+            // An I/O error only ends this connection.
             let _ = serve(stream, state, changed).await;
         });
         while conns.try_join_next().is_some() {}
@@ -142,7 +143,7 @@
                 let new: Vec<&Value> =
                     state.changes.iter().filter(|(v, _)| *v > from).map(|(_, h)| h).collect();
                 let line = if from == 0 {
-                    // From before the first version: the whole list.
+                    // A watch from version 0 has nothing yet and gets the full list.
                     json!({"seq": state.version, "whole": true, "hosts": state.hosts}).to_string()
                 } else if new.is_empty() {
                     String::new()
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Real instances under an agent, driven by `glenctl` as a process, and clients that ask them all the while.
+//! Real node instances under an agent that is controlled through `glenctl` as a process, and clients that
+//! send requests meanwhile.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -17,13 +18,13 @@
 use crate::server::{Identity, Protocol, StandIn};
 use crate::{runtime, until, wait};
 
-/// One machine: a folder, an agent, and what its instances need.
+/// One machine: a directory, an agent, and everything that its instances need.
 pub struct Machine {
-    /// Its folder; the agent's own is `run` in it.
+    /// Directory of the machine; the agent's own directory is `run` in it.
     pub folder: PathBuf,
-    /// Where its instances listen.
+    /// Addresses that the instances listen on.
     pub addresses: Vec<SocketAddr>,
-    /// What its servers carried out.
+    /// What the servers executed.
     pub ledger: Ledger,
     glenctl: PathBuf,
     agent: Option<Child>,
@@ -32,11 +33,12 @@
 }
 
 impl Machine {
-    /// A machine with so many instances of the release `r1`, all of them ready. `glenctl` is that program's file, and
-    /// `sha256` gives the digest of a file; `more` goes into the file of what is desired, behind its table `fleet`.
+    /// Starts a machine with this many instances of the release `r1` and waits until they are ready.
+    /// `glenctl` is the path of that program, and `sha256` computes the digest of a file; `more` is added to
+    /// the fleet file, after the keys of its table `fleet`.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the instances do not become ready.
     pub fn new(
         glenctl: &Path,
         sha256: impl Fn(&Path) -> String,
@@ -58,7 +60,8 @@
             })
             .collect();
         let discovery = Discovery::start(&servers.iter().map(active).collect::<Vec<_>>());
-        // Instances keep their addresses over restarts, so these are chosen here; all are held until all are known.
+        // Instances keep their addresses over restarts, so the ports are chosen here. All listeners stay
+        // bound until every port is chosen, so that the ports differ.
         let held: Vec<TcpListener> =
             (0..instances).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
         let addresses: Vec<SocketAddr> = held.iter().map(|l| l.local_addr().expect("bound")).collect();
@@ -73,7 +76,7 @@
             text += &format!("[releases.{release}]\npath = '{path}'\n");
             text += &format!("sha256 = '{program}'\narguments = ['node']\n");
         }
-        // One that starts and never answers.
+        // A release that starts but never answers.
         text += &format!(
             "[releases.hangs]\npath = '/bin/sh'\nsha256 = '{shell}'\narguments = ['-c', 'sleep 600']\n"
         );
@@ -83,7 +86,7 @@
             let mut settings = settings(400.0);
             (settings["Me"], settings["PeersTotal"]) = (n.into(), instances.into());
             for class in settings["Classes"].as_array_mut().into_iter().flatten() {
-                // A node that ends takes its time by the longest of these.
+                // A node's shutdown takes as long as the longest of these.
                 class["Deadline"] = 2000.0.into();
             }
             let mut config = config(&format!("n{n}"), discovery.address, settings);
@@ -112,24 +115,24 @@
         machine
     }
 
-    /// Its agent's socket.
+    /// Path of the agent's socket.
     pub fn socket(&self) -> PathBuf {
         self.folder.join("run").join("agent.sock")
     }
 
-    /// Starts its agent, and waits until that answers.
+    /// Starts the agent and waits until it answers.
     ///
     /// # Panics
-    /// Where it does not.
+    /// If the agent does not answer.
     pub fn start_agent(&mut self) {
         self.start_agent_by(Command::new(&self.glenctl));
     }
 
-    /// The same, on a disk that is full as soon as a file has so many blocks of 512 bytes, as the limit of the process
-    /// on the size of files makes it look; [`Machine::make_room`] ends that.
+    /// Starts the agent with a limit on the size of files, in blocks of 512 bytes, which makes the disk look
+    /// full once a file reaches it. [`Machine::make_room`] lifts the limit.
     ///
     /// # Panics
-    /// Where it does not answer.
+    /// If the agent does not answer.
     pub fn start_agent_with_room(&mut self, blocks: usize) {
         let mut command = Command::new("/bin/sh");
         let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\" \"$@\"");
@@ -137,10 +140,10 @@
         self.start_agent_by(command);
     }
 
-    /// The disk of the running agent has room again.
+    /// Lifts the limit on the size of files of the running agent.
     ///
     /// # Panics
-    /// Where no agent runs.
+    /// If no agent is running.
     pub fn make_room(&self) {
         let pid = self.agent_pid().and_then(|pid| Pid::from_raw(pid as i32));
         let endless = Rlimit { current: None, maximum: None };
@@ -157,7 +160,7 @@
         until("the agent answers", || self.status().is_some());
     }
 
-    /// Has its agent ended by itself?
+    /// Whether the agent has exited by itself.
     pub fn agent_ended(&mut self) -> bool {
         let ended = self.agent.as_mut().is_some_and(|agent| matches!(agent.try_wait(), Ok(Some(_))));
         if ended {
@@ -166,15 +169,15 @@
         ended
     }
 
-    /// The number of its agent's process, where it runs.
+    /// Process id of the agent, if it runs.
     pub fn agent_pid(&self) -> Option<u32> {
         self.agent.as_ref().map(Child::id)
     }
 
-    /// Ends the agent with no warning.
+    /// Kills the agent (SIGKILL).
     ///
     /// # Panics
-    /// Where it can't be ended.
+    /// If it cannot be killed.
     pub fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
             agent.kill().expect("it runs");
@@ -182,35 +185,35 @@
         }
     }
 
-    /// `glenctl fleet` with these arguments, for this machine's agent.
+    /// A `glenctl fleet` command with these arguments for this machine's agent.
     pub fn command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(&self.glenctl);
         command.args(["fleet", "--who", "ada", "--agents"]).arg(self.socket()).args(arguments);
         command
     }
 
-    /// The same, run to its end.
+    /// Runs a `glenctl fleet` command to completion.
     ///
     /// # Panics
-    /// Where it can't be run.
+    /// If it cannot be run.
     pub fn fleet(&self, arguments: &[&str]) -> Output {
         self.command(arguments).output().expect("it runs")
     }
 
-    /// What the agent says of all; `None` where it does not answer.
+    /// The agent's status; `None` if the agent does not answer.
     ///
     /// # Panics
-    /// Where `glenctl` can't be run.
+    /// If `glenctl` cannot be run.
     pub fn status(&self) -> Option<Value> {
         let output = self.fleet(&["status", "--json"]);
         let all: Value = serde_json::from_slice(&output.stdout).ok()?;
         Some(all["agents"][0]["status"].clone())
     }
 
-    /// Waits until all is as it should be.
+    /// Waits until all instances match the desired state.
     ///
     /// # Panics
-    /// Where it does not come to that.
+    /// If they do not get there.
     pub fn until_well(&self) {
         until("all is as it should be", || {
             let status = self.status();
@@ -221,25 +224,25 @@
         });
     }
 
-    /// What the agent says of one instance.
+    /// The agent's status of one instance.
     ///
     /// # Panics
-    /// Where the agent does not answer.
+    /// If the agent does not answer.
     pub fn of(&self, name: &str) -> Value {
         self.status().expect("it answers")["instances"][name].clone()
     }
 
-    /// The processes of all instances.
+    /// Process ids of all instances.
     ///
     /// # Panics
-    /// Where the agent does not answer.
+    /// If the agent does not answer.
     pub fn pids(&self) -> Vec<u64> {
         let status = self.status().expect("it answers");
         let all = status["instances"].as_object().expect("instances").clone();
         all.values().filter_map(|i| i["pid"].as_u64()).collect()
     }
 
-    /// Its agent's log.
+    /// The agent's log.
     pub fn agent_log(&self) -> String {
         std::fs::read_to_string(self.folder.join("agent.log")).unwrap_or_default()
     }
@@ -258,31 +261,31 @@
     }
 }
 
-/// Fronts and clients: each goes to a node that says that it is ready, and leaves one that does not any more, as fronts do
-/// that look at `/ready`.
+/// Clients behind a front: each sends to a node that reports itself ready, and leaves a node that no longer
+/// does, like a front that polls `/ready`.
 pub struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<tokio::task::JoinHandle<Counts>>,
 }
 
-/// What became of the requests.
+/// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Requests.
+    /// Requests sent.
     pub asked: usize,
     /// Served.
     pub served: usize,
     /// Refused.
     pub refused: usize,
-    /// Their connection ended first.
+    /// Requests whose connection ended before the answer.
     pub lost: usize,
-    /// Anything else.
+    /// Any other answer.
     pub other: usize,
-    /// No node was ready when one was needed.
+    /// Times that no node was ready when a client needed one.
     pub nowhere: usize,
 }
 
-/// Does the node at this address say that it is ready?
+/// Whether the node at this address reports itself ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let ask = async {
@@ -296,7 +299,7 @@
 }
 
 impl Load {
-    /// Begins: twelve clients, of both protocols and all classes.
+    /// Starts twelve clients that use both protocols and all classes.
     pub fn start(addresses: &[SocketAddr]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let ready: Arc<Vec<AtomicBool>> = Arc::new(addresses.iter().map(|_| AtomicBool::new(true)).collect());
@@ -319,10 +322,10 @@
         Self { stop, clients }
     }
 
-    /// Ends it.
+    /// Stops the clients and returns their total counts.
     ///
     /// # Panics
-    /// Where a client does not end.
+    /// If a client does not end.
     pub fn end(self) -> Counts {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().fold(Counts::default(), |sum, client| {
@@ -363,7 +366,7 @@
             open = conn.ok().map(|conn| (node, conn));
         }
         let Some((_, conn)) = &mut open else {
-            // Its listener is closed by now: the next look at it tells.
+            // The node's listener is closed already; the next readiness poll will notice it.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,20 +1,20 @@
-//! As much of HTTP/1.1 as stand-ins need.
+//! The part of HTTP/1.1 that the test doubles need.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt, BufReader};
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its head, with the first line.
+    /// Head, including the first line.
     pub head: String,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of a header.
+    /// Value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -22,7 +22,7 @@
         })
     }
 
-    /// The status of an answer; 0 where there is none.
+    /// Status code of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
@@ -33,10 +33,11 @@
     }
 }
 
-/// Reads one message with a length; `None` where the connection ends before it begins.
+/// Reads one message, whose body length is given by Content-Length; `None` if the connection ends before the
+/// message begins.
 ///
 /// # Errors
-/// Where the connection breaks, or ends within the message.
+/// If the connection fails or ends within the message.
 pub async fn read(from: &mut BufReader<impl AsyncRead + Unpin>) -> io::Result<Option<Message>> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -53,7 +54,7 @@
     Ok(Some(message))
 }
 
-/// Writes an answer with a body.
+/// Encodes a response with a body.
 pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut out =
         format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for what a node meets, on loopback: servers and clients of both protocols, discovery, and nodes as
-//! processes. For tests, benches and `glenctl`; never for the node.
+//! Test doubles for everything a node talks to, on loopback: servers and clients of both protocols,
+//! discovery, and nodes as separate processes. For tests, benches and `glenctl`; the node itself does not use
+//! it.
 //!
-//! All of it runs on one runtime of its own, and can be used from threads that know nothing of it: what waits, blocks,
-//! and gives up after [`PATIENCE`].
+//! Everything runs on one shared runtime. Callers may be on any thread outside that runtime: functions that
+//! wait block the calling thread and panic after [`PATIENCE`].
 #![warn(missing_docs)]
 
 pub mod client;
@@ -22,32 +23,33 @@
 
 use tokio::runtime::{Handle, Runtime};
 
-/// How long anything that should happen is waited for: far more than it takes, on a busy machine too.
+/// Time limit for every wait. It is far longer than any wait takes, even on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// The runtime of all stand-ins of this process.
+/// Returns the runtime that all test doubles of this process share.
 ///
 /// # Panics
-/// Where it can't be made, or has ended.
+/// If the runtime cannot be created.
 pub fn runtime() -> &'static Handle {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     let make = || tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     RUNTIME.get_or_init(|| make().expect("a runtime")).handle()
 }
 
-/// Waits for something on the runtime, from a thread that is not one of its own.
+/// Runs a future on the shared runtime and blocks until it completes. Must not be called from a thread of
+/// that runtime.
 ///
 /// # Panics
-/// Where it takes longer than [`PATIENCE`].
+/// If the future takes longer than [`PATIENCE`].
 pub fn wait<T>(what: &str, doing: impl Future<Output = T>) -> T {
     let done = runtime().block_on(async { tokio::time::timeout(PATIENCE, doing).await });
     done.unwrap_or_else(|_| panic!("waited in vain: {what}"))
 }
 
-/// Waits until the condition holds.
+/// Polls a condition and blocks until it holds.
 ///
 /// # Panics
-/// Where it does not within [`PATIENCE`].
+/// If the condition does not hold within [`PATIENCE`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own.
+//! Nodes as separate processes.
 
 use std::ffi::OsString;
 use std::io::{BufRead, BufReader};
@@ -14,23 +14,24 @@
 
 use crate::until;
 
-/// The program that a node runs, and what goes before its own arguments.
+/// The program that a node runs.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments.
+    /// Arguments that precede the node's own.
     pub arguments: Vec<OsString>,
 }
 
 impl Program {
-    /// A program without arguments.
+    /// A program without additional arguments.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into(), arguments: Vec::new() }
     }
 }
 
-/// The classes that stand-ins know, one of each effect: `look`, `pay` and `slip`.
+/// Node settings with the classes that the test servers know, one per effect: `look` (safe), `pay` (keyed)
+/// and `slip` (unsafe). `aim_ms` is their latency objective in milliseconds.
 pub fn settings(aim_ms: f64) -> Value {
     json!({
         "Me": 0, "PeersTotal": 1, "Tick": 1.0, "Discovery": "subscribe", "Weights": "silent",
@@ -47,19 +48,19 @@
     })
 }
 
-/// The configuration of a node that finds its servers at `discovery`.
+/// Configuration of a node that finds its servers through `discovery`.
 pub fn config(name: &str, discovery: SocketAddr, settings: Value) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings})
 }
 
-/// A node that runs; it is killed when this is dropped.
+/// A running node. Dropping it kills the process.
 pub struct Node {
     child: Child,
     folder: PathBuf,
-    /// Where clients connect, over HTTP and, where that is shared, MessagePack-RPC.
+    /// Address for clients: HTTP and, if the port is shared, MessagePack-RPC.
     pub address: SocketAddr,
-    /// Its own listener for MessagePack-RPC, where it has one.
+    /// Address of a separate MessagePack-RPC listener, if there is one.
     pub rpc: Option<SocketAddr>,
     name: String,
     wants_rpc: bool,
@@ -73,20 +74,20 @@
 }
 
 impl Node {
-    /// Starts a node with a configuration and, where it has one, an operator's file; waits until it listens.
+    /// Starts a node with a configuration and an optional operator file, and waits until it listens.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the node does not start to listen.
     pub fn start(program: &Program, config: &Value, operator: Option<&str>) -> Self {
         let mut node = Self::spawn(program, config, operator);
         node.wait_listening();
         node
     }
 
-    /// Starts one and does not wait for it.
+    /// Starts a node without waiting for it.
     ///
     /// # Panics
-    /// Where it can't be started.
+    /// If the process cannot be started.
     pub fn spawn(program: &Program, config: &Value, operator: Option<&str>) -> Self {
         let folder = folder();
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -115,10 +116,10 @@
         Self { child, folder, name, address: ([0, 0, 0, 0], 0).into(), rpc: None, wants_rpc, log }
     }
 
-    /// Waits until it listens.
+    /// Waits until the node listens.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the node exits or does not start to listen.
     pub fn wait_listening(&mut self) {
         let own = format!("{} listens at ", self.name);
         until("the node listens", || {
@@ -130,28 +131,28 @@
         });
     }
 
-    /// The address that its log has said behind these words, up to a comma.
+    /// The address that the log shows after this text, up to a comma.
     pub fn said(&self, words: &str) -> Option<SocketAddr> {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         let behind = |line: &String| line.split_once(words)?.1.split(',').next()?.parse().ok();
         log.iter().find_map(behind)
     }
 
-    /// How many lines of its log have these words.
+    /// Number of log lines that contain this text.
     pub fn lines(&self, words: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.iter().filter(|line| line.contains(words)).count()
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the node reports that it is ready.
     ///
     /// # Panics
-    /// Where it does not.
+    /// If the node does not become ready.
     pub fn wait_ready(&self) {
         until("the node is ready", || self.says_ready());
     }
 
-    /// Asks it once whether it is ready.
+    /// Queries the readiness endpoint once.
     pub fn says_ready(&self) -> bool {
         let ask = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         crate::wait("an answer", async {
@@ -165,7 +166,7 @@
         })
     }
 
-    /// What it says of itself at its socket; `None` where nobody answers there.
+    /// Reads the report from a node's inspection socket; `None` if nothing answers there.
     pub fn inspect(socket: &Path) -> Option<Value> {
         crate::wait("an answer", async {
             use tokio::io::AsyncReadExt;
@@ -176,15 +177,15 @@
         })
     }
 
-    /// Its log so far.
+    /// The log so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Where clients of a protocol connect.
+    /// Address for clients of a protocol.
     ///
     /// # Panics
-    /// Where it was not told to take that protocol.
+    /// If the node has no listener for the protocol.
     pub fn takes(&self, protocol: crate::server::Protocol) -> SocketAddr {
         match protocol {
             crate::server::Protocol::Http => self.address,
@@ -192,66 +193,68 @@
         }
     }
 
-    /// Tells it to stop, as at a planned restart.
+    /// Asks the node to shut down gracefully (SIGTERM), as for a planned restart.
     ///
     /// # Panics
-    /// Where it can't be told.
+    /// If the signal cannot be sent.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Gives it another configuration file, and tells it so (SIGHUP).
+    /// Replaces the configuration file and makes the node reload it (SIGHUP).
     ///
     /// # Panics
-    /// Where the file can't be written, or it can't be told.
+    /// If the file cannot be written or the signal cannot be sent.
     pub fn reload(&self, config: &Value) {
         std::fs::write(self.folder.join("config.json"), config.to_string()).expect("a file");
         self.signal(Signal::HUP);
     }
 
-    /// Makes it stand still.
+    /// Pauses the process (SIGSTOP).
     ///
     /// # Panics
-    /// Where it can't be told.
+    /// If the signal cannot be sent.
     pub fn stop(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process (SIGCONT).
     ///
     /// # Panics
-    /// Where it can't be told.
+    /// If the signal cannot be sent.
     pub fn go_on(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Ends it without a word, and waits until it has ended.
+    /// Kills the process (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     fn signal(&self, signal: Signal) {
-        // A child that was not waited for keeps its number, so this reaches no other process.
+        // The process id stays reserved until the child is waited for, so the signal cannot reach another
+        // process.
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("a process id");
         rustix::process::kill_process(pid, signal).expect("it is a process of this one");
     }
 
-    /// Its memory that is resident, in bytes.
+    /// Resident memory in bytes.
     pub fn resident(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         line.and_then(|l| l.trim().split(' ').next()?.parse::<usize>().ok()).unwrap_or(0) * 1024
     }
 
-    /// The processor time that it has used, in the kernel too, in hundredths of a second.
+    /// CPU time used so far, user and system, in clock ticks of 10 ms.
     pub fn cpu(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
         fields.skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum()
     }
 
-    /// The processor time that its threads have used, those that have ended left out, to the nanosecond.
+    /// CPU time of the threads that are alive, with nanosecond resolution; threads that have ended are not
+    /// included.
     pub fn processor_time(&self) -> Duration {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         let threads = threads.into_iter().flatten().flatten().map(|thread| thread.path().join("schedstat"));
@@ -259,26 +262,26 @@
         Duration::from_nanos(threads.filter_map(used).sum())
     }
 
-    /// How many file descriptors it holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// Does it run?
+    /// Whether the process is running.
     pub fn running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until it ends; its exit code.
+    /// Waits for the process to end and returns its exit code.
     ///
     /// # Panics
-    /// Where it does not end.
+    /// If the process does not end.
     pub fn exit_code(&mut self) -> Option<i32> {
         until("the node ends", || !self.running());
         self.child.wait().ok().and_then(|status| status.code())
     }
 
-    /// The folder of its files.
+    /// Directory of the node's files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -1,4 +1,4 @@
-//! A MessagePack-RPC server that its test plays by hand, byte by byte where it wants.
+//! A MessagePack-RPC server whose every answer is given by the test, byte by byte if needed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,23 +14,23 @@
 
 use crate::{runtime, until};
 
-/// A call that has come.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct Came {
-    /// Its connection, from 0.
+    /// Index of its connection, from 0.
     pub conn: usize,
-    /// Its number there.
+    /// Call id on that connection.
     pub id: u32,
-    /// What is called.
+    /// The call.
     pub call: Call,
 }
 
 struct Conn {
     to: Option<OwnedWriteHalf>,
     reading: JoinHandle<()>,
-    /// The other side has closed.
+    /// Whether the other side has closed the connection.
     closed: bool,
-    /// All bytes that came.
+    /// Bytes of all reads that contained calls; 0 for a connection that only carried probes.
     bytes: usize,
 }
 
@@ -42,9 +42,9 @@
     ids: Vec<(usize, u32)>,
 }
 
-/// A server whose calls wait for its test's word.
+/// A server that holds calls until the test answers them.
 pub struct Peer {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     accepting: JoinHandle<()>,
@@ -55,10 +55,10 @@
 }
 
 impl Peer {
-    /// Starts one. Probes are answered by itself.
+    /// Starts a server. It answers health probes by itself.
     ///
     /// # Panics
-    /// Where there is no free port.
+    /// If no port is free.
     pub fn start() -> Self {
         let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -72,7 +72,7 @@
         Self { address, state, accepting }
     }
 
-    /// The next call; waits for it.
+    /// Waits for the next call.
     pub fn call(&self) -> Came {
         let mut next = None;
         until("a call", || {
@@ -82,17 +82,17 @@
         next.expect("found")
     }
 
-    /// So many calls, in the order in which they came.
+    /// Waits for this many calls, in the order in which they arrive.
     pub fn calls(&self, count: usize) -> Vec<Came> {
         (0..count).map(|_| self.call()).collect()
     }
 
-    /// How many calls have come that were not taken.
+    /// Number of calls received but not yet taken by the test.
     pub fn waiting(&self) -> usize {
         lock(&self.state).came.len()
     }
 
-    /// How many calls came in all, and whether any number came twice on a connection.
+    /// Number of calls received in all, and whether any call id was used twice on a connection.
     pub fn ids(&self) -> (usize, bool) {
         let mut ids = lock(&self.state).ids.clone();
         let all = ids.len();
@@ -101,17 +101,17 @@
         (all, ids.len() < all)
     }
 
-    /// How many connections were ever opened, without those of probes.
+    /// Number of connections ever opened, without those that only carried probes.
     pub fn connections(&self) -> usize {
         lock(&self.state).conns.iter().filter(|c| c.bytes > 0).count()
     }
 
-    /// How many probes came.
+    /// Number of probes received.
     pub fn probes(&self) -> usize {
         lock(&self.state).probes
     }
 
-    /// Has the node closed this connection?
+    /// Whether the node has closed this connection.
     pub fn is_closed(&self, conn: usize) -> bool {
         lock(&self.state).conns[conn].closed
     }
@@ -123,10 +123,10 @@
         self.raw(came.conn, &bytes);
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes.
     ///
     /// # Panics
-    /// Where the connection takes none.
+    /// If the write fails.
     pub fn raw(&self, conn: usize, bytes: &[u8]) {
         let to = lock(&self.state).conns[conn].to.take();
         if let Some(mut to) = to {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Ends a connection.
+    /// Closes a connection.
     pub fn close(&self, conn: usize) {
         let mut state = lock(&self.state);
         state.conns[conn].reading.abort();
--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -1,4 +1,4 @@
-//! Clients of a rig: requests at a rate, and clients that come again where their answer is lost.
+//! Clients of a rig: requests at a fixed rate, from clients that repeat a request whose answer was lost.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use crate::runtime;
 use crate::server::Protocol;
 
-/// Asks one thing on a connection of its own; [`Answer::Lost`] where the node can't be reached.
+/// Sends one request on a new connection; [`Answer::Lost`] if the node cannot be reached.
 pub async fn ask_at(address: SocketAddr, ask: &Ask) -> Answer {
     match Client::connect(Protocol::Http, address).await {
         Ok(mut client) => client.ask(ask).await,
@@ -19,24 +19,24 @@
     }
 }
 
-/// What one asking came to.
+/// Result of sending a request once.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request, by the number that it was made from.
+    /// Number of the request.
     pub number: u64,
-    /// Which asking of it this was, from 0.
+    /// How often the client had sent the request before: 0 for the first time.
     pub time: usize,
-    /// The node that was asked.
+    /// The node that it was sent to.
     pub node: usize,
-    /// What it answered.
+    /// The answer.
     pub answer: Answer,
-    /// How long that took.
+    /// Time until the answer.
     pub took: Duration,
-    /// When it was answered.
+    /// When the answer arrived.
     pub at: Instant,
 }
 
-/// Requests that come at a rate, each to the next of some nodes, until that is ended.
+/// Requests sent at a fixed rate to some nodes in turn, until stopped.
 pub struct Load {
     over: Arc<AtomicBool>,
     asked: Arc<AtomicU64>,
@@ -44,13 +44,14 @@
     asking: JoinHandle<()>,
 }
 
-/// What a client does when its answer was lost.
+/// Decides where a client repeats a request whose answer was lost: from the request's number, the number of
+/// earlier repeats and the node, to the nodes that are asked next.
 pub type Again = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
 
 impl Load {
-    /// Starts it: `make` gives the request of a number and of which asking; `to` the address of a node as it is now. Where an
-    /// answer is lost, `again` says which nodes are asked next, all at once, given the number, the asking and the
-    /// node that was lost; none: the client gives up.
+    /// Starts the load. `make` builds the request from its number and repeat count, and `to` gives the
+    /// current address of a node. When an answer is lost, `again` names the nodes to which the client sends
+    /// the repeat, to all of them at once; an empty list makes the client give up.
     pub fn start(
         nodes: Vec<usize>,
         per_second: f64,
@@ -109,20 +110,20 @@
         Self { over, asked, outcomes, asking }
     }
 
-    /// How many requests were asked so far, without their repeats.
+    /// Number of requests sent so far, without repeats.
     pub fn asked(&self) -> u64 {
         self.asked.load(Ordering::SeqCst)
     }
 
-    /// What they came to so far.
+    /// Results so far.
     pub fn outcomes(&self) -> Vec<Outcome> {
         self.outcomes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Ends it, and waits for what is still out.
+    /// Stops sending and waits for the answers that are still outstanding.
     ///
     /// # Panics
-    /// Where that takes too long.
+    /// If that takes longer than [`crate::PATIENCE`].
     pub fn end(self) -> Vec<Outcome> {
         self.over.store(true, Ordering::SeqCst);
         crate::wait("the last answers", self.asking).expect("no client panics");
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -1,8 +1,9 @@
-//! Many processes of the program, with faults between them: nodes, servers with one ledger, discovery, and a relay for every
-//! link. One place for all tests of several processes.
+//! A test rig of many processes with faults between them: nodes, servers that share one ledger, discovery,
+//! and a relay on every link. All tests that run several processes use it.
 //!
-//! All that is known by an address that must last, a node to the others, is known by one of the relay, which is never given
-//! up; the processes themselves take any free port, and say which. So no port is ever found by binding and freeing it.
+//! An address that has to outlive a process, such as the one by which the other nodes know a node, belongs to
+//! the relay, which never gives it up. The processes themselves listen on any free port and log it, so no
+//! port is reserved by binding and releasing it.
 
 pub mod load;
 pub mod relay;
@@ -25,50 +26,51 @@
 use relay::{End, Front, Net};
 use schedule::{Fault, Schedule};
 
-/// How many processes a test of very many starts: 60, which two busy cores bear, or what GLENWOOD_PROCESSES says, to be run by
-/// hand on a machine for it.
+/// Number of processes for tests that start very many of them: the value of GLENWOOD_PROCESSES, or 60, which
+/// two busy cores can run. Larger numbers are meant for manual runs on a larger machine.
 pub fn very_many() -> usize {
     std::env::var("GLENWOOD_PROCESSES").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
 }
 
-/// What a node logs before the address of its socket for membership.
+/// Text that a node logs in front of the address of its membership socket.
 pub const MEMBERS: &str = "members: listens at ";
 
-/// What a node's operator's file has, by its rig and its number.
+/// Produces additional text for a node's operator file from the rig and the node's number.
 pub type Operator = Box<dyn Fn(&Rig, usize) -> String + Send + Sync>;
 
-/// What there is to be.
+/// What a [`Rig`] consists of.
 pub struct Plan {
-    /// The program.
+    /// The program that nodes run.
     pub program: Program,
-    /// How many nodes, and how many zones they lie in.
+    /// Number of nodes.
     pub nodes: usize,
-    /// See `nodes`.
+    /// Number of zones that the nodes are spread over.
     pub zones: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// By how many ways nodes reach servers and discovery: each node has its own where there are as many, else node n goes
-    /// by way n modulo this.
+    /// Number of separate sets of links from nodes to servers and discovery. Node n uses set n modulo this
+    /// number, so each node has its own set where there are as many sets as nodes.
     pub ways: usize,
-    /// What servers do.
+    /// Behaviour of the servers.
     pub script: Script,
-    /// How long a server remembers keys.
+    /// How long servers remember idempotency keys.
     pub memory: Duration,
-    /// What the settings of the nodes are to have besides.
+    /// Adjusts the settings of every node.
     pub change: fn(&mut Value),
-    /// What the operator's file of a node has besides the tables `inspect` and `members`.
+    /// Text of a node's operator file besides the tables `inspect` and `members`.
     pub operator: Operator,
-    /// How often nodes probe one another; 0: no table `members`.
+    /// Interval of membership probes between nodes, in milliseconds; 0 leaves the table `members` out.
     pub probe_ms: u64,
-    /// The sockets for datagrams that each node has, by what it logs before a socket's own address: each has an address
-    /// that lasts, [`Rig::front_of`].
+    /// The datagram sockets of each node, each named by the text that the node logs in front of the socket's
+    /// address. Each socket is reached at an address that stays the same over restarts, see
+    /// [`Rig::front_of`].
     pub sockets: Vec<&'static str>,
-    /// For the chances of links.
+    /// Seed for the random faults on links.
     pub seed: u64,
 }
 
 impl Plan {
-    /// Some nodes and servers in three zones, with nothing of note.
+    /// Nodes and servers in three zones, with default settings.
     pub fn new(program: Program, nodes: usize, servers: usize, script: Script) -> Self {
         Self {
             program,
@@ -87,7 +89,7 @@
     }
 }
 
-/// A way by which some nodes reach servers and discovery.
+/// A set of links over which some nodes reach servers and discovery.
 struct Way {
     discovery: SocketAddr,
     list: Discovery,
@@ -97,23 +99,23 @@
 #[derive(Default)]
 struct Slot {
     node: Option<Node>,
-    /// One that ends, beside its successor.
+    /// The previous process, which is shutting down next to its successor.
     old: Option<Node>,
-    /// Where clients reach the one that runs, or ran last.
+    /// Where clients reach the running process, or reached the last one.
     address: Option<SocketAddr>,
     starts: usize,
 }
 
-/// Processes that run, and what lies between them.
+/// Running processes and the links between them.
 pub struct Rig {
-    /// What there is.
+    /// The plan that this rig was built from.
     pub plan: Plan,
     /// The links.
     pub net: Net,
-    /// What the servers saw and carried out.
+    /// What the servers received and executed.
     pub ledger: Ledger,
     folder: PathBuf,
-    /// By the kind of socket, by node.
+    /// Indexed by the kind of socket, then by node.
     fronts: Vec<Vec<Front>>,
     ways: Vec<Way>,
     slots: Vec<Mutex<Slot>>,
@@ -122,17 +124,17 @@
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        // The nodes first: they still write into the folder.
+        // Nodes are stopped first, because they still write into the directory.
         self.slots.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Rig {
-    /// Servers, discovery and links; no node runs yet.
+    /// Starts servers, discovery and links, but no node.
     ///
     /// # Panics
-    /// Where anything does not come up.
+    /// If any of them does not start.
     pub fn new(plan: Plan) -> Self {
         static LAST: AtomicUsize = AtomicUsize::new(0);
         let number = LAST.fetch_add(1, Ordering::Relaxed);
@@ -149,7 +151,8 @@
             .collect();
         let ways = (0..plan.ways)
             .map(|way| {
-                // A node of this way stands for all of them: faults on links to servers are laid by ways.
+                // The first node that uses a set of links represents all of its nodes: faults on links to
+                // servers apply to whole sets.
                 let from = End::Node(way);
                 let lead = |(n, server): (usize, &StandIn)| net.lead(from, End::Server(n), server.address);
                 let servers: Vec<SocketAddr> = servers.iter().enumerate().map(lead).collect();
@@ -164,10 +167,11 @@
         Self { plan, net, ledger, folder, fronts, ways, slots, _servers: servers }
     }
 
-    /// The same, with all nodes started and ready, and known to one another where they have membership.
+    /// Like [`Rig::new`], but also starts all nodes and waits until they are ready and, where membership is
+    /// on, know one another.
     ///
     /// # Panics
-    /// Where they do not come up.
+    /// If a node does not become ready.
     pub fn started(plan: Plan) -> Self {
         let rig = Self::new(plan);
         (0..rig.plan.nodes).for_each(|n| rig.spawn(n));
@@ -182,7 +186,8 @@
         host(&format!("s{server}"), at, Protocol::Http, 0, health, 0)
     }
 
-    /// Discovery says this of a server to the nodes of this one's way.
+    /// Changes the health that discovery reports for a server to this node and to all nodes that share its
+    /// links.
     pub fn tell(&self, node: usize, server: usize, health: &str) {
         let way = &self.ways[node % self.ways.len()];
         way.list.tell(Self::entry(server, way.servers[server], health));
@@ -192,46 +197,48 @@
         self.slots[n].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with a node that runs; `None` where it does not.
+    /// Calls a function with a node's process; `None` if the node is not running.
     pub fn with<T>(&self, n: usize, what: impl FnOnce(&mut Node) -> T) -> Option<T> {
         self.slot(n).node.as_mut().map(what)
     }
 
-    /// The name of a node.
+    /// Name of a node.
     pub fn name(n: usize) -> String {
         format!("n{n}")
     }
 
-    /// The zone of a node.
+    /// Zone of a node.
     pub fn zone(&self, n: usize) -> String {
         format!("z{}", n % self.plan.zones)
     }
 
-    /// The address by which the others know a node's socket of this kind, over all its lives.
+    /// The address by which the other nodes know a node's socket of this kind. It stays the same over
+    /// restarts.
     ///
     /// # Panics
-    /// Where there is no such kind.
+    /// If the plan has no socket of this kind.
     pub fn front_of(&self, kind: &str, n: usize) -> SocketAddr {
         let kind = self.plan.sockets.iter().position(|words| *words == kind).expect("a kind of socket");
         self.fronts[kind][n].address
     }
 
-    /// The folder of the rig's files.
+    /// Directory of the rig's files.
     pub fn folder(&self) -> &std::path::Path {
         &self.folder
     }
 
-    /// The socket at which a node says what it is.
+    /// Path of a node's inspection socket.
     pub fn socket(&self, n: usize) -> PathBuf {
         self.folder.join(format!("n{n}.sock"))
     }
 
-    /// What a node says of itself; `None` where it does not answer.
+    /// A node's report from its inspection socket; `None` if the node does not answer.
     pub fn report(&self, n: usize) -> Option<Value> {
         Node::inspect(&self.socket(n))
     }
 
-    /// A figure that a node shows at its operators' door; `None` where it does not answer, or has none of that name.
+    /// Reads one metric from a node's operator endpoint; `None` if the node does not answer or has no metric
+    /// of that name.
     pub fn figure(&self, n: usize, name: &str) -> Option<u64> {
         let door = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
         let text = crate::wait("an answer", async {
@@ -245,10 +252,10 @@
         line?.parse().ok()
     }
 
-    /// Where clients reach a node now, or reached it when it ran last.
+    /// Where clients reach a node, or reached it when it last ran.
     ///
     /// # Panics
-    /// Where it has never run.
+    /// If the node has never run.
     pub fn address(&self, n: usize) -> SocketAddr {
         self.slot(n).address.expect("it has run")
     }
@@ -256,7 +263,7 @@
     fn operator(&self, n: usize) -> String {
         let mut text = format!("[inspect]\nsocket = '{}'\n", self.socket(n).display());
         if self.plan.probe_ms > 0 {
-            // A seed in each zone.
+            // One seed node per zone.
             let seeds: Vec<String> = (0..self.plan.zones.min(self.plan.nodes))
                 .map(|s| format!("'{}'", self.front_of(MEMBERS, s)))
                 .collect();
@@ -273,7 +280,7 @@
         text + &(self.plan.operator)(self, n)
     }
 
-    /// Starts a node, under its name and addresses; does not wait for it.
+    /// Starts a node under its name and addresses without waiting for it.
     pub fn spawn(&self, n: usize) {
         let way = &self.ways[n % self.ways.len()];
         let mut settings = settings(1000.0);
@@ -287,17 +294,17 @@
         config["mgmt"] = json!("127.0.0.1:0");
         config["seed"] = json!(format!("{:x}", 1000 * n + slot.starts));
         if let Some(address) = slot.address.filter(|_| slot.node.is_some()) {
-            // A successor comes to where the one before it listens.
+            // A successor takes over the listening address of its predecessor.
             config["listen"] = json!(address.to_string());
         }
         let node = Node::spawn(&self.plan.program, &config, Some(&operator));
         slot.old = slot.node.replace(node);
     }
 
-    /// Waits until a node that was started serves; its sockets are known to the relay from then on.
+    /// Waits until a started node serves requests, then tells the relay where its sockets are.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the node does not become ready.
     pub fn wait_up(&self, n: usize) {
         let own = |words: &str| self.slot(n).node.as_ref().and_then(|node| node.said(words));
         {
@@ -314,10 +321,10 @@
         }
     }
 
-    /// Waits until each node that runs takes all those that run for living, and nobody else.
+    /// Waits until each running node considers exactly the running nodes alive.
     ///
     /// # Panics
-    /// Where they do not.
+    /// If that takes longer than twice [`crate::PATIENCE`].
     pub fn wait_known(&self) {
         let running = self.running();
         let began = Instant::now();
@@ -333,20 +340,20 @@
         }
     }
 
-    /// The nodes that run.
+    /// The nodes that are running.
     pub fn running(&self) -> Vec<usize> {
         (0..self.plan.nodes).filter(|n| self.slot(*n).node.is_some()).collect()
     }
 
-    /// How many log lines of a node have these words, over the life that runs.
+    /// Number of log lines of a node's current process that contain this text.
     pub fn lines(&self, n: usize, words: &str) -> usize {
         self.with(n, |node| node.lines(words)).unwrap_or(0)
     }
 
-    /// Carries a fault out.
+    /// Carries out a fault.
     ///
     /// # Panics
-    /// Where a node that is started does not come up.
+    /// If a node that the fault starts does not become ready.
     pub fn cause(&self, fault: &Fault) {
         match fault {
             Fault::Kill(n) => {
@@ -376,14 +383,14 @@
         }
     }
 
-    /// Plays faults, each at its time.
+    /// Carries out the faults of a schedule, each at its time.
     ///
     /// # Panics
-    /// Where one can't be carried out.
+    /// If a fault cannot be carried out.
     pub fn play(&self, schedule: &Schedule) {
         let began = Instant::now();
         for step in &schedule.steps {
-            // The time of a fault is a part of the schedule: nothing is waited for here.
+            // The times are part of the schedule: this does not wait for the effect of the previous fault.
             let due = Duration::from_millis(step.at);
             std::thread::sleep(due.saturating_sub(began.elapsed()));
             self.cause(&step.fault);
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -1,5 +1,5 @@
-//! One relay for all links of a rig: datagrams between nodes, and connections to servers and to discovery. What goes between
-//! two ends goes by the faults that are laid between them at that moment.
+//! One relay for all links of a rig: datagrams between nodes, and connections to servers and discovery.
+//! Traffic between two ends is subject to the faults that are active on that link at that moment.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,37 +19,38 @@
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum End {
-    /// A node, by its number.
+    /// A node, by number.
     Node(usize),
-    /// A server, by its number.
+    /// A server, by number.
     Server(usize),
     /// The discovery service.
     Discovery,
 }
 
-/// What happens on a link, one way.
+/// What goes wrong on a link, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Trouble {
-    /// Nothing goes through. A connection stays open and silent, a new one comes up and stays silent.
+    /// Nothing passes. Open connections stay open without traffic, and so do new ones.
     Cut,
-    /// Connections are broken, and new ones are at once; datagrams are lost.
+    /// Connections, existing and new, are reset; datagrams are lost.
     Reset,
-    /// So many in a hundred datagrams are lost.
+    /// This percentage of datagrams is lost.
     Loss(u8),
-    /// So many in a hundred datagrams come twice.
+    /// This percentage of datagrams is delivered twice.
     Doubled(u8),
-    /// All takes so many milliseconds, and datagrams up to so many more, so that they overtake one another.
+    /// All traffic is delayed by the first value in milliseconds, and datagrams by a random extra of up to
+    /// the second, so that they are reordered.
     Delay(u64, u64),
 }
 
-/// Troubles between some ends and some others; an empty list stands for all.
+/// An impairment on all links from some ends to some others; an empty list means all ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Between {
-    /// From these.
+    /// Sending ends.
     pub from: Vec<End>,
-    /// To these.
+    /// Receiving ends.
     pub to: Vec<End>,
-    /// What happens.
+    /// What goes wrong.
     pub trouble: Trouble,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// What becomes of something that goes over a link now.
+/// The combined impairments that apply to a link at the moment.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fate {
     cut: bool,
@@ -75,31 +76,32 @@
     random: fastrand::Rng,
 }
 
-/// What was counted.
+/// Traffic counters.
 #[derive(Debug, Default)]
 pub struct Passed {
-    /// Datagrams that came, and those that were given on.
+    /// Datagrams received.
     pub datagrams: AtomicU64,
-    /// See `datagrams`.
+    /// Datagrams forwarded.
     pub given: AtomicU64,
-    /// Datagrams from sockets that nobody named.
+    /// Datagrams dropped because their source socket belongs to no known node.
     pub strangers: AtomicU64,
-    /// Connections.
+    /// Connections accepted.
     pub connections: AtomicU64,
 }
 
-/// Whose each socket is, and the one by which the others know it.
+/// Maps the address of a node's own socket to the node's number and to the relay socket that represents it
+/// towards other nodes.
 type Faces = HashMap<SocketAddr, (usize, Arc<UdpSocket>)>;
 
-/// The troubles of all links, and what went over them.
+/// The state of all links, and counters of their traffic.
 #[derive(Clone)]
 pub struct Net {
     laid: Arc<Mutex<Laid>>,
-    /// Told anew with each change.
+    /// Notified of each change.
     changed: watch::Sender<u64>,
-    /// By the address of a socket, whose it is, and by which address the others know it.
+    /// Nodes by the addresses of their own sockets.
     faces: Arc<Mutex<Faces>>,
-    /// What was counted.
+    /// Traffic counters.
     pub passed: Arc<Passed>,
 }
 
@@ -108,7 +110,7 @@
 }
 
 impl Net {
-    /// Links without trouble; `seed` is for what is left to chance.
+    /// Links without impairments; `seed` drives the random choices.
     pub fn new(seed: u64) -> Self {
         let random = fastrand::Rng::with_seed(seed);
         let laid = Laid { troubles: Vec::new(), random };
@@ -120,13 +122,13 @@
         }
     }
 
-    /// Lays one more trouble.
+    /// Adds an impairment.
     pub fn lay(&self, between: Between) {
         lock(&self.laid).troubles.push(between);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Takes all troubles away.
+    /// Removes all impairments.
     pub fn heal(&self) {
         lock(&self.laid).troubles.clear();
         self.changed.send_modify(|n| *n += 1);
@@ -156,10 +158,11 @@
 
     // ---- Datagrams ----
 
-    /// The address by which all others know a node: what is sent there reaches it where it is now, once that is said.
+    /// Opens the address by which all others know a node's socket. Datagrams sent there are forwarded to the
+    /// node's current socket once [`Front::is_at`] has named it.
     ///
     /// # Panics
-    /// Where there is no free port.
+    /// If no port is free.
     pub fn front(&self, node: usize) -> Front {
         let socket = crate::wait("a socket", UdpSocket::bind("127.0.0.1:0")).expect("a free port");
         let address = socket.local_addr().expect("bound");
@@ -171,11 +174,11 @@
     }
 }
 
-/// The one address of a node's socket, over all its lives.
+/// The stable address of a node's socket, which stays the same over restarts of the node.
 #[derive(Clone)]
 pub struct Front {
     node: usize,
-    /// What the others know.
+    /// The address that other nodes use.
     pub address: SocketAddr,
     socket: Arc<UdpSocket>,
     behind: Arc<Mutex<Option<SocketAddr>>>,
@@ -183,7 +186,7 @@
 }
 
 impl Front {
-    /// The node's socket is there from now on.
+    /// Sets the current address of the node's own socket.
     pub fn is_at(&self, own: SocketAddr) {
         let before = lock(&self.behind).replace(own);
         let mut faces = lock(&self.net.faces);
@@ -196,7 +199,7 @@
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
             self.net.passed.datagrams.fetch_add(1, Ordering::Relaxed);
-            // Whoever sends is known to the receiver by its own one address.
+            // The receiver sees the sender's stable address as the source.
             let Some((from, face)) = lock(&self.net.faces).get(&source).cloned() else {
                 self.net.passed.strangers.fetch_add(1, Ordering::Relaxed);
                 continue;
@@ -229,10 +232,10 @@
 // ---- Connections ----
 
 impl Net {
-    /// An address that leads from one end to another: connections there go on to `target`.
+    /// Opens an address for connections from one end to another and forwards them to `target`.
     ///
     /// # Panics
-    /// Where there is no free port.
+    /// If no port is free.
     pub fn lead(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
         let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -268,8 +271,8 @@
         }
     }
 
-    /// Takes what comes over the one way, and gives it on when that is let through. An end that was read to its end, or a
-    /// trouble that breaks the connection, ends it.
+    /// Copies one direction of a connection, as far as the impairments allow. Returns the writing half at end
+    /// of file, and `None` when the connection breaks or is reset.
     async fn copy(
         &self,
         mut read: OwnedReadHalf,
@@ -282,7 +285,7 @@
             changed.mark_unchanged();
             let fate = self.fate(from, to);
             if fate.reset {
-                // Dropped with what has not been read, it is a reset.
+                // Dropping a socket with unread data resets the connection.
                 return None;
             }
             if fate.cut {
@@ -301,8 +304,8 @@
                 Ok(n) => n,
                 Err(_) => return None,
             };
-            // It has left the one end, and does not reach the other while the way is cut. It is lost where the connection breaks
-            // meanwhile.
+            // The data has left the sender, but is held back while the link is cut, and is lost if the
+            // connection is reset in the meantime.
             let came = Instant::now();
             while self.fate(from, to).cut && !self.fate(from, to).reset {
                 let _ = changed.changed().await;
@@ -318,7 +321,7 @@
     }
 }
 
-/// Closes so that the other side sees a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     let _ = stream.set_zero_linger();
 }
--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -1,4 +1,4 @@
-//! Faults as data: which, when, drawn from a seed or given, printed where a test fails, and played again.
+//! Fault schedules as data: generated from a seed or given, printed when a test fails, and replayed.
 
 use std::fmt;
 
@@ -6,43 +6,44 @@
 
 use super::relay::{Between, End, Trouble};
 
-/// The variable that holds a schedule to be played in place of the one that a test would draw.
+/// Environment variable with a schedule to run instead of the generated one.
 pub const AGAIN: &str = "GLENWOOD_SCHEDULE";
 
 /// One fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A node ends without a word.
+    /// Kills a node's process.
     Kill(usize),
-    /// It starts again, under its name and its address.
+    /// Starts a node again under its name and address.
     Start(usize),
-    /// It stands still.
+    /// Pauses a node's process (SIGSTOP).
     Stop(usize),
-    /// It goes on.
+    /// Resumes a paused process (SIGCONT).
     GoOn(usize),
-    /// It is told to end.
+    /// Asks a node to shut down.
     Terminate(usize),
-    /// Its successor starts while it runs; it is told to end once that is ready.
+    /// Starts a successor while the node runs, and asks the old process to shut down once the new one
+    /// listens.
     Upgrade(usize),
-    /// A trouble is laid on links.
+    /// Adds an impairment to links.
     Lay(Between),
-    /// All links are good again.
+    /// Removes all impairments.
     Heal,
 }
 
-/// A fault and when it comes, counted from the beginning.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Milliseconds.
+    /// Milliseconds since the start of the schedule.
     pub at: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Faults in the order in which they come.
+/// A list of faults in order of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// What it was drawn from, for the chances of links too.
+    /// Seed from which the schedule was generated; also the seed for random faults on links.
     pub seed: u64,
     /// The faults.
     pub steps: Vec<Step>,
@@ -54,24 +55,24 @@
     }
 }
 
-/// The kinds of trouble that a schedule draws from.
+/// Kinds of faults that a generated schedule contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Nodes are killed and start again at once or later.
+    /// Nodes are killed, and restarted at once or later.
     Crash,
-    /// Nodes stand still for a while.
+    /// Nodes are paused for a while.
     Stall,
-    /// Some nodes are cut off from the others, both ways or one way.
+    /// Some nodes are cut off from the others, in both directions or in one.
     Cut,
-    /// Datagrams get lost, come twice and overtake one another.
+    /// Datagrams are lost, duplicated and reordered.
     Lossy,
     /// Nodes are upgraded.
     Upgrade,
 }
 
 impl Schedule {
-    /// Draws faults of these kinds over so many milliseconds among so many nodes: one after another, each mended before the
-    /// end, and never more than a minority out at a time.
+    /// Generates faults of these kinds over `span` milliseconds among so many nodes: one after another, each
+    /// undone before the end, and never with more than half of the nodes affected at a time.
     pub fn drawn(seed: u64, nodes: usize, span: u64, kinds: &[Kind]) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut steps, mut at) = (Vec::new(), 0);
@@ -86,7 +87,7 @@
             match kinds[random.usize(0..kinds.len())] {
                 Kind::Crash => {
                     put(at, Fault::Kill(node));
-                    // At once, or after the others have noticed.
+                    // Restarts at once, or after the others have had time to notice.
                     let away = if random.bool() { 0 } else { length };
                     put(at + away, Fault::Start(node));
                     at += away;
@@ -132,10 +133,10 @@
         Self { seed, steps }
     }
 
-    /// The one that is to be played again, where there is one; else this.
+    /// The schedule from the environment variable, or this one if it is not set.
     ///
     /// # Panics
-    /// Where what is given can't be read.
+    /// If the variable does not hold a valid schedule.
     pub fn or_again(self) -> Self {
         match std::env::var(AGAIN) {
             Ok(text) => serde_json::from_str(&text).expect("a schedule as it was printed"),
@@ -143,17 +144,17 @@
         }
     }
 
-    /// How it is played again.
+    /// Shell command that replays this schedule.
     pub fn command(&self, package: &str, test: &str, name: &str) -> String {
         format!("{AGAIN}='{self}' cargo test -p {package} --test {test} {name}")
     }
 }
 
-/// Says how a schedule is played again, where its test fails while this lives.
+/// Prints the command that replays a schedule if the test panics while this value is alive.
 pub struct Printed(String);
 
 impl Printed {
-    /// For this schedule of this test.
+    /// For a schedule of this test.
     pub fn new(schedule: &Schedule, package: &str, test: &str, name: &str) -> Self {
         Self(schedule.command(package, test, name))
     }
@@ -180,7 +181,7 @@
             assert_eq!(serde_json::from_str::<Schedule>(&drawn.to_string()).expect("as printed"), drawn);
             assert!(!drawn.steps.is_empty() && drawn.steps.iter().all(|step| step.at <= 20_000));
             assert!(drawn.steps.is_sorted_by_key(|step| step.at));
-            // Who is out comes back.
+            // Every node that is taken out comes back.
             let count = |is: &dyn Fn(&Fault) -> bool| drawn.steps.iter().filter(|s| is(&s.fault)).count();
             assert_eq!(count(&|f| matches!(f, Fault::Kill(_))), count(&|f| matches!(f, Fault::Start(_))));
             assert_eq!(count(&|f| matches!(f, Fault::Stop(_))), count(&|f| matches!(f, Fault::GoOn(_))));
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -1,4 +1,4 @@
-//! One language for what stand-in servers do, whatever they speak, and the count of what they carried out.
+//! Scripts for the behaviour of test servers of both protocols, and the ledger of what the servers executed.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,88 +7,88 @@
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Carries it out and answers.
+    /// Executes it and answers.
     Serve,
-    /// Carries it out and answers after a while.
+    /// Executes it and answers after a delay.
     ServeAfter(Duration),
-    /// Answers with an error; carries it out first, or not.
+    /// Answers with an error.
     Error {
-        /// Carried out?
+        /// Whether the request is executed first.
         ran: bool,
     },
-    /// Turns it away unseen.
+    /// Turns it away without processing it.
     TurnAway,
-    /// Finds the request itself bad.
+    /// Rejects it as an invalid request.
     Reject,
-    /// Carries it out and never answers.
+    /// Executes it and never answers.
     Hold,
-    /// Ends the connection, with nothing carried out.
+    /// Closes the connection without executing it.
     DropBefore,
-    /// Carries it out and ends the connection.
+    /// Executes it and closes the connection.
     DropAfter,
-    /// Carries it out, writes half of the answer and ends the connection.
+    /// Executes it, writes a part of the answer and closes the connection.
     DropMidway,
-    /// Carries it out and answers what can't be read.
+    /// Executes it and answers with invalid bytes.
     Garble,
-    /// Carries it out and answers behind the next answer on its connection, if there is one within the span.
+    /// Executes it and answers after the next answer on its connection, or after this time if there is none.
     Reorder(Duration),
 }
 
-/// A request as a server sees it.
+/// A request as a server receives it.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// The server's name.
+    /// Name of the server.
     pub server: String,
-    /// The class.
+    /// Class.
     pub class: String,
-    /// Path and query behind it.
+    /// Path and query after the class.
     pub path: String,
-    /// The client's id.
+    /// Transaction id.
     pub txn: String,
-    /// The key, where it has one.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// The tenant, where it has one.
+    /// Tenant, if any.
     pub org: Option<String>,
-    /// The user, where it has one.
+    /// User, if any.
     pub user: Option<String>,
-    /// How long the node waits, as it says.
+    /// Remaining time that the node announces, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// How many attempts with this id servers of the same ledger saw before.
+    /// Number of earlier attempts with this id at servers of the same ledger.
     pub before: usize,
 }
 
-/// What servers do: a function of what they see.
+/// Decides what a server does with a request.
 pub type Script = Arc<dyn Fn(&Seen) -> Step + Send + Sync>;
 
-/// A script that always does the same.
+/// A script that does the same with every request.
 pub fn always(step: Step) -> Script {
     Arc::new(move |_| step)
 }
 
-/// What is known of one id.
+/// Counts for one transaction id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Attempts that reached a server whole.
+    /// Attempts that reached a server completely.
     pub attempts: usize,
-    /// How often it was carried out.
+    /// Number of executions.
     pub executions: usize,
 }
 
 #[derive(Default)]
 struct Counts {
     by_id: BTreeMap<String, Count>,
-    /// When each key was first carried out in each cell; repeats within the memory are dropped there.
+    /// Time of the last execution of each key in each cell. A repeat within the memory time is not executed.
     by_key: BTreeMap<(u64, String), Instant>,
-    /// How often each key was carried out, in all cells.
+    /// Number of executions of each key, over all cells.
     key_runs: BTreeMap<String, usize>,
-    /// How often each class and path was carried out, whatever id it came with.
+    /// Number of executions of each class and path, under any id.
     path_runs: BTreeMap<String, usize>,
     probes: usize,
 }
 
-/// What all servers of a fleet saw and carried out.
+/// What all servers of a fleet received and executed.
 #[derive(Clone)]
 pub struct Ledger {
     counts: Arc<Mutex<Counts>>,
@@ -96,7 +96,7 @@
 }
 
 impl Ledger {
-    /// Nothing yet; the servers of a cell drop the repeat of a key for `memory`.
+    /// An empty ledger. The servers of a cell do not execute a key again within `memory`.
     pub fn new(memory: Duration) -> Self {
         Self { counts: Arc::default(), memory }
     }
@@ -105,7 +105,7 @@
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An attempt has come whole; gives how many came before.
+    /// Records an attempt that arrived completely, and returns the number of earlier attempts with this id.
     pub fn arrived(&self, txn: &str) -> usize {
         let mut counts = self.counts();
         let count = counts.by_id.entry(txn.to_string()).or_default();
@@ -113,7 +113,7 @@
         count.attempts - 1
     }
 
-    /// A request is carried out, unless its key was in this cell a while ago.
+    /// Executes a request, unless its key was executed in this cell within the memory time.
     pub fn execute(&self, seen: &Seen, cell: u64) {
         let mut counts = self.counts();
         if let Some(key) = &seen.key {
@@ -129,37 +129,37 @@
         *counts.path_runs.entry(format!("{}{}", seen.class, seen.path)).or_default() += 1;
     }
 
-    /// A probe has come.
+    /// Records a probe.
     pub fn probed(&self) {
         self.counts().probes += 1;
     }
 
-    /// How many probes came.
+    /// Number of probes received.
     pub fn probes(&self) -> usize {
         self.counts().probes
     }
 
-    /// What is known of an id.
+    /// Counts for one id.
     pub fn of(&self, txn: &str) -> Count {
         self.counts().by_id.get(txn).cloned().unwrap_or_default()
     }
 
-    /// How often a key was carried out, in all cells.
+    /// Number of executions of a key, over all cells.
     pub fn runs_of_key(&self, key: &str) -> usize {
         self.counts().key_runs.get(key).copied().unwrap_or(0)
     }
 
-    /// How often a class and path was carried out, whatever ids it came with: a client's repeat has a new one.
+    /// Number of executions of a class and path under any id: a client's repeat has a new id.
     pub fn runs_of_path(&self, class: &str, path: &str) -> usize {
         self.counts().path_runs.get(&format!("{class}{path}")).copied().unwrap_or(0)
     }
 
-    /// How many ids reached servers.
+    /// Number of ids that reached servers.
     pub fn ids(&self) -> usize {
         self.counts().by_id.len()
     }
 
-    /// All ids that were carried out more than once.
+    /// All ids that were executed more than once.
     pub fn repeated(&self) -> Vec<(String, Count)> {
         let counts = self.counts();
         counts.by_id.iter().filter(|(_, c)| c.executions > 1).map(|(id, c)| (id.clone(), c.clone())).collect()
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers of both protocols, which follow a script.
+//! Test servers of both protocols that follow a script.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,7 +19,7 @@
 use crate::runtime;
 use crate::script::{Ledger, Script, Seen, Step};
 
-/// What a server speaks.
+/// Protocol that a server speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Protocol {
     /// HTTP/1.1.
@@ -29,10 +29,10 @@
 }
 
 impl Protocol {
-    /// Both.
+    /// Both protocols.
     pub const BOTH: [Self; 2] = [Self::Http, Self::Rpc];
 
-    /// Its name.
+    /// Name of the protocol.
     pub fn name(self) -> &'static str {
         match self {
             Self::Http => "http",
@@ -41,18 +41,18 @@
     }
 }
 
-/// What a server is, besides its script.
+/// What identifies a server.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The cell whose servers drop one another's repeats.
+    /// Cell: the servers of a cell recognise one another's repeats of a key and execute it once.
     pub cell: u64,
-    /// What it speaks.
+    /// Protocol.
     pub protocol: Protocol,
 }
 
-/// What a served request is answered with: who served it, and what came.
+/// Body of the answer to a served request, made of what the server received.
 pub fn served_body(seen: &Seen) -> Vec<u8> {
     let mut body = format!("{} {}{}", seen.txn, seen.class, seen.path).into_bytes();
     body.push(b' ');
@@ -60,7 +60,7 @@
     body
 }
 
-/// Work on one connection.
+/// What a connection needs to handle requests.
 #[derive(Clone)]
 struct Worker {
     me: Identity,
@@ -70,7 +70,8 @@
 }
 
 impl Worker {
-    /// Notes an attempt, decides on it, and carries it out if that is what the script says.
+    /// Records an attempt, looks up what the script does with it, and executes the request if the script says
+    /// so.
     fn begin(&self, mut seen: Seen) -> (Seen, Step) {
         seen.before = self.ledger.arrived(&seen.txn);
         let step = (self.script)(&seen);
@@ -92,11 +93,11 @@
     }
 }
 
-/// A server that runs; it ends, with all its connections, when this is dropped.
+/// A running server. Dropping it ends the server and all its connections.
 pub struct StandIn {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// What it is.
+    /// What identifies it.
     pub identity: Identity,
     open: Arc<AtomicUsize>,
     accepting: JoinHandle<()>,
@@ -104,18 +105,18 @@
 }
 
 impl StandIn {
-    /// Starts one at any free port of 127.0.0.1.
+    /// Starts a server on a free port of 127.0.0.1.
     ///
     /// # Panics
-    /// Where there is none.
+    /// If no port is free.
     pub fn start(identity: Identity, script: Script, ledger: Ledger) -> Self {
         Self::start_at("127.0.0.1:0".parse().expect("an address"), identity, script, ledger)
     }
 
-    /// Starts one at an address.
+    /// Starts a server at an address.
     ///
     /// # Panics
-    /// Where the address can't be had.
+    /// If the address is not available.
     pub fn start_at(address: SocketAddr, identity: Identity, script: Script, ledger: Ledger) -> Self {
         let listener = crate::wait("a listener", async {
             let socket = tokio::net::TcpSocket::new_v4()?;
@@ -132,12 +133,12 @@
         Self { address, identity, open, accepting, conns }
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Ends all connections, and goes on listening.
+    /// Ends all connections and keeps listening.
     pub fn break_connections(&self) {
         for conn in self.conns.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
             conn.abort();
@@ -165,7 +166,7 @@
             worker.open.fetch_add(1, Ordering::SeqCst);
             let _counted = Counted(worker.open.clone());
             let _ = stream.set_nodelay(true);
-            // What breaks a connection is the other side's affair.
+            // An I/O error only ends this connection.
             let _ = match worker.me.protocol {
                 Protocol::Http => serve_http(stream, worker).await,
                 Protocol::Rpc => serve_rpc(stream, worker).await,
@@ -177,7 +178,7 @@
     }
 }
 
-/// Closes so that what was written arrives, and nothing more comes.
+/// Shuts the connection down after the written data.
 async fn end(mut stream: TcpStream) -> std::io::Result<()> {
     stream.shutdown().await
 }
@@ -212,9 +213,9 @@
         let served = || http::answer(200, "", &served_body(&seen));
         let answer = match step {
             Step::Serve => served(),
-            // One request at a time: there is nothing to be overtaken by.
+            // HTTP has one request at a time on a connection, so no other answer can come first.
             Step::ServeAfter(span) | Step::Reorder(span) => {
-                // A client that goes away meanwhile has its answer written to nobody.
+                // If the client disconnects in the meantime, the answer goes nowhere.
                 tokio::time::sleep(span).await;
                 served()
             }
@@ -242,12 +243,12 @@
     Ok(())
 }
 
-/// What the writer of a connection is to do.
+/// Instruction for the writer task of a connection.
 enum Out {
     Bytes(BytesMut),
-    /// Behind the next bytes.
+    /// Writes these bytes after the next `Bytes`.
     Behind(BytesMut),
-    /// Writes that and ends the connection.
+    /// Writes these bytes and ends the connection.
     Last(BytesMut),
 }
 
@@ -295,7 +296,8 @@
         machine.received(&chunk[..n]);
         while let Some(event) = machine.poll() {
             let Event::Call { id, call } = event else { break 'conn };
-            // The number may come again once it is answered; the writer does that.
+            // Releases the call id in the state machine right away, so that it may be reused. The real answer
+            // is written by the writer task.
             machine.answer(id, &Ok(Bytes::new()));
             machine.wrote(usize::MAX);
             if call.class == "health" {
@@ -318,7 +320,7 @@
             let (seen, step) = worker.begin(seen);
             reply(&out, id, &seen, step);
             if matches!(step, Step::DropBefore | Step::DropAfter | Step::DropMidway) {
-                // Nothing more is read: what came behind it is not carried out.
+                // Requests that follow on this connection are neither read nor executed.
                 over.notified().await;
                 break 'conn;
             }
@@ -344,7 +346,7 @@
             let _ = out.send(what);
         });
     };
-    // A writer that has ended has closed the connection.
+    // Sending fails only after the writer has ended and closed the connection.
     let say = |what: Out| drop(out.send(what));
     match step {
         Step::Serve => say(Out::Bytes(served)),
@@ -358,7 +360,7 @@
             let half = BytesMut::from(&served[..served.len() - 2]);
             say(Out::Last(half));
         }
-        // A result that is neither bin nor nil.
+        // A result that is neither bin nor nil, which is invalid.
         Step::Garble => say(Out::Bytes(BytesMut::from(
             &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat()[..],
         ))),
