--- a/crates/testkit/tests/ensemble.rs
+++ b/crates/testkit/tests/ensemble.rs
@@ -1,4 +1,5 @@
-//! Sessions of the client machine at the stand-in ensemble, in virtual time, through kills, cuts, lags and mute members.
+//! Client sessions at the test ensemble, in virtual time, while members are killed, cut off, lagging or
+//! silent.
 
 mod world;
 
@@ -12,14 +13,14 @@
     Request::GetChildren { path: "/servers".into(), watch, stat: false }
 }
 
-/// A follower: reads the children again after each new connection and each watch that fired.
+/// A follower that reads the children again after each new connection and each watch event.
 fn follow(world: &mut World, id: u64, view: &mut BTreeSet<String>, reads: &mut usize) {
     follow_all(world, id, view, reads, &mut Vec::new());
 }
 
 type View = BTreeSet<String>;
 
-/// The same, with all views that it had.
+/// Like `follow`, and also collects every view.
 fn follow_all(world: &mut World, id: u64, view: &mut View, reads: &mut usize, views: &mut Vec<View>) {
     let told = std::mem::take(&mut world.clients.get_mut(&id).expect("it is there").said);
     for event in told {
@@ -58,7 +59,7 @@
         follow(w, 0, &mut view, &mut reads);
     });
     assert_eq!(view, BTreeSet::from(["s1".to_string()]));
-    // It is there for as long as it pings, and no read is made while nothing happens.
+    // The entry stays for as long as the server sends pings, and nothing is read while nothing changes.
     let before = reads;
     world.pass(60_000.0, |w| follow(w, 0, &mut view, &mut reads));
     assert_eq!((view.len(), reads), (1, before));
@@ -85,8 +86,8 @@
     );
 }
 
-/// A hundred rounds of random faults, servers coming and going: nobody's view goes back in time, and when the faults end
-/// all agree on who is there.
+/// 100 rounds of random faults while servers come and go. A client's view never goes back in time, and after
+/// the faults everyone agrees on the servers.
 #[test]
 fn views_agree_after_a_hundred_rounds_of_faults() {
     for seed in 0..10 {
@@ -146,7 +147,7 @@
             .filter_map(|p| p.strip_prefix("/servers/").map(str::to_string))
             .collect();
         assert_eq!((&view, &newest), (&wanted, &wanted), "seed {seed}");
-        // Each view is what the list once was, and none is older than the one before.
+        // Each view is a past state of the list, and never an older one than the view before.
         let history = world.ensemble.history("/servers");
         let mut at = 0;
         for (n, view) in views.iter().enumerate() {
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Followers of a list of servers at the stand-in ensemble, in virtual time.
+//! Followers of the server list at the test ensemble, in virtual time.
 
 mod world;
 
@@ -12,7 +12,7 @@
 
 type View = BTreeMap<String, Bytes>;
 
-/// Takes over what a follower said; gives the view after each change. Nobody may be gone who was not there.
+/// Applies a follower's output and returns the view after each change. Only a present server may be removed.
 fn views(world: &mut World, n: usize, view: &mut View) -> Vec<View> {
     let mut all = Vec::new();
     for output in std::mem::take(&mut world.followers[n].said) {
@@ -31,7 +31,7 @@
     all
 }
 
-/// A world with `/servers`, whose maker is the client 0.
+/// A world in which client 0 has created `/servers`.
 fn set_up() -> World {
     let mut world = World::new(MEMBERS);
     world.join(0);
@@ -66,7 +66,7 @@
     world.pass(10.0, |_| {});
     let said: Vec<_> = std::mem::take(&mut world.followers[0].said);
     assert_eq!(said, [Output::Change(Change::Set("s2".into(), data))]);
-    // Once more: the watch was set again by the reading.
+    // A second change is seen too: reading the data set the watch again.
     world.ask(2, "data", Request::SetData { path: "/servers/s2".into(), data: Bytes::new(), version: -1 });
     world.ask(3, "leave", Request::Delete { path: "/servers/s3".into(), version: -1 });
     world.pass(10.0, |_| {});
@@ -74,7 +74,7 @@
     assert_eq!((names(&view), view["s2"].len()), (vec!["s1", "s2"], 0));
 }
 
-/// There is no list before the tree is made, and an empty one only once the service says so.
+/// There is no list before the tree exists, and an empty list only once the service reports one.
 #[test]
 fn a_tree_that_is_not_made_yet_is_no_list() {
     let mut world = World::new(MEMBERS);
@@ -88,7 +88,8 @@
     assert_eq!(views(&mut world, 0, &mut View::new()), [View::new()]);
 }
 
-/// The whole service is out of reach for an hour: nobody is gone for that, and on its return only who is really gone is.
+/// The whole service is unreachable for an hour. No server is removed because of that, and after its return
+/// only the server that is really gone is removed.
 #[test]
 fn a_service_that_is_away_for_an_hour_takes_nobody_along() {
     let mut world = set_up();
@@ -109,7 +110,7 @@
     assert_eq!(names(&view), ["s1", "s2", "s3"]);
 }
 
-/// Its own session is over: it reads all again, and says nothing that is not so.
+/// The follower's own session expires. It reads everything again and reports nothing wrong.
 #[test]
 fn a_follower_whose_own_session_ended_takes_nobody_along() {
     let mut world = set_up();
@@ -119,7 +120,8 @@
     world.pass(100.0, |_| {});
     views(&mut world, 0, &mut view);
     let old = world.followers[0].machine.session().id();
-    // All members are mute to it for longer than its session lasts; the others' sessions end as well and come again.
+    // All members stay silent for longer than the session time-out. The servers' sessions expire as well and
+    // are created again.
     (0..MEMBERS).for_each(|m| world.ensemble.mute(m, true));
     world.pass(10_000.0, |_| {});
     (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false));
@@ -129,7 +131,8 @@
     assert_eq!(names(&view), ["s1", "s2", "s3", "s4"]);
 }
 
-/// Five thousand servers are taken in with a bounded count of reads under way, and one change costs one reading.
+/// Guards against unbounded reads: 5000 servers are read with a bounded number of requests in flight, and one
+/// change costs one read.
 #[test]
 fn a_large_list_comes_in_bounded_and_a_change_costs_what_changed() {
     let mut world = set_up();
@@ -148,7 +151,7 @@
     assert_eq!(world.followers[0].said, [Output::Change(Change::Removed("m0777".into()))]);
 }
 
-/// Data that is no registration by its length is not taken, and what was known still holds.
+/// Data that is too long for a registration is ignored, and the last known data stays valid.
 #[test]
 fn data_that_is_far_too_long_is_not_taken() {
     let mut world = set_up();
@@ -171,13 +174,13 @@
     assert_eq!(view["s1"], "good");
 }
 
-/// A hundred rounds of faults over ten seeds, servers coming and going: two followers never go back in time, are never
-/// without a server that stood all the while, and in the end have the truth.
+/// 100 rounds of faults for each of ten seeds, while servers come and go. Two followers never lose a server
+/// that is present all the time, and have the correct list in the end.
 #[test]
 fn followers_have_the_truth_after_a_hundred_rounds_of_faults() {
     for seed in 0..10 {
         let (mut world, mut random) = (set_up(), Random(seed + 100));
-        // This one is made for good: it is there whatever becomes of sessions.
+        // This znode is persistent: it does not depend on any session.
         world.ask(0, "steady", create("/servers/steady", false));
         world.pass(10.0, |_| {});
         world.clients.get_mut(&0).expect("it is there").said = vec![Event::Suspended];
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -1,4 +1,5 @@
-//! Servers that register and nodes that follow them, at the stand-in ensemble in virtual time: the hard cases.
+//! Registration of servers and nodes that follow the registrations, at the test ensemble in virtual time: the
+//! difficult cases.
 
 mod world;
 
@@ -22,7 +23,8 @@
     ListEntry { started_ms: born_ms, ..ListEntry::active(&format!("s{id}"), dial) }
 }
 
-/// So many servers, and a view of them that has all; they answer as the switch says.
+/// A world with this many servers and a view that lists all of them. The flag sets whether the servers answer
+/// the node.
 fn set_up(count: u64, guard: Option<guard::Settings>) -> (World, Arc<AtomicBool>, List) {
     let mut world = World::new(MEMBERS);
     (1..=count).for_each(|id| world.register(id, host(id, 1.0)));
@@ -38,11 +40,11 @@
     (world, answers, list)
 }
 
-/// What a node has of what its view said.
+/// The server list that a node builds from the events of its view.
 #[derive(Default)]
 struct List {
     hosts: BTreeMap<String, ListEntry>,
-    /// Each change as it was said: name and health.
+    /// Each reported change: name and health.
     changes: Vec<(String, Health)>,
     unfit: Vec<String>,
     away: usize,
@@ -105,7 +107,8 @@
     }
 }
 
-/// Until its session ends: the last ping is a third of the time-out old at the most.
+/// Time after which the session of a vanished server has expired: its last ping is at most a third of the
+/// time-out old.
 const ENDS: f64 = TIMEOUT + 1.0;
 
 #[test]
@@ -117,7 +120,7 @@
     assert_eq!(list.take_changes(), []);
     list.pass(&mut world, TIMEOUT * 0.4 + 1.0);
     assert_eq!(list.take_changes(), [change(1, Health::Left)]);
-    // A drain is there before the end is.
+    // A drain is visible before the server ends.
     let now = world.now;
     world.registrars.get_mut(&2).expect("it is there").machine.drain(now);
     list.pass(&mut world, 1.0);
@@ -128,8 +131,8 @@
     assert_eq!(list.take_changes(), [change(2, Health::Left)]);
 }
 
-/// The session is lost and the server is well: nothing new goes to it from the moment that the service says so, and it is
-/// back at once, as the same process.
+/// The session expires while the server still answers. No new work goes to the server once the service
+/// reports this, and it returns at once, as the same process.
 #[test]
 fn a_session_that_expires_while_its_server_answers_makes_a_suspect() {
     let (mut world, _, mut list) = set_up(3, Some(GUARD));
@@ -152,7 +155,7 @@
     assert_eq!(list.take_changes(), [change(1, Health::Leaving), change(1, Health::Left)]);
 }
 
-/// Hours without the service: nobody is lost, and nobody afterwards either.
+/// The service is away for hours. No server is lost meanwhile or afterwards.
 #[test]
 fn the_last_view_holds_for_hours() {
     let (mut world, answers, mut list) = set_up(12, Some(GUARD));
@@ -167,8 +170,8 @@
     assert_eq!((list.take_changes(), list.active()), (vec![], 12));
 }
 
-/// All sessions end together and come again: what the guard keeps back is never gone, and the first few are suspects for
-/// a moment.
+/// All sessions expire at the same time and are created again. The servers that the guard holds back are
+/// never removed, and the first few are suspects for a moment only.
 #[test]
 fn a_mass_expiry_is_no_mass_removal() {
     let (mut world, _, mut list) = set_up(12, Some(GUARD));
@@ -189,7 +192,7 @@
     assert!(list.take_changes().iter().all(|(_, health)| *health != Health::Left), "no connections are lost");
 }
 
-/// The guard keeps within the drain rule: what stays away is out of service within its hold.
+/// The guard keeps to the drain rule: a server that stays away is out of service within the hold time.
 #[test]
 fn a_mass_expiry_that_lasts_is_passed_on_within_the_hold() {
     let (mut world, _, mut list) = set_up(12, Some(GUARD));
@@ -216,7 +219,8 @@
     assert!(late > 4, "the guard kept back {late}");
 }
 
-/// What happens while the node's own session is over is said when it has a new one; nobody is gone for that.
+/// Changes during an expired session of the node are reported once it has a new session. The expiry itself
+/// removes no server.
 #[test]
 fn the_nodes_own_session_expires() {
     let (mut world, answers, mut list) = set_up(4, None);
@@ -235,8 +239,8 @@
     assert_eq!(changes, [change(1, Health::Left), change(5, Health::Active)]);
 }
 
-/// The process is another one, and the ephemeral node of the one before is still there: its end must not take the new
-/// one's along.
+/// A server restarts under its name while the ephemeral znode of its old process still exists. The end of the
+/// old session must not delete the new entry.
 #[test]
 fn a_server_that_restarts_under_its_name_outlives_its_old_session() {
     let (mut world, answers, mut list) = set_up(3, None);
@@ -251,7 +255,7 @@
     assert_eq!(world.ensemble.newest().sessions().count(), 4, "three servers and the node");
 }
 
-/// Two processes under one name: the later one has it, and they do not fight.
+/// Two processes use one name. The later one gets it, and they do not keep replacing each other.
 #[test]
 fn the_earlier_of_two_processes_gives_way() {
     let (mut world, _, mut list) = set_up(2, None);
@@ -260,13 +264,14 @@
     assert_eq!((list.hosts["s1"].started_ms, list.active()), (5.0, 2));
     assert!(list.take_changes().len() <= 4);
     assert_eq!(told(&mut world, 1).last(), Some(&RegistrarEvent::Superseded));
-    // The earlier one again: it finds the later one's entry, and leaves it.
+    // The earlier process starts again, finds the entry of the later one, and leaves it.
     world.register(1, host(1, 4.0));
     list.pass(&mut world, 10.0 * TIMEOUT);
     assert_eq!((list.take_changes(), told(&mut world, 1)), (vec![], vec![RegistrarEvent::Superseded]));
 }
 
-/// Two processes that say the same birth can't be told apart; they do not take the name from one another without end.
+/// Two processes with the same start time cannot be told apart. They must not keep taking the name from each
+/// other.
 #[test]
 fn two_processes_of_one_birth_cost_few_changes() {
     let (mut world, answers, mut list) = set_up(2, None);
@@ -278,7 +283,7 @@
     assert!(list.health(1).is_some());
 }
 
-/// The answer to `create` is lost: the entry is there once, with the session that lives.
+/// The answer to `create` is lost. The entry exists once, with the live session.
 #[test]
 fn an_answer_that_is_lost_is_asked_for_again() {
     let (mut world, _, mut list) = set_up(3, None);
@@ -296,7 +301,7 @@
     assert_eq!(list.active(), 23);
 }
 
-/// Somebody removes an entry by hand: its server registers again.
+/// An entry is deleted by hand. Its server registers again.
 #[test]
 fn an_entry_that_is_removed_by_hand_comes_back() {
     let (mut world, _, mut list) = set_up(3, None);
@@ -327,19 +332,20 @@
         list.pass(&mut world, 50.0);
         assert_eq!(list.unfit.pop().as_deref(), Some(name));
     }
-    // A good entry is overwritten by garbage, and its server writes it anew; nobody notices.
+    // A valid entry is overwritten with garbage. Its server writes it again, and the node's list does not
+    // change.
     let garbage = Request::SetData { path: "/servers/s1".into(), data: vec![1, 2, 3].into(), version: -1 };
     world.ask(500, "write", garbage);
     list.pass(&mut world, 500.0);
     assert_eq!((list.take_changes(), list.active()), (vec![], 3));
-    // A name of its own is not needed.
+    // The name in the data is optional.
     let plain = br#"{"dial":"127.0.9.9:1","health":"active"}"#.to_vec();
     world.ask(500, "make", make("/servers/plain", plain));
     list.pass(&mut world, 50.0);
     assert_eq!(list.take_changes(), [("plain".to_string(), Health::Active)]);
 }
 
-/// Two names with one address are one process: it must not have two shares of the work.
+/// Two names with one address are the same process, which must not get two shares of the work.
 #[test]
 fn of_two_names_with_one_address_the_later_born_is_listed() {
     let (mut world, answers, mut list) = set_up(2, None);
@@ -353,7 +359,7 @@
     let mut changes = list.take_changes();
     changes.sort_by(|a, b| a.0.cmp(&b.0));
     assert_eq!(changes, [("newer".into(), Health::Active), change(1, Health::Left)]);
-    // When it goes, the next of them is listed.
+    // When the later one leaves, the other is listed again.
     world.vanish(9);
     list.pass(&mut world, ENDS);
     let mut changes = list.take_changes();
@@ -361,8 +367,8 @@
     assert_eq!(changes, [("newer".into(), Health::Left), change(1, Health::Active)]);
 }
 
-/// A server that registers and ends twice a second for five minutes: its departures are passed on at once, its returns
-/// are not, and the node hears of a few of them.
+/// A server registers and ends twice a second for five minutes. Its departures are reported at once, but only
+/// a few of its returns.
 #[test]
 fn a_server_that_flaps_costs_few_changes() {
     let (mut world, answers, mut list) = set_up(3, None);
@@ -380,13 +386,13 @@
     assert_eq!(ended, 600);
     let returns = list.take_changes().iter().filter(|c| **c == change(7, Health::Active)).count();
     assert!((3..=20).contains(&returns), "{returns} returns in five minutes");
-    // Once it is stable it is let back.
+    // It is listed again once it is stable.
     world.register(7, host(7, 1000.0));
     list.pass(&mut world, 31_000.0);
     assert_eq!(list.health(7), Some(Health::Active));
 }
 
-/// Nobody else is in service: the one that flaps is better than none.
+/// With no other server in service, a flapping server is better than none.
 #[test]
 fn nobody_is_kept_out_where_nobody_else_is() {
     let (mut world, answers, mut list) = set_up(1, None);
@@ -401,7 +407,8 @@
     }
 }
 
-/// Members accept and say nothing, one after the other: servers stay registered, and the list is followed.
+/// Members accept connections without answering, one after the other. Servers stay registered, and the list
+/// is followed.
 #[test]
 fn a_mute_member_costs_nobody_its_place() {
     let (mut world, _, mut list) = set_up(6, None);
@@ -418,7 +425,7 @@
     assert_eq!(list.active(), 18);
 }
 
-/// A watch may be lost at the very moment of a new connection: what changed then is said all the same.
+/// A watch may be lost at the moment of a reconnection. Changes at that moment are still reported.
 #[test]
 fn what_changes_while_the_node_changes_members_is_said() {
     let (mut world, answers, mut list) = set_up(4, None);
@@ -427,7 +434,7 @@
         let id = 20 + round;
         let member = (round % MEMBERS as u64) as usize;
         let now = world.now;
-        // The change is made while the node's member goes, before it has another.
+        // The change happens after the node's member is killed and before the node has connected to another.
         world.ensemble.kill(member);
         world.register(id, host(id, 1.0));
         if round > 0 {
@@ -437,15 +444,16 @@
         }
         list.pass(&mut world, f64::from((round % 7) as u32) * 30.0);
         world.ensemble.restore(member);
-        // One whose end was not heard is there until its session ends, which a new leader puts off.
+        // A server whose end did not reach the service stays listed until its session expires, which the
+        // election of a leader delays.
         list.pass(&mut world, 2.0 * TIMEOUT);
         assert_eq!(list.health(id), Some(Health::Active), "round {round}");
         assert_eq!(list.health(id - 1), None, "round {round}");
     }
 }
 
-/// The watch on the names has fired, and the connection ends before they are read anew: no watch stands that could be taken
-/// up again, and what has changed is said all the same.
+/// The watch on the names fires, and the connection ends before the names are read again. No watch is left to
+/// set again, but the change must still be reported.
 #[test]
 fn a_watch_that_fired_just_before_the_connection_ended_is_not_lost() {
     let mut caused = 0;
@@ -465,10 +473,11 @@
         world.register(4, host(4, 1.0));
         list.pass(&mut world, 100.0);
         if !world.registrars[&4].machine.is_registered() {
-            // Its own member is the late one.
+            // The server is connected to the lagging member.
             continue;
         }
-        // Without a leader the member answers nobody: the names are asked for, and the connection ends first.
+        // Without a leader the member answers nobody: the node requests the names, and the connection ends
+        // before the answer.
         world.ensemble.kill(leader);
         let asked = world.views[0].machine.follower().request_counts().0;
         list.pass(&mut world, 70.0);
@@ -481,8 +490,8 @@
     assert!(caused > 3, "{caused} times");
 }
 
-/// Five thousand servers register within a second, and end within another: all are seen, and the names are not read
-/// anew for each.
+/// 5000 servers register within a second and end within another. All are seen, and the names are not read
+/// again for each.
 #[test]
 fn five_thousand_servers_in_a_second() {
     let (mut world, answers, mut list) = set_up(3, None);
@@ -500,7 +509,7 @@
     assert_eq!(list.active(), 5003);
     let (names, data) = world.views[0].machine.follower().request_counts();
     assert!(names < 60 && data < 5100, "{names} readings of names, {data} of data");
-    // They end with one session, and are gone without the names being read again and again.
+    // All entries end with one session, and the names are not read again for each of them.
     list.take_changes();
     world.vanish(5);
     list.pass(&mut world, ENDS);
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -1,5 +1,5 @@
-//! A node's core under load while the coordination service is killed and restored at random and servers come and go, in
-//! virtual time: its list follows the servers' registrations alone.
+//! A node's core under load, in virtual time, while members of the coordination service are killed and
+//! restored at random and servers come and go. The registrations are the only source of its server list.
 
 mod world;
 
@@ -17,10 +17,10 @@
 
 const ROUNDS: u64 = 120;
 const STEP: f64 = 2.0;
-/// How long a server works at a request.
+/// Time that a server needs for a request.
 const WORK: f64 = 6.0;
 const WAIT: f64 = 800.0;
-/// What the drain rule grants.
+/// The grace time of the drain rule.
 const GRACE: f64 = 500.0;
 
 fn settings() -> Settings {
@@ -60,20 +60,21 @@
     }
 }
 
-/// What a test counts.
+/// Counts of one run.
 #[derive(Debug, Default)]
 struct Counts {
     asked: usize,
     served: usize,
     refused: usize,
     failed: usize,
-    /// Of those that were refused or failed: at a moment at which nobody who lives was in service by the list.
+    /// Refused or failed requests at moments at which the list had no active server that was alive.
     for_want_of_a_server: usize,
-    /// Sends to a server that is out of the list, later than the rule grants.
+    /// Attempts sent to a server that is not active in the list, later than the grace time allows.
     after_told: usize,
-    /// Sends to a server that the node could have known to be out, later than the rule grants.
+    /// Attempts sent to a server that the node could have known to be out of service, later than the grace
+    /// time allows.
     after_knowable: usize,
-    /// Moments with nobody in service, while somebody that the node could have known of was.
+    /// Steps with no active server in the list, while the node could have known of one.
     empty: usize,
     departures: usize,
     longest_unknown: f64,
@@ -83,12 +84,13 @@
     core: Core<(), ()>,
     merge: MergedList,
     list: BTreeMap<u64, Health>,
-    /// Since when each server is out of the list.
+    /// When each server stopped being active in the list.
     told: BTreeMap<u64, f64>,
-    /// Since when the node could have known without a break that each is out of service, or in.
+    /// When the node could first have known that each server is out of service, or in service, without
+    /// interruption since.
     out: BTreeMap<u64, f64>,
     inside: BTreeMap<u64, f64>,
-    /// Attempts under way: when each ends, where it is.
+    /// Attempts in flight: end time, id and server.
     under_way: Vec<(f64, AttemptId, u64)>,
     /// When each server last answered, for the view.
     answered: Arc<Mutex<BTreeMap<String, f64>>>,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Takes what its view said, at that moment.
+    /// Applies the events of the node's view.
     fn listen(&mut self, world: &mut World) {
         let now = world.now;
         for said in world.views[0].take_said() {
@@ -159,10 +161,10 @@
         }
     }
 
-    /// Notes what it could know now.
+    /// Records what the node could know now.
     fn look(&mut self, world: &World, all: &BTreeSet<u64>) {
         let Some(tree) = world.views[0].sees(&world.ensemble) else {
-            // What it knew it still knows; what is new it can't.
+            // The node keeps what it knew, but cannot learn anything new.
             self.out.clear();
             self.inside.clear();
             return;
@@ -187,7 +189,7 @@
         self.counts.longest_unknown = self.counts.longest_unknown.max(longest);
     }
 
-    /// Its clients, its core and its servers.
+    /// Runs the clients, the core and the servers.
     fn work(&mut self, now: f64, alive: &BTreeSet<u64>) {
         while self.next <= now {
             self.number += 1;
@@ -244,7 +246,7 @@
                     self.under_way.retain(|(_, other, _)| *other != attempt);
                     self.core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::Cancelled));
                 }
-                // A server here begins with the first byte.
+                // A server here starts with the first byte, so an attempt cannot be recalled.
                 Output::Recall(_) => {}
                 Output::Probe(server) => {
                     let well = alive.contains(&server.0);
@@ -284,7 +286,7 @@
     }
 }
 
-/// A storm; servers that end do so as `drains` says, and members of the service fail as the seed says.
+/// Runs random faults of the service, the network and the servers, as the seed gives them.
 fn storm(seed: u64, rounds: u64) -> Counts {
     let mut random = Random(seed);
     let mut world = World::new(MEMBERS);
@@ -338,7 +340,7 @@
                 node.counts.departures += 1;
             }
             9 if alive.len() > 3 => {
-                // As operators end them: drained first, and a while later ended.
+                // As operators do it: drained first and ended a while later.
                 let now = world.now;
                 if let Some(registrar) = world.registrars.get_mut(&some) {
                     registrar.machine.drain(now);
@@ -352,7 +354,7 @@
                 next_id += 1;
             }
             _ => {
-                // It restarts under its name.
+                // Restarts under its name.
                 let born = world.now;
                 world.register_with(some, host(some, born), world.settings(born as u64));
             }
@@ -391,7 +393,8 @@
         assert_eq!(counts.after_knowable, 0, "seed {seed}: {counts:?}");
         assert_eq!(counts.empty, 0, "seed {seed}: {counts:?}");
         assert_eq!(counts.for_want_of_a_server, 0, "seed {seed}: {counts:?}");
-        // Half of the requests may not be repeated, and few servers are left at times, some of them cold.
+        // Half of the requests must not be repeated, and at times only a few servers are left, some of them
+        // cold.
         let lost = counts.refused + counts.failed;
         assert!(counts.asked > 10_000 && lost * 100 < counts.asked, "seed {seed}: {counts:?}");
     }
--- a/crates/testkit/tests/tree.rs
+++ b/crates/testkit/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of the stand-in coordination service, by scripts and by random ones.
+//! The tree of the test coordination service, with fixed and with random sequences of requests.
 
 use bytes::Bytes;
 use glenwood_coordination::proto::{Acl, Code, EventKind, Mode, Request, Response, WatchEvent};
@@ -25,14 +25,14 @@
     Request::SetData { path: path.into(), data: Bytes::from_static(b"new"), version }
 }
 
-/// A tree with its log.
+/// A tree with the log of its transactions.
 struct Service {
     tree: Tree,
     log: Vec<Txn>,
 }
 
 impl Service {
-    /// With the sessions 1 to 3.
+    /// A service with the sessions 1 to 3.
     fn new() -> Self {
         let mut service = Self { tree: Tree::default(), log: Vec::new() };
         for id in 1..=3 {
@@ -94,8 +94,8 @@
     assert_eq!(s.ask(1, &create("/servers/d", true, false)).0, Err(Code::SessionExpired));
 }
 
-/// A server that restarts under its name before its old ephemeral is gone: the old session's end deletes nothing of the
-/// new one.
+/// A server restarts under its name before the ephemeral znode of its old session is gone. The end of the old
+/// session must not delete the znode of the new one.
 #[test]
 fn an_old_sessions_end_leaves_the_new_ones_node_alone() {
     let mut s = Service::new();
@@ -121,7 +121,7 @@
     assert_eq!(failed, [Err(Code::RolledBack), Err(Code::NoNode), Err(Code::RuntimeInconsistency)]);
     assert_eq!(s.tree.paths().collect::<Vec<_>>(), before);
     let check = Request::Check { path: "/a".into(), version: 1 };
-    // Each sees what those before it did.
+    // Each request sees the effects of those before it.
     let done = s.all(1, vec![check, create("/b", false, false), create("/b/c", false, false), set("/b", 0)]);
     assert!(done.iter().all(Result::is_ok), "{done:?}");
     assert_eq!(s.ask(1, &delete("/b", -1)).0, Err(Code::NotEmpty));
@@ -161,7 +161,7 @@
     assert_eq!(s.ask(1, &large).0, Err(Code::BadArguments));
 }
 
-/// Watches that are taken up again say what was missed, and nothing else.
+/// Watches that are set again report exactly what was missed.
 #[test]
 fn what_was_missed_is_said_to_who_takes_watches_up_again() {
     let mut s = Service::new();
@@ -202,8 +202,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(300) })]
 
-    /// Whatever is asked: the same transactions make the same tree elsewhere, every node hangs under its parent, what is
-    /// ephemeral belongs to a session that stands, and a change that failed changed nothing.
+    /// For any requests: replaying the transactions produces the same tree, every znode is listed by its
+    /// parent, ephemeral znodes belong to live sessions, and a failed request changes nothing.
     #[test]
     fn the_same_transactions_make_the_same_tree(
         asked in vec((1..4i64, any_request(), any::<u8>()), 0..60),
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Clients and followers at the stand-in ensemble, in virtual time.
+//! Clients, followers, registrars and views at the test ensemble, in virtual time.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -18,12 +18,12 @@
 pub const MEMBERS: usize = 3;
 pub const TIMEOUT: f64 = 2000.0;
 
-/// A machine at the ensemble, and what it said, in order.
+/// A state machine connected to the ensemble, and the events that it produced, in order.
 pub struct At<M: Machine> {
     pub machine: M,
     conn: Option<ConnId>,
     pub said: Vec<M::Event>,
-    /// Nothing gets through to the service, nor back.
+    /// Nothing passes between the machine and the service, in either direction.
     pub cut: bool,
 }
 
@@ -32,13 +32,13 @@
         Self { machine, conn: None, said: Vec::new(), cut: false }
     }
 
-    /// Moves what there is to move; false where there was nothing.
+    /// Exchanges pending data with the ensemble; returns whether there was any.
     fn step(&mut self, now: f64, ensemble: &mut Ensemble, connects: &mut usize) -> bool {
         let mut moved = false;
         while let Some(step) = self.machine.poll() {
             moved = true;
             match step {
-                // It hangs until the machine gives it up.
+                // The connection attempt hangs until the machine gives up.
                 Step::Connect(_) if self.cut => {}
                 Step::Connect(member) => {
                     *connects += 1;
@@ -72,17 +72,17 @@
         moved
     }
 
-    /// It ends without a word.
+    /// Disconnects without ending the session.
     fn vanish(self, ensemble: &mut Ensemble) {
         self.conn.into_iter().for_each(|conn| ensemble.close(conn));
     }
 
-    /// The member that it is connected to.
+    /// The member that the machine is connected to.
     pub fn member(&self, ensemble: &Ensemble) -> Option<usize> {
         ensemble.member_of(self.conn?)
     }
 
-    /// What it could know now of the service.
+    /// The state of the service that the machine can see now.
     pub fn sees<'a>(&self, ensemble: &'a Ensemble) -> Option<&'a Tree> {
         ensemble.seen_over(self.conn.filter(|_| !self.cut)?)
     }
@@ -129,13 +129,13 @@
         self.clients.insert(id, At::new(session));
     }
 
-    /// Somebody follows `/servers`.
+    /// Adds a follower of `/servers`.
     pub fn follow(&mut self, seed: u64, look_every: f64) {
         let follower = Follower::new(self.now, self.settings(seed), "/servers", look_every);
         self.followers.push(At::new(follower));
     }
 
-    /// A node's view of `/servers`.
+    /// Adds a node's view of `/servers`.
     pub fn view(&mut self, seed: u64, guard: Option<guard::Settings>, answers: Answers) {
         let settings = view::Settings {
             session: self.settings(seed),
@@ -148,7 +148,8 @@
         self.views.push(At::new(view));
     }
 
-    /// A server's registrar begins; one that has the number ends without a word.
+    /// Starts a server's registrar. A previous one with the same id is disconnected without ending its
+    /// session.
     pub fn register(&mut self, id: u64, host: ListEntry) {
         let settings = self.settings(id);
         self.register_with(id, host, settings);
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A process that ends without a word.
+    /// Ends a process without ending its session.
     pub fn vanish(&mut self, id: u64) {
         self.clients.remove(&id).into_iter().for_each(|c| c.vanish(&mut self.ensemble));
         self.registrars.remove(&id).into_iter().for_each(|r| r.vanish(&mut self.ensemble));
@@ -172,7 +173,7 @@
         self.clients.get_mut(&id).expect("a client").machine.ask(now, name, request);
     }
 
-    /// Moves bytes and connections until nothing more happens at this moment.
+    /// Exchanges data and connections until nothing more happens at the current time.
     pub fn settle(&mut self) {
         for _ in 0..10_000 {
             let mut moved = false;
@@ -188,7 +189,7 @@
         panic!("it never settles");
     }
 
-    /// Lets time pass; `react` is run after every moment at which something happened.
+    /// Advances the time; `react` is called after every moment at which something happened.
     pub fn pass(&mut self, span: f64, mut react: impl FnMut(&mut Self)) {
         let until = self.now + span;
         self.settle();
@@ -221,14 +222,14 @@
     Request::Create { path: path.into(), data: Bytes::new(), acl: Acl::world_all(), mode, stat: false }
 }
 
-/// A registrar: registers with each new session, again where the old node is still there.
+/// Behaves as a registrar: registers with each new session, and again if the old znode still exists.
 pub fn register(world: &mut World, id: u64) {
     let Some(client) = world.clients.get_mut(&id) else { return };
     let path = format!("/servers/s{id}");
     for event in client.take_said() {
         match event {
             Event::Established { new: true } => world.ask(id, "register", create(&path, true)),
-            // Perhaps it was done, perhaps not: asking again tells.
+            // The request may or may not have been executed; repeating it gives the answer.
             Event::Answer(
                 "register" | "renew",
                 Err(RequestError::ConnectionLost | RequestError::NotSent),
@@ -241,7 +242,8 @@
                 return;
             }
             Event::Answer("register", Err(RequestError::Service(Code::NodeExists))) => {
-                // Of the session before, or of this one: the old session's end must not take the new one's along.
+                // The znode belongs to the previous session or to this one. It is replaced, so that the end
+                // of the previous session does not delete it.
                 let renew = vec![Request::Delete { path: path.clone(), version: -1 }, create(&path, true)];
                 world.ask(id, "renew", Request::Multi(renew));
             }
