--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -150,8 +150,8 @@
         match message.status() {
             200 => Self::Served(message.body.clone()),
             429 | 503 => {
-                let span = message.header("retry-after").and_then(|v| v.parse::<f64>().ok());
-                Self::Refused(span.map(|s| (s * 1000.0).round() as u64))
+                let seconds = message.header("retry-after").and_then(|v| v.parse::<f64>().ok());
+                Self::Refused(seconds.map(|s| (s * 1000.0).round() as u64))
             }
             400 | 409 => Self::BadRequest,
             404 => Self::UnknownClass,
@@ -200,8 +200,8 @@
     /// Sends a request and waits for the answer, for up to ten seconds longer than the request's own time
     /// limit.
     pub async fn ask(&mut self, ask: &Ask) -> Answer {
-        let most = Duration::from_millis(ask.remaining_ms) + Duration::from_secs(10);
-        let answer = tokio::time::timeout(most, async {
+        let time_limit = Duration::from_millis(ask.remaining_ms) + Duration::from_secs(10);
+        let answer = tokio::time::timeout(time_limit, async {
             match self {
                 Self::Http(stream) => {
                     stream.get_mut().write_all(&ask.http()).await?;
@@ -239,7 +239,7 @@
     /// # Panics
     /// If the connection cannot be established.
     pub fn to(address: SocketAddr) -> Self {
-        let stream = crate::wait("a connection", TcpStream::connect(address)).expect("it listens");
+        let stream = crate::wait("a connection", TcpStream::connect(address)).expect("cannot connect");
         Self::new(stream)
     }
 
@@ -267,12 +267,12 @@
     /// # Errors
     /// If the connection ends first, or a message arrives that is not a valid reply.
     pub async fn next(&mut self) -> io::Result<(u32, Answer)> {
-        let bad = |words: String| io::Error::new(io::ErrorKind::InvalidData, words);
+        let invalid = |reason: String| io::Error::new(io::ErrorKind::InvalidData, reason);
         loop {
-            if let Some(frame) = self.frames.poll().map_err(|e| bad(e.to_string()))? {
+            if let Some(frame) = self.frames.poll().map_err(|e| invalid(e.to_string()))? {
                 return match message::read(&frame) {
                     Ok(Message::Reply(id, answer)) => Ok((id, Answer::of_rpc(&answer))),
-                    other => Err(bad(format!("{other:?}"))),
+                    other => Err(invalid(format!("{other:?}"))),
                 };
             }
             let mut chunk = [0; 4096];
@@ -318,9 +318,9 @@
 /// If the node cannot be reached.
 pub fn ask_once(protocol: Protocol, to: SocketAddr, ask: &Ask) -> (Answer, Duration) {
     crate::wait("an answer", async {
-        let mut client = Client::connect(protocol, to).await.expect("it listens");
-        let began = Instant::now();
+        let mut client = Client::connect(protocol, to).await.expect("cannot connect");
+        let start = Instant::now();
         let answer = client.ask(ask).await;
-        (answer, began.elapsed())
+        (answer, start.elapsed())
     })
 }
--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -17,19 +17,19 @@
 use super::tree::{Tree, Txn};
 
 /// Time that the election of a leader takes.
-const ELECTION: Millis = 200.0;
+const ELECTION_TIME: Millis = 200.0;
 /// Lower and upper bound of session time-outs, in milliseconds.
-const TIMEOUTS: (i32, i32) = (100, 60_000);
+const SESSION_TIMEOUT_BOUNDS: (i32, i32) = (100, 60_000);
 
 /// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
 /// A request that is answered once its transaction is applied at its member.
-struct Waiting {
+struct PendingRequest {
     xid: i32,
     zxid: i64,
-    closes: bool,
+    closes_session: bool,
 }
 
 struct Conn {
@@ -38,12 +38,12 @@
     /// The session, once it is established.
     session: Option<i64>,
     /// While a new session is being created: the zxid of its transaction, and the session id.
-    greeting: Option<(i64, i64)>,
-    asked: VecDeque<Bytes>,
-    waiting: Option<Waiting>,
+    opening: Option<(i64, i64)>,
+    queued: VecDeque<Bytes>,
+    pending: Option<PendingRequest>,
     out: Vec<u8>,
-    data: BTreeSet<String>,
-    children: BTreeSet<String>,
+    data_watches: BTreeSet<String>,
+    child_watches: BTreeSet<String>,
     closed: bool,
 }
 
@@ -70,13 +70,13 @@
     newest: Tree,
     leader: Option<usize>,
     /// When the election ends, if there is no leader but a majority.
-    elected: Option<Millis>,
+    election_end: Option<Millis>,
     epoch: i64,
     counter: i64,
     /// When each session was last heard from.
-    heard: BTreeMap<i64, Millis>,
+    last_heard: BTreeMap<i64, Millis>,
     /// The connection that each session currently uses.
-    at: BTreeMap<i64, ConnId>,
+    connection_of: BTreeMap<i64, ConnId>,
     conns: BTreeMap<ConnId, Conn>,
     last_conn: u64,
     last_session: i64,
@@ -92,17 +92,17 @@
             order: Vec::new(),
             newest: Tree::default(),
             leader: None,
-            elected: None,
+            election_end: None,
             epoch: 0,
             counter: 0,
-            heard: BTreeMap::new(),
-            at: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            connection_of: BTreeMap::new(),
             conns: BTreeMap::new(),
             last_conn: 0,
             last_session: 0,
             now: 0.0,
         };
-        ensemble.lead();
+        ensemble.elect();
         ensemble
     }
 
@@ -137,19 +137,19 @@
     pub fn kill(&mut self, member: usize) {
         self.members[member].up = false;
         self.drop_clients(member);
-        self.look_for_leader();
+        self.update_leader();
     }
 
     /// Starts a member again.
     pub fn restore(&mut self, member: usize) {
         self.members[member].up = true;
-        self.look_for_leader();
+        self.update_leader();
     }
 
     /// Cuts a member off from the other members, but not from its clients; or reconnects it.
     pub fn cut(&mut self, member: usize, cut: bool) {
         self.members[member].cut = cut;
-        self.look_for_leader();
+        self.update_leader();
     }
 
     /// Makes a member accept connections without answering; or ends that.
@@ -175,7 +175,7 @@
         m.up && (!m.cut || self.members.len() == 1) && 2 * reached > self.members.len()
     }
 
-    fn look_for_leader(&mut self) {
+    fn update_leader(&mut self) {
         for member in 0..self.members.len() {
             if !self.serves(member) {
                 // A member without a majority cannot know what is agreed on and serves nobody, not even
@@ -187,22 +187,22 @@
             self.leader = None;
         }
         let any = (0..self.members.len()).any(|m| self.serves(m));
-        self.elected = match (self.leader, any) {
-            (None, true) => self.elected.or(Some(self.now + ELECTION)),
+        self.election_end = match (self.leader, any) {
+            (None, true) => self.election_end.or(Some(self.now + ELECTION_TIME)),
             _ => None,
         };
     }
 
     /// Elects a leader and starts an epoch. Every session gets a full time-out, as nobody knows when it was
     /// last heard from.
-    fn lead(&mut self) {
-        self.elected = None;
+    fn elect(&mut self) {
+        self.election_end = None;
         self.leader = (0..self.members.len()).find(|m| self.serves(*m));
         if self.leader.is_some() {
             self.epoch += 1;
             self.counter = 0;
             let now = self.now;
-            self.heard.values_mut().for_each(|heard| *heard = now);
+            self.last_heard.values_mut().for_each(|last_heard| *last_heard = now);
         }
     }
 
@@ -210,78 +210,79 @@
 
     /// When [`Ensemble::handle_timeout`] has to be called next.
     pub fn poll_timeout(&self) -> Option<Millis> {
-        let ends = self.heard.iter().filter(|_| self.leader.is_some());
-        let ends = ends.filter_map(|(id, heard)| {
+        let expiries = self.last_heard.iter().filter(|_| self.leader.is_some());
+        let expiries = expiries.filter_map(|(id, last_heard)| {
             let timeout = self.newest.sessions().find(|(other, _)| other == id)?.1;
-            Some(heard + f64::from(timeout))
+            Some(last_heard + f64::from(timeout))
         });
-        let applies = self.members.iter().enumerate().filter(|(n, _)| self.serves(*n));
-        let applies = applies.filter_map(|(_, m)| self.order.get(m.applied).map(|(at, _)| at + m.lag));
-        ends.chain(applies).chain(self.elected).min_by(f64::total_cmp)
+        let applications = self.members.iter().enumerate().filter(|(n, _)| self.serves(*n));
+        let applications =
+            applications.filter_map(|(_, m)| self.order.get(m.applied).map(|(at, _)| at + m.lag));
+        expiries.chain(applications).chain(self.election_end).min_by(f64::total_cmp)
     }
 
     /// Handles everything that is due by now.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.now = now.max(self.now);
-        if self.elected.is_some_and(|at| at <= now) {
-            self.lead();
+        if self.election_end.is_some_and(|at| at <= now) {
+            self.elect();
         }
         if self.leader.is_some() {
-            let over: Vec<i64> = self
+            let expired: Vec<i64> = self
                 .newest
                 .sessions()
                 .filter(|(id, timeout)| {
-                    self.heard.get(id).is_none_or(|heard| heard + f64::from(*timeout) <= now)
+                    self.last_heard.get(id).is_none_or(|last_heard| last_heard + f64::from(*timeout) <= now)
                 })
                 .map(|(id, _)| id)
                 .collect();
-            for id in over {
-                let zxid = self.next();
+            for id in expired {
+                let zxid = self.next_zxid();
                 let txn = self.newest.close_session(zxid, now as i64, id);
-                self.agree(txn);
+                self.commit(txn);
             }
         }
         self.apply_due();
     }
 
-    fn next(&mut self) -> i64 {
+    fn next_zxid(&mut self) -> i64 {
         self.counter += 1;
         (self.epoch << 32) | self.counter
     }
 
     /// Appends a transaction to the order.
-    fn agree(&mut self, txn: Txn) {
+    fn commit(&mut self, txn: Txn) {
         // The response is sent by the member that the client is connected to.
         let _ = self.newest.apply(&txn);
         let newest = &self.newest;
-        self.heard.retain(|id, _| newest.has_session(*id));
+        self.last_heard.retain(|id, _| newest.has_session(*id));
         self.order.push((self.now, txn));
     }
 
     fn apply_due(&mut self) {
         for n in 0..self.members.len() {
             if self.serves(n) {
-                self.apply_here(n);
+                self.apply_at(n);
             }
-            self.serve_asked(n);
+            self.serve_queued(n);
         }
     }
 
     /// Sends the result of a transaction to the client of this member that waits for it.
-    fn tell(&mut self, member: usize, zxid: i64, answer: &Result<Response, Code>) {
+    fn respond(&mut self, member: usize, zxid: i64, answer: &Result<Response, Code>) {
         for (id, conn) in self.conns.iter_mut().filter(|(_, c)| c.member == member && !c.closed) {
-            if let Some((waits, session)) = conn.greeting.filter(|(waits, _)| *waits == zxid) {
-                debug_assert_eq!(waits, zxid);
-                conn.greeting = None;
+            if let Some((awaited, session)) = conn.opening.filter(|(awaited, _)| *awaited == zxid) {
+                debug_assert_eq!(awaited, zxid);
+                conn.opening = None;
                 conn.session = Some(session);
-                self.at.insert(session, *id);
+                self.connection_of.insert(session, *id);
                 let timeout = self.members[member].tree.sessions().find(|(s, _)| *s == session);
-                conn.greet(session, timeout.map_or(0, |(_, timeout)| timeout));
+                conn.send_connect_response(session, timeout.map_or(0, |(_, timeout)| timeout));
             }
-            if conn.waiting.as_ref().is_some_and(|w| w.zxid == zxid) {
-                if let Some(waiting) = conn.waiting.take() {
-                    conn.reply(waiting.xid, zxid, answer);
-                    conn.closed |= waiting.closes;
+            if conn.pending.as_ref().is_some_and(|p| p.zxid == zxid) {
+                if let Some(pending) = conn.pending.take() {
+                    conn.reply(pending.xid, zxid, answer);
+                    conn.closed |= pending.closes_session;
                 }
             }
         }
@@ -301,12 +302,12 @@
             member,
             frames: Frames::new(MAX_RECORD_BYTES),
             session: None,
-            greeting: None,
-            asked: VecDeque::new(),
-            waiting: None,
+            opening: None,
+            queued: VecDeque::new(),
+            pending: None,
             out: Vec::new(),
-            data: BTreeSet::new(),
-            children: BTreeSet::new(),
+            data_watches: BTreeSet::new(),
+            child_watches: BTreeSet::new(),
             closed: false,
         };
         self.conns.insert(id, conn);
@@ -356,7 +357,7 @@
         conn.frames.push(bytes);
         loop {
             match conn.frames.poll() {
-                Ok(Some(record)) => conn.asked.push_back(record),
+                Ok(Some(record)) => conn.queued.push_back(record),
                 Ok(None) => break,
                 Err(_) => {
                     conn.closed = true;
@@ -368,30 +369,30 @@
     }
 
     /// Serves queued requests of a member's clients, each client's in order.
-    fn serve_asked(&mut self, member: usize) {
+    fn serve_queued(&mut self, member: usize) {
         let ids: Vec<ConnId> =
             self.conns.iter().filter(|(_, c)| c.member == member).map(|(id, _)| *id).collect();
         for id in ids {
-            while let Some(record) = self.next_asked(id) {
+            while let Some(record) = self.next_queued(id) {
                 self.serve(id, member, record);
             }
         }
     }
 
-    fn next_asked(&mut self, id: ConnId) -> Option<Bytes> {
+    fn next_queued(&mut self, id: ConnId) -> Option<Bytes> {
         let conn = self.conns.get_mut(&id)?;
         // Writes need a leader; requests queued behind one wait for their turn.
-        if conn.closed || conn.waiting.is_some() || conn.greeting.is_some() || self.leader.is_none() {
+        if conn.closed || conn.pending.is_some() || conn.opening.is_some() || self.leader.is_none() {
             return None;
         }
-        conn.asked.pop_front()
+        conn.queued.pop_front()
     }
 
     fn serve(&mut self, id: ConnId, member: usize, record: Bytes) {
         let session = self.conns.get(&id).and_then(|c| c.session);
-        let Some(session) = session else { return self.greet(id, member, record) };
+        let Some(session) = session else { return self.connect(id, member, record) };
         if self.newest.has_session(session) {
-            self.heard.insert(session, self.now);
+            self.last_heard.insert(session, self.now);
         }
         let zxid = self.members[member].tree.zxid();
         let (xid, request) = match Request::read(record) {
@@ -404,9 +405,9 @@
                 return;
             }
         };
-        let moved = self.at.get(&session) != Some(&id);
-        let next = (self.epoch << 32) | (self.counter + 1);
-        let txn = self.newest.prepare(next, self.now as i64, session, &request).filter(|_| !moved);
+        let moved = self.connection_of.get(&session) != Some(&id);
+        let zxid_if_written = (self.epoch << 32) | (self.counter + 1);
+        let txn = self.newest.prepare(zxid_if_written, self.now as i64, session, &request).filter(|_| !moved);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if moved {
             conn.reply(xid, zxid, &Err(Code::SessionMoved));
@@ -419,12 +420,12 @@
             return;
         }
         if let Some(txn) = txn {
-            let closes = matches!(request, Request::CloseSession);
-            conn.waiting = Some(Waiting { xid, zxid: next, closes });
+            let closes_session = matches!(request, Request::CloseSession);
+            conn.pending = Some(PendingRequest { xid, zxid: zxid_if_written, closes_session });
             self.counter += 1;
-            self.agree(txn);
+            self.commit(txn);
             // Without lag the member applies it at once.
-            return self.apply_here(member);
+            return self.apply_at(member);
         }
         let tree = &self.members[member].tree;
         let answer = tree.read(&request).unwrap_or(Err(Code::Unimplemented));
@@ -433,7 +434,7 @@
     }
 
     /// Applies the transactions that are due at one member, without serving further requests.
-    fn apply_here(&mut self, n: usize) {
+    fn apply_at(&mut self, n: usize) {
         loop {
             let member = &mut self.members[n];
             let Some((at, txn)) = self.order.get(member.applied) else { return };
@@ -446,39 +447,43 @@
             for conn in self.conns.values_mut().filter(|c| c.member == n && !c.closed) {
                 fired.iter().for_each(|event| conn.fire(event));
             }
-            self.tell(n, zxid, &answer);
+            self.respond(n, zxid, &answer);
         }
     }
 
-    fn greet(&mut self, id: ConnId, member: usize, record: Bytes) {
-        let hello = ConnectRequest::read(record);
+    fn connect(&mut self, id: ConnId, member: usize, record: Bytes) {
+        let connect_request = ConnectRequest::read(record);
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Ok(hello) = hello else {
+        let Ok(connect_request) = connect_request else {
             conn.closed = true;
             return;
         };
         // A client that has seen later transactions than this member is turned away, as it would go back in
         // time here.
-        if hello.last_zxid > self.members[member].tree.zxid() {
+        if connect_request.last_zxid > self.members[member].tree.zxid() {
             conn.closed = true;
             return;
         }
-        if hello.session != 0 {
-            let known = self.newest.sessions().find(|(s, _)| *s == hello.session);
-            let timeout = known.filter(|_| hello.password == password(hello.session)).map(|(_, t)| t);
+        if connect_request.session != 0 {
+            let known = self.newest.sessions().find(|(s, _)| *s == connect_request.session);
+            let timeout = known
+                .filter(|_| connect_request.password == password(connect_request.session))
+                .map(|(_, t)| t);
             match timeout {
                 Some(timeout) => {
-                    conn.session = Some(hello.session);
-                    conn.greet(hello.session, timeout);
-                    self.heard.insert(hello.session, self.now);
-                    if let Some(old) = self.at.insert(hello.session, id).filter(|old| *old != id) {
+                    conn.session = Some(connect_request.session);
+                    conn.send_connect_response(connect_request.session, timeout);
+                    self.last_heard.insert(connect_request.session, self.now);
+                    if let Some(old) =
+                        self.connection_of.insert(connect_request.session, id).filter(|old| *old != id)
+                    {
                         if let Some(old) = self.conns.get_mut(&old) {
                             old.closed = true;
                         }
                     }
                 }
                 None => {
-                    conn.greet(0, 0);
+                    conn.send_connect_response(0, 0);
                     conn.closed = true;
                 }
             }
@@ -486,15 +491,15 @@
         }
         self.last_session += 1;
         let session = (self.last_session << 8) | (member as i64 + 1);
-        let zxid = self.next();
+        let zxid = self.next_zxid();
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.greeting = Some((zxid, session));
+            conn.opening = Some((zxid, session));
         }
-        let timeout = hello.timeout.clamp(TIMEOUTS.0, TIMEOUTS.1);
+        let timeout = connect_request.timeout.clamp(SESSION_TIMEOUT_BOUNDS.0, SESSION_TIMEOUT_BOUNDS.1);
         let txn = self.newest.open_session(zxid, self.now as i64, session, timeout);
-        self.agree(txn);
-        self.heard.insert(session, self.now);
-        self.apply_here(member);
+        self.commit(txn);
+        self.last_heard.insert(session, self.now);
+        self.apply_at(member);
     }
 }
 
@@ -504,9 +509,9 @@
 }
 
 impl Conn {
-    fn greet(&mut self, session: i64, timeout: i32) {
-        let word = ConnectResponse { timeout, session, password: password(session) };
-        self.out.extend(with_length_prefix(&word.write()));
+    fn send_connect_response(&mut self, session: i64, timeout: i32) {
+        let response = ConnectResponse { timeout, session, password: password(session) };
+        self.out.extend(with_length_prefix(&response.write()));
     }
 
     fn reply(&mut self, xid: i32, zxid: i64, answer: &Result<Response, Code>) {
@@ -518,9 +523,9 @@
     fn fire(&mut self, event: &WatchEvent) {
         let path = event.path.as_str();
         let watched = match event.kind {
-            EventKind::Created | EventKind::DataChanged => self.data.remove(path),
-            EventKind::Deleted => self.data.remove(path) | self.children.remove(path),
-            EventKind::ChildrenChanged => self.children.remove(path),
+            EventKind::Created | EventKind::DataChanged => self.data_watches.remove(path),
+            EventKind::Deleted => self.data_watches.remove(path) | self.child_watches.remove(path),
+            EventKind::ChildrenChanged => self.child_watches.remove(path),
         };
         if watched {
             self.out.extend(with_length_prefix(&event.write()));
@@ -531,18 +536,18 @@
     fn watch(&mut self, tree: &Tree, request: &Request, answer: &Result<Response, Code>) {
         match request {
             Request::Exists { path, watch: true } if matches!(answer, Ok(_) | Err(Code::NoNode)) => {
-                self.data.insert(path.clone());
+                self.data_watches.insert(path.clone());
             }
             Request::GetData { path, watch: true } if answer.is_ok() => {
-                self.data.insert(path.clone());
+                self.data_watches.insert(path.clone());
             }
             Request::GetChildren { path, watch: true, .. } if answer.is_ok() => {
-                self.children.insert(path.clone());
+                self.child_watches.insert(path.clone());
             }
             Request::SetWatches { since, data, exist, children } => {
                 let missed = tree.missed(*since, data, exist, children);
-                self.data.extend(data.iter().chain(exist).cloned());
-                self.children.extend(children.iter().cloned());
+                self.data_watches.extend(data.iter().chain(exist).cloned());
+                self.child_watches.extend(children.iter().cloned());
                 missed.iter().for_each(|event| self.fire(event));
             }
             _ => {}
--- a/crates/testkit/src/coordination/net.rs
+++ b/crates/testkit/src/coordination/net.rs
@@ -14,7 +14,7 @@
 use crate::runtime;
 
 /// Longest sleep of the timer task when nothing is due.
-const IDLE: Duration = Duration::from_millis(500);
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
 struct Shared {
     ensemble: Mutex<Ensemble>,
@@ -62,10 +62,11 @@
         let (changed, _) = watch::channel(0);
         let ensemble = Mutex::new(Ensemble::new(members));
         let shared = Arc::new(Shared { ensemble, start: Instant::now(), changed });
-        let (mut addresses, mut tasks) = (Vec::new(), vec![runtime().spawn(clock(shared.clone()))]);
+        let (mut addresses, mut tasks) = (Vec::new(), vec![runtime().spawn(run_timer(shared.clone()))]);
         for member in 0..members {
-            let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
-            addresses.push(listener.local_addr().expect("bound"));
+            let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
+                .expect("cannot bind to a free port");
+            addresses.push(listener.local_addr().expect("a bound socket has an address"));
             tasks.push(runtime().spawn(accept(shared.clone(), member, listener)));
         }
         Self { members: addresses, shared, tasks }
@@ -83,12 +84,13 @@
     }
 }
 
-async fn clock(shared: Arc<Shared>) {
+async fn run_timer(shared: Arc<Shared>) {
     let mut changed = shared.changed.subscribe();
     loop {
         let due = shared.lock().poll_timeout();
-        let span =
-            due.map_or(IDLE, |due| Duration::from_secs_f64((due - shared.now()).clamp(0.0, 500.0) / 1000.0));
+        let span = due.map_or(MAX_SLEEP, |due| {
+            Duration::from_secs_f64((due - shared.now()).clamp(0.0, 500.0) / 1000.0)
+        });
         // Sleeps a minimum time, so that a timer that is due again at once cannot occupy the core.
         let span = span.max(Duration::from_millis(1));
         tokio::select! {
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -22,12 +22,12 @@
 /// session expires.
 pub struct Registration {
     commands: mpsc::UnboundedSender<Command>,
-    said: watch::Receiver<Option<RegistrarEvent>>,
+    last_event: watch::Receiver<Option<RegistrarEvent>>,
     task: JoinHandle<()>,
 }
 
 /// The list entry of a test server.
-pub fn entry(server: &StandIn, born_ms: f64) -> ListEntry {
+pub fn entry(server: &StandIn, start_time_ms: f64) -> ListEntry {
     let protocol = match server.identity.protocol {
         server::Protocol::Http => Protocol::Http1,
         server::Protocol::Rpc => Protocol::Msgpack,
@@ -35,7 +35,7 @@
     let dial = Endpoint { address: server.address, protocol };
     ListEntry {
         cell: server.identity.cell,
-        started_ms: born_ms,
+        started_ms: start_time_ms,
         ..ListEntry::active(&server.identity.name, dial)
     }
 }
@@ -43,15 +43,15 @@
 impl Registration {
     /// Registers a server under `/servers`, with this session time-out in milliseconds.
     pub fn start(members: &[SocketAddr], host: ListEntry, timeout: f64) -> Self {
-        let (commands, told) = mpsc::unbounded_channel();
-        let (say, said) = watch::channel(None);
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        let (event_sender, last_event) = watch::channel(None);
         // Seeds the order in which members are tried; it only has to differ between servers.
         let seed = host.host.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let settings = Settings { members: members.len(), timeout, seed };
         let driver =
             Driver::new(Registrar::new(0.0, settings, "/servers", host), members.to_vec(), Instant::now());
-        let task = runtime().spawn(keep(driver, told, say));
-        Self { commands, said, task }
+        let task = runtime().spawn(run(driver, command_receiver, event_sender));
+        Self { commands, last_event, task }
     }
 
     /// Waits until the server is registered.
@@ -59,7 +59,9 @@
     /// # Panics
     /// If the registration does not complete.
     pub fn wait_registered(&self) {
-        crate::until("a server is registered", || *self.said.borrow() == Some(RegistrarEvent::Registered));
+        crate::until("a server is registered", || {
+            *self.last_event.borrow() == Some(RegistrarEvent::Registered)
+        });
     }
 
     /// Marks the server as draining and waits until that is written.
@@ -69,7 +71,7 @@
     pub fn drain(&self) {
         // Sending fails only if the task has ended, and then the wait below fails.
         let _ = self.commands.send(Command::Drain);
-        crate::until("a drain is written", || *self.said.borrow() == Some(RegistrarEvent::Draining));
+        crate::until("a drain is written", || *self.last_event.borrow() == Some(RegistrarEvent::Draining));
     }
 
     /// Ends the session and with it the entry.
@@ -88,20 +90,20 @@
     }
 }
 
-async fn keep(
+async fn run(
     mut driver: Driver<Registrar>,
-    mut told: mpsc::UnboundedReceiver<Command>,
-    say: watch::Sender<Option<RegistrarEvent>>,
+    mut command_receiver: mpsc::UnboundedReceiver<Command>,
+    event_sender: watch::Sender<Option<RegistrarEvent>>,
 ) {
     loop {
         tokio::select! {
-            said = driver.next() => {
-                say.send_replace(Some(said));
-                if said == RegistrarEvent::Stopped {
+            event = driver.next() => {
+                event_sender.send_replace(Some(event));
+                if event == RegistrarEvent::Stopped {
                     return driver.finish().await;
                 }
             }
-            command = told.recv() => {
+            command = command_receiver.recv() => {
                 let now = driver.now();
                 match command {
                     Some(Command::Drain) => driver.machine_mut().drain(now),
--- a/crates/testkit/src/coordination/tree.rs
+++ b/crates/testkit/src/coordination/tree.rs
@@ -7,20 +7,20 @@
 use glenwood_coordination::proto::{Code, EventKind, Mode, Request, Response, Stat, WatchEvent};
 
 /// Maximum size of a znode's data, the default limit of ZooKeeper servers.
-pub const DATA_MOST: usize = 1024 * 1024 - 1;
+pub const MAX_DATA_BYTES: usize = 1024 * 1024 - 1;
 
 /// A znode.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Node {
+struct Znode {
     data: Bytes,
     stat: Stat,
     children: BTreeSet<String>,
 }
 
-impl Node {
+impl Znode {
     /// The stat that clients see. Internally `cversion` counts only created children; clients expect removals
     /// to be counted too.
-    fn shown(&self) -> Stat {
+    fn client_stat(&self) -> Stat {
         Stat { cversion: self.stat.cversion.wrapping_mul(2).wrapping_sub(self.stat.children), ..self.stat }
     }
 }
@@ -60,7 +60,7 @@
 /// The state that each member holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tree {
-    nodes: BTreeMap<String, Node>,
+    nodes: BTreeMap<String, Znode>,
     /// Live sessions with their time-outs in milliseconds.
     sessions: BTreeMap<i64, i32>,
     zxid: i64,
@@ -69,7 +69,7 @@
 impl Default for Tree {
     /// A tree with only the root.
     fn default() -> Self {
-        let root = Node { data: Bytes::new(), stat: Stat::default(), children: BTreeSet::new() };
+        let root = Znode { data: Bytes::new(), stat: Stat::default(), children: BTreeSet::new() };
         Self { nodes: BTreeMap::from([("/".to_string(), root)]), sessions: BTreeMap::new(), zxid: 0 }
     }
 }
@@ -115,28 +115,28 @@
         self.nodes.get(path).map(|node| &node.data)
     }
 
-    fn node(&self, path: &str) -> Result<&Node, Code> {
+    fn node(&self, path: &str) -> Result<&Znode, Code> {
         self.nodes.get(path).ok_or(Code::NoNode)
     }
 
     /// Answers a read request; `None` for a request that writes.
     pub fn read(&self, request: &Request) -> Option<Result<Response, Code>> {
-        let bad = |path: &str| !is_path(path);
+        let is_invalid = |path: &str| !is_path(path);
         Some(match request {
             Request::Exists { path, .. }
             | Request::GetData { path, .. }
             | Request::GetChildren { path, .. }
-                if bad(path) =>
+                if is_invalid(path) =>
             {
                 Err(Code::BadArguments)
             }
-            Request::Exists { path, .. } => self.node(path).map(|n| Response::Stat(n.shown())),
+            Request::Exists { path, .. } => self.node(path).map(|n| Response::Stat(n.client_stat())),
             Request::GetData { path, .. } => {
-                self.node(path).map(|n| Response::Data { data: n.data.clone(), stat: n.shown() })
+                self.node(path).map(|n| Response::Data { data: n.data.clone(), stat: n.client_stat() })
             }
             Request::GetChildren { path, stat, .. } => self.node(path).map(|n| Response::Children {
                 names: n.children.iter().cloned().collect(),
-                stat: stat.then_some(n.shown()),
+                stat: stat.then_some(n.client_stat()),
             }),
             Request::Sync { path } => Ok(Response::Synced { path: path.clone() }),
             Request::Ping | Request::SetWatches { .. } => Ok(Response::Done),
@@ -201,7 +201,7 @@
         let (changes, replies, multi) = match request {
             Request::CloseSession => return Some(self.close_session(zxid, time, session)),
             Request::Multi(all) => {
-                let (changes, replies) = self.all_or_none(zxid, time, session, all);
+                let (changes, replies) = self.prepare_multi(zxid, time, session, all);
                 (changes, replies, true)
             }
             Request::Create { .. }
@@ -216,7 +216,7 @@
         Some(Txn { zxid, time, changes, replies, multi })
     }
 
-    fn all_or_none(
+    fn prepare_multi(
         &self,
         zxid: i64,
         time: i64,
@@ -261,8 +261,8 @@
         };
         match request {
             Request::Create { path, data, mode, stat, .. } => {
-                let path = self.place_for(path, *mode)?;
-                if data.len() > DATA_MOST {
+                let path = self.resolve_path(path, *mode)?;
+                if data.len() > MAX_DATA_BYTES {
                     return Err(Code::BadArguments);
                 }
                 let owner = if mode.ephemeral { session } else { 0 };
@@ -280,7 +280,7 @@
             }
             Request::SetData { path, data, version } => {
                 versioned(path, *version)?;
-                if data.len() > DATA_MOST {
+                if data.len() > MAX_DATA_BYTES {
                     return Err(Code::BadArguments);
                 }
                 let change = Change::SetData { path: path.clone(), data: data.clone() };
@@ -295,18 +295,18 @@
     }
 
     /// Path of a new znode, if it may be created.
-    fn place_for(&self, path: &str, mode: Mode) -> Result<String, Code> {
+    fn resolve_path(&self, path: &str, mode: Mode) -> Result<String, Code> {
         let (parent, _) = split(path);
         // The name of a sequential znode may consist of its number alone.
-        let named = if mode.sequential { format!("{path}0") } else { path.to_string() };
-        if !is_path(&named) || named == "/" {
+        let candidate = if mode.sequential { format!("{path}0") } else { path.to_string() };
+        if !is_path(&candidate) || candidate == "/" {
             return Err(if path == "/" { Code::NodeExists } else { Code::BadArguments });
         }
         let parent = self.node(parent)?;
         if parent.stat.ephemeral_owner != 0 {
             return Err(Code::NoChildrenForEphemerals);
         }
-        let path = if mode.sequential { format!("{path}{:010}", parent.stat.cversion) } else { named };
+        let path = if mode.sequential { format!("{path}{:010}", parent.stat.cversion) } else { candidate };
         if self.nodes.contains_key(&path) {
             return Err(Code::NodeExists);
         }
@@ -334,15 +334,15 @@
                         data_length: data.len() as i32,
                         ..Stat::default()
                     };
-                    let node = Node { data: data.clone(), stat, children: BTreeSet::new() };
+                    let node = Znode { data: data.clone(), stat, children: BTreeSet::new() };
                     self.nodes.insert(path.clone(), node);
-                    let parent = self.hang(path, zxid, true);
+                    let parent = self.update_parent(path, zxid, true);
                     fire(EventKind::Created, path);
                     fire(EventKind::ChildrenChanged, &parent);
                 }
                 Change::Delete { path } => {
                     self.nodes.remove(path);
-                    let parent = self.hang(path, txn.zxid, false);
+                    let parent = self.update_parent(path, txn.zxid, false);
                     fire(EventKind::Deleted, path);
                     fire(EventKind::ChildrenChanged, &parent);
                 }
@@ -366,7 +366,7 @@
         }
         self.zxid = self.zxid.max(txn.zxid);
         let replies: Vec<_> =
-            txn.replies.iter().map(|r| r.as_ref().map_err(|c| *c).map(|r| self.say(r))).collect();
+            txn.replies.iter().map(|r| r.as_ref().map_err(|c| *c).map(|r| self.response_to(r))).collect();
         let answer = if txn.multi {
             Ok(Response::Multi(replies))
         } else {
@@ -375,11 +375,11 @@
         (answer, fired)
     }
 
-    fn say(&self, reply: &Reply) -> Response {
-        let stat = |path: &str| self.nodes.get(path).map(Node::shown).unwrap_or_default();
+    fn response_to(&self, reply: &Reply) -> Response {
+        let stat = |path: &str| self.nodes.get(path).map(Znode::client_stat).unwrap_or_default();
         match reply {
-            Reply::Created { path, stat: wants } => {
-                Response::Created { path: path.clone(), stat: wants.then(|| stat(path)) }
+            Reply::Created { path, stat: wants_stat } => {
+                Response::Created { path: path.clone(), stat: wants_stat.then(|| stat(path)) }
             }
             Reply::Stat { path } => Response::Stat(stat(path)),
             Reply::Deleted => Response::Deleted,
@@ -389,15 +389,15 @@
     }
 
     /// Adds a znode to its parent's children or removes it; returns the parent's path.
-    fn hang(&mut self, path: &str, zxid: i64, on: bool) -> String {
+    fn update_parent(&mut self, path: &str, zxid: i64, is_created: bool) -> String {
         let (parent, name) = split(path);
         if let Some(node) = self.nodes.get_mut(parent) {
             let changed =
-                if on { node.children.insert(name.to_string()) } else { node.children.remove(name) };
-            debug_assert!(changed, "{path} hung there already, or did not");
+                if is_created { node.children.insert(name.to_string()) } else { node.children.remove(name) };
+            debug_assert!(changed, "{path} was already a child, or was not one");
             // Numbers of sequential znodes derive from this counter, so it counts only created children and
             // never decreases.
-            node.stat.cversion = node.stat.cversion.wrapping_add(i32::from(on));
+            node.stat.cversion = node.stat.cversion.wrapping_add(i32::from(is_created));
             node.stat.pzxid = zxid;
             node.stat.children = node.children.len() as i32;
         }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -15,7 +15,7 @@
 use crate::server::{Protocol, StandIn};
 
 /// Interval at which a watch without changes sends an empty line to show that it is alive.
-const ALIVE: Duration = Duration::from_millis(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One entry of the server list.
 pub fn host(
@@ -24,20 +24,20 @@
     protocol: Protocol,
     cell: u64,
     health: &str,
-    born_ms: u64,
+    started_ms: u64,
 ) -> Value {
     let dial = match protocol {
         Protocol::Http => address.to_string(),
         Protocol::Rpc => format!("msgpack-rpc://{address}"),
     };
     json!({"host": name, "dial": dial, "site": "a", "class": "m1", "block": cell, "health": health, "share": 1.0,
-           "born_ms": born_ms})
+           "born_ms": started_ms})
 }
 
 /// The entry of a test server that is active.
 pub fn active(server: &StandIn) -> Value {
-    let me = &server.identity;
-    host(&me.name, server.address, me.protocol, me.cell, "active", 0)
+    let identity = &server.identity;
+    host(&identity.name, server.address, identity.protocol, identity.cell, "active", 0)
 }
 
 #[derive(Default)]
@@ -67,16 +67,17 @@
     /// # Panics
     /// If no port is free.
     pub fn start(hosts: &[Value]) -> Self {
-        Self::start_at("127.0.0.1:0".parse().expect("an address"), hosts)
+        Self::start_at("127.0.0.1:0".parse().expect("a valid address"), hosts)
     }
 
     /// Starts a service with this list at an address.
     ///
     /// # Panics
     /// If the address is not available.
-    pub fn start_at(at: SocketAddr, hosts: &[Value]) -> Self {
-        let listener = crate::wait("a listener", TcpListener::bind(at)).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+    pub fn start_at(address: SocketAddr, hosts: &[Value]) -> Self {
+        let listener =
+            crate::wait("binding a listener", TcpListener::bind(address)).expect("cannot bind the listener");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let state = Arc::new(Mutex::new(State { hosts: hosts.to_vec(), changes: Vec::new(), version: 1 }));
         let (changed, changes) = watch::channel(1);
         let accepting = runtime().spawn(accept(listener, state.clone(), changes));
@@ -124,16 +125,16 @@
     mut changed: watch::Receiver<u64>,
 ) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
-    while let Some(asked) = http::read(&mut stream).await? {
-        let Some(from) = asked.target().split("from=").nth(1) else {
-            let whole = {
+    while let Some(request) = http::read(&mut stream).await? {
+        let Some(from_version) = request.target().split("from=").nth(1) else {
+            let full_list = {
                 let state = lock(&state);
                 json!({"seq": state.version, "whole": true, "hosts": state.hosts}).to_string()
             };
-            stream.get_mut().write_all(&http::answer(200, "", whole.as_bytes())).await?;
+            stream.get_mut().write_all(&http::answer(200, "", full_list.as_bytes())).await?;
             continue;
         };
-        let mut from: u64 = from.parse().unwrap_or(0);
+        let mut from_version: u64 = from_version.parse().unwrap_or(0);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.get_mut().write_all(head.as_bytes()).await?;
         loop {
@@ -141,8 +142,8 @@
                 let state = lock(&state);
                 changed.mark_unchanged();
                 let new: Vec<&Value> =
-                    state.changes.iter().filter(|(v, _)| *v > from).map(|(_, h)| h).collect();
-                let line = if from == 0 {
+                    state.changes.iter().filter(|(v, _)| *v > from_version).map(|(_, h)| h).collect();
+                let line = if from_version == 0 {
                     // A watch from version 0 has nothing yet and gets the full list.
                     json!({"seq": state.version, "whole": true, "hosts": state.hosts}).to_string()
                 } else if new.is_empty() {
@@ -150,12 +151,12 @@
                 } else {
                     json!({"seq": state.version, "whole": false, "hosts": new}).to_string()
                 };
-                from = state.version;
+                from_version = state.version;
                 line + "\n"
             };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
             stream.get_mut().write_all(chunk.as_bytes()).await?;
-            let _ = tokio::time::timeout(ALIVE, changed.changed()).await;
+            let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, changed.changed()).await;
         }
     }
     Ok(())
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -44,12 +44,12 @@
         sha256: impl Fn(&Path) -> String,
         name: &str,
         instances: usize,
-        more: &str,
+        extra: &str,
     ) -> Self {
         let folder = std::env::temp_dir().join(format!("glenwood-fleet-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let folder = folder.canonicalize().expect("it is there");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        let folder = folder.canonicalize().expect("cannot resolve the directory");
         let ledger = Ledger::new(Duration::from_secs(8));
         let script: Script = Arc::new(|_| Step::ServeAfter(Duration::from_millis(3)));
         let servers: Vec<StandIn> = (0..4)
@@ -62,14 +62,16 @@
         let discovery = Discovery::start(&servers.iter().map(active).collect::<Vec<_>>());
         // Instances keep their addresses over restarts, so the ports are chosen here. All listeners stay
         // bound until every port is chosen, so that the ports differ.
-        let held: Vec<TcpListener> =
-            (0..instances).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
-        let addresses: Vec<SocketAddr> = held.iter().map(|l| l.local_addr().expect("bound")).collect();
-        drop(held);
+        let listeners: Vec<TcpListener> = (0..instances)
+            .map(|_| TcpListener::bind("127.0.0.1:0").expect("cannot bind to a free port"))
+            .collect();
+        let addresses: Vec<SocketAddr> =
+            listeners.iter().map(|l| l.local_addr().expect("a bound socket has an address")).collect();
+        drop(listeners);
         let (program, shell) = (sha256(glenctl), sha256(Path::new("/bin/sh")));
         let mut text = format!(
             "[fleet]\npause_ms = 100\nready_within_ms = 10000\nstop_within_ms = 8000\ncanary_requests = 20\n\
-             canary_ms = 400\n{more}\n"
+             canary_ms = 400\n{extra}\n"
         );
         let path = glenctl.display();
         for release in ["r1", "r2"] {
@@ -81,7 +83,7 @@
             "[releases.hangs]\npath = '/bin/sh'\nsha256 = '{shell}'\narguments = ['-c', 'sleep 600']\n"
         );
         text += &format!("[releases.other]\npath = '/bin/sh'\nsha256 = '{program}'\n");
-        std::fs::write(folder.join("own.toml"), "[msgpack]\nshared = true\n").expect("a file");
+        std::fs::write(folder.join("own.toml"), "[msgpack]\nshared = true\n").expect("cannot write the file");
         for (n, address) in addresses.iter().enumerate() {
             let mut settings = settings(400.0);
             (settings["Me"], settings["PeersTotal"]) = (n.into(), instances.into());
@@ -92,14 +94,14 @@
             let mut config = config(&format!("n{n}"), discovery.address, settings);
             config["listen"] = address.to_string().into();
             let file = folder.join(format!("n{n}.json"));
-            std::fs::write(&file, config.to_string()).expect("a file");
+            std::fs::write(&file, config.to_string()).expect("cannot write the file");
             text += &format!(
                 "[[instance]]\nname = 'n{n}'\nrelease = 'r1'\nconfig = '{}'\noperator = '{}'\n",
                 file.display(),
                 folder.join("own.toml").display()
             );
         }
-        std::fs::write(folder.join("fleet.toml"), text).expect("a file");
+        std::fs::write(folder.join("fleet.toml"), text).expect("cannot write the file");
         let mut machine = Self {
             folder,
             addresses,
@@ -125,7 +127,7 @@
     /// # Panics
     /// If the agent does not answer.
     pub fn start_agent(&mut self) {
-        self.start_agent_by(Command::new(&self.glenctl));
+        self.spawn_agent(Command::new(&self.glenctl));
     }
 
     /// Starts the agent with a limit on the size of files, in blocks of 512 bytes, which makes the disk look
@@ -137,7 +139,7 @@
         let mut command = Command::new("/bin/sh");
         let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\" \"$@\"");
         command.arg("-c").arg(script).arg(&self.glenctl);
-        self.start_agent_by(command);
+        self.spawn_agent(command);
     }
 
     /// Lifts the limit on the size of files of the running agent.
@@ -146,17 +148,17 @@
     /// If no agent is running.
     pub fn make_room(&self) {
         let pid = self.agent_pid().and_then(|pid| Pid::from_raw(pid as i32));
-        let endless = Rlimit { current: None, maximum: None };
-        prlimit(Some(pid.expect("an agent runs")), Resource::Fsize, endless)
-            .expect("it may have its own limit");
+        let unlimited = Rlimit { current: None, maximum: None };
+        prlimit(Some(pid.expect("no agent is running")), Resource::Fsize, unlimited)
+            .expect("cannot set the limit");
     }
 
-    fn start_agent_by(&mut self, mut command: Command) {
+    fn spawn_agent(&mut self, mut command: Command) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("agent.log"));
         command.args(["agent", "--fleet"]).arg(self.folder.join("fleet.toml"));
         command.arg("--folder").arg(self.folder.join("run"));
-        command.stdin(Stdio::null()).stderr(log.expect("a file"));
-        self.agent = Some(command.spawn().expect("it starts"));
+        command.stdin(Stdio::null()).stderr(log.expect("cannot open the log"));
+        self.agent = Some(command.spawn().expect("cannot start the agent"));
         until("the agent answers", || self.status().is_some());
     }
 
@@ -180,8 +182,8 @@
     /// If it cannot be killed.
     pub fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
-            agent.kill().expect("it runs");
-            agent.wait().expect("it has ended");
+            agent.kill().expect("cannot kill the agent");
+            agent.wait().expect("cannot wait for the agent");
         }
     }
 
@@ -197,7 +199,7 @@
     /// # Panics
     /// If it cannot be run.
     pub fn fleet(&self, arguments: &[&str]) -> Output {
-        self.command(arguments).output().expect("it runs")
+        self.command(arguments).output().expect("cannot run glenctl")
     }
 
     /// The agent's status; `None` if the agent does not answer.
@@ -215,10 +217,10 @@
     /// # Panics
     /// If they do not get there.
     pub fn until_well(&self) {
-        until("all is as it should be", || {
+        until("all instances match the desired state", || {
             let status = self.status();
             status.is_some_and(|s| {
-                let all = s["instances"].as_object().expect("instances");
+                let all = s["instances"].as_object().expect("the status has no instances");
                 all.len() == self.addresses.len() && all.values().all(|i| i["drift"] == serde_json::json!([]))
             })
         });
@@ -229,7 +231,7 @@
     /// # Panics
     /// If the agent does not answer.
     pub fn of(&self, name: &str) -> Value {
-        self.status().expect("it answers")["instances"][name].clone()
+        self.status().expect("the agent does not answer")["instances"][name].clone()
     }
 
     /// Process ids of all instances.
@@ -237,8 +239,8 @@
     /// # Panics
     /// If the agent does not answer.
     pub fn pids(&self) -> Vec<u64> {
-        let status = self.status().expect("it answers");
-        let all = status["instances"].as_object().expect("instances").clone();
+        let status = self.status().expect("the agent does not answer");
+        let all = status["instances"].as_object().expect("the status has no instances").clone();
         all.values().filter_map(|i| i["pid"].as_u64()).collect()
     }
 
@@ -288,14 +290,14 @@
 /// Whether the node at this address reports itself ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let ask = async {
+    let probe = async {
         let mut stream = tokio::net::TcpStream::connect(address).await?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await?;
         Ok::<bool, std::io::Error>(head.ends_with(b"200"))
     };
-    matches!(tokio::time::timeout(Duration::from_secs(1), ask).await, Ok(Ok(true)))
+    matches!(tokio::time::timeout(Duration::from_secs(1), probe).await, Ok(Ok(true)))
 }
 
 impl Load {
@@ -312,11 +314,11 @@
                 }
             });
         }
-        let turn = Arc::new(AtomicUsize::new(0));
+        let next_node = Arc::new(AtomicUsize::new(0));
         let clients = (0..12)
             .map(|client| {
                 let (stop, ready, addresses) = (stop.clone(), ready.clone(), addresses.to_vec());
-                runtime().spawn(drive(client, addresses, ready, stop, turn.clone()))
+                runtime().spawn(run_client(client, addresses, ready, stop, next_node.clone()))
             })
             .collect();
         Self { stop, clients }
@@ -328,26 +330,26 @@
     /// If a client does not end.
     pub fn end(self) -> Counts {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.into_iter().fold(Counts::default(), |sum, client| {
-            let c = wait("a client ends", client).expect("it ended well");
+        self.clients.into_iter().fold(Counts::default(), |total, client| {
+            let counts = wait("a client ends", client).expect("a client panicked");
             Counts {
-                asked: sum.asked + c.asked,
-                served: sum.served + c.served,
-                refused: sum.refused + c.refused,
-                lost: sum.lost + c.lost,
-                other: sum.other + c.other,
-                nowhere: sum.nowhere + c.nowhere,
+                asked: total.asked + counts.asked,
+                served: total.served + counts.served,
+                refused: total.refused + counts.refused,
+                lost: total.lost + counts.lost,
+                other: total.other + counts.other,
+                nowhere: total.nowhere + counts.nowhere,
             }
         })
     }
 }
 
-async fn drive(
+async fn run_client(
     client: usize,
     addresses: Vec<SocketAddr>,
     ready: Arc<Vec<AtomicBool>>,
     stop: Arc<AtomicBool>,
-    turn: Arc<AtomicUsize>,
+    next_node: Arc<AtomicUsize>,
 ) -> Counts {
     let classes = [("look", Effect::Safe), ("pay", Effect::Keyed), ("slip", Effect::Unsafe)];
     let mut counts = Counts::default();
@@ -355,8 +357,8 @@
     while !stop.load(Ordering::Relaxed) {
         open = open.filter(|(node, _)| ready[*node].load(Ordering::Relaxed));
         if open.is_none() {
-            let from = turn.fetch_add(1, Ordering::Relaxed);
-            let all = (0..addresses.len()).map(|n| (from + n) % addresses.len());
+            let first = next_node.fetch_add(1, Ordering::Relaxed);
+            let all = (0..addresses.len()).map(|n| (first + n) % addresses.len());
             let Some(node) = all.into_iter().find(|n| ready[*n].load(Ordering::Relaxed)) else {
                 counts.nowhere += 1;
                 tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -32,8 +32,8 @@
 /// If the runtime cannot be created.
 pub fn runtime() -> &'static Handle {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
-    let make = || tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    RUNTIME.get_or_init(|| make().expect("a runtime")).handle()
+    let build = || tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    RUNTIME.get_or_init(|| build().expect("cannot create the runtime")).handle()
 }
 
 /// Runs a future on the shared runtime and blocks until it completes. Must not be called from a thread of
@@ -41,19 +41,19 @@
 ///
 /// # Panics
 /// If the future takes longer than [`PATIENCE`].
-pub fn wait<T>(what: &str, doing: impl Future<Output = T>) -> T {
-    let done = runtime().block_on(async { tokio::time::timeout(PATIENCE, doing).await });
-    done.unwrap_or_else(|_| panic!("waited in vain: {what}"))
+pub fn wait<T>(what: &str, future: impl Future<Output = T>) -> T {
+    let result = runtime().block_on(async { tokio::time::timeout(PATIENCE, future).await });
+    result.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
 }
 
 /// Polls a condition and blocks until it holds.
 ///
 /// # Panics
 /// If the condition does not hold within [`PATIENCE`].
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+    while !condition() {
+        assert!(start.elapsed() < PATIENCE, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -32,14 +32,14 @@
 
 /// Node settings with the classes that the test servers know, one per effect: `look` (safe), `pay` (keyed)
 /// and `slip` (unsafe). `aim_ms` is their latency objective in milliseconds.
-pub fn settings(aim_ms: f64) -> Value {
+pub fn settings(target_ms: f64) -> Value {
     json!({
         "Me": 0, "PeersTotal": 1, "Tick": 1.0, "Discovery": "subscribe", "Weights": "silent",
         "Classes": [
-            {"Name": "look", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "pure", "Value": 1},
-            {"Name": "pay", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "token", "DedupScope": "cell",
+            {"Name": "look", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "pure", "Value": 1},
+            {"Name": "pay", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "token", "DedupScope": "cell",
              "MemorySpan": 60000, "Value": 2},
-            {"Name": "slip", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "side_effect", "Value": 2}
+            {"Name": "slip", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "side_effect", "Value": 2}
         ],
         "Customers": [],
         "Limits": {"AttemptsCap": 3, "MayDuplicate": false, "Cancel": true, "Probes": true, "ConnectTimeout": 2000.0,
@@ -63,13 +63,13 @@
     /// Address of a separate MessagePack-RPC listener, if there is one.
     pub rpc: Option<SocketAddr>,
     name: String,
-    wants_rpc: bool,
+    expects_rpc: bool,
     log: Arc<Mutex<Vec<String>>>,
 }
 
 fn folder() -> PathBuf {
-    static LAST: AtomicUsize = AtomicUsize::new(0);
-    let number = LAST.fetch_add(1, Ordering::Relaxed);
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("glenwood-{}-{number}", std::process::id()))
 }
 
@@ -90,12 +90,12 @@
     /// If the process cannot be started.
     pub fn spawn(program: &Program, config: &Value, operator: Option<&str>) -> Self {
         let folder = folder();
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        std::fs::write(folder.join("config.json"), config.to_string()).expect("cannot write the file");
         let mut command = Command::new(&program.path);
         command.args(&program.arguments);
         if let Some(text) = operator {
-            std::fs::write(folder.join("node.toml"), text).expect("a file");
+            std::fs::write(folder.join("node.toml"), text).expect("cannot write the file");
             command.arg("--operator").arg(folder.join("node.toml"));
         }
         for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "GLENWOOD_OPERATOR"] {
@@ -103,17 +103,17 @@
         }
         command.env("BALANCER_CONFIG", folder.join("config.json"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("cannot start the process");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let (lines, errors) = (log.clone(), BufReader::new(child.stderr.take().expect("piped")));
+        let (lines, stderr) = (log.clone(), BufReader::new(child.stderr.take().expect("stderr is piped")));
         std::thread::spawn(move || {
-            for line in errors.lines().map_while(Result::ok) {
+            for line in stderr.lines().map_while(Result::ok) {
                 lines.lock().unwrap_or_else(PoisonError::into_inner).push(line);
             }
         });
-        let wants_rpc = operator.is_some_and(|text| text.contains("[msgpack]\nlisten"));
+        let expects_rpc = operator.is_some_and(|text| text.contains("[msgpack]\nlisten"));
         let name = config["name"].as_str().unwrap_or_default().to_string();
-        Self { child, folder, name, address: ([0, 0, 0, 0], 0).into(), rpc: None, wants_rpc, log }
+        Self { child, folder, name, address: ([0, 0, 0, 0], 0).into(), rpc: None, expects_rpc, log }
     }
 
     /// Waits until the node listens.
@@ -121,27 +121,27 @@
     /// # Panics
     /// If the node exits or does not start to listen.
     pub fn wait_listening(&mut self) {
-        let own = format!("{} listens at ", self.name);
+        let prefix = format!("{} listens at ", self.name);
         until("the node listens", || {
-            assert!(self.running(), "the node ended: {:?}", self.log());
-            let address = self.said(&own);
+            assert!(self.running(), "the node exited: {:?}", self.log());
+            let address = self.said(&prefix);
             self.rpc = self.said(" takes MessagePack-RPC at ");
             self.address = address.unwrap_or(self.address);
-            address.is_some() && (self.rpc.is_some() || !self.wants_rpc)
+            address.is_some() && (self.rpc.is_some() || !self.expects_rpc)
         });
     }
 
     /// The address that the log shows after this text, up to a comma.
-    pub fn said(&self, words: &str) -> Option<SocketAddr> {
+    pub fn said(&self, text: &str) -> Option<SocketAddr> {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        let behind = |line: &String| line.split_once(words)?.1.split(',').next()?.parse().ok();
-        log.iter().find_map(behind)
+        let after = |line: &String| line.split_once(text)?.1.split(',').next()?.parse().ok();
+        log.iter().find_map(after)
     }
 
     /// Number of log lines that contain this text.
-    pub fn lines(&self, words: &str) -> usize {
+    pub fn lines(&self, text: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        log.iter().filter(|line| line.contains(words)).count()
+        log.iter().filter(|line| line.contains(text)).count()
     }
 
     /// Waits until the node reports that it is ready.
@@ -154,11 +154,11 @@
 
     /// Queries the readiness endpoint once.
     pub fn says_ready(&self) -> bool {
-        let ask = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        crate::wait("an answer", async {
+        let request = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+        crate::wait("an answer of the node", async {
             use tokio::io::{AsyncWriteExt, BufReader};
             let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else { return false };
-            if stream.write_all(ask).await.is_err() {
+            if stream.write_all(request).await.is_err() {
                 return false;
             }
             let answer = crate::http::read(&mut BufReader::new(stream)).await;
@@ -168,7 +168,7 @@
 
     /// Reads the report from a node's inspection socket; `None` if nothing answers there.
     pub fn inspect(socket: &Path) -> Option<Value> {
-        crate::wait("an answer", async {
+        crate::wait("an answer of the node", async {
             use tokio::io::AsyncReadExt;
             let mut stream = tokio::net::UnixStream::connect(socket).await.ok()?;
             let mut text = String::new();
@@ -189,7 +189,7 @@
     pub fn takes(&self, protocol: crate::server::Protocol) -> SocketAddr {
         match protocol {
             crate::server::Protocol::Http => self.address,
-            crate::server::Protocol::Rpc => self.rpc.expect("a listener of its own"),
+            crate::server::Protocol::Rpc => self.rpc.expect("the node has no MessagePack-RPC listener"),
         }
     }
 
@@ -206,7 +206,7 @@
     /// # Panics
     /// If the file cannot be written or the signal cannot be sent.
     pub fn reload(&self, config: &Value) {
-        std::fs::write(self.folder.join("config.json"), config.to_string()).expect("a file");
+        std::fs::write(self.folder.join("config.json"), config.to_string()).expect("cannot write the file");
         self.signal(Signal::HUP);
     }
 
@@ -235,8 +235,8 @@
     fn signal(&self, signal: Signal) {
         // The process id stays reserved until the child is waited for, so the signal cannot reach another
         // process.
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("a process id");
-        rustix::process::kill_process(pid, signal).expect("it is a process of this one");
+        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("invalid process id");
+        rustix::process::kill_process(pid, signal).expect("cannot send the signal");
     }
 
     /// Resident memory in bytes.
@@ -277,7 +277,7 @@
     /// # Panics
     /// If the process does not end.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the node ends", || !self.running());
+        until("the node exits", || !self.running());
         self.child.wait().ok().and_then(|status| status.code())
     }
 
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -26,8 +26,8 @@
 }
 
 struct Conn {
-    to: Option<OwnedWriteHalf>,
-    reading: JoinHandle<()>,
+    write_half: Option<OwnedWriteHalf>,
+    reader: JoinHandle<()>,
     /// Whether the other side has closed the connection.
     closed: bool,
     /// Bytes of all reads that contained calls; 0 for a connection that only carried probes.
@@ -37,7 +37,7 @@
 #[derive(Default)]
 struct State {
     conns: Vec<Conn>,
-    came: VecDeque<Came>,
+    received: VecDeque<Came>,
     probes: usize,
     ids: Vec<(usize, u32)>,
 }
@@ -60,13 +60,14 @@
     /// # Panics
     /// If no port is free.
     pub fn start() -> Self {
-        let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let state: Arc<Mutex<State>> = Arc::default();
-        let held = state.clone();
+        let shared = state.clone();
         let accepting = runtime().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                take(&held, stream);
+                serve(&shared, stream);
             }
         });
         Self { address, state, accepting }
@@ -76,10 +77,10 @@
     pub fn call(&self) -> Came {
         let mut next = None;
         until("a call", || {
-            next = lock(&self.state).came.pop_front();
+            next = lock(&self.state).received.pop_front();
             next.is_some()
         });
-        next.expect("found")
+        next.expect("a call was received")
     }
 
     /// Waits for this many calls, in the order in which they arrive.
@@ -89,7 +90,7 @@
 
     /// Number of calls received but not yet taken by the test.
     pub fn waiting(&self) -> usize {
-        lock(&self.state).came.len()
+        lock(&self.state).received.len()
     }
 
     /// Number of calls received in all, and whether any call id was used twice on a connection.
@@ -117,10 +118,10 @@
     }
 
     /// Answers a call.
-    pub fn answer(&self, came: &Came, answer: &Answer) {
+    pub fn answer(&self, call: &Came, answer: &Answer) {
         let mut bytes = BytesMut::new();
-        write_answer(&mut bytes, came.id, answer);
-        self.raw(came.conn, &bytes);
+        write_answer(&mut bytes, call.id, answer);
+        self.raw(call.conn, &bytes);
     }
 
     /// Writes raw bytes.
@@ -128,42 +129,42 @@
     /// # Panics
     /// If the write fails.
     pub fn raw(&self, conn: usize, bytes: &[u8]) {
-        let to = lock(&self.state).conns[conn].to.take();
-        if let Some(mut to) = to {
-            let wrote = crate::wait("a write", to.write_all(bytes));
-            lock(&self.state).conns[conn].to = Some(to);
-            wrote.expect("the node reads");
+        let write_half = lock(&self.state).conns[conn].write_half.take();
+        if let Some(mut write_half) = write_half {
+            let result = crate::wait("a write", write_half.write_all(bytes));
+            lock(&self.state).conns[conn].write_half = Some(write_half);
+            result.expect("cannot write to the node");
         }
     }
 
     /// Closes a connection.
     pub fn close(&self, conn: usize) {
         let mut state = lock(&self.state);
-        state.conns[conn].reading.abort();
-        state.conns[conn].to = None;
+        state.conns[conn].reader.abort();
+        state.conns[conn].write_half = None;
     }
 }
 
 impl Drop for Peer {
     fn drop(&mut self) {
         self.accepting.abort();
-        lock(&self.state).conns.iter().for_each(|c| c.reading.abort());
+        lock(&self.state).conns.iter().for_each(|c| c.reader.abort());
     }
 }
 
-fn take(state: &Arc<Mutex<State>>, stream: TcpStream) {
+fn serve(state: &Arc<Mutex<State>>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (mut from, to) = stream.into_split();
-    let held = state.clone();
+    let (mut read_half, write_half) = stream.into_split();
+    let shared = state.clone();
     let mut all = lock(state);
     let number = all.conns.len();
-    let reading = runtime().spawn(async move {
+    let reader = runtime().spawn(async move {
         let mut frames = Frames::new(Bounds::default());
         let mut chunk = vec![0; 16 * 1024];
         loop {
-            let n = from.read(&mut chunk).await.unwrap_or(0);
+            let n = read_half.read(&mut chunk).await.unwrap_or(0);
             if n == 0 {
-                lock(&held).conns[number].closed = true;
+                lock(&shared).conns[number].closed = true;
                 return;
             }
             frames.push(&chunk[..n]);
@@ -172,23 +173,23 @@
                 if call.class == "health" {
                     let mut bytes = BytesMut::new();
                     write_answer(&mut bytes, id, &Ok(bytes::Bytes::new()));
-                    let to = {
-                        let mut state = lock(&held);
+                    let write_half = {
+                        let mut state = lock(&shared);
                         state.probes += 1;
-                        state.conns[number].to.take()
+                        state.conns[number].write_half.take()
                     };
-                    if let Some(mut to) = to {
-                        let _ = to.write_all(&bytes).await;
-                        lock(&held).conns[number].to = Some(to);
+                    if let Some(mut write_half) = write_half {
+                        let _ = write_half.write_all(&bytes).await;
+                        lock(&shared).conns[number].write_half = Some(write_half);
                     }
                     continue;
                 }
-                let mut state = lock(&held);
+                let mut state = lock(&shared);
                 state.conns[number].bytes += n;
                 state.ids.push((number, id));
-                state.came.push_back(Came { conn: number, id, call });
+                state.received.push_back(Came { conn: number, id, call });
             }
         }
     });
-    all.conns.push(Conn { to: Some(to), reading, closed: false, bytes: 0 });
+    all.conns.push(Conn { write_half: Some(write_half), reader, closed: false, bytes: 0 });
 }
--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -38,10 +38,10 @@
 
 /// Requests sent at a fixed rate to some nodes in turn, until stopped.
 pub struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     asked: Arc<AtomicU64>,
     outcomes: Arc<Mutex<Vec<Outcome>>>,
-    asking: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 /// Decides where a client repeats a request whose answer was lost: from the request's number, the number of
@@ -55,50 +55,55 @@
     pub fn start(
         nodes: Vec<usize>,
         per_second: f64,
-        to: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
-        make: Arc<dyn Fn(u64, usize) -> Ask + Send + Sync>,
+        address_of: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
+        build: Arc<dyn Fn(u64, usize) -> Ask + Send + Sync>,
         again: Again,
     ) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let asked = Arc::new(AtomicU64::new(0));
         let outcomes: Arc<Mutex<Vec<Outcome>>> = Arc::default();
-        let (ended, counted, noted) = (over.clone(), asked.clone(), outcomes.clone());
-        let asking = runtime().spawn(async move {
-            let mut pace = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
-            pace.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+        let (stopping, counter, results) = (stopped.clone(), asked.clone(), outcomes.clone());
+        let task = runtime().spawn(async move {
+            let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
+            ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
             let mut clients = tokio::task::JoinSet::new();
-            while !ended.load(Ordering::SeqCst) {
-                pace.tick().await;
-                let number = counted.fetch_add(1, Ordering::SeqCst);
+            while !stopping.load(Ordering::SeqCst) {
+                ticks.tick().await;
+                let number = counter.fetch_add(1, Ordering::SeqCst);
                 let node = nodes[number as usize % nodes.len()];
-                let (to, make, again, noted) = (to.clone(), make.clone(), again.clone(), noted.clone());
+                let (address_of, build, again, results) =
+                    (address_of.clone(), build.clone(), again.clone(), results.clone());
                 clients.spawn(async move {
-                    let mut next = vec![node];
+                    let mut targets = vec![node];
                     for time in 0.. {
-                        let asks = next.iter().map(|node| {
-                            let (ask, address, node) = (make(number, time), to(*node), *node);
+                        let sends = targets.iter().map(|node| {
+                            let (request, address, node) = (build(number, time), address_of(*node), *node);
                             async move {
-                                let began = Instant::now();
-                                let answer = ask_at(address, &ask).await;
+                                let sent_at = Instant::now();
+                                let answer = ask_at(address, &request).await;
                                 Outcome {
                                     number,
                                     time,
                                     node,
                                     answer,
-                                    took: began.elapsed(),
+                                    took: sent_at.elapsed(),
                                     at: Instant::now(),
                                 }
                             }
                         });
-                        let mut waiting: tokio::task::JoinSet<Outcome> = asks.collect();
-                        let (mut lost, mut any) = (None, false);
-                        while let Some(Ok(outcome)) = waiting.join_next().await {
-                            any |= outcome.answer != Answer::Lost;
-                            lost = Some(outcome.node);
-                            noted.lock().unwrap_or_else(PoisonError::into_inner).push(outcome);
+                        let mut pending: tokio::task::JoinSet<Outcome> = sends.collect();
+                        let (mut lost_node, mut answered) = (None, false);
+                        while let Some(Ok(outcome)) = pending.join_next().await {
+                            answered |= outcome.answer != Answer::Lost;
+                            lost_node = Some(outcome.node);
+                            results.lock().unwrap_or_else(PoisonError::into_inner).push(outcome);
                         }
-                        next = if any { Vec::new() } else { again(number, time, lost.unwrap_or(node)) };
-                        if next.is_empty() {
+                        targets = if answered {
+                            Vec::new()
+                        } else {
+                            again(number, time, lost_node.unwrap_or(node))
+                        };
+                        if targets.is_empty() {
                             return;
                         }
                     }
@@ -107,7 +112,7 @@
             }
             while clients.join_next().await.is_some() {}
         });
-        Self { over, asked, outcomes, asking }
+        Self { stopped, asked, outcomes, task }
     }
 
     /// Number of requests sent so far, without repeats.
@@ -125,8 +130,8 @@
     /// # Panics
     /// If that takes longer than [`crate::PATIENCE`].
     pub fn end(self) -> Vec<Outcome> {
-        self.over.store(true, Ordering::SeqCst);
-        crate::wait("the last answers", self.asking).expect("no client panics");
+        self.stopped.store(true, Ordering::SeqCst);
+        crate::wait("the last answers", self.task).expect("a client panicked");
         let outcomes = std::mem::take(&mut *self.outcomes.lock().unwrap_or_else(PoisonError::into_inner));
         outcomes
     }
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -90,7 +90,7 @@
 }
 
 /// A set of links over which some nodes reach servers and discovery.
-struct Way {
+struct Links {
     discovery: SocketAddr,
     list: Discovery,
     servers: Vec<SocketAddr>,
@@ -100,7 +100,7 @@
 struct Slot {
     node: Option<Node>,
     /// The previous process, which is shutting down next to its successor.
-    old: Option<Node>,
+    predecessor: Option<Node>,
     /// Where clients reach the running process, or reached the last one.
     address: Option<SocketAddr>,
     starts: usize,
@@ -116,8 +116,8 @@
     pub ledger: Ledger,
     folder: PathBuf,
     /// Indexed by the kind of socket, then by node.
-    fronts: Vec<Vec<Front>>,
-    ways: Vec<Way>,
+    datagram_relays: Vec<Vec<Front>>,
+    links: Vec<Links>,
     slots: Vec<Mutex<Slot>>,
     _servers: Vec<StandIn>,
 }
@@ -136,11 +136,12 @@
     /// # Panics
     /// If any of them does not start.
     pub fn new(plan: Plan) -> Self {
-        static LAST: AtomicUsize = AtomicUsize::new(0);
-        let number = LAST.fetch_add(1, Ordering::Relaxed);
+        static NEXT: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("glenwood-rig-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("secret"), "a secret of all the nodes of a rig").expect("a file");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        std::fs::write(folder.join("secret"), "a secret of all the nodes of a rig")
+            .expect("cannot write the file");
         let net = Net::new(plan.seed);
         let ledger = Ledger::new(plan.memory);
         let servers: Vec<StandIn> = (0..plan.servers)
@@ -149,22 +150,23 @@
                 StandIn::start(identity, plan.script.clone(), ledger.clone())
             })
             .collect();
-        let ways = (0..plan.ways)
-            .map(|way| {
+        let links = (0..plan.ways)
+            .map(|set| {
                 // The first node that uses a set of links represents all of its nodes: faults on links to
                 // servers apply to whole sets.
-                let from = End::Node(way);
-                let lead = |(n, server): (usize, &StandIn)| net.lead(from, End::Server(n), server.address);
-                let servers: Vec<SocketAddr> = servers.iter().enumerate().map(lead).collect();
+                let from = End::Node(set);
+                let open_link =
+                    |(n, server): (usize, &StandIn)| net.lead(from, End::Server(n), server.address);
+                let servers: Vec<SocketAddr> = servers.iter().enumerate().map(open_link).collect();
                 let entry = |(n, at): (usize, &SocketAddr)| Self::entry(n, *at, "active");
                 let list = Discovery::start(&servers.iter().enumerate().map(entry).collect::<Vec<_>>());
-                Way { discovery: net.lead(from, End::Discovery, list.address), list, servers }
+                Links { discovery: net.lead(from, End::Discovery, list.address), list, servers }
             })
             .collect();
-        let fronts_of = |_| (0..plan.nodes).map(|n| net.front(n)).collect();
-        let fronts = (0..plan.sockets.len()).map(fronts_of).collect();
+        let open_relays = |_| (0..plan.nodes).map(|n| net.front(n)).collect();
+        let datagram_relays = (0..plan.sockets.len()).map(open_relays).collect();
         let slots = (0..plan.nodes).map(|_| Mutex::default()).collect();
-        Self { plan, net, ledger, folder, fronts, ways, slots, _servers: servers }
+        Self { plan, net, ledger, folder, datagram_relays, links, slots, _servers: servers }
     }
 
     /// Like [`Rig::new`], but also starts all nodes and waits until they are ready and, where membership is
@@ -189,8 +191,8 @@
     /// Changes the health that discovery reports for a server to this node and to all nodes that share its
     /// links.
     pub fn tell(&self, node: usize, server: usize, health: &str) {
-        let way = &self.ways[node % self.ways.len()];
-        way.list.tell(Self::entry(server, way.servers[server], health));
+        let node_links = &self.links[node % self.links.len()];
+        node_links.list.tell(Self::entry(server, node_links.servers[server], health));
     }
 
     fn slot(&self, n: usize) -> MutexGuard<'_, Slot> {
@@ -218,8 +220,9 @@
     /// # Panics
     /// If the plan has no socket of this kind.
     pub fn front_of(&self, kind: &str, n: usize) -> SocketAddr {
-        let kind = self.plan.sockets.iter().position(|words| *words == kind).expect("a kind of socket");
-        self.fronts[kind][n].address
+        let kind =
+            self.plan.sockets.iter().position(|prefix| *prefix == kind).expect("the plan has no such socket");
+        self.datagram_relays[kind][n].address
     }
 
     /// Directory of the rig's files.
@@ -240,9 +243,9 @@
     /// Reads one metric from a node's operator endpoint; `None` if the node does not answer or has no metric
     /// of that name.
     pub fn figure(&self, n: usize, name: &str) -> Option<u64> {
-        let door = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
-        let text = crate::wait("an answer", async {
-            let mut stream = tokio::net::TcpStream::connect(door).await.ok()?;
+        let endpoint = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
+        let text = crate::wait("the metrics of a node", async {
+            let mut stream = tokio::net::TcpStream::connect(endpoint).await.ok()?;
             stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").await.ok()?;
             let answer = crate::http::read(&mut BufReader::new(stream)).await.ok()??;
             String::from_utf8(answer.body).ok()
@@ -257,7 +260,7 @@
     /// # Panics
     /// If the node has never run.
     pub fn address(&self, n: usize) -> SocketAddr {
-        self.slot(n).address.expect("it has run")
+        self.slot(n).address.expect("the node has never run")
     }
 
     fn operator(&self, n: usize) -> String {
@@ -282,12 +285,12 @@
 
     /// Starts a node under its name and addresses without waiting for it.
     pub fn spawn(&self, n: usize) {
-        let way = &self.ways[n % self.ways.len()];
+        let node_links = &self.links[n % self.links.len()];
         let mut settings = settings(1000.0);
         settings["Me"] = json!(n);
         settings["PeersTotal"] = json!(self.plan.nodes);
         (self.plan.change)(&mut settings);
-        let mut config = config(&Self::name(n), way.discovery, settings);
+        let mut config = config(&Self::name(n), node_links.discovery, settings);
         let operator = self.operator(n);
         let mut slot = self.slot(n);
         slot.starts += 1;
@@ -298,7 +301,7 @@
             config["listen"] = json!(address.to_string());
         }
         let node = Node::spawn(&self.plan.program, &config, Some(&operator));
-        slot.old = slot.node.replace(node);
+        slot.predecessor = slot.node.replace(node);
     }
 
     /// Waits until a started node serves requests, then tells the relay where its sockets are.
@@ -306,18 +309,18 @@
     /// # Panics
     /// If the node does not become ready.
     pub fn wait_up(&self, n: usize) {
-        let own = |words: &str| self.slot(n).node.as_ref().and_then(|node| node.said(words));
+        let logged = |prefix: &str| self.slot(n).node.as_ref().and_then(|node| node.said(prefix));
         {
             let mut slot = self.slot(n);
-            let node = slot.node.as_mut().expect("it was started");
+            let node = slot.node.as_mut().expect("the node was not started");
             node.wait_listening();
             node.wait_ready();
             let address = node.address;
             slot.address = Some(address);
         }
-        for (kind, words) in self.plan.sockets.iter().enumerate() {
-            until(words, || own(words).is_some());
-            self.fronts[kind][n].is_at(own(words).expect("said"));
+        for (kind, prefix) in self.plan.sockets.iter().enumerate() {
+            until(prefix, || logged(prefix).is_some());
+            self.datagram_relays[kind][n].is_at(logged(prefix).expect("the address is logged"));
         }
     }
 
@@ -327,14 +330,14 @@
     /// If that takes longer than twice [`crate::PATIENCE`].
     pub fn wait_known(&self) {
         let running = self.running();
-        let began = Instant::now();
-        let mut left = running.clone();
-        while !left.is_empty() {
-            left.retain(|n| self.figure(*n, "members_living") != Some(running.len() as u64 - 1));
-            if began.elapsed() > 2 * crate::PATIENCE {
+        let started_at = Instant::now();
+        let mut pending = running.clone();
+        while !pending.is_empty() {
+            pending.retain(|n| self.figure(*n, "members_living") != Some(running.len() as u64 - 1));
+            if started_at.elapsed() > 2 * crate::PATIENCE {
                 let states = |n: &usize| self.report(*n).map(|r| r["members"]["states"].to_string());
-                let states: Vec<_> = left.iter().map(|n| (*n, states(n))).collect();
-                panic!("these do not know all {}: {states:?}", running.len());
+                let states: Vec<_> = pending.iter().map(|n| (*n, states(n))).collect();
+                panic!("these nodes do not know all {} running nodes: {states:?}", running.len());
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -373,8 +376,8 @@
                 self.spawn(*n);
                 {
                     let mut slot = self.slot(*n);
-                    slot.node.as_mut().expect("it was started").wait_listening();
-                    slot.old.iter().for_each(Node::terminate);
+                    slot.node.as_mut().expect("the node was not started").wait_listening();
+                    slot.predecessor.iter().for_each(Node::terminate);
                 }
                 self.wait_up(*n);
             }
@@ -388,11 +391,11 @@
     /// # Panics
     /// If a fault cannot be carried out.
     pub fn play(&self, schedule: &Schedule) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for step in &schedule.steps {
             // The times are part of the schedule: this does not wait for the effect of the previous fault.
             let due = Duration::from_millis(step.at);
-            std::thread::sleep(due.saturating_sub(began.elapsed()));
+            std::thread::sleep(due.saturating_sub(started_at.elapsed()));
             self.cause(&step.fault);
         }
     }
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -56,23 +56,23 @@
 
 impl Between {
     fn covers(&self, from: End, to: End) -> bool {
-        let among = |ends: &[End], end: End| ends.is_empty() || ends.contains(&end);
-        among(&self.from, from) && among(&self.to, to)
+        let matches = |ends: &[End], end: End| ends.is_empty() || ends.contains(&end);
+        matches(&self.from, from) && matches(&self.to, to)
     }
 }
 
 /// The combined impairments that apply to a link at the moment.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct Conditions {
     cut: bool,
     reset: bool,
     loss: u8,
-    doubled: u8,
+    duplication: u8,
     delay: (u64, u64),
 }
 
-struct Laid {
-    troubles: Vec<Between>,
+struct LinkState {
+    impairments: Vec<Between>,
     random: fastrand::Rng,
 }
 
@@ -91,16 +91,16 @@
 
 /// Maps the address of a node's own socket to the node's number and to the relay socket that represents it
 /// towards other nodes.
-type Faces = HashMap<SocketAddr, (usize, Arc<UdpSocket>)>;
+type Senders = HashMap<SocketAddr, (usize, Arc<UdpSocket>)>;
 
 /// The state of all links, and counters of their traffic.
 #[derive(Clone)]
 pub struct Net {
-    laid: Arc<Mutex<Laid>>,
+    state: Arc<Mutex<LinkState>>,
     /// Notified of each change.
     changed: watch::Sender<u64>,
     /// Nodes by the addresses of their own sockets.
-    faces: Arc<Mutex<Faces>>,
+    senders: Arc<Mutex<Senders>>,
     /// Traffic counters.
     pub passed: Arc<Passed>,
 }
@@ -113,47 +113,47 @@
     /// Links without impairments; `seed` drives the random choices.
     pub fn new(seed: u64) -> Self {
         let random = fastrand::Rng::with_seed(seed);
-        let laid = Laid { troubles: Vec::new(), random };
+        let state = LinkState { impairments: Vec::new(), random };
         Self {
-            laid: Arc::new(Mutex::new(laid)),
+            state: Arc::new(Mutex::new(state)),
             changed: watch::channel(0).0,
-            faces: Arc::default(),
+            senders: Arc::default(),
             passed: Arc::default(),
         }
     }
 
     /// Adds an impairment.
     pub fn lay(&self, between: Between) {
-        lock(&self.laid).troubles.push(between);
+        lock(&self.state).impairments.push(between);
         self.changed.send_modify(|n| *n += 1);
     }
 
     /// Removes all impairments.
     pub fn heal(&self) {
-        lock(&self.laid).troubles.clear();
+        lock(&self.state).impairments.clear();
         self.changed.send_modify(|n| *n += 1);
     }
 
-    fn fate(&self, from: End, to: End) -> Fate {
-        let mut fate = Fate::default();
-        for between in lock(&self.laid).troubles.iter().filter(|between| between.covers(from, to)) {
+    fn conditions(&self, from: End, to: End) -> Conditions {
+        let mut conditions = Conditions::default();
+        for between in lock(&self.state).impairments.iter().filter(|between| between.covers(from, to)) {
             match between.trouble {
-                Trouble::Cut => fate.cut = true,
-                Trouble::Reset => fate.reset = true,
-                Trouble::Loss(part) => fate.loss = fate.loss.max(part),
-                Trouble::Doubled(part) => fate.doubled = fate.doubled.max(part),
-                Trouble::Delay(least, more) => fate.delay = (least, more),
+                Trouble::Cut => conditions.cut = true,
+                Trouble::Reset => conditions.reset = true,
+                Trouble::Loss(percent) => conditions.loss = conditions.loss.max(percent),
+                Trouble::Doubled(percent) => conditions.duplication = conditions.duplication.max(percent),
+                Trouble::Delay(base, jitter) => conditions.delay = (base, jitter),
             }
         }
-        fate
+        conditions
     }
 
-    fn chance(&self, of: u8) -> bool {
-        of > 0 && lock(&self.laid).random.u8(0..100) < of
+    fn happens(&self, percent: u8) -> bool {
+        percent > 0 && lock(&self.state).random.u8(0..100) < percent
     }
 
-    fn between(&self, (least, more): (u64, u64)) -> Duration {
-        Duration::from_millis(least + if more > 0 { lock(&self.laid).random.u64(0..=more) } else { 0 })
+    fn random_delay(&self, (base, jitter): (u64, u64)) -> Duration {
+        Duration::from_millis(base + if jitter > 0 { lock(&self.state).random.u64(0..=jitter) } else { 0 })
     }
 
     // ---- Datagrams ----
@@ -164,10 +164,16 @@
     /// # Panics
     /// If no port is free.
     pub fn front(&self, node: usize) -> Front {
-        let socket = crate::wait("a socket", UdpSocket::bind("127.0.0.1:0")).expect("a free port");
-        let address = socket.local_addr().expect("bound");
-        let front =
-            Front { node, address, socket: Arc::new(socket), behind: Arc::default(), net: self.clone() };
+        let socket = crate::wait("binding a socket", UdpSocket::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = socket.local_addr().expect("a bound socket has an address");
+        let front = Front {
+            node,
+            address,
+            socket: Arc::new(socket),
+            node_address: Arc::default(),
+            net: self.clone(),
+        };
         let relay = front.clone();
         runtime().spawn(async move { relay.run().await });
         front
@@ -181,17 +187,20 @@
     /// The address that other nodes use.
     pub address: SocketAddr,
     socket: Arc<UdpSocket>,
-    behind: Arc<Mutex<Option<SocketAddr>>>,
+    node_address: Arc<Mutex<Option<SocketAddr>>>,
     net: Net,
 }
 
 impl Front {
     /// Sets the current address of the node's own socket.
     pub fn is_at(&self, own: SocketAddr) {
-        let before = lock(&self.behind).replace(own);
-        let mut faces = lock(&self.net.faces);
-        before.filter(|before| *before != own).into_iter().for_each(|before| drop(faces.remove(&before)));
-        faces.insert(own, (self.node, self.socket.clone()));
+        let previous = lock(&self.node_address).replace(own);
+        let mut senders = lock(&self.net.senders);
+        previous
+            .filter(|previous| *previous != own)
+            .into_iter()
+            .for_each(|previous| drop(senders.remove(&previous)));
+        senders.insert(own, (self.node, self.socket.clone()));
     }
 
     async fn run(self) {
@@ -200,31 +209,31 @@
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
             self.net.passed.datagrams.fetch_add(1, Ordering::Relaxed);
             // The receiver sees the sender's stable address as the source.
-            let Some((from, face)) = lock(&self.net.faces).get(&source).cloned() else {
+            let Some((from, sender)) = lock(&self.net.senders).get(&source).cloned() else {
                 self.net.passed.strangers.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
-            let fate = self.net.fate(End::Node(from), End::Node(self.node));
-            if fate.cut || fate.reset || self.net.chance(fate.loss) {
+            let conditions = self.net.conditions(End::Node(from), End::Node(self.node));
+            if conditions.cut || conditions.reset || self.net.happens(conditions.loss) {
                 continue;
             }
-            for _ in 0..=usize::from(self.net.chance(fate.doubled)) {
-                self.give(&face, &bytes[..length], fate).await;
+            for _ in 0..=usize::from(self.net.happens(conditions.duplication)) {
+                self.forward(&sender, &bytes[..length], conditions).await;
             }
         }
     }
 
-    async fn give(&self, face: &Arc<UdpSocket>, bytes: &[u8], fate: Fate) {
-        let Some(to) = *lock(&self.behind) else { return };
+    async fn forward(&self, sender: &Arc<UdpSocket>, bytes: &[u8], conditions: Conditions) {
+        let Some(to) = *lock(&self.node_address) else { return };
         self.net.passed.given.fetch_add(1, Ordering::Relaxed);
-        if fate.delay == (0, 0) {
-            let _ = face.send_to(bytes, to).await;
+        if conditions.delay == (0, 0) {
+            let _ = sender.send_to(bytes, to).await;
             return;
         }
-        let (face, bytes, wait) = (face.clone(), bytes.to_vec(), self.net.between(fate.delay));
+        let (sender, bytes, wait) = (sender.clone(), bytes.to_vec(), self.net.random_delay(conditions.delay));
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            let _ = face.send_to(&bytes, to).await;
+            let _ = sender.send_to(&bytes, to).await;
         });
     }
 }
@@ -237,8 +246,9 @@
     /// # Panics
     /// If no port is free.
     pub fn lead(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
-        let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let net = self.clone();
         runtime().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -252,21 +262,21 @@
     async fn connect(&self, client: TcpStream, from: End, to: End, target: SocketAddr) {
         self.passed.connections.fetch_add(1, Ordering::Relaxed);
         let mut changed = self.changed.subscribe();
-        while self.fate(from, to).cut {
+        while self.conditions(from, to).cut {
             if changed.changed().await.is_err() {
                 return;
             }
         }
-        if self.fate(from, to).reset {
+        if self.conditions(from, to).reset {
             return reset(client);
         }
         let Ok(server) = TcpStream::connect(target).await else { return reset(client) };
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let (client, server) = (client.into_split(), server.into_split());
-        let there = self.copy(client.0, server.1, from, to);
-        let back = self.copy(server.0, client.1, to, from);
-        let (there, back) = tokio::join!(there, back);
-        for end in [there, back].into_iter().flatten() {
+        let upstream = self.copy(client.0, server.1, from, to);
+        let downstream = self.copy(server.0, client.1, to, from);
+        let (upstream, downstream) = tokio::join!(upstream, downstream);
+        for end in [upstream, downstream].into_iter().flatten() {
             drop(end);
         }
     }
@@ -283,12 +293,12 @@
         let (mut chunk, mut changed) = (vec![0; 16 * 1024], self.changed.subscribe());
         loop {
             changed.mark_unchanged();
-            let fate = self.fate(from, to);
-            if fate.reset {
+            let conditions = self.conditions(from, to);
+            if conditions.reset {
                 // Dropping a socket with unread data resets the connection.
                 return None;
             }
-            if fate.cut {
+            if conditions.cut {
                 let _ = changed.changed().await;
                 continue;
             }
@@ -306,14 +316,14 @@
             };
             // The data has left the sender, but is held back while the link is cut, and is lost if the
             // connection is reset in the meantime.
-            let came = Instant::now();
-            while self.fate(from, to).cut && !self.fate(from, to).reset {
+            let read_at = Instant::now();
+            while self.conditions(from, to).cut && !self.conditions(from, to).reset {
                 let _ = changed.changed().await;
             }
-            if self.fate(from, to).reset {
+            if self.conditions(from, to).reset {
                 return None;
             }
-            tokio::time::sleep_until(came + Duration::from_millis(fate.delay.0)).await;
+            tokio::time::sleep_until(read_at + Duration::from_millis(conditions.delay.0)).await;
             if write.write_all(&chunk[..n]).await.is_err() {
                 return None;
             }
--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -83,49 +83,53 @@
                 break;
             }
             let node = random.usize(0..nodes);
-            let mut put = |at, fault| steps.push(Step { at, fault });
+            let mut add = |at, fault| steps.push(Step { at, fault });
             match kinds[random.usize(0..kinds.len())] {
                 Kind::Crash => {
-                    put(at, Fault::Kill(node));
+                    add(at, Fault::Kill(node));
                     // Restarts at once, or after the others have had time to notice.
-                    let away = if random.bool() { 0 } else { length };
-                    put(at + away, Fault::Start(node));
-                    at += away;
+                    let downtime = if random.bool() { 0 } else { length };
+                    add(at + downtime, Fault::Start(node));
+                    at += downtime;
                 }
                 Kind::Stall => {
-                    put(at, Fault::Stop(node));
-                    put(at + length, Fault::GoOn(node));
+                    add(at, Fault::Stop(node));
+                    add(at + length, Fault::GoOn(node));
                     at += length;
                 }
                 Kind::Cut => {
                     let size = [1, nodes / 2][random.usize(0..2)].max(1);
-                    let (some, rest): (Vec<usize>, Vec<usize>) = {
+                    let (isolated, rest): (Vec<usize>, Vec<usize>) = {
                         let mut all: Vec<usize> = (0..nodes).collect();
                         random.shuffle(&mut all);
                         let rest = all.split_off(size);
                         (all, rest)
                     };
-                    let ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
+                    let nodes_as_ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
                     let cut = |from: &[usize], to: &[usize]| {
-                        Fault::Lay(Between { from: ends(from), to: ends(to), trouble: Trouble::Cut })
+                        Fault::Lay(Between {
+                            from: nodes_as_ends(from),
+                            to: nodes_as_ends(to),
+                            trouble: Trouble::Cut,
+                        })
                     };
-                    put(at, cut(&some, &rest));
+                    add(at, cut(&isolated, &rest));
                     if random.bool() {
-                        put(at, cut(&rest, &some));
+                        add(at, cut(&rest, &isolated));
                     }
-                    put(at + length, Fault::Heal);
+                    add(at + length, Fault::Heal);
                     at += length;
                 }
                 Kind::Lossy => {
                     let lay = |trouble| Fault::Lay(Between { from: Vec::new(), to: Vec::new(), trouble });
-                    put(at, lay(Trouble::Loss(random.u8(5..40))));
-                    put(at, lay(Trouble::Doubled(random.u8(0..30))));
-                    put(at, lay(Trouble::Delay(0, random.u64(0..40))));
-                    put(at + length, Fault::Heal);
+                    add(at, lay(Trouble::Loss(random.u8(5..40))));
+                    add(at, lay(Trouble::Doubled(random.u8(0..30))));
+                    add(at, lay(Trouble::Delay(0, random.u64(0..40))));
+                    add(at + length, Fault::Heal);
                     at += length;
                 }
                 Kind::Upgrade => {
-                    put(at, Fault::Upgrade(node));
+                    add(at, Fault::Upgrade(node));
                     at += length;
                 }
             }
@@ -139,7 +143,7 @@
     /// If the variable does not hold a valid schedule.
     pub fn or_again(self) -> Self {
         match std::env::var(AGAIN) {
-            Ok(text) => serde_json::from_str(&text).expect("a schedule as it was printed"),
+            Ok(text) => serde_json::from_str(&text).expect("invalid schedule"),
             Err(_) => self,
         }
     }
@@ -163,7 +167,7 @@
 impl Drop for Printed {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("to play it again:\n{}", self.0);
+            eprintln!("to replay it:\n{}", self.0);
         }
     }
 }
@@ -178,7 +182,10 @@
         for seed in 0..50 {
             let drawn = Schedule::drawn(seed, 12, 20_000, &kinds);
             assert_eq!(drawn, Schedule::drawn(seed, 12, 20_000, &kinds));
-            assert_eq!(serde_json::from_str::<Schedule>(&drawn.to_string()).expect("as printed"), drawn);
+            assert_eq!(
+                serde_json::from_str::<Schedule>(&drawn.to_string()).expect("a printed schedule can be read"),
+                drawn
+            );
             assert!(!drawn.steps.is_empty() && drawn.steps.iter().all(|step| step.at <= 20_000));
             assert!(drawn.steps.is_sorted_by_key(|step| step.at));
             // Every node that is taken out comes back.
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -118,8 +118,8 @@
         let mut counts = self.counts();
         if let Some(key) = &seen.key {
             let now = Instant::now();
-            let known = counts.by_key.get(&(cell, key.clone()));
-            if known.is_some_and(|at| now - *at < self.memory) {
+            let last_execution = counts.by_key.get(&(cell, key.clone()));
+            if last_execution.is_some_and(|at| now - *at < self.memory) {
                 return;
             }
             counts.by_key.insert((cell, key.clone()), now);
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -63,7 +63,7 @@
 /// What a connection needs to handle requests.
 #[derive(Clone)]
 struct Worker {
-    me: Identity,
+    identity: Identity,
     script: Script,
     ledger: Ledger,
     open: Arc<AtomicUsize>,
@@ -72,10 +72,10 @@
 impl Worker {
     /// Records an attempt, looks up what the script does with it, and executes the request if the script says
     /// so.
-    fn begin(&self, mut seen: Seen) -> (Seen, Step) {
+    fn process(&self, mut seen: Seen) -> (Seen, Step) {
         seen.before = self.ledger.arrived(&seen.txn);
         let step = (self.script)(&seen);
-        let ran = match step {
+        let executed = match step {
             Step::Error { ran } => ran,
             Step::TurnAway | Step::Reject | Step::DropBefore => false,
             Step::Serve
@@ -86,8 +86,8 @@
             | Step::Garble
             | Step::Reorder(_) => true,
         };
-        if ran {
-            self.ledger.execute(&seen, self.me.cell);
+        if executed {
+            self.ledger.execute(&seen, self.identity.cell);
         }
         (seen, step)
     }
@@ -110,7 +110,7 @@
     /// # Panics
     /// If no port is free.
     pub fn start(identity: Identity, script: Script, ledger: Ledger) -> Self {
-        Self::start_at("127.0.0.1:0".parse().expect("an address"), identity, script, ledger)
+        Self::start_at("127.0.0.1:0".parse().expect("a valid address"), identity, script, ledger)
     }
 
     /// Starts a server at an address.
@@ -118,17 +118,17 @@
     /// # Panics
     /// If the address is not available.
     pub fn start_at(address: SocketAddr, identity: Identity, script: Script, ledger: Ledger) -> Self {
-        let listener = crate::wait("a listener", async {
+        let listener = crate::wait("binding a listener", async {
             let socket = tokio::net::TcpSocket::new_v4()?;
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
             socket.listen(1024)
         });
-        let listener = listener.expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = listener.expect("cannot bind the listener");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let open = Arc::new(AtomicUsize::new(0));
         let conns = Arc::new(Mutex::new(Vec::new()));
-        let worker = Worker { me: identity.clone(), script, ledger, open: open.clone() };
+        let worker = Worker { identity: identity.clone(), script, ledger, open: open.clone() };
         let accepting = runtime().spawn(accept(listener, worker, conns.clone()));
         Self { address, identity, open, accepting, conns }
     }
@@ -167,7 +167,7 @@
             let _counted = Counted(worker.open.clone());
             let _ = stream.set_nodelay(true);
             // An I/O error only ends this connection.
-            let _ = match worker.me.protocol {
+            let _ = match worker.identity.protocol {
                 Protocol::Http => serve_http(stream, worker).await,
                 Protocol::Rpc => serve_rpc(stream, worker).await,
             };
@@ -179,7 +179,7 @@
 }
 
 /// Shuts the connection down after the written data.
-async fn end(mut stream: TcpStream) -> std::io::Result<()> {
+async fn shut_down(mut stream: TcpStream) -> std::io::Result<()> {
     stream.shutdown().await
 }
 
@@ -191,25 +191,25 @@
             stream.get_mut().write_all(&http::answer(200, "", b"")).await?;
             continue;
         }
-        let text = |name: &str| message.header(name).map(str::to_string);
-        let whole = message.target().trim_start_matches('/');
-        let cut = whole.find(['/', '?']).unwrap_or(whole.len());
-        let user = text("cookie").and_then(|c| {
+        let header_text = |name: &str| message.header(name).map(str::to_string);
+        let request_target = message.target().trim_start_matches('/');
+        let class_end = request_target.find(['/', '?']).unwrap_or(request_target.len());
+        let user = header_text("cookie").and_then(|c| {
             c.split(';').find_map(|pair| pair.trim().strip_prefix("user=").map(str::to_string))
         });
         let seen = Seen {
-            server: worker.me.name.clone(),
-            class: whole[..cut].to_string(),
-            path: whole[cut..].to_string(),
-            txn: text("x-txn").unwrap_or_default(),
-            key: text("idempotency-key"),
-            org: text("x-org"),
+            server: worker.identity.name.clone(),
+            class: request_target[..class_end].to_string(),
+            path: request_target[class_end..].to_string(),
+            txn: header_text("x-txn").unwrap_or_default(),
+            key: header_text("idempotency-key"),
+            org: header_text("x-org"),
             user,
-            remaining_ms: text("x-remaining-ms").and_then(|v| v.parse().ok()),
+            remaining_ms: header_text("x-remaining-ms").and_then(|v| v.parse().ok()),
             body: message.body.clone(),
             before: 0,
         };
-        let (seen, step) = worker.begin(seen);
+        let (seen, step) = worker.process(seen);
         let served = || http::answer(200, "", &served_body(&seen));
         let answer = match step {
             Step::Serve => served(),
@@ -228,85 +228,89 @@
                 while stream.read(&mut byte).await? > 0 {}
                 return Ok(());
             }
-            Step::DropBefore | Step::DropAfter => return end(stream.into_inner()).await,
+            Step::DropBefore | Step::DropAfter => return shut_down(stream.into_inner()).await,
             Step::DropMidway => {
-                let whole = served();
-                stream.get_mut().write_all(&whole[..whole.len() - 2]).await?;
-                return end(stream.into_inner()).await;
+                let full = served();
+                stream.get_mut().write_all(&full[..full.len() - 2]).await?;
+                return shut_down(stream.into_inner()).await;
             }
         };
         stream.get_mut().write_all(&answer).await?;
         if step == Step::Garble {
-            return end(stream.into_inner()).await;
+            return shut_down(stream.into_inner()).await;
         }
     }
     Ok(())
 }
 
 /// Instruction for the writer task of a connection.
-enum Out {
+enum WriteCommand {
     Bytes(BytesMut),
     /// Writes these bytes after the next `Bytes`.
-    Behind(BytesMut),
+    AfterNext(BytesMut),
     /// Writes these bytes and ends the connection.
     Last(BytesMut),
 }
 
-async fn write_out(mut to: OwnedWriteHalf, mut out: mpsc::UnboundedReceiver<Out>, over: Arc<Notify>) {
-    let mut behind: Vec<BytesMut> = Vec::new();
-    while let Some(next) = out.recv().await {
+async fn write_out(
+    mut write_half: OwnedWriteHalf,
+    mut commands: mpsc::UnboundedReceiver<WriteCommand>,
+    closed: Arc<Notify>,
+) {
+    let mut deferred: Vec<BytesMut> = Vec::new();
+    while let Some(next) = commands.recv().await {
         let (bytes, last) = match next {
-            Out::Behind(bytes) => {
-                behind.push(bytes);
+            WriteCommand::AfterNext(bytes) => {
+                deferred.push(bytes);
                 continue;
             }
-            Out::Bytes(bytes) => (bytes, false),
-            Out::Last(bytes) => (bytes, true),
+            WriteCommand::Bytes(bytes) => (bytes, false),
+            WriteCommand::Last(bytes) => (bytes, true),
         };
-        let mut wrote = to.write_all(&bytes).await;
+        let mut result = write_half.write_all(&bytes).await;
         if !last {
-            for bytes in behind.drain(..) {
-                wrote = wrote.and(to.write_all(&bytes).await);
+            for bytes in deferred.drain(..) {
+                result = result.and(write_half.write_all(&bytes).await);
             }
         }
-        if last || wrote.is_err() {
-            let _ = to.shutdown().await;
+        if last || result.is_err() {
+            let _ = write_half.shutdown().await;
             break;
         }
     }
-    over.notify_one();
+    closed.notify_one();
 }
 
 async fn serve_rpc(stream: TcpStream, worker: Worker) -> std::io::Result<()> {
-    let (mut from, to) = stream.into_split();
-    let (out, written) = mpsc::unbounded_channel();
-    let over = Arc::new(Notify::new());
-    let writer = tokio::spawn(write_out(to, written, over.clone()));
+    let (mut read_half, write_half) = stream.into_split();
+    let (out, command_receiver) = mpsc::unbounded_channel();
+    let closed = Arc::new(Notify::new());
+    let writer = tokio::spawn(write_out(write_half, command_receiver, closed.clone()));
     let limits = Limits { open: usize::MAX, unsent: usize::MAX, bounds: Bounds::default() };
-    let mut machine = Connection::new(limits);
+    let mut connection = Connection::new(limits);
     let mut chunk = vec![0; 16 * 1024];
     'conn: loop {
         let n = tokio::select! {
-            n = from.read(&mut chunk) => n?,
-            () = over.notified() => break,
+            n = read_half.read(&mut chunk) => n?,
+            () = closed.notified() => break,
         };
         if n == 0 {
             break;
         }
-        machine.received(&chunk[..n]);
-        while let Some(event) = machine.poll() {
+        connection.received(&chunk[..n]);
+        while let Some(event) = connection.poll() {
             let Event::Call { id, call } = event else { break 'conn };
             // Releases the call id in the state machine right away, so that it may be reused. The real answer
             // is written by the writer task.
-            machine.answer(id, &Ok(Bytes::new()));
-            machine.wrote(usize::MAX);
+            connection.answer(id, &Ok(Bytes::new()));
+            connection.wrote(usize::MAX);
             if call.class == "health" {
                 worker.ledger.probed();
-                let _ = out.send(Out::Bytes(written_answer(id, &Ok(Bytes::new()))));
+                let _ = out.send(WriteCommand::Bytes(encode_answer(id, &Ok(Bytes::new()))));
                 continue;
             }
             let seen = Seen {
-                server: worker.me.name.clone(),
+                server: worker.identity.name.clone(),
                 class: call.class,
                 path: call.path,
                 txn: call.txn.unwrap_or_default(),
@@ -317,11 +321,11 @@
                 body: call.body.to_vec(),
                 before: 0,
             };
-            let (seen, step) = worker.begin(seen);
+            let (seen, step) = worker.process(seen);
             reply(&out, id, &seen, step);
             if matches!(step, Step::DropBefore | Step::DropAfter | Step::DropMidway) {
                 // Requests that follow on this connection are neither read nor executed.
-                over.notified().await;
+                closed.notified().await;
                 break 'conn;
             }
         }
@@ -330,16 +334,16 @@
     Ok(())
 }
 
-fn written_answer(id: u32, answer: &Answer) -> BytesMut {
+fn encode_answer(id: u32, answer: &Answer) -> BytesMut {
     let mut bytes = BytesMut::new();
     write_answer(&mut bytes, id, answer);
     bytes
 }
 
-fn reply(out: &mpsc::UnboundedSender<Out>, id: u32, seen: &Seen, step: Step) {
-    let served = written_answer(id, &Ok(Bytes::from(served_body(seen))));
-    let error = |code| written_answer(id, &Err(ErrorReply::new(code, "as scripted")));
-    let later = |span: Duration, what: Out| {
+fn reply(out: &mpsc::UnboundedSender<WriteCommand>, id: u32, seen: &Seen, step: Step) {
+    let served = encode_answer(id, &Ok(Bytes::from(served_body(seen))));
+    let error = |code| encode_answer(id, &Err(ErrorReply::new(code, "as scripted")));
+    let send_later = |span: Duration, what: WriteCommand| {
         let out = out.clone();
         tokio::spawn(async move {
             tokio::time::sleep(span).await;
@@ -347,26 +351,26 @@
         });
     };
     // Sending fails only after the writer has ended and closed the connection.
-    let say = |what: Out| drop(out.send(what));
+    let send_now = |what: WriteCommand| drop(out.send(what));
     match step {
-        Step::Serve => say(Out::Bytes(served)),
-        Step::ServeAfter(span) => later(span, Out::Bytes(served)),
-        Step::Error { .. } => say(Out::Bytes(error(Code::Failed))),
-        Step::TurnAway => say(Out::Bytes(error(Code::TurnedAway))),
-        Step::Reject => say(Out::Bytes(error(Code::BadRequest))),
+        Step::Serve => send_now(WriteCommand::Bytes(served)),
+        Step::ServeAfter(span) => send_later(span, WriteCommand::Bytes(served)),
+        Step::Error { .. } => send_now(WriteCommand::Bytes(error(Code::Failed))),
+        Step::TurnAway => send_now(WriteCommand::Bytes(error(Code::TurnedAway))),
+        Step::Reject => send_now(WriteCommand::Bytes(error(Code::BadRequest))),
         Step::Hold => {}
-        Step::DropBefore | Step::DropAfter => say(Out::Last(BytesMut::new())),
+        Step::DropBefore | Step::DropAfter => send_now(WriteCommand::Last(BytesMut::new())),
         Step::DropMidway => {
             let half = BytesMut::from(&served[..served.len() - 2]);
-            say(Out::Last(half));
+            send_now(WriteCommand::Last(half));
         }
         // A result that is neither bin nor nil, which is invalid.
-        Step::Garble => say(Out::Bytes(BytesMut::from(
+        Step::Garble => send_now(WriteCommand::Bytes(BytesMut::from(
             &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat()[..],
         ))),
         Step::Reorder(span) => {
-            say(Out::Behind(served));
-            later(span, Out::Bytes(BytesMut::new()));
+            send_now(WriteCommand::AfterNext(served));
+            send_later(span, WriteCommand::Bytes(BytesMut::new()));
         }
     }
 }
--- a/crates/testkit/tests/tree.rs
+++ b/crates/testkit/tests/tree.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use glenwood_coordination::proto::{Acl, Code, EventKind, Mode, Request, Response, WatchEvent};
-use glenwood_testkit::coordination::tree::{Tree, Txn, DATA_MOST};
+use glenwood_testkit::coordination::tree::{Tree, Txn, MAX_DATA_BYTES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
         let mut service = Self { tree: Tree::default(), log: Vec::new() };
         for id in 1..=3 {
             let txn = service.tree.open_session(service.next(), 0, id, 1000);
-            service.apply(txn).0.expect("it opens");
+            service.apply(txn).0.expect("the session opens");
         }
         service
     }
@@ -51,13 +51,13 @@
         self.tree.apply(&txn)
     }
 
-    fn ask(&mut self, session: i64, request: &Request) -> (Result<Response, Code>, Vec<WatchEvent>) {
-        let txn = self.tree.prepare(self.next(), 7, session, request).expect("it changes something");
+    fn send_request(&mut self, session: i64, request: &Request) -> (Result<Response, Code>, Vec<WatchEvent>) {
+        let txn = self.tree.prepare(self.next(), 7, session, request).expect("a write request");
         self.apply(txn)
     }
 
-    fn all(&mut self, session: i64, requests: Vec<Request>) -> Vec<Result<Response, Code>> {
-        match self.ask(session, &Request::Multi(requests)).0 {
+    fn multi(&mut self, session: i64, requests: Vec<Request>) -> Vec<Result<Response, Code>> {
+        match self.send_request(session, &Request::Multi(requests)).0 {
             Ok(Response::Multi(all)) => all,
             other => panic!("{other:?}"),
         }
@@ -79,11 +79,14 @@
 #[test]
 fn a_session_takes_what_is_ephemeral_in_it_along() {
     let mut s = Service::new();
-    s.ask(1, &create("/servers", false, false)).0.expect("made");
+    s.send_request(1, &create("/servers", false, false)).0.expect("created");
     for (session, path) in [(1, "/servers/a"), (2, "/servers/b"), (1, "/servers/c")] {
-        s.ask(session, &create(path, true, false)).0.expect("made");
+        s.send_request(session, &create(path, true, false)).0.expect("created");
     }
-    assert_eq!(s.ask(1, &create("/servers/a/x", false, false)).0, Err(Code::NoChildrenForEphemerals));
+    assert_eq!(
+        s.send_request(1, &create("/servers/a/x", false, false)).0,
+        Err(Code::NoChildrenForEphemerals)
+    );
     let txn = s.tree.close_session(s.next(), 9, 1);
     let (_, fired) = s.apply(txn);
     assert_eq!(s.children("/servers"), ["b"]);
@@ -91,7 +94,7 @@
         fired.iter().filter(|e| e.kind == EventKind::Deleted).map(|e| e.path.as_str()).collect();
     assert_eq!(deleted, ["/servers/a", "/servers/c"]);
     assert!(fired.contains(&event(EventKind::ChildrenChanged, "/servers")));
-    assert_eq!(s.ask(1, &create("/servers/d", true, false)).0, Err(Code::SessionExpired));
+    assert_eq!(s.send_request(1, &create("/servers/d", true, false)).0, Err(Code::SessionExpired));
 }
 
 /// A server restarts under its name before the ephemeral znode of its old session is gone. The end of the old
@@ -99,9 +102,9 @@
 #[test]
 fn an_old_sessions_end_leaves_the_new_ones_node_alone() {
     let mut s = Service::new();
-    s.ask(1, &create("/a", true, false)).0.expect("made");
-    assert_eq!(s.ask(2, &create("/a", true, false)).0, Err(Code::NodeExists));
-    let renewed = s.all(2, vec![delete("/a", -1), create("/a", true, false)]);
+    s.send_request(1, &create("/a", true, false)).0.expect("created");
+    assert_eq!(s.send_request(2, &create("/a", true, false)).0, Err(Code::NodeExists));
+    let renewed = s.multi(2, vec![delete("/a", -1), create("/a", true, false)]);
     assert!(renewed.iter().all(Result::is_ok));
     let txn = s.tree.close_session(s.next(), 9, 1);
     assert_eq!(s.apply(txn).1, []);
@@ -111,34 +114,35 @@
 #[test]
 fn versions_guard_changes_and_a_multi_does_all_or_none() {
     let mut s = Service::new();
-    s.ask(1, &create("/a", false, false)).0.expect("made");
-    assert_eq!(s.ask(1, &set("/a", 3)).0, Err(Code::BadVersion));
-    let Ok(Response::Stat(stat)) = s.ask(1, &set("/a", 0)).0 else { panic!("not set") };
+    s.send_request(1, &create("/a", false, false)).0.expect("created");
+    assert_eq!(s.send_request(1, &set("/a", 3)).0, Err(Code::BadVersion));
+    let Ok(Response::Stat(stat)) = s.send_request(1, &set("/a", 0)).0 else { panic!("not set") };
     assert_eq!((stat.version, stat.data_length), (1, 3));
-    assert_eq!(s.ask(1, &delete("/a", 0)).0, Err(Code::BadVersion));
+    assert_eq!(s.send_request(1, &delete("/a", 0)).0, Err(Code::BadVersion));
     let before = s.tree.paths().map(str::to_string).collect::<Vec<_>>();
-    let failed = s.all(1, vec![create("/b", false, false), delete("/none", -1), set("/a", 1)]);
+    let failed = s.multi(1, vec![create("/b", false, false), delete("/none", -1), set("/a", 1)]);
     assert_eq!(failed, [Err(Code::RolledBack), Err(Code::NoNode), Err(Code::RuntimeInconsistency)]);
     assert_eq!(s.tree.paths().collect::<Vec<_>>(), before);
     let check = Request::Check { path: "/a".into(), version: 1 };
     // Each request sees the effects of those before it.
-    let done = s.all(1, vec![check, create("/b", false, false), create("/b/c", false, false), set("/b", 0)]);
+    let done =
+        s.multi(1, vec![check, create("/b", false, false), create("/b/c", false, false), set("/b", 0)]);
     assert!(done.iter().all(Result::is_ok), "{done:?}");
-    assert_eq!(s.ask(1, &delete("/b", -1)).0, Err(Code::NotEmpty));
+    assert_eq!(s.send_request(1, &delete("/b", -1)).0, Err(Code::NotEmpty));
 }
 
 #[test]
 fn numbers_of_sequential_nodes_never_run_back() {
     let mut s = Service::new();
-    s.ask(1, &create("/l", false, false)).0.expect("made");
+    s.send_request(1, &create("/l", false, false)).0.expect("created");
     let mut last = String::new();
     for n in 0..20 {
-        let Ok(Response::Created { path, .. }) = s.ask(1, &create("/l/x-", true, true)).0 else {
-            panic!("not made")
+        let Ok(Response::Created { path, .. }) = s.send_request(1, &create("/l/x-", true, true)).0 else {
+            panic!("not created")
         };
         assert!(path > last, "{path} after {last}");
         if n % 3 != 0 {
-            s.ask(1, &delete(&path, -1)).0.expect("deleted");
+            s.send_request(1, &delete(&path, -1)).0.expect("deleted");
         }
         last = path;
     }
@@ -149,16 +153,16 @@
 fn paths_and_data_that_can_not_be_are_turned_down() {
     let mut s = Service::new();
     for path in ["", "a", "/a/", "//", "/a//b", "/./a", "/a/..", "/a\n"] {
-        assert_eq!(s.ask(1, &create(path, false, false)).0, Err(Code::BadArguments), "{path:?}");
+        assert_eq!(s.send_request(1, &create(path, false, false)).0, Err(Code::BadArguments), "{path:?}");
     }
-    assert_eq!(s.ask(1, &create("/", false, false)).0, Err(Code::NodeExists));
-    assert_eq!(s.ask(1, &create("/none/a", false, false)).0, Err(Code::NoNode));
-    assert_eq!(s.ask(1, &delete("/", -1)).0, Err(Code::BadArguments));
+    assert_eq!(s.send_request(1, &create("/", false, false)).0, Err(Code::NodeExists));
+    assert_eq!(s.send_request(1, &create("/none/a", false, false)).0, Err(Code::NoNode));
+    assert_eq!(s.send_request(1, &delete("/", -1)).0, Err(Code::BadArguments));
     let mut large = create("/large", false, false);
     if let Request::Create { data, .. } = &mut large {
-        *data = Bytes::from(vec![0; DATA_MOST + 1]);
+        *data = Bytes::from(vec![0; MAX_DATA_BYTES + 1]);
     }
-    assert_eq!(s.ask(1, &large).0, Err(Code::BadArguments));
+    assert_eq!(s.send_request(1, &large).0, Err(Code::BadArguments));
 }
 
 /// Watches that are set again report exactly what was missed.
@@ -166,13 +170,13 @@
 fn what_was_missed_is_said_to_who_takes_watches_up_again() {
     let mut s = Service::new();
     for path in ["/a", "/b", "/c"] {
-        s.ask(1, &create(path, false, false)).0.expect("made");
+        s.send_request(1, &create(path, false, false)).0.expect("created");
     }
     let seen = s.tree.zxid();
-    s.ask(1, &set("/a", -1)).0.expect("set");
-    s.ask(1, &delete("/b", -1)).0.expect("deleted");
-    s.ask(1, &create("/n", false, false)).0.expect("made");
-    s.ask(1, &create("/c/x", false, false)).0.expect("made");
+    s.send_request(1, &set("/a", -1)).0.expect("set");
+    s.send_request(1, &delete("/b", -1)).0.expect("deleted");
+    s.send_request(1, &create("/n", false, false)).0.expect("created");
+    s.send_request(1, &create("/c/x", false, false)).0.expect("created");
     let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
     let missed = s.tree.missed(seen, &all(&["/a", "/b", "/c"]), &all(&["/n", "/m"]), &all(&["/c", "/n"]));
     let wanted = [
@@ -211,7 +215,7 @@
         let mut s = Service::new();
         for (session, request, close) in asked {
             let before = s.tree.clone();
-            let (answer, fired) = s.ask(session, &request);
+            let (answer, fired) = s.send_request(session, &request);
             let failed = match &answer {
                 Err(_) => true,
                 Ok(Response::Multi(all)) => all.iter().any(Result::is_err),
@@ -223,7 +227,7 @@
             }
             if close < 8 {
                 let txn = s.tree.close_session(s.next(), 9, session);
-                s.apply(txn).0.expect("it closes");
+                s.apply(txn).0.expect("the session closes");
             }
         }
         let mut other = Tree::default();
@@ -232,11 +236,11 @@
         }
         prop_assert_eq!(&other, &s.tree);
         for path in s.tree.paths().filter(|p| *p != "/") {
-            let (parent, name) = path.rsplit_once('/').expect("a path");
+            let (parent, name) = path.rsplit_once('/').expect("an absolute path");
             let parent = if parent.is_empty() { "/" } else { parent };
-            prop_assert!(s.children(parent).iter().any(|c| c == name), "{} hangs nowhere", path);
+            prop_assert!(s.children(parent).iter().any(|c| c == name), "{} is not listed by its parent", path);
             let read = s.tree.read(&Request::Exists { path: path.into(), watch: false });
-            let Some(Ok(Response::Stat(stat))) = read else { panic!("{path} is not there") };
+            let Some(Ok(Response::Stat(stat))) = read else { panic!("{path} does not exist") };
             prop_assert!(stat.ephemeral_owner == 0 || s.tree.has_session(stat.ephemeral_owner));
             prop_assert!(stat.ephemeral_owner == 0 || stat.children == 0);
             prop_assert_eq!(stat.children as usize, s.children(path).len());
