--- a/crates/testkit/tests/ensemble.rs
+++ b/crates/testkit/tests/ensemble.rs
@@ -22,12 +22,12 @@
 
 /// Like `follow`, and also collects every view.
 fn follow_all(world: &mut World, id: u64, view: &mut View, reads: &mut usize, views: &mut Vec<View>) {
-    let told = std::mem::take(&mut world.clients.get_mut(&id).expect("it is there").said);
-    for event in told {
+    let events = std::mem::take(&mut world.clients.get_mut(&id).expect("the client exists").events);
+    for event in events {
         match event {
             Event::Established { .. } | Event::Fired(_) => {
                 *reads += 1;
-                world.ask(id, "children", children(true));
+                world.send_request(id, "children", children(true));
             }
             Event::Answer("children", Ok(Response::Children { names, .. })) => {
                 views.push(names.iter().cloned().collect());
@@ -40,36 +40,36 @@
 
 fn set_up(members: usize) -> World {
     let mut world = World::new(members);
-    world.join(0);
-    world.pass(10.0, |_| {});
-    world.ask(0, "root", create("/servers", false));
-    world.pass(10.0, |_| {});
-    assert!(world.clients[&0].said.iter().any(|e| matches!(e, Event::Answer("root", Ok(_)))));
-    world.clients.get_mut(&0).expect("it is there").said = vec![Event::Established { new: true }];
+    world.add_client(0);
+    world.advance(10.0, |_| {});
+    world.send_request(0, "root", create("/servers", false));
+    world.advance(10.0, |_| {});
+    assert!(world.clients[&0].events.iter().any(|e| matches!(e, Event::Answer("root", Ok(_)))));
+    world.clients.get_mut(&0).expect("the client exists").events = vec![Event::Established { new: true }];
     world
 }
 
 #[test]
 fn a_server_that_vanishes_is_gone_a_time_out_later() {
     let mut world = set_up(MEMBERS);
-    world.join(1);
+    world.add_client(1);
     let (mut view, mut reads) = (BTreeSet::new(), 0);
-    world.pass(3000.0, |w| {
+    world.advance(3000.0, |w| {
         register(w, 1);
         follow(w, 0, &mut view, &mut reads);
     });
     assert_eq!(view, BTreeSet::from(["s1".to_string()]));
     // The entry stays for as long as the server sends pings, and nothing is read while nothing changes.
     let before = reads;
-    world.pass(60_000.0, |w| follow(w, 0, &mut view, &mut reads));
+    world.advance(60_000.0, |w| follow(w, 0, &mut view, &mut reads));
     assert_eq!((view.len(), reads), (1, before));
-    world.vanish(1);
-    let vanished = world.now;
+    world.crash(1);
+    let crashed_at = world.now;
     while !view.is_empty() {
-        assert!(world.now < vanished + TIMEOUT + 50.0, "still there after {} ms", world.now - vanished);
-        world.pass(10.0, |w| follow(w, 0, &mut view, &mut reads));
+        assert!(world.now < crashed_at + TIMEOUT + 50.0, "still present after {} ms", world.now - crashed_at);
+        world.advance(10.0, |w| follow(w, 0, &mut view, &mut reads));
     }
-    assert!(world.now >= vanished + TIMEOUT * 0.5);
+    assert!(world.now >= crashed_at + TIMEOUT * 0.5);
 }
 
 #[test]
@@ -77,10 +77,10 @@
     let mut world = set_up(MEMBERS);
     world.ensemble.kill(0);
     world.ensemble.kill(1);
-    world.pass(1000.0, |_| {});
+    world.advance(1000.0, |_| {});
     assert!(world.ensemble.open(2).is_none() && !world.clients[&0].machine.is_connected());
     world.ensemble.restore(1);
-    world.pass(5000.0, |_| {});
+    world.advance(5000.0, |_| {});
     assert!(
         world.clients[&0].machine.is_connected() && world.ensemble.newest().paths().any(|p| p == "/servers")
     );
@@ -93,7 +93,7 @@
     for seed in 0..10 {
         let (mut world, mut random) = (set_up(MEMBERS), Random(seed));
         let (mut view, mut reads, mut views) = (BTreeSet::new(), 0, Vec::new());
-        let mut there = BTreeSet::new();
+        let mut present = BTreeSet::new();
         let mut next = 1;
         for _ in 0..100 {
             let member = random.below(MEMBERS as u64) as usize;
@@ -110,21 +110,21 @@
                 8 => world.ensemble.mute(member, true),
                 9 => (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false)),
                 10..=12 => {
-                    world.join(next);
-                    there.insert(next);
+                    world.add_client(next);
+                    present.insert(next);
                     next += 1;
                 }
                 _ => {
                     if let Some(id) =
-                        there.iter().nth(random.below(there.len().max(1) as u64) as usize).copied()
+                        present.iter().nth(random.below(present.len().max(1) as u64) as usize).copied()
                     {
-                        there.remove(&id);
-                        world.vanish(id);
+                        present.remove(&id);
+                        world.crash(id);
                     }
                 }
             }
-            let clients: Vec<u64> = there.iter().copied().collect();
-            world.pass(random.below(1500) as f64, |w| {
+            let clients: Vec<u64> = present.iter().copied().collect();
+            world.advance(random.below(1500) as f64, |w| {
                 clients.iter().for_each(|id| register(w, *id));
                 follow_all(w, 0, &mut view, &mut reads, &mut views);
             });
@@ -135,11 +135,11 @@
             world.ensemble.lag(member, 0.0);
             world.ensemble.mute(member, false);
         }
-        world.pass(20_000.0, |w| {
-            there.iter().for_each(|id| register(w, *id));
+        world.advance(20_000.0, |w| {
+            present.iter().for_each(|id| register(w, *id));
             follow_all(w, 0, &mut view, &mut reads, &mut views);
         });
-        let wanted: BTreeSet<String> = there.iter().map(|id| format!("s{id}")).collect();
+        let wanted: BTreeSet<String> = present.iter().map(|id| format!("s{id}")).collect();
         let newest: BTreeSet<String> = world
             .ensemble
             .newest()
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -13,16 +13,16 @@
 type View = BTreeMap<String, Bytes>;
 
 /// Applies a follower's output and returns the view after each change. Only a present server may be removed.
-fn views(world: &mut World, n: usize, view: &mut View) -> Vec<View> {
+fn apply_outputs(world: &mut World, n: usize, view: &mut View) -> Vec<View> {
     let mut all = Vec::new();
-    for output in std::mem::take(&mut world.followers[n].said) {
+    for output in std::mem::take(&mut world.followers[n].events) {
         match output {
-            Output::Change(Change::Snapshot(whole)) => *view = whole,
+            Output::Change(Change::Snapshot(snapshot)) => *view = snapshot,
             Output::Change(Change::Set(name, data)) => {
                 view.insert(name, data);
             }
             Output::Change(Change::Removed(name)) => {
-                assert!(view.remove(&name).is_some(), "{name} was not there")
+                assert!(view.remove(&name).is_some(), "{name} was not in the view")
             }
             _ => continue,
         }
@@ -34,18 +34,18 @@
 /// A world in which client 0 has created `/servers`.
 fn set_up() -> World {
     let mut world = World::new(MEMBERS);
-    world.join(0);
-    world.pass(10.0, |_| {});
-    world.ask(0, "root", create("/servers", false));
-    world.pass(10.0, |_| {});
+    world.add_client(0);
+    world.advance(10.0, |_| {});
+    world.send_request(0, "root", create("/servers", false));
+    world.advance(10.0, |_| {});
     world
 }
 
-fn servers(world: &mut World, count: u64) {
+fn add_servers(world: &mut World, count: u64) {
     for id in 1..=count {
-        world.join(id);
+        world.add_client(id);
     }
-    world.pass(100.0, |w| (1..=count).for_each(|id| register(w, id)));
+    world.advance(100.0, |w| (1..=count).for_each(|id| register(w, id)));
 }
 
 fn names(view: &View) -> Vec<&str> {
@@ -55,22 +55,30 @@
 #[test]
 fn a_follower_says_the_whole_once_and_then_what_changes() {
     let mut world = set_up();
-    servers(&mut world, 3);
-    world.follow(50, 30_000.0);
+    add_servers(&mut world, 3);
+    world.add_follower(50, 30_000.0);
     let mut view = View::new();
-    world.pass(100.0, |_| {});
-    assert_eq!(views(&mut world, 0, &mut view).len(), 1);
+    world.advance(100.0, |_| {});
+    assert_eq!(apply_outputs(&mut world, 0, &mut view).len(), 1);
     assert_eq!(names(&view), ["s1", "s2", "s3"]);
     let data = Bytes::from_static(b"other");
-    world.ask(2, "data", Request::SetData { path: "/servers/s2".into(), data: data.clone(), version: -1 });
-    world.pass(10.0, |_| {});
-    let said: Vec<_> = std::mem::take(&mut world.followers[0].said);
-    assert_eq!(said, [Output::Change(Change::Set("s2".into(), data))]);
+    world.send_request(
+        2,
+        "data",
+        Request::SetData { path: "/servers/s2".into(), data: data.clone(), version: -1 },
+    );
+    world.advance(10.0, |_| {});
+    let outputs: Vec<_> = std::mem::take(&mut world.followers[0].events);
+    assert_eq!(outputs, [Output::Change(Change::Set("s2".into(), data))]);
     // A second change is seen too: reading the data set the watch again.
-    world.ask(2, "data", Request::SetData { path: "/servers/s2".into(), data: Bytes::new(), version: -1 });
-    world.ask(3, "leave", Request::Delete { path: "/servers/s3".into(), version: -1 });
-    world.pass(10.0, |_| {});
-    views(&mut world, 0, &mut view);
+    world.send_request(
+        2,
+        "data",
+        Request::SetData { path: "/servers/s2".into(), data: Bytes::new(), version: -1 },
+    );
+    world.send_request(3, "leave", Request::Delete { path: "/servers/s3".into(), version: -1 });
+    world.advance(10.0, |_| {});
+    apply_outputs(&mut world, 0, &mut view);
     assert_eq!((names(&view), view["s2"].len()), (vec!["s1", "s2"], 0));
 }
 
@@ -78,14 +86,14 @@
 #[test]
 fn a_tree_that_is_not_made_yet_is_no_list() {
     let mut world = World::new(MEMBERS);
-    world.follow(50, 1e9);
-    world.pass(5000.0, |_| {});
-    assert_eq!(views(&mut world, 0, &mut View::new()), Vec::<View>::new());
-    world.join(0);
-    world.pass(10.0, |_| {});
-    world.ask(0, "root", create("/servers", false));
-    world.pass(10.0, |_| {});
-    assert_eq!(views(&mut world, 0, &mut View::new()), [View::new()]);
+    world.add_follower(50, 1e9);
+    world.advance(5000.0, |_| {});
+    assert_eq!(apply_outputs(&mut world, 0, &mut View::new()), Vec::<View>::new());
+    world.add_client(0);
+    world.advance(10.0, |_| {});
+    world.send_request(0, "root", create("/servers", false));
+    world.advance(10.0, |_| {});
+    assert_eq!(apply_outputs(&mut world, 0, &mut View::new()), [View::new()]);
 }
 
 /// The whole service is unreachable for an hour. No server is removed because of that, and after its return
@@ -93,19 +101,19 @@
 #[test]
 fn a_service_that_is_away_for_an_hour_takes_nobody_along() {
     let mut world = set_up();
-    servers(&mut world, 4);
-    world.follow(50, 30_000.0);
+    add_servers(&mut world, 4);
+    world.add_follower(50, 30_000.0);
     let mut view = View::new();
-    world.pass(100.0, |_| {});
-    views(&mut world, 0, &mut view);
+    world.advance(100.0, |_| {});
+    apply_outputs(&mut world, 0, &mut view);
     (0..MEMBERS).for_each(|m| world.ensemble.kill(m));
-    world.pass(3_600_000.0, |_| {});
-    assert!(world.followers[0].said.contains(&Output::Unreachable));
-    assert_eq!(views(&mut world, 0, &mut view), Vec::<View>::new());
-    world.vanish(4);
+    world.advance(3_600_000.0, |_| {});
+    assert!(world.followers[0].events.contains(&Output::Unreachable));
+    assert_eq!(apply_outputs(&mut world, 0, &mut view), Vec::<View>::new());
+    world.crash(4);
     (0..MEMBERS).for_each(|m| world.ensemble.restore(m));
-    world.pass(10_000.0, |w| (1..4).for_each(|id| register(w, id)));
-    let after = views(&mut world, 0, &mut view);
+    world.advance(10_000.0, |w| (1..4).for_each(|id| register(w, id)));
+    let after = apply_outputs(&mut world, 0, &mut view);
     assert!(after.iter().all(|v| v.len() >= 3), "{after:?}");
     assert_eq!(names(&view), ["s1", "s2", "s3"]);
 }
@@ -114,20 +122,20 @@
 #[test]
 fn a_follower_whose_own_session_ended_takes_nobody_along() {
     let mut world = set_up();
-    servers(&mut world, 4);
-    world.follow(50, 30_000.0);
+    add_servers(&mut world, 4);
+    world.add_follower(50, 30_000.0);
     let mut view = View::new();
-    world.pass(100.0, |_| {});
-    views(&mut world, 0, &mut view);
+    world.advance(100.0, |_| {});
+    apply_outputs(&mut world, 0, &mut view);
     let old = world.followers[0].machine.session().id();
     // All members stay silent for longer than the session time-out. The servers' sessions expire as well and
     // are created again.
     (0..MEMBERS).for_each(|m| world.ensemble.mute(m, true));
-    world.pass(10_000.0, |_| {});
+    world.advance(10_000.0, |_| {});
     (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false));
-    world.pass(10_000.0, |w| (1..5).for_each(|id| register(w, id)));
+    world.advance(10_000.0, |w| (1..5).for_each(|id| register(w, id)));
     assert_ne!(world.followers[0].machine.session().id(), old);
-    views(&mut world, 0, &mut view);
+    apply_outputs(&mut world, 0, &mut view);
     assert_eq!(names(&view), ["s1", "s2", "s3", "s4"]);
 }
 
@@ -137,40 +145,40 @@
 fn a_large_list_comes_in_bounded_and_a_change_costs_what_changed() {
     let mut world = set_up();
     for n in 0..5000 {
-        world.ask(0, "many", create(&format!("/servers/m{n:04}"), false));
+        world.send_request(0, "many", create(&format!("/servers/m{n:04}"), false));
     }
-    world.pass(10.0, |_| {});
-    world.follow(50, 1e9);
+    world.advance(10.0, |_| {});
+    world.add_follower(50, 1e9);
     let mut view = View::new();
-    world.pass(50.0, |_| {});
-    assert_eq!((views(&mut world, 0, &mut view).len(), view.len()), (1, 5000));
+    world.advance(50.0, |_| {});
+    assert_eq!((apply_outputs(&mut world, 0, &mut view).len(), view.len()), (1, 5000));
     let before = world.followers[0].machine.session().watches();
     assert_eq!(before, 5001);
-    world.ask(0, "one", Request::Delete { path: "/servers/m0777".into(), version: -1 });
-    world.pass(50.0, |_| {});
-    assert_eq!(world.followers[0].said, [Output::Change(Change::Removed("m0777".into()))]);
+    world.send_request(0, "one", Request::Delete { path: "/servers/m0777".into(), version: -1 });
+    world.advance(50.0, |_| {});
+    assert_eq!(world.followers[0].events, [Output::Change(Change::Removed("m0777".into()))]);
 }
 
 /// Data that is too long for a registration is ignored, and the last known data stays valid.
 #[test]
 fn data_that_is_far_too_long_is_not_taken() {
     let mut world = set_up();
-    servers(&mut world, 2);
-    world.follow(50, 30_000.0);
+    add_servers(&mut world, 2);
+    world.add_follower(50, 30_000.0);
     let mut view = View::new();
-    world.pass(100.0, |_| {});
-    views(&mut world, 0, &mut view);
+    world.advance(100.0, |_| {});
+    apply_outputs(&mut world, 0, &mut view);
     let good =
         Request::SetData { path: "/servers/s1".into(), data: Bytes::from_static(b"good"), version: -1 };
-    world.ask(1, "good", good);
-    world.pass(10.0, |_| {});
-    views(&mut world, 0, &mut view);
+    world.send_request(1, "good", good);
+    world.advance(10.0, |_| {});
+    apply_outputs(&mut world, 0, &mut view);
     let data = Bytes::from(vec![b'x'; 1024 * 1024 - 1]);
     assert!(data.len() > MAX_DATA_BYTES);
-    world.ask(1, "long", Request::SetData { path: "/servers/s1".into(), data, version: -1 });
-    world.pass(10.0, |_| {});
-    assert_eq!(world.followers[0].said, [Output::Change(Change::Oversized("s1".into()))]);
-    views(&mut world, 0, &mut view);
+    world.send_request(1, "long", Request::SetData { path: "/servers/s1".into(), data, version: -1 });
+    world.advance(10.0, |_| {});
+    assert_eq!(world.followers[0].events, [Output::Change(Change::Oversized("s1".into()))]);
+    apply_outputs(&mut world, 0, &mut view);
     assert_eq!(view["s1"], "good");
 }
 
@@ -181,13 +189,13 @@
     for seed in 0..10 {
         let (mut world, mut random) = (set_up(), Random(seed + 100));
         // This znode is persistent: it does not depend on any session.
-        world.ask(0, "steady", create("/servers/steady", false));
-        world.pass(10.0, |_| {});
-        world.clients.get_mut(&0).expect("it is there").said = vec![Event::Suspended];
-        world.follow(1000, 30_000.0);
-        world.follow(2000, 500.0);
+        world.send_request(0, "steady", create("/servers/steady", false));
+        world.advance(10.0, |_| {});
+        world.clients.get_mut(&0).expect("the client exists").events = vec![Event::Suspended];
+        world.add_follower(1000, 30_000.0);
+        world.add_follower(2000, 500.0);
         let mut seen = [(View::new(), Vec::new()), (View::new(), Vec::new())];
-        let (mut there, mut next) = (Vec::new(), 1);
+        let (mut present, mut next) = (Vec::new(), 1);
         for _ in 0..100 {
             let member = random.below(MEMBERS as u64) as usize;
             match random.below(16) {
@@ -201,20 +209,20 @@
                 8 => world.ensemble.mute(member, true),
                 9 => (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false)),
                 10..=12 => {
-                    world.join(next);
-                    there.push(next);
+                    world.add_client(next);
+                    present.push(next);
                     next += 1;
                 }
-                _ if !there.is_empty() => {
-                    let id = there.swap_remove(random.below(there.len() as u64) as usize);
-                    world.vanish(id);
+                _ if !present.is_empty() => {
+                    let id = present.swap_remove(random.below(present.len() as u64) as usize);
+                    world.crash(id);
                 }
                 _ => {}
             }
-            let now = there.clone();
-            world.pass(random.below(1500) as f64, |w| now.iter().for_each(|id| register(w, *id)));
+            let now = present.clone();
+            world.advance(random.below(1500) as f64, |w| now.iter().for_each(|id| register(w, *id)));
             for (n, (view, all)) in seen.iter_mut().enumerate() {
-                all.extend(views(&mut world, n, view));
+                all.extend(apply_outputs(&mut world, n, view));
             }
         }
         for m in 0..MEMBERS {
@@ -223,14 +231,17 @@
             world.ensemble.lag(m, 0.0);
             world.ensemble.mute(m, false);
         }
-        world.pass(20_000.0, |w| there.iter().for_each(|id| register(w, *id)));
-        let mut wanted: Vec<String> = there.iter().map(|id| format!("s{id}")).collect();
+        world.advance(20_000.0, |w| present.iter().for_each(|id| register(w, *id)));
+        let mut wanted: Vec<String> = present.iter().map(|id| format!("s{id}")).collect();
         wanted.push("steady".into());
         wanted.sort();
         for (n, (view, all)) in seen.iter_mut().enumerate() {
-            all.extend(views(&mut world, n, view));
+            all.extend(apply_outputs(&mut world, n, view));
             assert_eq!(names(view), wanted, "seed {seed}, follower {n}");
-            assert!(all.iter().all(|v| v.contains_key("steady")), "seed {seed}: the steady one was lost");
+            assert!(
+                all.iter().all(|v| v.contains_key("steady")),
+                "seed {seed}: the persistent server was lost"
+            );
             assert!(all.len() > 5, "seed {seed}: {} views", all.len());
         }
     }
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -18,8 +18,8 @@
 const ROUNDS: u64 = 120;
 const STEP: f64 = 2.0;
 /// Time that a server needs for a request.
-const WORK: f64 = 6.0;
-const WAIT: f64 = 800.0;
+const SERVICE_TIME: f64 = 6.0;
+const CLIENT_TIMEOUT: f64 = 800.0;
 /// The grace time of the drain rule.
 const GRACE: f64 = 500.0;
 
@@ -68,14 +68,14 @@
     refused: usize,
     failed: usize,
     /// Refused or failed requests at moments at which the list had no active server that was alive.
-    for_want_of_a_server: usize,
+    without_live_server: usize,
     /// Attempts sent to a server that is not active in the list, later than the grace time allows.
-    after_told: usize,
+    after_listed_out: usize,
     /// Attempts sent to a server that the node could have known to be out of service, later than the grace
     /// time allows.
     after_knowable: usize,
     /// Steps with no active server in the list, while the node could have known of one.
-    empty: usize,
+    steps_without_active: usize,
     departures: usize,
     longest_unknown: f64,
 }
@@ -85,13 +85,13 @@
     merge: MergedList,
     list: BTreeMap<u64, Health>,
     /// When each server stopped being active in the list.
-    told: BTreeMap<u64, f64>,
+    inactive_since: BTreeMap<u64, f64>,
     /// When the node could first have known that each server is out of service, or in service, without
     /// interruption since.
-    out: BTreeMap<u64, f64>,
-    inside: BTreeMap<u64, f64>,
+    known_inactive_since: BTreeMap<u64, f64>,
+    known_active_since: BTreeMap<u64, f64>,
     /// Attempts in flight: end time, id and server.
-    under_way: Vec<(f64, AttemptId, u64)>,
+    in_flight: Vec<(f64, AttemptId, u64)>,
     /// When each server last answered, for the view.
     answered: Arc<Mutex<BTreeMap<String, f64>>>,
     next: f64,
@@ -100,10 +100,10 @@
 }
 
 fn id_of(name: &str) -> u64 {
-    name[1..].parse().expect("a name of this test")
+    name[1..].parse().expect("a server name of this test")
 }
 
-fn listed(health: Health) -> Listed {
+fn listing_state(health: Health) -> Listed {
     match health {
         Health::Active => Listed::Up,
         Health::Leaving => Listed::Draining,
@@ -114,13 +114,13 @@
 impl Node {
     fn new(answered: Arc<Mutex<BTreeMap<String, f64>>>) -> Self {
         Self {
-            core: Core::new(settings(), 5, 10_000).expect("good settings"),
+            core: Core::new(settings(), 5, 10_000).expect("valid settings"),
             merge: MergedList::default(),
             list: BTreeMap::new(),
-            told: BTreeMap::new(),
-            out: BTreeMap::new(),
-            inside: BTreeMap::new(),
-            under_way: Vec::new(),
+            inactive_since: BTreeMap::new(),
+            known_inactive_since: BTreeMap::new(),
+            known_active_since: BTreeMap::new(),
+            in_flight: Vec::new(),
             answered,
             next: f64::INFINITY,
             number: 0,
@@ -129,11 +129,11 @@
     }
 
     /// Applies the events of the node's view.
-    fn listen(&mut self, world: &mut World) {
+    fn apply_events(&mut self, world: &mut World) {
         let now = world.now;
-        for said in world.views[0].take_said() {
-            let ViewEvent::List { is_complete: whole, hosts } = said else { continue };
-            let update = Update { version: 0, is_full: whole, hosts };
+        for event in world.views[0].take_events() {
+            let ViewEvent::List { is_complete: full, hosts } = event else { continue };
+            let update = Update { version: 0, is_full: full, hosts };
             let update = self.merge.apply(Source::Registrations, update);
             let entries = update.hosts.iter().map(|host| {
                 let id = id_of(&host.host);
@@ -142,16 +142,16 @@
                     health => drop(self.list.insert(id, health)),
                 }
                 if host.health == Health::Active {
-                    self.told.remove(&id);
+                    self.inactive_since.remove(&id);
                 } else {
-                    self.told.entry(id).or_insert(now);
+                    self.inactive_since.entry(id).or_insert(now);
                 }
                 Entry {
                     server: ServerId(id),
                     zone: 0,
                     cell: 0,
                     kind: 0,
-                    state: listed(host.health),
+                    state: listing_state(host.health),
                     weight: 1.0,
                     started_at: (host.started_ms > 0.0).then_some(host.started_ms),
                 }
@@ -162,40 +162,44 @@
     }
 
     /// Records what the node could know now.
-    fn look(&mut self, world: &World, all: &BTreeSet<u64>) {
-        let Some(tree) = world.views[0].sees(&world.ensemble) else {
+    fn observe(&mut self, world: &World, all: &BTreeSet<u64>) {
+        let Some(tree) = world.views[0].visible_tree(&world.ensemble) else {
             // The node keeps what it knew, but cannot learn anything new.
-            self.out.clear();
-            self.inside.clear();
+            self.known_inactive_since.clear();
+            self.known_active_since.clear();
             return;
         };
         for id in all {
             let data = tree.data(&format!("/servers/s{id}"));
-            let inside = data
+            let is_active = data
                 .and_then(|data| serde_json::from_slice::<ListEntry>(data).ok())
                 .is_some_and(|host| host.health == Health::Active);
-            let (now_in, other) =
-                if inside { (&mut self.inside, &mut self.out) } else { (&mut self.out, &mut self.inside) };
+            let (now_in, other) = if is_active {
+                (&mut self.known_active_since, &mut self.known_inactive_since)
+            } else {
+                (&mut self.known_inactive_since, &mut self.known_active_since)
+            };
             now_in.entry(*id).or_insert(world.now);
             other.remove(id);
         }
         let known_for = |since: &f64| world.now - since > GRACE;
         let active = self.list.values().any(|h| *h == Health::Active);
-        if !active && self.inside.values().any(known_for) {
-            self.counts.empty += 1;
+        if !active && self.known_active_since.values().any(known_for) {
+            self.counts.steps_without_active += 1;
         }
-        let unknown = self.out.iter().filter(|(id, _)| self.list.get(id) == Some(&Health::Active));
+        let unknown =
+            self.known_inactive_since.iter().filter(|(id, _)| self.list.get(id) == Some(&Health::Active));
         let longest = unknown.map(|(_, since)| world.now - since).fold(0.0, f64::max);
         self.counts.longest_unknown = self.counts.longest_unknown.max(longest);
     }
 
     /// Runs the clients, the core and the servers.
-    fn work(&mut self, now: f64, alive: &BTreeSet<u64>) {
+    fn step(&mut self, now: f64, alive: &BTreeSet<u64>) {
         while self.next <= now {
             self.number += 1;
-            let id = Token::new(&format!("t{}", self.number)).expect("good");
+            let id = Token::new(&format!("t{}", self.number)).expect("valid token");
             let class = (self.number % 2) as usize;
-            let (began, deadline) = (self.next, self.next + WAIT);
+            let (began, deadline) = (self.next, self.next + CLIENT_TIMEOUT);
             let incoming = Incoming {
                 class,
                 tenant: None,
@@ -210,16 +214,16 @@
                 payload: (),
             };
             self.counts.asked += 1;
-            self.core.accept(now, incoming).expect("there is room");
+            self.core.accept(now, incoming).expect("the core accepts the request");
             self.next += 10.0;
         }
-        let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(|(at, _, _)| *at <= now);
-        self.under_way = rest;
+        let (due, rest) = std::mem::take(&mut self.in_flight).into_iter().partition(|(at, _, _)| *at <= now);
+        self.in_flight = rest;
         for (_, attempt, server) in due {
-            let well = alive.contains(&server);
+            let is_alive = alive.contains(&server);
             let ended =
-                if well { AttemptResult::Served(()) } else { AttemptResult::NoResponse(Outcome::Reset) };
-            self.heard(now, server, well);
+                if is_alive { AttemptResult::Served(()) } else { AttemptResult::NoResponse(Outcome::Reset) };
+            self.record_answer(now, server, is_alive);
             self.core.attempt_ended(now, attempt, ended);
         }
         if self.core.poll_timeout().is_some_and(|due| due <= now) {
@@ -229,12 +233,12 @@
             match output {
                 Output::Start { attempt, server: ServerId(server), .. } => {
                     let late = |since: Option<&f64>| since.is_some_and(|since| now - since > GRACE);
-                    self.counts.after_told += usize::from(late(self.told.get(&server)));
-                    self.counts.after_knowable += usize::from(late(self.out.get(&server)));
+                    self.counts.after_listed_out += usize::from(late(self.inactive_since.get(&server)));
+                    self.counts.after_knowable += usize::from(late(self.known_inactive_since.get(&server)));
                     if alive.contains(&server) {
-                        self.under_way.push((now + WORK, attempt, server));
+                        self.in_flight.push((now + SERVICE_TIME, attempt, server));
                     } else {
-                        self.heard(now, server, false);
+                        self.record_answer(now, server, false);
                         self.core.attempt_ended(
                             now,
                             attempt,
@@ -243,14 +247,14 @@
                     }
                 }
                 Output::Abandon(attempt) => {
-                    self.under_way.retain(|(_, other, _)| *other != attempt);
+                    self.in_flight.retain(|(_, other, _)| *other != attempt);
                     self.core.attempt_ended(now, attempt, AttemptResult::NoResponse(Outcome::Cancelled));
                 }
                 // A server here starts with the first byte, so an attempt cannot be recalled.
                 Output::Recall(_) => {}
                 Output::Probe(server) => {
-                    let well = alive.contains(&server.0);
-                    let outcome = if well { Outcome::Done } else { Outcome::ConnectFailed };
+                    let is_alive = alive.contains(&server.0);
+                    let outcome = if is_alive { Outcome::Done } else { Outcome::ConnectFailed };
                     self.core.probed(now, server, outcome, 1.0);
                 }
                 Output::Answer { answer: Final::Served(()), .. } => self.counts.served += 1,
@@ -258,9 +262,9 @@
                     let refused = matches!(answer, Final::Refused { .. });
                     self.counts.refused += usize::from(refused);
                     self.counts.failed += usize::from(!refused);
-                    let some =
+                    let any_alive =
                         self.list.iter().any(|(id, health)| *health == Health::Active && alive.contains(id));
-                    self.counts.for_want_of_a_server += usize::from(!some);
+                    self.counts.without_live_server += usize::from(!any_alive);
                 }
                 Output::Explain { .. } => {}
                 Output::Subscribe => {}
@@ -268,9 +272,9 @@
         }
     }
 
-    fn heard(&self, now: f64, server: u64, well: bool) {
-        let mut answered = self.answered.lock().expect("one thread");
-        if well {
+    fn record_answer(&self, now: f64, server: u64, is_alive: bool) {
+        let mut answered = self.answered.lock().expect("the lock is not poisoned");
+        if is_alive {
             answered.insert(format!("s{server}"), now);
         } else {
             answered.remove(&format!("s{server}"));
@@ -278,50 +282,51 @@
     }
 }
 
-fn host(id: u64, born_ms: f64) -> ListEntry {
+fn host(id: u64, start_time_ms: f64) -> ListEntry {
     let address = ([127, 0, (id >> 8) as u8, id as u8], 80).into();
     ListEntry {
-        started_ms: born_ms,
+        started_ms: start_time_ms,
         ..ListEntry::active(&format!("s{id}"), Endpoint { address, protocol: Protocol::Http1 })
     }
 }
 
 /// Runs random faults of the service, the network and the servers, as the seed gives them.
-fn storm(seed: u64, rounds: u64) -> Counts {
+fn run_faults(seed: u64, rounds: u64) -> Counts {
     let mut random = Random(seed);
     let mut world = World::new(MEMBERS);
     let mut alive: BTreeSet<u64> = (1..=6).collect();
     let mut all = alive.clone();
     let mut next_id = 7;
-    alive.iter().for_each(|id| world.register(*id, host(*id, 1.0)));
-    world.pass(200.0, |_| {});
+    alive.iter().for_each(|id| world.add_registrar(*id, host(*id, 1.0)));
+    world.advance(200.0, |_| {});
     let answered = Arc::new(Mutex::new(BTreeMap::new()));
     let (known, clock) = (answered.clone(), Arc::new(Mutex::new(0.0)));
     let time = clock.clone();
     let guard = guard::Settings { share: 0.4, window: 2000.0, hold: 400.0 };
     let recent = move |name: &str| {
-        let now: f64 = *time.lock().expect("one thread");
-        known.lock().expect("one thread").get(name).is_some_and(|at: &f64| now - at < 2000.0)
+        let now: f64 = *time.lock().expect("the lock is not poisoned");
+        known.lock().expect("the lock is not poisoned").get(name).is_some_and(|at: &f64| now - at < 2000.0)
     };
-    world.view(900, Some(guard), Box::new(recent));
+    world.add_view(900, Some(guard), Box::new(recent));
     let mut node = Node::new(answered);
     let mut ending: Vec<(f64, u64)> = Vec::new();
-    let pass = |world: &mut World, node: &mut Node, alive: &BTreeSet<u64>, all: &BTreeSet<u64>, span: f64| {
-        let until = world.now + span;
-        while world.now < until {
-            world.pass(STEP, |w| {
-                *clock.lock().expect("one thread") = w.now;
-                node.listen(w);
-            });
-            node.look(world, all);
-            node.work(world.now, alive);
-        }
-    };
-    pass(&mut world, &mut node, &alive, &all, 300.0);
+    let advance =
+        |world: &mut World, node: &mut Node, alive: &BTreeSet<u64>, all: &BTreeSet<u64>, span: f64| {
+            let until = world.now + span;
+            while world.now < until {
+                world.advance(STEP, |w| {
+                    *clock.lock().expect("the lock is not poisoned") = w.now;
+                    node.apply_events(w);
+                });
+                node.observe(world, all);
+                node.step(world.now, alive);
+            }
+        };
+    advance(&mut world, &mut node, &alive, &all, 300.0);
     node.next = world.now;
     for _ in 0..rounds {
         let member = random.below(MEMBERS as u64) as usize;
-        let some = alive.iter().nth(random.below(alive.len() as u64) as usize).copied().unwrap_or(1);
+        let chosen = alive.iter().nth(random.below(alive.len() as u64) as usize).copied().unwrap_or(1);
         match random.below(13) {
             0 | 1 => world.ensemble.kill(member),
             2 => (0..MEMBERS).for_each(|m| world.ensemble.kill(m)),
@@ -330,36 +335,36 @@
             5 => world.ensemble.mute(member, true),
             6 => world.views[0].cut = true,
             7 => {
-                if let Some(registrar) = world.registrars.get_mut(&some) {
+                if let Some(registrar) = world.registrars.get_mut(&chosen) {
                     registrar.cut = true;
                 }
             }
             8 if alive.len() > 3 => {
-                alive.remove(&some);
-                world.vanish(some);
+                alive.remove(&chosen);
+                world.crash(chosen);
                 node.counts.departures += 1;
             }
             9 if alive.len() > 3 => {
                 // As operators do it: drained first and ended a while later.
                 let now = world.now;
-                if let Some(registrar) = world.registrars.get_mut(&some) {
+                if let Some(registrar) = world.registrars.get_mut(&chosen) {
                     registrar.machine.drain(now);
-                    ending.push((now + 1000.0, some));
+                    ending.push((now + 1000.0, chosen));
                 }
             }
             10 | 11 => {
                 alive.insert(next_id);
                 all.insert(next_id);
-                world.register(next_id, host(next_id, world.now));
+                world.add_registrar(next_id, host(next_id, world.now));
                 next_id += 1;
             }
             _ => {
                 // Restarts under its name.
-                let born = world.now;
-                world.register_with(some, host(some, born), world.settings(born as u64));
+                let start_time = world.now;
+                world.add_registrar_with(chosen, host(chosen, start_time), world.settings(start_time as u64));
             }
         }
-        pass(&mut world, &mut node, &alive, &all, 200.0 + random.below(2500) as f64);
+        advance(&mut world, &mut node, &alive, &all, 200.0 + random.below(2500) as f64);
         for (_, id) in ending.extract_if(.., |(at, _)| *at <= world.now) {
             let now = world.now;
             if alive.len() > 3 && alive.remove(&id) {
@@ -386,13 +391,13 @@
 #[test]
 fn a_service_killed_and_restored_at_random_costs_no_server_and_no_rule() {
     for seed in [1, 2, 3] {
-        let counts = storm(seed, ROUNDS);
+        let counts = run_faults(seed, ROUNDS);
         println!("seed {seed}: {counts:?}");
         assert!(counts.departures > 8, "seed {seed}: {counts:?}");
-        assert_eq!(counts.after_told, 0, "seed {seed}: {counts:?}");
+        assert_eq!(counts.after_listed_out, 0, "seed {seed}: {counts:?}");
         assert_eq!(counts.after_knowable, 0, "seed {seed}: {counts:?}");
-        assert_eq!(counts.empty, 0, "seed {seed}: {counts:?}");
-        assert_eq!(counts.for_want_of_a_server, 0, "seed {seed}: {counts:?}");
+        assert_eq!(counts.steps_without_active, 0, "seed {seed}: {counts:?}");
+        assert_eq!(counts.without_live_server, 0, "seed {seed}: {counts:?}");
         // Half of the requests must not be repeated, and at times only a few servers are left, some of them
         // cold.
         let lost = counts.refused + counts.failed;
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -19,24 +19,24 @@
 pub const TIMEOUT: f64 = 2000.0;
 
 /// A state machine connected to the ensemble, and the events that it produced, in order.
-pub struct At<M: Machine> {
+pub struct Connected<M: Machine> {
     pub machine: M,
     conn: Option<ConnId>,
-    pub said: Vec<M::Event>,
+    pub events: Vec<M::Event>,
     /// Nothing passes between the machine and the service, in either direction.
     pub cut: bool,
 }
 
-impl<M: Machine> At<M> {
+impl<M: Machine> Connected<M> {
     fn new(machine: M) -> Self {
-        Self { machine, conn: None, said: Vec::new(), cut: false }
+        Self { machine, conn: None, events: Vec::new(), cut: false }
     }
 
     /// Exchanges pending data with the ensemble; returns whether there was any.
     fn step(&mut self, now: f64, ensemble: &mut Ensemble, connects: &mut usize) -> bool {
-        let mut moved = false;
+        let mut progressed = false;
         while let Some(step) = self.machine.poll() {
-            moved = true;
+            progressed = true;
             match step {
                 // The connection attempt hangs until the machine gives up.
                 Step::Connect(_) if self.cut => {}
@@ -49,31 +49,31 @@
                     }
                 }
                 Step::Disconnect => self.conn.take().into_iter().for_each(|conn| ensemble.close(conn)),
-                Step::Event(said) => self.said.push(said),
+                Step::Event(event) => self.events.push(event),
             }
         }
-        let Some(conn) = self.conn.filter(|_| !self.cut) else { return moved };
+        let Some(conn) = self.conn.filter(|_| !self.cut) else { return progressed };
         let out = self.machine.output();
         if !out.is_empty() {
-            moved = true;
+            progressed = true;
             ensemble.received(now, conn, &out);
         }
-        let back = ensemble.output(conn);
-        if !back.is_empty() {
-            moved = true;
-            self.machine.received(now, &back);
+        let input = ensemble.output(conn);
+        if !input.is_empty() {
+            progressed = true;
+            self.machine.received(now, &input);
         }
         if self.conn.is_some() && ensemble.is_closed(conn) {
-            moved = true;
+            progressed = true;
             self.conn = None;
             ensemble.close(conn);
             self.machine.broken(now);
         }
-        moved
+        progressed
     }
 
     /// Disconnects without ending the session.
-    fn vanish(self, ensemble: &mut Ensemble) {
+    fn disconnect(self, ensemble: &mut Ensemble) {
         self.conn.into_iter().for_each(|conn| ensemble.close(conn));
     }
 
@@ -83,25 +83,25 @@
     }
 
     /// The state of the service that the machine can see now.
-    pub fn sees<'a>(&self, ensemble: &'a Ensemble) -> Option<&'a Tree> {
+    pub fn visible_tree<'a>(&self, ensemble: &'a Ensemble) -> Option<&'a Tree> {
         ensemble.seen_over(self.conn.filter(|_| !self.cut)?)
     }
 
-    pub fn take_said(&mut self) -> Vec<M::Event> {
-        std::mem::take(&mut self.said)
+    pub fn take_events(&mut self) -> Vec<M::Event> {
+        std::mem::take(&mut self.events)
     }
 }
 
-pub type Client = At<Session<&'static str>>;
-pub type Follows = At<Follower>;
+pub type Client = Connected<Session<&'static str>>;
+pub type ConnectedFollower = Connected<Follower>;
 
 pub struct World {
     pub now: f64,
     pub ensemble: Ensemble,
     pub clients: BTreeMap<u64, Client>,
-    pub followers: Vec<Follows>,
-    pub registrars: BTreeMap<u64, At<Registrar>>,
-    pub views: Vec<At<View>>,
+    pub followers: Vec<ConnectedFollower>,
+    pub registrars: BTreeMap<u64, Connected<Registrar>>,
+    pub views: Vec<Connected<View>>,
     pub connects: usize,
     members: usize,
 }
@@ -124,19 +124,19 @@
         Settings { members: self.members, timeout: TIMEOUT, seed }
     }
 
-    pub fn join(&mut self, id: u64) {
+    pub fn add_client(&mut self, id: u64) {
         let session = Session::new(self.now, self.settings(id));
-        self.clients.insert(id, At::new(session));
+        self.clients.insert(id, Connected::new(session));
     }
 
     /// Adds a follower of `/servers`.
-    pub fn follow(&mut self, seed: u64, look_every: f64) {
-        let follower = Follower::new(self.now, self.settings(seed), "/servers", look_every);
-        self.followers.push(At::new(follower));
+    pub fn add_follower(&mut self, seed: u64, full_read_interval: f64) {
+        let follower = Follower::new(self.now, self.settings(seed), "/servers", full_read_interval);
+        self.followers.push(Connected::new(follower));
     }
 
     /// Adds a node's view of `/servers`.
-    pub fn view(&mut self, seed: u64, guard: Option<guard::Settings>, answers: Answers) {
+    pub fn add_view(&mut self, seed: u64, guard: Option<guard::Settings>, answers: Answers) {
         let settings = view::Settings {
             session: self.settings(seed),
             path: "/servers".into(),
@@ -144,53 +144,53 @@
             guard,
             suspect_ms: 10_000.0,
         };
-        let view = View::new(self.now, settings, answers).expect("good settings");
-        self.views.push(At::new(view));
+        let view = View::new(self.now, settings, answers).expect("valid settings");
+        self.views.push(Connected::new(view));
     }
 
     /// Starts a server's registrar. A previous one with the same id is disconnected without ending its
     /// session.
-    pub fn register(&mut self, id: u64, host: ListEntry) {
+    pub fn add_registrar(&mut self, id: u64, host: ListEntry) {
         let settings = self.settings(id);
-        self.register_with(id, host, settings);
+        self.add_registrar_with(id, host, settings);
     }
 
-    pub fn register_with(&mut self, id: u64, host: ListEntry, settings: Settings) {
+    pub fn add_registrar_with(&mut self, id: u64, host: ListEntry, settings: Settings) {
         let registrar = Registrar::new(self.now, settings, "/servers", host);
-        if let Some(old) = self.registrars.insert(id, At::new(registrar)) {
-            old.vanish(&mut self.ensemble);
+        if let Some(old) = self.registrars.insert(id, Connected::new(registrar)) {
+            old.disconnect(&mut self.ensemble);
         }
     }
 
     /// Ends a process without ending its session.
-    pub fn vanish(&mut self, id: u64) {
-        self.clients.remove(&id).into_iter().for_each(|c| c.vanish(&mut self.ensemble));
-        self.registrars.remove(&id).into_iter().for_each(|r| r.vanish(&mut self.ensemble));
+    pub fn crash(&mut self, id: u64) {
+        self.clients.remove(&id).into_iter().for_each(|c| c.disconnect(&mut self.ensemble));
+        self.registrars.remove(&id).into_iter().for_each(|r| r.disconnect(&mut self.ensemble));
     }
 
-    pub fn ask(&mut self, id: u64, name: &'static str, request: Request) {
+    pub fn send_request(&mut self, id: u64, name: &'static str, request: Request) {
         let now = self.now;
-        self.clients.get_mut(&id).expect("a client").machine.ask(now, name, request);
+        self.clients.get_mut(&id).expect("the client exists").machine.ask(now, name, request);
     }
 
     /// Exchanges data and connections until nothing more happens at the current time.
     pub fn settle(&mut self) {
         for _ in 0..10_000 {
-            let mut moved = false;
+            let mut progressed = false;
             let (now, ensemble, connects) = (self.now, &mut self.ensemble, &mut self.connects);
-            self.clients.values_mut().for_each(|c| moved |= c.step(now, ensemble, connects));
-            self.followers.iter_mut().for_each(|f| moved |= f.step(now, ensemble, connects));
-            self.registrars.values_mut().for_each(|r| moved |= r.step(now, ensemble, connects));
-            self.views.iter_mut().for_each(|v| moved |= v.step(now, ensemble, connects));
-            if !moved {
+            self.clients.values_mut().for_each(|c| progressed |= c.step(now, ensemble, connects));
+            self.followers.iter_mut().for_each(|f| progressed |= f.step(now, ensemble, connects));
+            self.registrars.values_mut().for_each(|r| progressed |= r.step(now, ensemble, connects));
+            self.views.iter_mut().for_each(|v| progressed |= v.step(now, ensemble, connects));
+            if !progressed {
                 return;
             }
         }
-        panic!("it never settles");
+        panic!("the exchange does not come to an end");
     }
 
     /// Advances the time; `react` is called after every moment at which something happened.
-    pub fn pass(&mut self, span: f64, mut react: impl FnMut(&mut Self)) {
+    pub fn advance(&mut self, span: f64, mut react: impl FnMut(&mut Self)) {
         let until = self.now + span;
         self.settle();
         react(self);
@@ -226,18 +226,18 @@
 pub fn register(world: &mut World, id: u64) {
     let Some(client) = world.clients.get_mut(&id) else { return };
     let path = format!("/servers/s{id}");
-    for event in client.take_said() {
+    for event in client.take_events() {
         match event {
-            Event::Established { new: true } => world.ask(id, "register", create(&path, true)),
+            Event::Established { new: true } => world.send_request(id, "register", create(&path, true)),
             // The request may or may not have been executed; repeating it gives the answer.
             Event::Answer(
                 "register" | "renew",
                 Err(RequestError::ConnectionLost | RequestError::NotSent),
             ) => {
-                world.clients.get_mut(&id).expect("it is there").said.push(event);
+                world.clients.get_mut(&id).expect("the client exists").events.push(event);
                 if world.clients[&id].machine.is_connected() {
-                    world.clients.get_mut(&id).expect("it is there").said.pop();
-                    world.ask(id, "register", create(&path, true));
+                    world.clients.get_mut(&id).expect("the client exists").events.pop();
+                    world.send_request(id, "register", create(&path, true));
                 }
                 return;
             }
@@ -245,10 +245,10 @@
                 // The znode belongs to the previous session or to this one. It is replaced, so that the end
                 // of the previous session does not delete it.
                 let renew = vec![Request::Delete { path: path.clone(), version: -1 }, create(&path, true)];
-                world.ask(id, "renew", Request::Multi(renew));
+                world.send_request(id, "renew", Request::Multi(renew));
             }
             Event::Answer("renew", Ok(Response::Multi(all))) if all.iter().any(Result::is_err) => {
-                world.ask(id, "register", create(&path, true));
+                world.send_request(id, "register", create(&path, true));
             }
             _ => {}
         }
