--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -10,7 +10,7 @@
 use glenwood_testkit::client::{Answer, Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::{ask_at, Load, Outcome};
-use glenwood_testkit::rig::relay::{Between, End, Trouble};
+use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment};
 use glenwood_testkit::rig::schedule::{Fault, Kind, Printed, Schedule};
 use glenwood_testkit::rig::{very_many, Plan, Rig, MEMBERS};
 use glenwood_testkit::script::{Script, Step};
@@ -129,7 +129,7 @@
         let guarded = rig.figure(0, "custody_guarded").expect("a figure");
         let [left, next] = ["left", "next"].map(|txn| format!("{kind}-{txn}"));
         for (from, to) in [(vec![End::Node(0)], Vec::new()), (Vec::new(), vec![End::Node(0)])] {
-            rig.net.lay(Between { from, to, trouble: Trouble::Cut });
+            rig.net.impair(LinkImpairment { from, to, impairment: Impairment::Cut });
         }
         let first = ask(&rig, 0, make("w", &left, false));
         until("it is at the gate", || rig.figure(0, "custody_guarded") == Some(guarded + 1));
@@ -227,7 +227,7 @@
     // All that is said to and by the node takes a while, so that there is a moment between the word and its answer.
     let slow = || {
         for (from, to) in [(vec![End::Node(0)], Vec::new()), (Vec::new(), vec![End::Node(0)])] {
-            rig.net.lay(Between { from, to, trouble: Trouble::Delay(120, 0) });
+            rig.net.impair(LinkImpairment { from, to, impairment: Impairment::Delay(120, 0) });
         }
     };
     let hit = (0..5).any(|round| {
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use glenwood_testkit::node::Program;
-use glenwood_testkit::rig::relay::{Between, End, Trouble};
+use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment};
 use glenwood_testkit::rig::schedule::Fault;
 use glenwood_testkit::rig::{very_many, Plan, Rig};
 use glenwood_testkit::script::{always, Step};
@@ -76,7 +76,7 @@
     let (some, rest): (Vec<usize>, Vec<usize>) = (0..12).partition(|n| *n < 6);
     let ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
     let cut = |from: &[usize], to: &[usize]| {
-        rig.net.lay(Between { from: ends(from), to: ends(to), trouble: Trouble::Cut });
+        rig.net.impair(LinkImpairment { from: ends(from), to: ends(to), impairment: Impairment::Cut });
     };
     cut(&some, &rest);
     cut(&rest, &some);
@@ -84,17 +84,18 @@
     until("each side is alone", || alone(&some) && alone(&rest));
     rig.net.heal();
     rig.wait_known();
-    assert!(rig.net.passed.strangers.load(std::sync::atomic::Ordering::Relaxed) < 100);
+    assert!(rig.net.traffic.unknown_sources.load(std::sync::atomic::Ordering::Relaxed) < 100);
 }
 
 #[test]
 fn a_way_that_is_cut_in_one_direction_and_datagrams_that_get_lost_are_no_loss() {
     let _turn = turn();
     let rig = Rig::started(plan(9));
-    let lay = |from: Vec<End>, to: Vec<End>, trouble| rig.net.lay(Between { from, to, trouble });
-    lay(vec![End::Node(0)], vec![End::Node(1)], Trouble::Cut);
-    lay(Vec::new(), Vec::new(), Trouble::Loss(10));
-    lay(Vec::new(), Vec::new(), Trouble::Delay(0, 15));
+    let lay =
+        |from: Vec<End>, to: Vec<End>, impairment| rig.net.impair(LinkImpairment { from, to, impairment });
+    lay(vec![End::Node(0)], vec![End::Node(1)], Impairment::Cut);
+    lay(Vec::new(), Vec::new(), Impairment::Loss(10));
+    lay(Vec::new(), Vec::new(), Impairment::Delay(0, 15));
     let probes = |n: usize| rig.figure(n, "members_sent").unwrap_or(0);
     // Some hundred datagrams of each: every pair has been probed many times.
     until("they have spoken for a while", || (0..9).all(|n| probes(n) > 300));
--- a/crates/node/tests/peers/links.rs
+++ b/crates/node/tests/peers/links.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use glenwood_testkit::rig::relay::{Between, End, Net, Trouble};
+use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment, Net};
 
 use super::dice::Dice;
 
@@ -22,34 +22,34 @@
 
     /// Where nodes reach a server.
     pub fn to_server(&self, server: usize, target: SocketAddr) -> SocketAddr {
-        self.0.lead(NODES, End::Server(server), target)
+        self.0.link(NODES, End::Server(server), target)
     }
 
     /// Where one node reaches discovery.
     pub fn to_discovery(&self, node: usize, target: SocketAddr) -> SocketAddr {
-        self.0.lead(End::Node(node), End::Discovery, target)
+        self.0.link(End::Node(node), End::Discovery, target)
     }
 
-    fn lay(&self, from: End, to: End, trouble: Trouble) {
-        self.0.lay(Between { from: vec![from], to: vec![to], trouble });
+    fn lay(&self, from: End, to: End, impairment: Impairment) {
+        self.0.impair(LinkImpairment { from: vec![from], to: vec![to], impairment });
     }
 
     fn break_between(&self, one: End, other: End) {
-        self.lay(one, other, Trouble::Reset);
-        self.lay(other, one, Trouble::Reset);
+        self.lay(one, other, Impairment::Reset);
+        self.lay(other, one, Impairment::Reset);
         std::thread::sleep(BROKEN);
     }
 
     /// What a server answers is held for that long, and then comes or is lost with its connections.
     fn hold_answers(&self, server: usize, dice: &mut Dice) {
-        self.lay(End::Server(server), NODES, Trouble::Cut);
+        self.lay(End::Server(server), NODES, Impairment::Cut);
         std::thread::sleep(dice.between(200, 700));
         self.end(NODES, End::Server(server), dice);
     }
 
     /// What discovery tells a node is held, and then comes or is lost.
     fn hold_news(&self, node: usize, dice: &mut Dice) {
-        self.lay(End::Discovery, End::Node(node), Trouble::Cut);
+        self.lay(End::Discovery, End::Node(node), Impairment::Cut);
         std::thread::sleep(dice.between(200, 600));
         self.end(End::Node(node), End::Discovery, dice);
     }
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -10,7 +10,7 @@
 use glenwood_testkit::client::{Answer, Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::Load;
-use glenwood_testkit::rig::relay::{Between, Trouble};
+use glenwood_testkit::rig::relay::{Impairment, LinkImpairment};
 use glenwood_testkit::rig::schedule::Fault;
 use glenwood_testkit::rig::{Plan, Rig};
 use glenwood_testkit::script::{always, Step};
@@ -58,8 +58,8 @@
     /// All datagrams go through that from now on; so many in a hundred are lost.
     fn trouble(&self, loss: u8) {
         self.rig.net.heal();
-        for trouble in [Trouble::Loss(loss), Trouble::Doubled(12), Trouble::Delay(0, 40)] {
-            self.rig.net.lay(Between { from: Vec::new(), to: Vec::new(), trouble });
+        for impairment in [Impairment::Loss(loss), Impairment::Duplicated(12), Impairment::Delay(0, 40)] {
+            self.rig.net.impair(LinkImpairment { from: Vec::new(), to: Vec::new(), impairment });
         }
     }
 
--- a/crates/testkit/src/coordination/net.rs
+++ b/crates/testkit/src/coordination/net.rs
@@ -14,7 +14,7 @@
 use crate::runtime;
 
 /// Longest sleep of the timer task when nothing is due.
-const MAX_SLEEP: Duration = Duration::from_millis(500);
+const IDLE: Duration = Duration::from_millis(500);
 
 struct Shared {
     ensemble: Mutex<Ensemble>,
@@ -88,9 +88,8 @@
     let mut changed = shared.changed.subscribe();
     loop {
         let due = shared.lock().poll_timeout();
-        let span = due.map_or(MAX_SLEEP, |due| {
-            Duration::from_secs_f64((due - shared.now()).clamp(0.0, 500.0) / 1000.0)
-        });
+        let span =
+            due.map_or(IDLE, |due| Duration::from_secs_f64((due - shared.now()).clamp(0.0, 500.0) / 1000.0));
         // Sleeps a minimum time, so that a timer that is due again at once cannot occupy the core.
         let span = span.max(Duration::from_millis(1));
         tokio::select! {
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -22,7 +22,7 @@
 /// session expires.
 pub struct Registration {
     commands: mpsc::UnboundedSender<Command>,
-    last_event: watch::Receiver<Option<RegistrarEvent>>,
+    last: watch::Receiver<Option<RegistrarEvent>>,
     task: JoinHandle<()>,
 }
 
@@ -44,14 +44,14 @@
     /// Registers a server under `/servers`, with this session time-out in milliseconds.
     pub fn start(members: &[SocketAddr], host: ListEntry, timeout: f64) -> Self {
         let (commands, command_receiver) = mpsc::unbounded_channel();
-        let (event_sender, last_event) = watch::channel(None);
+        let (event_sender, last) = watch::channel(None);
         // Seeds the order in which members are tried; it only has to differ between servers.
         let seed = host.host.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let settings = Settings { members: members.len(), timeout, seed };
         let driver =
             Driver::new(Registrar::new(0.0, settings, "/servers", host), members.to_vec(), Instant::now());
         let task = runtime().spawn(run(driver, command_receiver, event_sender));
-        Self { commands, last_event, task }
+        Self { commands, last, task }
     }
 
     /// Waits until the server is registered.
@@ -59,9 +59,7 @@
     /// # Panics
     /// If the registration does not complete.
     pub fn wait_registered(&self) {
-        crate::until("a server is registered", || {
-            *self.last_event.borrow() == Some(RegistrarEvent::Registered)
-        });
+        crate::until("a server is registered", || *self.last.borrow() == Some(RegistrarEvent::Registered));
     }
 
     /// Marks the server as draining and waits until that is written.
@@ -71,7 +69,7 @@
     pub fn drain(&self) {
         // Sending fails only if the task has ended, and then the wait below fails.
         let _ = self.commands.send(Command::Drain);
-        crate::until("a drain is written", || *self.last_event.borrow() == Some(RegistrarEvent::Draining));
+        crate::until("a drain is written", || *self.last.borrow() == Some(RegistrarEvent::Draining));
     }
 
     /// Ends the session and with it the entry.
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -23,7 +23,7 @@
 use crate::script::{Ledger, Script};
 use crate::server::{Identity, Protocol, StandIn};
 use crate::until;
-use relay::{End, Front, Net};
+use relay::{DatagramRelay, End, Net};
 use schedule::{Fault, Schedule};
 
 /// Number of processes for tests that start very many of them: the value of GLENWOOD_PROCESSES, or 60, which
@@ -116,7 +116,7 @@
     pub ledger: Ledger,
     folder: PathBuf,
     /// Indexed by the kind of socket, then by node.
-    datagram_relays: Vec<Vec<Front>>,
+    datagram_relays: Vec<Vec<DatagramRelay>>,
     links: Vec<Links>,
     slots: Vec<Mutex<Slot>>,
     _servers: Vec<StandIn>,
@@ -156,14 +156,14 @@
                 // servers apply to whole sets.
                 let from = End::Node(set);
                 let open_link =
-                    |(n, server): (usize, &StandIn)| net.lead(from, End::Server(n), server.address);
+                    |(n, server): (usize, &StandIn)| net.link(from, End::Server(n), server.address);
                 let servers: Vec<SocketAddr> = servers.iter().enumerate().map(open_link).collect();
                 let entry = |(n, at): (usize, &SocketAddr)| Self::entry(n, *at, "active");
                 let list = Discovery::start(&servers.iter().enumerate().map(entry).collect::<Vec<_>>());
-                Links { discovery: net.lead(from, End::Discovery, list.address), list, servers }
+                Links { discovery: net.link(from, End::Discovery, list.address), list, servers }
             })
             .collect();
-        let open_relays = |_| (0..plan.nodes).map(|n| net.front(n)).collect();
+        let open_relays = |_| (0..plan.nodes).map(|n| net.relay_datagrams(n)).collect();
         let datagram_relays = (0..plan.sockets.len()).map(open_relays).collect();
         let slots = (0..plan.nodes).map(|_| Mutex::default()).collect();
         Self { plan, net, ledger, folder, datagram_relays, links, slots, _servers: servers }
@@ -320,7 +320,7 @@
         }
         for (kind, prefix) in self.plan.sockets.iter().enumerate() {
             until(prefix, || logged(prefix).is_some());
-            self.datagram_relays[kind][n].is_at(logged(prefix).expect("the address is logged"));
+            self.datagram_relays[kind][n].set_node_address(logged(prefix).expect("the address is logged"));
         }
     }
 
@@ -381,7 +381,7 @@
                 }
                 self.wait_up(*n);
             }
-            Fault::Lay(between) => self.net.lay(between.clone()),
+            Fault::Impair(link_impairment) => self.net.impair(link_impairment.clone()),
             Fault::Heal => self.net.heal(),
         }
     }
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -29,7 +29,7 @@
 
 /// What goes wrong on a link, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Trouble {
+pub enum Impairment {
     /// Nothing passes. Open connections stay open without traffic, and so do new ones.
     Cut,
     /// Connections, existing and new, are reset; datagrams are lost.
@@ -37,7 +37,8 @@
     /// This percentage of datagrams is lost.
     Loss(u8),
     /// This percentage of datagrams is delivered twice.
-    Doubled(u8),
+    #[serde(rename = "Doubled")]
+    Duplicated(u8),
     /// All traffic is delayed by the first value in milliseconds, and datagrams by a random extra of up to
     /// the second, so that they are reordered.
     Delay(u64, u64),
@@ -45,16 +46,17 @@
 
 /// An impairment on all links from some ends to some others; an empty list means all ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Between {
+pub struct LinkImpairment {
     /// Sending ends.
     pub from: Vec<End>,
     /// Receiving ends.
     pub to: Vec<End>,
     /// What goes wrong.
-    pub trouble: Trouble,
+    #[serde(rename = "trouble")]
+    pub impairment: Impairment,
 }
 
-impl Between {
+impl LinkImpairment {
     fn covers(&self, from: End, to: End) -> bool {
         let matches = |ends: &[End], end: End| ends.is_empty() || ends.contains(&end);
         matches(&self.from, from) && matches(&self.to, to)
@@ -67,24 +69,24 @@
     cut: bool,
     reset: bool,
     loss: u8,
-    duplication: u8,
+    duplicates: u8,
     delay: (u64, u64),
 }
 
 struct LinkState {
-    impairments: Vec<Between>,
+    impairments: Vec<LinkImpairment>,
     random: fastrand::Rng,
 }
 
 /// Traffic counters.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct Traffic {
     /// Datagrams received.
     pub datagrams: AtomicU64,
     /// Datagrams forwarded.
-    pub given: AtomicU64,
+    pub forwarded: AtomicU64,
     /// Datagrams dropped because their source socket belongs to no known node.
-    pub strangers: AtomicU64,
+    pub unknown_sources: AtomicU64,
     /// Connections accepted.
     pub connections: AtomicU64,
 }
@@ -102,7 +104,7 @@
     /// Nodes by the addresses of their own sockets.
     senders: Arc<Mutex<Senders>>,
     /// Traffic counters.
-    pub passed: Arc<Passed>,
+    pub traffic: Arc<Traffic>,
 }
 
 fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -118,13 +120,13 @@
             state: Arc::new(Mutex::new(state)),
             changed: watch::channel(0).0,
             senders: Arc::default(),
-            passed: Arc::default(),
+            traffic: Arc::default(),
         }
     }
 
     /// Adds an impairment.
-    pub fn lay(&self, between: Between) {
-        lock(&self.state).impairments.push(between);
+    pub fn impair(&self, link_impairment: LinkImpairment) {
+        lock(&self.state).impairments.push(link_impairment);
         self.changed.send_modify(|n| *n += 1);
     }
 
@@ -136,13 +138,13 @@
 
     fn conditions(&self, from: End, to: End) -> Conditions {
         let mut conditions = Conditions::default();
-        for between in lock(&self.state).impairments.iter().filter(|between| between.covers(from, to)) {
-            match between.trouble {
-                Trouble::Cut => conditions.cut = true,
-                Trouble::Reset => conditions.reset = true,
-                Trouble::Loss(percent) => conditions.loss = conditions.loss.max(percent),
-                Trouble::Doubled(percent) => conditions.duplication = conditions.duplication.max(percent),
-                Trouble::Delay(base, jitter) => conditions.delay = (base, jitter),
+        for active in lock(&self.state).impairments.iter().filter(|active| active.covers(from, to)) {
+            match active.impairment {
+                Impairment::Cut => conditions.cut = true,
+                Impairment::Reset => conditions.reset = true,
+                Impairment::Loss(percent) => conditions.loss = conditions.loss.max(percent),
+                Impairment::Duplicated(percent) => conditions.duplicates = conditions.duplicates.max(percent),
+                Impairment::Delay(base, jitter) => conditions.delay = (base, jitter),
             }
         }
         conditions
@@ -159,30 +161,30 @@
     // ---- Datagrams ----
 
     /// Opens the address by which all others know a node's socket. Datagrams sent there are forwarded to the
-    /// node's current socket once [`Front::is_at`] has named it.
+    /// node's current socket once [`DatagramRelay::set_node_address`] has named it.
     ///
     /// # Panics
     /// If no port is free.
-    pub fn front(&self, node: usize) -> Front {
+    pub fn relay_datagrams(&self, node: usize) -> DatagramRelay {
         let socket = crate::wait("binding a socket", UdpSocket::bind("127.0.0.1:0"))
             .expect("cannot bind to a free port");
         let address = socket.local_addr().expect("a bound socket has an address");
-        let front = Front {
+        let relay = DatagramRelay {
             node,
             address,
             socket: Arc::new(socket),
             node_address: Arc::default(),
             net: self.clone(),
         };
-        let relay = front.clone();
-        runtime().spawn(async move { relay.run().await });
-        front
+        let task = relay.clone();
+        runtime().spawn(async move { task.run().await });
+        relay
     }
 }
 
 /// The stable address of a node's socket, which stays the same over restarts of the node.
 #[derive(Clone)]
-pub struct Front {
+pub struct DatagramRelay {
     node: usize,
     /// The address that other nodes use.
     pub address: SocketAddr,
@@ -191,33 +193,33 @@
     net: Net,
 }
 
-impl Front {
+impl DatagramRelay {
     /// Sets the current address of the node's own socket.
-    pub fn is_at(&self, own: SocketAddr) {
-        let previous = lock(&self.node_address).replace(own);
+    pub fn set_node_address(&self, address: SocketAddr) {
+        let previous = lock(&self.node_address).replace(address);
         let mut senders = lock(&self.net.senders);
         previous
-            .filter(|previous| *previous != own)
+            .filter(|previous| *previous != address)
             .into_iter()
             .for_each(|previous| drop(senders.remove(&previous)));
-        senders.insert(own, (self.node, self.socket.clone()));
+        senders.insert(address, (self.node, self.socket.clone()));
     }
 
     async fn run(self) {
         let mut bytes = vec![0; 65536];
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
-            self.net.passed.datagrams.fetch_add(1, Ordering::Relaxed);
+            self.net.traffic.datagrams.fetch_add(1, Ordering::Relaxed);
             // The receiver sees the sender's stable address as the source.
             let Some((from, sender)) = lock(&self.net.senders).get(&source).cloned() else {
-                self.net.passed.strangers.fetch_add(1, Ordering::Relaxed);
+                self.net.traffic.unknown_sources.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let conditions = self.net.conditions(End::Node(from), End::Node(self.node));
             if conditions.cut || conditions.reset || self.net.happens(conditions.loss) {
                 continue;
             }
-            for _ in 0..=usize::from(self.net.happens(conditions.duplication)) {
+            for _ in 0..=usize::from(self.net.happens(conditions.duplicates)) {
                 self.forward(&sender, &bytes[..length], conditions).await;
             }
         }
@@ -225,7 +227,7 @@
 
     async fn forward(&self, sender: &Arc<UdpSocket>, bytes: &[u8], conditions: Conditions) {
         let Some(to) = *lock(&self.node_address) else { return };
-        self.net.passed.given.fetch_add(1, Ordering::Relaxed);
+        self.net.traffic.forwarded.fetch_add(1, Ordering::Relaxed);
         if conditions.delay == (0, 0) {
             let _ = sender.send_to(bytes, to).await;
             return;
@@ -245,7 +247,7 @@
     ///
     /// # Panics
     /// If no port is free.
-    pub fn lead(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
+    pub fn link(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
         let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
             .expect("cannot bind to a free port");
         let address = listener.local_addr().expect("a bound socket has an address");
@@ -260,7 +262,7 @@
     }
 
     async fn connect(&self, client: TcpStream, from: End, to: End, target: SocketAddr) {
-        self.passed.connections.fetch_add(1, Ordering::Relaxed);
+        self.traffic.connections.fetch_add(1, Ordering::Relaxed);
         let mut changed = self.changed.subscribe();
         while self.conditions(from, to).cut {
             if changed.changed().await.is_err() {
--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::relay::{Between, End, Trouble};
+use super::relay::{End, Impairment, LinkImpairment};
 
 /// Environment variable with a schedule to run instead of the generated one.
 pub const AGAIN: &str = "GLENWOOD_SCHEDULE";
@@ -26,7 +26,8 @@
     /// listens.
     Upgrade(usize),
     /// Adds an impairment to links.
-    Lay(Between),
+    #[serde(rename = "Lay")]
+    Impair(LinkImpairment),
     /// Removes all impairments.
     Heal,
 }
@@ -107,10 +108,10 @@
                     };
                     let nodes_as_ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
                     let cut = |from: &[usize], to: &[usize]| {
-                        Fault::Lay(Between {
+                        Fault::Impair(LinkImpairment {
                             from: nodes_as_ends(from),
                             to: nodes_as_ends(to),
-                            trouble: Trouble::Cut,
+                            impairment: Impairment::Cut,
                         })
                     };
                     add(at, cut(&isolated, &rest));
@@ -121,10 +122,12 @@
                     at += length;
                 }
                 Kind::Lossy => {
-                    let lay = |trouble| Fault::Lay(Between { from: Vec::new(), to: Vec::new(), trouble });
-                    add(at, lay(Trouble::Loss(random.u8(5..40))));
-                    add(at, lay(Trouble::Doubled(random.u8(0..30))));
-                    add(at, lay(Trouble::Delay(0, random.u64(0..40))));
+                    let on_all_links = |impairment| {
+                        Fault::Impair(LinkImpairment { from: Vec::new(), to: Vec::new(), impairment })
+                    };
+                    add(at, on_all_links(Impairment::Loss(random.u8(5..40))));
+                    add(at, on_all_links(Impairment::Duplicated(random.u8(0..30))));
+                    add(at, on_all_links(Impairment::Delay(0, random.u64(0..40))));
                     add(at + length, Fault::Heal);
                     at += length;
                 }
