--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -11,7 +11,7 @@
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::{ask_at, Load, Outcome};
 use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment};
-use glenwood_testkit::rig::schedule::{Fault, Kind, Printed, Schedule};
+use glenwood_testkit::rig::schedule::{Fault, FaultKind, ReplayHint, Schedule};
 use glenwood_testkit::rig::{very_many, Plan, Rig, MEMBERS};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::{runtime, until};
@@ -238,11 +238,11 @@
         until("a keeper has the intent", || {
             (1..6).map(|n| works(n).matches("\"never\":false").count()).sum::<usize>() > before
         });
-        rig.cause(&Fault::Stop(0));
+        rig.cause(&Fault::Pause(0));
         let sent = rig.ledger.of(&txn).attempts;
         rig.net.heal();
         let again = answer(ask(&rig, 1, slip(&path, &format!("{txn}-again"), true)));
-        rig.cause(&Fault::GoOn(0));
+        rig.cause(&Fault::Resume(0));
         let told = answer(first);
         rig.wait_known();
         let runs = rig.ledger.runs_of_path("slip", &format!("/{path}"));
@@ -313,9 +313,9 @@
     (told.len(), served)
 }
 
-fn faults(seed: u64, kinds: &[Kind]) {
-    let schedule = Schedule::drawn(seed, 12, 6000, kinds).or_again();
-    let _printed = Printed::new(&schedule, "glenwood-node", "custody", "twelve_nodes");
+fn faults(seed: u64, kinds: &[FaultKind]) {
+    let schedule = Schedule::generate(seed, 12, 6000, kinds).or_from_environment();
+    let _printed = ReplayHint::new(&schedule, "glenwood-node", "custody", "twelve_nodes");
     let mut plan = plan(12, 6, 9, slow(40));
     plan.seed = schedule.seed;
     let rig = started(plan, 9);
@@ -339,19 +339,22 @@
 
 #[test]
 fn twelve_nodes_under_crashes_and_stalls_run_nothing_unsafe_twice() {
-    faults(1, &[Kind::Crash, Kind::Stall]);
+    faults(1, &[FaultKind::Crash, FaultKind::Stall]);
 }
 
 #[test]
 fn twelve_nodes_under_cuts_and_lost_datagrams_run_nothing_unsafe_twice() {
-    faults(2, &[Kind::Cut, Kind::Lossy]);
+    faults(2, &[FaultKind::Cut, FaultKind::Lossy]);
 }
 
 #[test]
 fn twelve_nodes_under_everything_run_nothing_unsafe_twice() {
     let seeds = std::env::var("GLENWOOD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     for seed in 0..seeds {
-        faults(100 + seed, &[Kind::Crash, Kind::Stall, Kind::Cut, Kind::Lossy, Kind::Upgrade]);
+        faults(
+            100 + seed,
+            &[FaultKind::Crash, FaultKind::Stall, FaultKind::Cut, FaultKind::Lossy, FaultKind::Upgrade],
+        );
     }
 }
 
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -54,9 +54,9 @@
     rig.wait_known();
 
     // Two seconds of standing still: it is lost to the others, and accuses none of them.
-    rig.cause(&Fault::Stop(2));
+    rig.cause(&Fault::Pause(2));
     until("it is missed", || states(&rig, &others(2), 2).iter().all(|s| s == "lost"));
-    rig.cause(&Fault::GoOn(2));
+    rig.cause(&Fault::Resume(2));
     rig.wait_known();
     assert!(rig.lines(2, "members: this node stood still for") >= 1);
     for of in (0..12).filter(|n| ![2, 4, 7].contains(n)) {
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -369,8 +369,8 @@
                     self.wait_up(*n);
                 }
             }
-            Fault::Stop(n) => drop(self.with(*n, |node| node.stop())),
-            Fault::GoOn(n) => drop(self.with(*n, |node| node.go_on())),
+            Fault::Pause(n) => drop(self.with(*n, |node| node.stop())),
+            Fault::Resume(n) => drop(self.with(*n, |node| node.go_on())),
             Fault::Terminate(n) => drop(self.with(*n, |node| node.terminate())),
             Fault::Upgrade(n) => {
                 self.spawn(*n);
--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -7,7 +7,7 @@
 use super::relay::{End, Impairment, LinkImpairment};
 
 /// Environment variable with a schedule to run instead of the generated one.
-pub const AGAIN: &str = "GLENWOOD_SCHEDULE";
+pub const SCHEDULE_VARIABLE: &str = "GLENWOOD_SCHEDULE";
 
 /// One fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -17,9 +17,11 @@
     /// Starts a node again under its name and address.
     Start(usize),
     /// Pauses a node's process (SIGSTOP).
-    Stop(usize),
+    #[serde(rename = "Stop")]
+    Pause(usize),
     /// Resumes a paused process (SIGCONT).
-    GoOn(usize),
+    #[serde(rename = "GoOn")]
+    Resume(usize),
     /// Asks a node to shut down.
     Terminate(usize),
     /// Starts a successor while the node runs, and asks the old process to shut down once the new one
@@ -34,7 +36,7 @@
 
 /// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub struct TimedFault {
     /// Milliseconds since the start of the schedule.
     pub at: u64,
     /// The fault.
@@ -47,7 +49,7 @@
     /// Seed from which the schedule was generated; also the seed for random faults on links.
     pub seed: u64,
     /// The faults.
-    pub steps: Vec<Step>,
+    pub steps: Vec<TimedFault>,
 }
 
 impl fmt::Display for Schedule {
@@ -58,7 +60,7 @@
 
 /// Kinds of faults that a generated schedule contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// Nodes are killed, and restarted at once or later.
     Crash,
     /// Nodes are paused for a while.
@@ -74,7 +76,7 @@
 impl Schedule {
     /// Generates faults of these kinds over `span` milliseconds among so many nodes: one after another, each
     /// undone before the end, and never with more than half of the nodes affected at a time.
-    pub fn drawn(seed: u64, nodes: usize, span: u64, kinds: &[Kind]) -> Self {
+    pub fn generate(seed: u64, nodes: usize, span: u64, kinds: &[FaultKind]) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut steps, mut at) = (Vec::new(), 0);
         loop {
@@ -84,21 +86,21 @@
                 break;
             }
             let node = random.usize(0..nodes);
-            let mut add = |at, fault| steps.push(Step { at, fault });
+            let mut add = |at, fault| steps.push(TimedFault { at, fault });
             match kinds[random.usize(0..kinds.len())] {
-                Kind::Crash => {
+                FaultKind::Crash => {
                     add(at, Fault::Kill(node));
                     // Restarts at once, or after the others have had time to notice.
                     let downtime = if random.bool() { 0 } else { length };
                     add(at + downtime, Fault::Start(node));
                     at += downtime;
                 }
-                Kind::Stall => {
-                    add(at, Fault::Stop(node));
-                    add(at + length, Fault::GoOn(node));
+                FaultKind::Stall => {
+                    add(at, Fault::Pause(node));
+                    add(at + length, Fault::Resume(node));
                     at += length;
                 }
-                Kind::Cut => {
+                FaultKind::Cut => {
                     let size = [1, nodes / 2][random.usize(0..2)].max(1);
                     let (isolated, rest): (Vec<usize>, Vec<usize>) = {
                         let mut all: Vec<usize> = (0..nodes).collect();
@@ -121,7 +123,7 @@
                     add(at + length, Fault::Heal);
                     at += length;
                 }
-                Kind::Lossy => {
+                FaultKind::Lossy => {
                     let on_all_links = |impairment| {
                         Fault::Impair(LinkImpairment { from: Vec::new(), to: Vec::new(), impairment })
                     };
@@ -131,7 +133,7 @@
                     add(at + length, Fault::Heal);
                     at += length;
                 }
-                Kind::Upgrade => {
+                FaultKind::Upgrade => {
                     add(at, Fault::Upgrade(node));
                     at += length;
                 }
@@ -144,30 +146,30 @@
     ///
     /// # Panics
     /// If the variable does not hold a valid schedule.
-    pub fn or_again(self) -> Self {
-        match std::env::var(AGAIN) {
+    pub fn or_from_environment(self) -> Self {
+        match std::env::var(SCHEDULE_VARIABLE) {
             Ok(text) => serde_json::from_str(&text).expect("invalid schedule"),
             Err(_) => self,
         }
     }
 
     /// Shell command that replays this schedule.
-    pub fn command(&self, package: &str, test: &str, name: &str) -> String {
-        format!("{AGAIN}='{self}' cargo test -p {package} --test {test} {name}")
+    pub fn replay_command(&self, package: &str, test: &str, name: &str) -> String {
+        format!("{SCHEDULE_VARIABLE}='{self}' cargo test -p {package} --test {test} {name}")
     }
 }
 
 /// Prints the command that replays a schedule if the test panics while this value is alive.
-pub struct Printed(String);
+pub struct ReplayHint(String);
 
-impl Printed {
+impl ReplayHint {
     /// For a schedule of this test.
     pub fn new(schedule: &Schedule, package: &str, test: &str, name: &str) -> Self {
-        Self(schedule.command(package, test, name))
+        Self(schedule.replay_command(package, test, name))
     }
 }
 
-impl Drop for Printed {
+impl Drop for ReplayHint {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("to replay it:\n{}", self.0);
@@ -181,20 +183,22 @@
 
     #[test]
     fn a_schedule_is_drawn_alike_and_read_as_it_was_printed() {
-        let kinds = [Kind::Crash, Kind::Stall, Kind::Cut, Kind::Lossy, Kind::Upgrade];
+        let kinds =
+            [FaultKind::Crash, FaultKind::Stall, FaultKind::Cut, FaultKind::Lossy, FaultKind::Upgrade];
         for seed in 0..50 {
-            let drawn = Schedule::drawn(seed, 12, 20_000, &kinds);
-            assert_eq!(drawn, Schedule::drawn(seed, 12, 20_000, &kinds));
+            let generated = Schedule::generate(seed, 12, 20_000, &kinds);
+            assert_eq!(generated, Schedule::generate(seed, 12, 20_000, &kinds));
             assert_eq!(
-                serde_json::from_str::<Schedule>(&drawn.to_string()).expect("a printed schedule can be read"),
-                drawn
+                serde_json::from_str::<Schedule>(&generated.to_string())
+                    .expect("a printed schedule can be read"),
+                generated
             );
-            assert!(!drawn.steps.is_empty() && drawn.steps.iter().all(|step| step.at <= 20_000));
-            assert!(drawn.steps.is_sorted_by_key(|step| step.at));
+            assert!(!generated.steps.is_empty() && generated.steps.iter().all(|step| step.at <= 20_000));
+            assert!(generated.steps.is_sorted_by_key(|step| step.at));
             // Every node that is taken out comes back.
-            let count = |is: &dyn Fn(&Fault) -> bool| drawn.steps.iter().filter(|s| is(&s.fault)).count();
+            let count = |is: &dyn Fn(&Fault) -> bool| generated.steps.iter().filter(|s| is(&s.fault)).count();
             assert_eq!(count(&|f| matches!(f, Fault::Kill(_))), count(&|f| matches!(f, Fault::Start(_))));
-            assert_eq!(count(&|f| matches!(f, Fault::Stop(_))), count(&|f| matches!(f, Fault::GoOn(_))));
+            assert_eq!(count(&|f| matches!(f, Fault::Pause(_))), count(&|f| matches!(f, Fault::Resume(_))));
         }
     }
 }
