--- a/crates/glenctl/tests/custody.rs
+++ b/crates/glenctl/tests/custody.rs
@@ -7,7 +7,7 @@
 use glenwood_testkit::client::{Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::ask_at;
-use glenwood_testkit::rig::{Plan, Rig, MEMBERS};
+use glenwood_testkit::rig::{Plan, Rig, MEMBERS_LOG_PREFIX};
 use glenwood_testkit::script::Step;
 use glenwood_testkit::{runtime, until, wait};
 use serde_json::json;
@@ -27,8 +27,8 @@
 fn top_lists_works_in_custody_and_explain_shows_each_keepers_record() {
     let program = Program { path: env!("CARGO_BIN_EXE_glenctl").into(), arguments: vec!["node".into()] };
     let mut plan = Plan::new(program, 3, 1, Arc::new(|_| Step::ServeAfter(Duration::from_millis(1500))));
-    plan.sockets = vec![MEMBERS, "custody: asks from "];
-    plan.change = |settings| {
+    plan.sockets = vec![MEMBERS_LOG_PREFIX, "custody: asks from "];
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("settings have classes") {
             (class["Deadline"], class["Slo"]) = (json!(2000), json!(2000));
         }
@@ -37,8 +37,8 @@
         let keepers: String = (0..3).map(|n| format!("[[custody.keeper]]\nname = 'n{n}'\n")).collect();
         format!("[custody]\nlife_ms = 4000\n{keepers}")
     });
-    let rig = Rig::started(plan);
-    until("keepers vote", || (0..3).all(|n| rig.figure(n, "custody_votes") == Some(1)));
+    let rig = Rig::start(plan);
+    until("keepers vote", || (0..3).all(|n| rig.metric(n, "custody_votes") == Some(1)));
     let sockets: Vec<String> = (0..3).map(|n| rig.socket(n).display().to_string()).collect();
     let all: Vec<&str> = sockets.iter().map(String::as_str).collect();
     // The first inspection of a node takes longer than later ones, so it is done before the request.
--- a/crates/node/benches/custody.rs
+++ b/crates/node/benches/custody.rs
@@ -7,7 +7,7 @@
 use glenwood_testkit::client::{Answer, Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::Load;
-use glenwood_testkit::rig::{Plan, Rig, MEMBERS};
+use glenwood_testkit::rig::{Plan, Rig, MEMBERS_LOG_PREFIX};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::until;
 use serde_json::json;
@@ -17,13 +17,13 @@
 fn plan(nodes: usize, custody: bool) -> Plan {
     let script: Script = Arc::new(|_| Step::ServeAfter(Duration::from_millis(2)));
     let mut plan = Plan::new(Program::new(env!("CARGO_BIN_EXE_glenwood")), nodes, 12, script);
-    plan.change = |settings| {
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("classes") {
             (class["Deadline"], class["Slo"]) = (json!(2000), json!(2000));
         }
     };
     if custody {
-        plan.sockets = vec![MEMBERS, ASKS];
+        plan.sockets = vec![MEMBERS_LOG_PREFIX, ASKS];
         let keepers = nodes.min(30);
         plan.operator = Box::new(move |rig, _| {
             let keeper = |n| format!("[[custody.keeper]]\nname = 'n{n}'\nzone = '{}'\n", rig.zone(n));
@@ -53,16 +53,16 @@
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
     for nodes in if given.is_empty() { vec![4, 40, 300] } else { given } {
         for custody in [false, true] {
-            let rig = Rig::started(plan(nodes, custody));
+            let rig = Rig::start(plan(nodes, custody));
             if custody {
                 until("keepers vote", || {
-                    (0..nodes.min(30)).all(|n| rig.figure(n, "custody_votes") == Some(1))
+                    (0..nodes.min(30)).all(|n| rig.metric(n, "custody_votes") == Some(1))
                 });
             }
             let rig = Arc::new(rig);
-            let cpu = |rig: &Rig| (0..nodes).filter_map(|n| rig.with(n, |node| node.cpu())).sum::<u64>();
+            let cpu = |rig: &Rig| (0..nodes).filter_map(|n| rig.with_node(n, |node| node.cpu())).sum::<u64>();
             let bytes =
-                |rig: &Rig| (0..nodes).filter_map(|n| rig.figure(n, "custody_sent_bytes")).sum::<u64>();
+                |rig: &Rig| (0..nodes).filter_map(|n| rig.metric(n, "custody_sent_bytes")).sum::<u64>();
             for (class, effect) in [("look", Effect::Safe), ("pay", Effect::Keyed), ("slip", Effect::Unsafe)]
             {
                 let (before, sent) = (cpu(&rig), bytes(&rig));
--- a/crates/node/benches/members.rs
+++ b/crates/node/benches/members.rs
@@ -24,17 +24,18 @@
         let program = Program::new(PathBuf::from(env!("CARGO_BIN_EXE_glenwood")));
         let mut plan = Plan::new(program, size, 2, always(Step::Serve));
         plan.probe_ms = PROBE_MS;
-        let rig = Rig::started(plan);
+        let rig = Rig::start(plan);
         std::thread::sleep(SETTLED);
         let asked: Vec<usize> = (0..size).step_by(size.div_ceil(ASKED)).collect();
-        let sum = |figure: &str| asked.iter().filter_map(|n| rig.figure(*n, figure)).sum::<u64>() as f64;
-        let cpu = || rig.running().iter().filter_map(|n| rig.with(*n, |node| node.cpu())).sum::<u64>() as f64;
+        let sum = |figure: &str| asked.iter().filter_map(|n| rig.metric(*n, figure)).sum::<u64>() as f64;
+        let cpu =
+            || rig.running().iter().filter_map(|n| rig.with_node(*n, |node| node.cpu())).sum::<u64>() as f64;
         let (began, bytes, messages, processor) =
             (Instant::now(), sum("members_sent_bytes"), sum("members_sent"), cpu());
         std::thread::sleep(SPAN);
         let seconds = began.elapsed().as_secs_f64();
         let (used, each) = (cpu() - processor, seconds * asked.len() as f64);
-        let resident = rig.with(0, |node| node.resident()).unwrap_or(0) as f64 / 1e6;
+        let resident = rig.with_node(0, |node| node.resident()).unwrap_or(0) as f64 / 1e6;
         println!(
             "{size:9} {:20.0} {:23.1} {:22.0} {resident:12.1}",
             (sum("members_sent_bytes") - bytes) / each,
--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -12,7 +12,7 @@
 use glenwood_testkit::rig::load::{ask_at, Load, Outcome};
 use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment};
 use glenwood_testkit::rig::schedule::{Fault, FaultKind, ReplayHint, Schedule};
-use glenwood_testkit::rig::{very_many, Plan, Rig, MEMBERS};
+use glenwood_testkit::rig::{large_process_count, Plan, Rig, MEMBERS_LOG_PREFIX};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::{runtime, until};
 use peers::sockets;
@@ -29,8 +29,8 @@
 fn plan(nodes: usize, servers: usize, keepers: usize, script: Script) -> Plan {
     let mut plan =
         Plan::new(Program::new(PathBuf::from(env!("CARGO_BIN_EXE_glenwood"))), nodes, servers, script);
-    plan.sockets = vec![MEMBERS, ASKS];
-    plan.change = |settings| {
+    plan.sockets = vec![MEMBERS_LOG_PREFIX, ASKS];
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("classes") {
             (class["Deadline"], class["Slo"]) = (json!(DEADLINE), json!(DEADLINE));
         }
@@ -61,8 +61,8 @@
 fn started(plan: Plan, keepers: usize) -> Alone {
     static TURN: Mutex<()> = Mutex::new(());
     let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let rig = Rig::started(plan);
-    until("keepers give votes", || (0..keepers).all(|n| rig.figure(n, "custody_votes") == Some(1)));
+    let rig = Rig::start(plan);
+    until("keepers give votes", || (0..keepers).all(|n| rig.metric(n, "custody_votes") == Some(1)));
     Alone { rig: Arc::new(rig), _turn: turn }
 }
 
@@ -98,7 +98,7 @@
     // Killed with the attempt out: the unsafe one may have run, and is not sent again.
     let first = ask(&rig, 0, slip("w1", "t1", false));
     until("it is at a server", || rig.ledger.of("t1").attempts == 1);
-    rig.cause(&Fault::Kill(0));
+    rig.apply_fault(&Fault::Kill(0));
     assert_eq!(answer(first), Answer::Lost);
     let again = answer(ask(&rig, 1, slip("w1", "t2", true)));
     assert_eq!(again, Answer::Failed, "it may have run");
@@ -107,7 +107,7 @@
     // The keyed one goes again with its key, and all who ask are told one answer.
     let first = ask(&rig, 3, pay("w2", "t4", false));
     until("it is at a server", || rig.ledger.of("t4").attempts == 1);
-    rig.cause(&Fault::Kill(3));
+    rig.apply_fault(&Fault::Kill(3));
     assert_eq!(answer(first), Answer::Lost);
     let (one, other) = (ask(&rig, 1, pay("w2", "t5", true)), ask(&rig, 2, pay("w2", "t6", true)));
     let (one, other) = (answer(one), answer(other));
@@ -126,13 +126,13 @@
     plan.operator = Box::new(move |rig, n| told(rig, n).replace("patience_ms = 600", "patience_ms = 1000"));
     let rig = started(plan, 6);
     for (kind, make) in [("slip", slip as fn(&str, &str, bool) -> Ask), ("pay", pay)] {
-        let guarded = rig.figure(0, "custody_guarded").expect("a figure");
+        let guarded = rig.metric(0, "custody_guarded").expect("a figure");
         let [left, next] = ["left", "next"].map(|txn| format!("{kind}-{txn}"));
         for (from, to) in [(vec![End::Node(0)], Vec::new()), (Vec::new(), vec![End::Node(0)])] {
             rig.net.impair(LinkImpairment { from, to, impairment: Impairment::Cut });
         }
         let first = ask(&rig, 0, make("w", &left, false));
-        until("it is at the gate", || rig.figure(0, "custody_guarded") == Some(guarded + 1));
+        until("it is at the gate", || rig.metric(0, "custody_guarded") == Some(guarded + 1));
         first.abort();
         until("its node sees that it left", || sockets(Some(rig.address(0)), None) == 0);
         rig.net.heal();
@@ -149,7 +149,7 @@
     let script: Script = Arc::new(|seen| if seen.txn.starts_with("hold") { Step::Hold } else { Step::Serve });
     let mut plan = plan(6, 1, 6, script);
     // Time enough that nothing ends by itself meanwhile.
-    plan.change = |settings| {
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("classes") {
             (class["Deadline"], class["Slo"]) = (json!(4000), json!(8000));
         }
@@ -163,7 +163,7 @@
         let full = ask(&rig, 0, Ask::new("look", Effect::Safe, &hold, 3500));
         until("the server is full", || rig.ledger.of(&hold).attempts == 1);
         let waits = ask(&rig, 0, longer(make("w", &left, false)));
-        until("its node has it", || rig.figure(0, "custody_mine") == Some(1));
+        until("its node has it", || rig.metric(0, "custody_mine") == Some(1));
         waits.abort();
         until("its node sees that it left", || sockets(Some(rig.address(0)), None) == 1);
         full.abort();
@@ -171,7 +171,7 @@
         let again = answer(ask(&rig, 1, longer(make("w", &next, true))));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
         assert_eq!((rig.ledger.of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")), (0, 1), "{kind}");
-        until("it is over", || rig.figure(0, "custody_mine") == Some(0));
+        until("it is over", || rig.metric(0, "custody_mine") == Some(0));
     }
 }
 
@@ -197,15 +197,15 @@
     for (make, kind) in [(slip as fn(&str, &str, bool) -> Ask, "slip"), (pay, "pay")] {
         let node = if kind == "slip" { 0 } else { 1 };
         // No server is left to this node: what it has waits there.
-        (0..2).for_each(|server| rig.tell(node, server, "leaving"));
+        (0..2).for_each(|server| rig.set_health(node, server, "leaving"));
         until("it knows", || {
-            rig.figure(node, "cluster_unhealthy").is_some() && rig.figure(node, "custody_mine") == Some(0)
+            rig.metric(node, "cluster_unhealthy").is_some() && rig.metric(node, "custody_mine") == Some(0)
         });
-        let before: u64 = rig.running().iter().filter_map(|n| rig.figure(*n, "custody_orphans")).sum();
+        let before: u64 = rig.running().iter().filter_map(|n| rig.metric(*n, "custody_orphans")).sum();
         let first = ask(&rig, node, make("w1", &format!("{kind}1"), false));
-        until("it has the work in hand", || rig.figure(node, "custody_mine") == Some(1));
+        until("it has the work in hand", || rig.metric(node, "custody_mine") == Some(1));
         assert_eq!(rig.ledger.runs_of_path(kind, "/w1"), 0);
-        rig.cause(&Fault::Kill(node));
+        rig.apply_fault(&Fault::Kill(node));
         let began = Instant::now();
         until("another has carried it out", || rig.ledger.runs_of_path(kind, "/w1") == 1);
         println!("{kind}: taken over and carried out {} ms after the loss", began.elapsed().as_millis());
@@ -213,7 +213,7 @@
         let again = answer(ask(&rig, 3, make("w1", &format!("{kind}2"), true)));
         assert!(matches!(again, Answer::Served(_)), "{again:?}");
         assert_eq!(rig.ledger.runs_of_path(kind, "/w1"), 1);
-        let orphans = || rig.running().iter().filter_map(|n| rig.figure(*n, "custody_orphans")).sum::<u64>();
+        let orphans = || rig.running().iter().filter_map(|n| rig.metric(*n, "custody_orphans")).sum::<u64>();
         until("it is counted", || orphans() > before);
     }
 }
@@ -238,13 +238,13 @@
         until("a keeper has the intent", || {
             (1..6).map(|n| works(n).matches("\"never\":false").count()).sum::<usize>() > before
         });
-        rig.cause(&Fault::Pause(0));
+        rig.apply_fault(&Fault::Pause(0));
         let sent = rig.ledger.of(&txn).attempts;
         rig.net.heal();
         let again = answer(ask(&rig, 1, slip(&path, &format!("{txn}-again"), true)));
-        rig.cause(&Fault::Resume(0));
+        rig.apply_fault(&Fault::Resume(0));
         let told = answer(first);
-        rig.wait_known();
+        rig.wait_for_membership();
         let runs = rig.ledger.runs_of_path("slip", &format!("/{path}"));
         assert!(runs <= 1);
         if sent > 0 || runs > 0 && matches!(again, Answer::Served(_)) {
@@ -320,11 +320,11 @@
     plan.seed = schedule.seed;
     let rig = started(plan, 9);
     let load = clients(&rig, 60.0);
-    rig.play(&schedule);
+    rig.run_schedule(&schedule);
     rig.net.heal();
     let outcomes = load.end();
     let (works, served) = check(&rig, &outcomes);
-    let sum = |name: &str| rig.running().iter().filter_map(|n| rig.figure(*n, name)).sum::<u64>();
+    let sum = |name: &str| rig.running().iter().filter_map(|n| rig.metric(*n, name)).sum::<u64>();
     let (adopted, shared) = (sum("custody_adopted"), sum("custody_shared"));
     println!(
         "seed {seed}, {} faults: {works} guarded works, {served} served, {adopted} taken over, {shared} answers shared, {} \
@@ -360,16 +360,16 @@
 
 #[test]
 fn a_tenth_of_very_many_processes_is_killed_at_once() {
-    let all = very_many();
+    let all = large_process_count();
     let mut plan = plan(all, all / 10, 30, slow(200));
     plan.probe_ms = std::env::var("GLENWOOD_PROBE_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(500);
     let rig = started(plan, 30);
     let load = clients(&rig, all as f64 / 2.0);
     until("there is work in hand", || load.outcomes().len() > 100);
     let killed: Vec<usize> = (0..all).filter(|n| n % 10 == 7).collect();
-    killed.iter().for_each(|n| rig.cause(&Fault::Kill(*n)));
+    killed.iter().for_each(|n| rig.apply_fault(&Fault::Kill(*n)));
     let since = Instant::now();
-    rig.wait_known();
+    rig.wait_for_membership();
     println!("the loss of {} is known to all after {} ms", killed.len(), since.elapsed().as_millis());
     let lost: Vec<u64> = load
         .outcomes()
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -38,13 +38,14 @@
         let program = Program::new(env!("CARGO_BIN_EXE_glenwood"));
         let mut plan = Plan::new(program, NODES, 1, always(Step::Serve));
         (plan.probe_ms, plan.sockets) = (0, vec![USAGE]);
-        plan.change = |settings| {
+        plan.adjust_settings = |settings| {
             settings["Customers"] =
                 json!([{"Name": "acme", "QuotaPerS": ALLOWED as f64 * 1000.0 / WINDOW as f64}]);
         };
         plan.operator = Box::new(|rig, _| {
-            let one =
-                |n| format!("[[usage.instance]]\nname = 'n{n}'\naddress = '{}'\n", rig.front_of(USAGE, n));
+            let one = |n| {
+                format!("[[usage.instance]]\nname = 'n{n}'\naddress = '{}'\n", rig.stable_address(USAGE, n))
+            };
             format!(
                 "[usage]\nlist = 1\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\nwindow_ms = {WINDOW}\n\
                  exchange_ms = 50\ngone_ms = 2000\n{}",
@@ -52,7 +53,7 @@
                 (0..NODES).map(one).collect::<String>()
             )
         });
-        Self { rig: Arc::new(Rig::started(plan)), spent: Spent::new(), lives: [0; NODES] }
+        Self { rig: Arc::new(Rig::start(plan)), spent: Spent::new(), lives: [0; NODES] }
     }
 
     /// All datagrams go through that from now on; so many in a hundred are lost.
@@ -140,9 +141,9 @@
     }
     fleet.trouble(10);
     fleet.look();
-    fleet.rig.cause(&Fault::Kill(1));
+    fleet.rig.apply_fault(&Fault::Kill(1));
     let windows = fleet.ask(2, &[0, 2, 3]);
-    fleet.rig.cause(&Fault::Start(1));
+    fleet.rig.apply_fault(&Fault::Start(1));
     fleet.lives[1] += 1;
     let more = fleet.ask(5, &[0, 1, 2, 3]);
     assert!([windows, more].concat().iter().all(|spent| *spent <= ALLOWED));
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -28,15 +28,15 @@
 
 /// Number of processes for tests that start very many of them: the value of GLENWOOD_PROCESSES, or 60, which
 /// two busy cores can run. Larger numbers are meant for manual runs on a larger machine.
-pub fn very_many() -> usize {
+pub fn large_process_count() -> usize {
     std::env::var("GLENWOOD_PROCESSES").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
 }
 
 /// Text that a node logs in front of the address of its membership socket.
-pub const MEMBERS: &str = "members: listens at ";
+pub const MEMBERS_LOG_PREFIX: &str = "members: listens at ";
 
 /// Produces additional text for a node's operator file from the rig and the node's number.
-pub type Operator = Box<dyn Fn(&Rig, usize) -> String + Send + Sync>;
+pub type OperatorText = Box<dyn Fn(&Rig, usize) -> String + Send + Sync>;
 
 /// What a [`Rig`] consists of.
 pub struct Plan {
@@ -50,20 +50,20 @@
     pub servers: usize,
     /// Number of separate sets of links from nodes to servers and discovery. Node n uses set n modulo this
     /// number, so each node has its own set where there are as many sets as nodes.
-    pub ways: usize,
+    pub link_sets: usize,
     /// Behaviour of the servers.
     pub script: Script,
     /// How long servers remember idempotency keys.
-    pub memory: Duration,
+    pub key_retention: Duration,
     /// Adjusts the settings of every node.
-    pub change: fn(&mut Value),
+    pub adjust_settings: fn(&mut Value),
     /// Text of a node's operator file besides the tables `inspect` and `members`.
-    pub operator: Operator,
+    pub operator: OperatorText,
     /// Interval of membership probes between nodes, in milliseconds; 0 leaves the table `members` out.
     pub probe_ms: u64,
     /// The datagram sockets of each node, each named by the text that the node logs in front of the socket's
     /// address. Each socket is reached at an address that stays the same over restarts, see
-    /// [`Rig::front_of`].
+    /// [`Rig::stable_address`].
     pub sockets: Vec<&'static str>,
     /// Seed for the random faults on links.
     pub seed: u64,
@@ -77,13 +77,13 @@
             nodes,
             zones: 3,
             servers,
-            ways: nodes.min(16),
+            link_sets: nodes.min(16),
             script,
-            memory: Duration::from_secs(60),
-            change: |_| {},
+            key_retention: Duration::from_secs(60),
+            adjust_settings: |_| {},
             operator: Box::new(|_, _| String::new()),
             probe_ms: 100,
-            sockets: vec![MEMBERS],
+            sockets: vec![MEMBERS_LOG_PREFIX],
             seed: 1,
         }
     }
@@ -143,14 +143,14 @@
         std::fs::write(folder.join("secret"), "a secret of all the nodes of a rig")
             .expect("cannot write the file");
         let net = Net::new(plan.seed);
-        let ledger = Ledger::new(plan.memory);
+        let ledger = Ledger::new(plan.key_retention);
         let servers: Vec<StandIn> = (0..plan.servers)
             .map(|n| {
                 let identity = Identity { name: format!("s{n}"), cell: 0, protocol: Protocol::Http };
                 StandIn::start(identity, plan.script.clone(), ledger.clone())
             })
             .collect();
-        let links = (0..plan.ways)
+        let links = (0..plan.link_sets)
             .map(|set| {
                 // The first node that uses a set of links represents all of its nodes: faults on links to
                 // servers apply to whole sets.
@@ -174,12 +174,12 @@
     ///
     /// # Panics
     /// If a node does not become ready.
-    pub fn started(plan: Plan) -> Self {
+    pub fn start(plan: Plan) -> Self {
         let rig = Self::new(plan);
         (0..rig.plan.nodes).for_each(|n| rig.spawn(n));
-        (0..rig.plan.nodes).for_each(|n| rig.wait_up(n));
+        (0..rig.plan.nodes).for_each(|n| rig.wait_ready(n));
         if rig.plan.probe_ms > 0 {
-            rig.wait_known();
+            rig.wait_for_membership();
         }
         rig
     }
@@ -190,7 +190,7 @@
 
     /// Changes the health that discovery reports for a server to this node and to all nodes that share its
     /// links.
-    pub fn tell(&self, node: usize, server: usize, health: &str) {
+    pub fn set_health(&self, node: usize, server: usize, health: &str) {
         let node_links = &self.links[node % self.links.len()];
         node_links.list.tell(Self::entry(server, node_links.servers[server], health));
     }
@@ -200,7 +200,7 @@
     }
 
     /// Calls a function with a node's process; `None` if the node is not running.
-    pub fn with<T>(&self, n: usize, what: impl FnOnce(&mut Node) -> T) -> Option<T> {
+    pub fn with_node<T>(&self, n: usize, what: impl FnOnce(&mut Node) -> T) -> Option<T> {
         self.slot(n).node.as_mut().map(what)
     }
 
@@ -219,7 +219,7 @@
     ///
     /// # Panics
     /// If the plan has no socket of this kind.
-    pub fn front_of(&self, kind: &str, n: usize) -> SocketAddr {
+    pub fn stable_address(&self, kind: &str, n: usize) -> SocketAddr {
         let kind =
             self.plan.sockets.iter().position(|prefix| *prefix == kind).expect("the plan has no such socket");
         self.datagram_relays[kind][n].address
@@ -242,7 +242,7 @@
 
     /// Reads one metric from a node's operator endpoint; `None` if the node does not answer or has no metric
     /// of that name.
-    pub fn figure(&self, n: usize, name: &str) -> Option<u64> {
+    pub fn metric(&self, n: usize, name: &str) -> Option<u64> {
         let endpoint = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
         let text = crate::wait("the metrics of a node", async {
             let mut stream = tokio::net::TcpStream::connect(endpoint).await.ok()?;
@@ -268,13 +268,13 @@
         if self.plan.probe_ms > 0 {
             // One seed node per zone.
             let seeds: Vec<String> = (0..self.plan.zones.min(self.plan.nodes))
-                .map(|s| format!("'{}'", self.front_of(MEMBERS, s)))
+                .map(|s| format!("'{}'", self.stable_address(MEMBERS_LOG_PREFIX, s)))
                 .collect();
             text += &format!(
                 "[members]\ncluster = 'rig'\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\naddress = '{}'\nzone = '{}'\n\
                  seeds = [{}]\nprobe_ms = {}\n",
                 self.folder.display(),
-                self.front_of(MEMBERS, n),
+                self.stable_address(MEMBERS_LOG_PREFIX, n),
                 self.zone(n),
                 seeds.join(", "),
                 self.plan.probe_ms
@@ -289,7 +289,7 @@
         let mut settings = settings(1000.0);
         settings["Me"] = json!(n);
         settings["PeersTotal"] = json!(self.plan.nodes);
-        (self.plan.change)(&mut settings);
+        (self.plan.adjust_settings)(&mut settings);
         let mut config = config(&Self::name(n), node_links.discovery, settings);
         let operator = self.operator(n);
         let mut slot = self.slot(n);
@@ -308,7 +308,7 @@
     ///
     /// # Panics
     /// If the node does not become ready.
-    pub fn wait_up(&self, n: usize) {
+    pub fn wait_ready(&self, n: usize) {
         let logged = |prefix: &str| self.slot(n).node.as_ref().and_then(|node| node.said(prefix));
         {
             let mut slot = self.slot(n);
@@ -328,12 +328,12 @@
     ///
     /// # Panics
     /// If that takes longer than twice [`crate::PATIENCE`].
-    pub fn wait_known(&self) {
+    pub fn wait_for_membership(&self) {
         let running = self.running();
         let started_at = Instant::now();
         let mut pending = running.clone();
         while !pending.is_empty() {
-            pending.retain(|n| self.figure(*n, "members_living") != Some(running.len() as u64 - 1));
+            pending.retain(|n| self.metric(*n, "members_living") != Some(running.len() as u64 - 1));
             if started_at.elapsed() > 2 * crate::PATIENCE {
                 let states = |n: &usize| self.report(*n).map(|r| r["members"]["states"].to_string());
                 let states: Vec<_> = pending.iter().map(|n| (*n, states(n))).collect();
@@ -349,15 +349,15 @@
     }
 
     /// Number of log lines of a node's current process that contain this text.
-    pub fn lines(&self, n: usize, words: &str) -> usize {
-        self.with(n, |node| node.lines(words)).unwrap_or(0)
+    pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
+        self.with_node(n, |node| node.lines(text)).unwrap_or(0)
     }
 
     /// Carries out a fault.
     ///
     /// # Panics
     /// If a node that the fault starts does not become ready.
-    pub fn cause(&self, fault: &Fault) {
+    pub fn apply_fault(&self, fault: &Fault) {
         match fault {
             Fault::Kill(n) => {
                 let node = self.slot(*n).node.take();
@@ -366,12 +366,12 @@
             Fault::Start(n) => {
                 if self.slot(*n).node.is_none() {
                     self.spawn(*n);
-                    self.wait_up(*n);
+                    self.wait_ready(*n);
                 }
             }
-            Fault::Pause(n) => drop(self.with(*n, |node| node.stop())),
-            Fault::Resume(n) => drop(self.with(*n, |node| node.go_on())),
-            Fault::Terminate(n) => drop(self.with(*n, |node| node.terminate())),
+            Fault::Pause(n) => drop(self.with_node(*n, |node| node.stop())),
+            Fault::Resume(n) => drop(self.with_node(*n, |node| node.go_on())),
+            Fault::Terminate(n) => drop(self.with_node(*n, |node| node.terminate())),
             Fault::Upgrade(n) => {
                 self.spawn(*n);
                 {
@@ -379,7 +379,7 @@
                     slot.node.as_mut().expect("the node was not started").wait_listening();
                     slot.predecessor.iter().for_each(Node::terminate);
                 }
-                self.wait_up(*n);
+                self.wait_ready(*n);
             }
             Fault::Impair(link_impairment) => self.net.impair(link_impairment.clone()),
             Fault::Heal => self.net.heal(),
@@ -390,13 +390,13 @@
     ///
     /// # Panics
     /// If a fault cannot be carried out.
-    pub fn play(&self, schedule: &Schedule) {
+    pub fn run_schedule(&self, schedule: &Schedule) {
         let started_at = Instant::now();
         for step in &schedule.steps {
             // The times are part of the schedule: this does not wait for the effect of the previous fault.
             let due = Duration::from_millis(step.at);
             std::thread::sleep(due.saturating_sub(started_at.elapsed()));
-            self.cause(&step.fault);
+            self.apply_fault(&step.fault);
         }
     }
 }
