--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -188,8 +188,10 @@
     let mut nodes = [node(0), node(1)];
     log("2 nodes, 3 HTTP and 3 MessagePack-RPC servers, discovery: all on loopback");
     let (tallies, stop): (Tallies, _) = (Arc::default(), Arc::new(AtomicBool::new(false)));
-    let addresses: Vec<Arc<Mutex<SocketAddr>>> =
-        nodes.iter().flat_map(|node| Protocol::BOTH.map(|p| Arc::new(Mutex::new(node.takes(p))))).collect();
+    let addresses: Vec<Arc<Mutex<SocketAddr>>> = nodes
+        .iter()
+        .flat_map(|node| Protocol::BOTH.map(|p| Arc::new(Mutex::new(node.address_for(p)))))
+        .collect();
     let clients: Vec<_> = (0..4 * CLIENTS_PER_ENDPOINT)
         .map(|n| {
             let protocol = Protocol::BOTH[n % 2];
@@ -246,7 +248,7 @@
     let code = nodes[1].exit_code();
     nodes[1] = node(1);
     for (n, protocol) in Protocol::BOTH.into_iter().enumerate() {
-        *addresses[2 + n].lock().unwrap_or_else(PoisonError::into_inner) = nodes[1].takes(protocol);
+        *addresses[2 + n].lock().unwrap_or_else(PoisonError::into_inner) = nodes[1].address_for(protocol);
     }
     run_until(1.0);
     stop.store(true, Ordering::Relaxed);
--- a/crates/glenctl/tests/configuration.rs
+++ b/crates/glenctl/tests/configuration.rs
@@ -230,7 +230,7 @@
         json!([{"Name": "of-the-file", "QuotaPerS": 4.0}, {"Name": "acme", "QuotaPerS": 1.0}]);
     node.reload(&config("n0", cluster.discovery.address, file));
     until("the file is reloaded", || {
-        cluster.nodes[0].as_ref().is_some_and(|node| node.lines("reload: discovery is") > 0)
+        cluster.nodes[0].as_ref().is_some_and(|node| node.count_log_lines("reload: discovery is") > 0)
     });
     assert_eq!(ask(at, "a3", "fresh", "new"), Some(200), "the pushed class is still in force");
     // Pushes and file reloads at the same time.
--- a/crates/node/benches/custody.rs
+++ b/crates/node/benches/custody.rs
@@ -60,7 +60,8 @@
                 });
             }
             let rig = Arc::new(rig);
-            let cpu = |rig: &Rig| (0..nodes).filter_map(|n| rig.with_node(n, |node| node.cpu())).sum::<u64>();
+            let cpu =
+                |rig: &Rig| (0..nodes).filter_map(|n| rig.with_node(n, |node| node.cpu_ticks())).sum::<u64>();
             let bytes =
                 |rig: &Rig| (0..nodes).filter_map(|n| rig.metric(n, "custody_sent_bytes")).sum::<u64>();
             for (class, effect) in [("look", Effect::Safe), ("pay", Effect::Keyed), ("slip", Effect::Unsafe)]
--- a/crates/node/benches/list_change.rs
+++ b/crates/node/benches/list_change.rs
@@ -25,12 +25,12 @@
 
 /// Processor time that a node uses over as many spans as there are changes; each span begins with `tell`.
 fn spent(node: &Node, mut tell: impl FnMut(u32)) -> Duration {
-    let (before, began) = (node.processor_time(), Instant::now());
+    let (before, began) = (node.cpu_time(), Instant::now());
     for number in 0..CHANGES {
         tell(number);
         std::thread::sleep((EVERY * (number + 1)).saturating_sub(began.elapsed()));
     }
-    node.processor_time() - before
+    node.cpu_time() - before
 }
 
 /// Processor time, in milliseconds.
--- a/crates/node/benches/members.rs
+++ b/crates/node/benches/members.rs
@@ -28,14 +28,16 @@
         std::thread::sleep(SETTLED);
         let asked: Vec<usize> = (0..size).step_by(size.div_ceil(ASKED)).collect();
         let sum = |figure: &str| asked.iter().filter_map(|n| rig.metric(*n, figure)).sum::<u64>() as f64;
-        let cpu =
-            || rig.running().iter().filter_map(|n| rig.with_node(*n, |node| node.cpu())).sum::<u64>() as f64;
+        let cpu = || {
+            rig.running().iter().filter_map(|n| rig.with_node(*n, |node| node.cpu_ticks())).sum::<u64>()
+                as f64
+        };
         let (began, bytes, messages, processor) =
             (Instant::now(), sum("members_sent_bytes"), sum("members_sent"), cpu());
         std::thread::sleep(SPAN);
         let seconds = began.elapsed().as_secs_f64();
         let (used, each) = (cpu() - processor, seconds * asked.len() as f64);
-        let resident = rig.with_node(0, |node| node.resident()).unwrap_or(0) as f64 / 1e6;
+        let resident = rig.with_node(0, |node| node.resident_bytes()).unwrap_or(0) as f64 / 1e6;
         println!(
             "{size:9} {:20.0} {:23.1} {:22.0} {resident:12.1}",
             (sum("members_sent_bytes") - bytes) / each,
--- a/crates/node/benches/proxy.rs
+++ b/crates/node/benches/proxy.rs
@@ -331,7 +331,7 @@
     for (connections, calls) in [(1, 1), (1, 16), (32, 1), (32, 16), (128, 1)] {
         println!("MessagePack-RPC, {connections} connections with {calls} calls each");
         let direct = load(Protocol::Rpc, rpc.address, connections, calls, span);
-        let node = load(Protocol::Rpc, through.takes(Protocol::Rpc), connections, calls, span);
+        let node = load(Protocol::Rpc, through.address_for(Protocol::Rpc), connections, calls, span);
         row("direct", &direct);
         row("node", &node);
         println!("  node / direct {:.2}", node.per_second / direct.per_second);
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -311,7 +311,7 @@
             }
             let took = begin.elapsed().as_secs_f64() * 1000.0;
             let span = Duration::from_secs(5);
-            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu_ticks());
             let _ = tokio::time::timeout(span, async {
                 loop {
                     driver.next().await;
@@ -319,8 +319,8 @@
             })
             .await;
             let moved = |now: (u64, u64), before: (u64, u64)| (now.0 + now.1 - before.0 - before.1) / 5;
-            let rest = ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes));
-            let (bytes, cpu) = (driver.bytes_moved(), node.cpu());
+            let rest = ((node.cpu_ticks() - cpu) * 2, moved(driver.bytes_moved(), bytes));
+            let (bytes, cpu) = (driver.bytes_moved(), node.cpu_ticks());
             let changes = async {
                 for n in 0..5 {
                     many.remove(n).await;
@@ -333,9 +333,9 @@
                 () = changes => {}
                 () = async { loop { driver.next().await; } } => {}
             }
-            (took, rest, ((node.cpu() - cpu) * 2, moved(driver.bytes_moved(), bytes)))
+            (took, rest, ((node.cpu_ticks() - cpu) * 2, moved(driver.bytes_moved(), bytes)))
         });
-        let mb = node.resident() as f64 / 1e6;
+        let mb = node.resident_bytes() as f64 / 1e6;
         println!(
             "{size:7}   {took:6.0} ({node_took:5.0} *)   {mb:7.1}   {:10} {:10}   {:16} {:10}",
             rest.0, rest.1, busy.0, busy.1
@@ -353,7 +353,7 @@
     runtime.block_on(async {
         let mut driver = view(&service);
         let _ = tokio::time::timeout(Duration::from_secs(1), async { loop { driver.next().await; } }).await;
-        let (cpu, begin) = (node.cpu(), Instant::now());
+        let (cpu, begin) = (node.cpu_ticks(), Instant::now());
         let mut registered = None;
         let registering = async {
             for step in 0..50 {
@@ -375,8 +375,8 @@
         println!(
             "5000 within {registered:.2} s: all listed after {took:.2} s, {names} readings of names, {data} of data; \
              the node used {} ms of CPU, {:.1} MB",
-            (node.cpu() - cpu) * 10,
-            node.resident() as f64 / 1e6
+            (node.cpu_ticks() - cpu) * 10,
+            node.resident_bytes() as f64 / 1e6
         );
     });
 }
--- a/crates/node/benches/settings.rs
+++ b/crates/node/benches/settings.rs
@@ -88,16 +88,16 @@
         node.wait_ready();
         let ready = began.elapsed();
         let (quiet, _) = timed(&node, discovery.address, tenants, false);
-        let (before, cpu) = (node.resident(), node.cpu());
-        let (_, quiet_cpu) = (timed(&node, discovery.address, tenants, false), node.cpu() - cpu);
-        let cpu = node.cpu();
+        let (before, cpu) = (node.resident_bytes(), node.cpu_ticks());
+        let (_, quiet_cpu) = (timed(&node, discovery.address, tenants, false), node.cpu_ticks() - cpu);
+        let cpu = node.cpu_ticks();
         let (busy, given) = timed(&node, discovery.address, tenants, true);
-        let spent = (node.cpu() - cpu).saturating_sub(quiet_cpu);
+        let spent = (node.cpu_ticks() - cpu).saturating_sub(quiet_cpu);
         println!(
             "{tenants:7} {:8.2} {:3.0} {:9.0} {:10.0} {:7} {:20} {:7} {:20}",
             ready.as_secs_f64(),
             before as f64 / 1e6,
-            node.resident() as f64 / 1e6,
+            node.resident_bytes() as f64 / 1e6,
             10.0 * spent as f64 / given as f64,
             quiet.value_at_quantile(0.99),
             busy.value_at_quantile(0.99),
--- a/crates/node/tests/differential.rs
+++ b/crates/node/tests/differential.rs
@@ -120,7 +120,7 @@
     let told = plays.iter().map(|p| {
         // Each on a connection of its own: what a client sees of one request is not about the next.
         let answer = wait("an answer", async {
-            let mut conn = Client::connect(client, node.takes(client)).await.expect("it listens");
+            let mut conn = Client::connect(client, node.address_for(client)).await.expect("it listens");
             conn.ask(&p.ask).await
         });
         let key = p.ask.key.as_deref().map_or(0, |key| ledger.runs_of_key(key));
--- a/crates/node/tests/fleet_size.rs
+++ b/crates/node/tests/fleet_size.rs
@@ -34,7 +34,7 @@
     let mut told = config("n0", silent.local_addr().expect("bound"), settings(400.0));
     told["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
     let node = Node::start(&program(), &told, None);
-    assert!(node.says_ready(), "to the first that asks");
+    assert!(node.is_ready(), "to the first that asks");
     assert!(served(&node, "t1"));
 }
 
@@ -44,7 +44,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let node =
         Node::start(&program(), &config("n0", silent.local_addr().expect("bound"), settings(400.0)), None);
-    assert!(!node.says_ready());
+    assert!(!node.is_ready());
 }
 
 /// What the operator's file switches on is enough to count what a fleet does; without it nothing is said.
@@ -212,7 +212,7 @@
     for n in 0..50 {
         assert!(served(&node, &format!("t{n}")), "{n}");
     }
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 /// Guards a release that the list tells of late, on sockets: a server that turns all away, as for too many connections or as
--- a/crates/node/tests/list_change.rs
+++ b/crates/node/tests/list_change.rs
@@ -35,12 +35,12 @@
     // The first ones find the whole list just read.
     (0..2).for_each(|number| discovery.tell(entry(SERVERS / 2 + number, "leaving")));
     changed(2);
-    let before = node.processor_time();
+    let before = node.cpu_time();
     for number in 0..CHANGES as usize {
         discovery.tell(entry(SERVERS / 3 + number, "leaving"));
         changed(3 + number);
     }
-    let spent = (node.processor_time() - before) / CHANGES;
+    let spent = (node.cpu_time() - before) / CHANGES;
     println!("{spent:?} a change");
     assert!(spent < MOST, "{spent:?} a change");
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -115,8 +115,9 @@
     let began = Instant::now();
     let rig = Rig::start(plan);
     println!("{all} processes know one another after {:.1} s", began.elapsed().as_secs_f64());
-    let cpu =
-        |rig: &Rig| rig.running().iter().filter_map(|n| rig.with_node(*n, |node| node.cpu())).sum::<u64>();
+    let cpu = |rig: &Rig| {
+        rig.running().iter().filter_map(|n| rig.with_node(*n, |node| node.cpu_ticks())).sum::<u64>()
+    };
     let (before, since) = (cpu(&rig), Instant::now());
     let sent = |n: usize| rig.metric(n, "members_sent").unwrap_or(0);
     let first = sent(0);
--- a/crates/node/tests/msgpack.rs
+++ b/crates/node/tests/msgpack.rs
@@ -40,7 +40,7 @@
 }
 
 fn client(node: &Node) -> RpcClient {
-    RpcClient::to(node.takes(Protocol::Rpc))
+    RpcClient::to(node.address_for(Protocol::Rpc))
 }
 
 fn send(client: &mut RpcClient, ask: &Ask) -> u32 {
@@ -467,7 +467,7 @@
 fn announced_gigabytes_and_endless_levels_take_no_memory() {
     let peer = Peer::start();
     let (_discovery, node) = node_with(10_000.0, "", &[&peer]);
-    let before = node.resident();
+    let before = node.resident_bytes();
     let long = [0x94, 0x00, 0x05, 0xa4, b's', b'l', b'i', b'p', 0xc6, 0xff, 0xff, 0xff, 0xff];
     let wide = [0xdd, 0xff, 0xff, 0xff, 0xff];
     let deep = vec![0x91; 1_000_000];
@@ -479,7 +479,7 @@
             assert!(wait("the end", bad.rest()).is_empty());
         }
     }
-    let grown = node.resident().saturating_sub(before);
+    let grown = node.resident_bytes().saturating_sub(before);
     assert!(grown < 8 * 1024 * 1024, "{grown} bytes more");
     let mut good = client(&node);
     let id = send(&mut good, &Ask::new("look", Effect::Safe, "t0", 15_000));
@@ -643,7 +643,7 @@
     let discovery = Discovery::start(&servers.each_ref().map(active));
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
     node.wait_ready();
-    let (http, rpc) = (node.takes(Protocol::Http), node.takes(Protocol::Rpc));
+    let (http, rpc) = (node.address_for(Protocol::Http), node.address_for(Protocol::Rpc));
     let flood = std::thread::spawn(move || {
         glenwood_testkit::runtime().block_on(async {
             let stream = tokio::net::TcpStream::connect(rpc).await.expect("it listens");
@@ -700,11 +700,11 @@
     let discovery = Discovery::start(&[active(&server)]);
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
     node.wait_ready();
-    let before = node.resident();
+    let before = node.resident_bytes();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     // Where the system's own bound is 32 MB, all answers would fit into what it holds for who does not read.
     socket.set_recv_buffer_size(64 * 1024).expect("a small buffer");
-    socket.connect(&node.takes(Protocol::Rpc).into()).expect("the node listens");
+    socket.connect(&node.address_for(Protocol::Rpc).into()).expect("the node listens");
     let mut deaf: std::net::TcpStream = socket.into();
     deaf.set_write_timeout(Some(Duration::from_secs(3))).expect("a socket");
     // 83 MB of calls, most of them refused at once, as one with this id is open: far more answers than buffers hold, and more
@@ -713,7 +713,7 @@
         (0..200_000).flat_map(|n| Ask::new("slip", Effect::Unsafe, "t", 60_000).rpc(n).to_vec()).collect();
     let is_stuck = (0..5).any(|_| std::io::Write::write_all(&mut deaf, &calls).is_err());
     assert!(is_stuck, "all of it was taken");
-    let grown = node.resident().saturating_sub(before);
+    let grown = node.resident_bytes().saturating_sub(before);
     assert!(grown < 24 * 1024 * 1024, "{grown} bytes more");
     let (answer, _) = ask_once(Protocol::Http, node.address, &Ask::new("look", Effect::Safe, "o", 15_000));
     assert!(matches!(answer, Answer::Served(_) | Answer::Refused(_)), "{answer:?}");
@@ -780,7 +780,7 @@
         n += 1;
         ask_once(
             Protocol::Rpc,
-            node.takes(Protocol::Rpc),
+            node.address_for(Protocol::Rpc),
             &Ask::new("slip", Effect::Unsafe, &format!("t{n}"), 1000),
         )
         .0
@@ -824,7 +824,7 @@
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
     node.wait_ready();
     for protocol in Protocol::BOTH {
-        let at = node.takes(protocol);
+        let at = node.address_for(protocol);
         let mut client = wait("a connection", Client::connect(protocol, at)).expect("it listens");
         for n in 0..20 {
             let ask = Ask::new("pay", Effect::Keyed, &format!("{}{n}", protocol.name()), 15_000);
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -123,23 +123,23 @@
     pub fn wait_listening(&mut self) {
         let prefix = format!("{} listens at ", self.name);
         until("the node listens", || {
-            assert!(self.running(), "the node exited: {:?}", self.log());
-            let address = self.said(&prefix);
-            self.rpc = self.said(" takes MessagePack-RPC at ");
+            assert!(self.is_running(), "the node exited: {:?}", self.log());
+            let address = self.logged_address(&prefix);
+            self.rpc = self.logged_address(" takes MessagePack-RPC at ");
             self.address = address.unwrap_or(self.address);
             address.is_some() && (self.rpc.is_some() || !self.expects_rpc)
         });
     }
 
     /// The address that the log shows after this text, up to a comma.
-    pub fn said(&self, text: &str) -> Option<SocketAddr> {
+    pub fn logged_address(&self, text: &str) -> Option<SocketAddr> {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         let after = |line: &String| line.split_once(text)?.1.split(',').next()?.parse().ok();
         log.iter().find_map(after)
     }
 
     /// Number of log lines that contain this text.
-    pub fn lines(&self, text: &str) -> usize {
+    pub fn count_log_lines(&self, text: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.iter().filter(|line| line.contains(text)).count()
     }
@@ -149,11 +149,11 @@
     /// # Panics
     /// If the node does not become ready.
     pub fn wait_ready(&self) {
-        until("the node is ready", || self.says_ready());
+        until("the node is ready", || self.is_ready());
     }
 
     /// Queries the readiness endpoint once.
-    pub fn says_ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let request = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         crate::wait("an answer of the node", async {
             use tokio::io::{AsyncWriteExt, BufReader};
@@ -186,7 +186,7 @@
     ///
     /// # Panics
     /// If the node has no listener for the protocol.
-    pub fn takes(&self, protocol: crate::server::Protocol) -> SocketAddr {
+    pub fn address_for(&self, protocol: crate::server::Protocol) -> SocketAddr {
         match protocol {
             crate::server::Protocol::Http => self.address,
             crate::server::Protocol::Rpc => self.rpc.expect("the node has no MessagePack-RPC listener"),
@@ -214,7 +214,7 @@
     ///
     /// # Panics
     /// If the signal cannot be sent.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
@@ -222,7 +222,7 @@
     ///
     /// # Panics
     /// If the signal cannot be sent.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -240,14 +240,14 @@
     }
 
     /// Resident memory in bytes.
-    pub fn resident(&self) -> usize {
+    pub fn resident_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         line.and_then(|l| l.trim().split(' ').next()?.parse::<usize>().ok()).unwrap_or(0) * 1024
     }
 
     /// CPU time used so far, user and system, in clock ticks of 10 ms.
-    pub fn cpu(&self) -> u64 {
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
         fields.skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum()
@@ -255,7 +255,7 @@
 
     /// CPU time of the threads that are alive, with nanosecond resolution; threads that have ended are not
     /// included.
-    pub fn processor_time(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         let threads = threads.into_iter().flatten().flatten().map(|thread| thread.path().join("schedstat"));
         let used = |path| std::fs::read_to_string(path).ok()?.split(' ').next()?.parse::<u64>().ok();
@@ -268,7 +268,7 @@
     }
 
     /// Whether the process is running.
-    pub fn running(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -277,7 +277,7 @@
     /// # Panics
     /// If the process does not end.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the node exits", || !self.running());
+        until("the node exits", || !self.is_running());
         self.child.wait().ok().and_then(|status| status.code())
     }
 
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -243,7 +243,7 @@
     /// Reads one metric from a node's operator endpoint; `None` if the node does not answer or has no metric
     /// of that name.
     pub fn metric(&self, n: usize, name: &str) -> Option<u64> {
-        let endpoint = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
+        let endpoint = self.slot(n).node.as_ref()?.logged_address(" answers operators at ")?;
         let text = crate::wait("the metrics of a node", async {
             let mut stream = tokio::net::TcpStream::connect(endpoint).await.ok()?;
             stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").await.ok()?;
@@ -309,7 +309,7 @@
     /// # Panics
     /// If the node does not become ready.
     pub fn wait_ready(&self, n: usize) {
-        let logged = |prefix: &str| self.slot(n).node.as_ref().and_then(|node| node.said(prefix));
+        let logged = |prefix: &str| self.slot(n).node.as_ref().and_then(|node| node.logged_address(prefix));
         {
             let mut slot = self.slot(n);
             let node = slot.node.as_mut().expect("the node was not started");
@@ -350,7 +350,7 @@
 
     /// Number of log lines of a node's current process that contain this text.
     pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
-        self.with_node(n, |node| node.lines(text)).unwrap_or(0)
+        self.with_node(n, |node| node.count_log_lines(text)).unwrap_or(0)
     }
 
     /// Carries out a fault.
@@ -369,8 +369,8 @@
                     self.wait_ready(*n);
                 }
             }
-            Fault::Pause(n) => drop(self.with_node(*n, |node| node.stop())),
-            Fault::Resume(n) => drop(self.with_node(*n, |node| node.go_on())),
+            Fault::Pause(n) => drop(self.with_node(*n, |node| node.pause())),
+            Fault::Resume(n) => drop(self.with_node(*n, |node| node.resume())),
             Fault::Terminate(n) => drop(self.with_node(*n, |node| node.terminate())),
             Fault::Upgrade(n) => {
                 self.spawn(*n);
