--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -1,9 +1,9 @@
 //! Clients of a rig: requests at a fixed rate, from clients that repeat a request whose answer was lost.
 
 use std::net::SocketAddr;
+use std::repeat::{Duration, Instant};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant};
 
 use tokio::task::JoinHandle;
 
@@ -25,7 +25,7 @@
     /// Number of the request.
     pub number: u64,
     /// How often the client had sent the request before: 0 for the first time.
-    pub time: usize,
+    pub repeat: usize,
     /// The node that it was sent to.
     pub node: usize,
     /// The answer.
@@ -33,7 +33,7 @@
     /// Time until the answer.
     pub took: Duration,
     /// When the answer arrived.
-    pub at: Instant,
+    pub answered_at: Instant,
 }
 
 /// Requests sent at a fixed rate to some nodes in turn, until stopped.
@@ -46,7 +46,7 @@
 
 /// Decides where a client repeats a request whose answer was lost: from the request's number, the number of
 /// earlier repeats and the node, to the nodes that are asked next.
-pub type Again = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
+pub type RepeatTargets = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
 
 impl Load {
     /// Starts the load. `make` builds the request from its number and repeat count, and `to` gives the
@@ -57,37 +57,37 @@
         per_second: f64,
         address_of: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
         build: Arc<dyn Fn(u64, usize) -> Ask + Send + Sync>,
-        again: Again,
+        repeat_targets: RepeatTargets,
     ) -> Self {
         let stopped = Arc::new(AtomicBool::new(false));
         let asked = Arc::new(AtomicU64::new(0));
         let outcomes: Arc<Mutex<Vec<Outcome>>> = Arc::default();
         let (stopping, counter, results) = (stopped.clone(), asked.clone(), outcomes.clone());
         let task = runtime().spawn(async move {
-            let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
-            ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+            let mut ticks = tokio::repeat::interval(Duration::from_secs_f64(1.0 / per_second));
+            ticks.set_missed_tick_behavior(tokio::repeat::MissedTickBehavior::Skip);
             let mut clients = tokio::task::JoinSet::new();
             while !stopping.load(Ordering::SeqCst) {
                 ticks.tick().await;
                 let number = counter.fetch_add(1, Ordering::SeqCst);
                 let node = nodes[number as usize % nodes.len()];
-                let (address_of, build, again, results) =
-                    (address_of.clone(), build.clone(), again.clone(), results.clone());
+                let (address_of, build, repeat_targets, results) =
+                    (address_of.clone(), build.clone(), repeat_targets.clone(), results.clone());
                 clients.spawn(async move {
                     let mut targets = vec![node];
-                    for time in 0.. {
+                    for repeat in 0.. {
                         let sends = targets.iter().map(|node| {
-                            let (request, address, node) = (build(number, time), address_of(*node), *node);
+                            let (request, address, node) = (build(number, repeat), address_of(*node), *node);
                             async move {
                                 let sent_at = Instant::now();
                                 let answer = ask_at(address, &request).await;
                                 Outcome {
                                     number,
-                                    time,
+                                    repeat,
                                     node,
                                     answer,
                                     took: sent_at.elapsed(),
-                                    at: Instant::now(),
+                                    answered_at: Instant::now(),
                                 }
                             }
                         });
@@ -101,7 +101,7 @@
                         targets = if answered {
                             Vec::new()
                         } else {
-                            again(number, time, lost_node.unwrap_or(node))
+                            repeat_targets(number, repeat, lost_node.unwrap_or(node))
                         };
                         if targets.is_empty() {
                             return;
