--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -1,9 +1,9 @@
 //! Clients of a rig: requests at a fixed rate, from clients that repeat a request whose answer was lost.
 
 use std::net::SocketAddr;
-use std::repeat::{Duration, Instant};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
 
 use tokio::task::JoinHandle;
 
@@ -64,8 +64,8 @@
         let outcomes: Arc<Mutex<Vec<Outcome>>> = Arc::default();
         let (stopping, counter, results) = (stopped.clone(), asked.clone(), outcomes.clone());
         let task = runtime().spawn(async move {
-            let mut ticks = tokio::repeat::interval(Duration::from_secs_f64(1.0 / per_second));
-            ticks.set_missed_tick_behavior(tokio::repeat::MissedTickBehavior::Skip);
+            let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
+            ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
             let mut clients = tokio::task::JoinSet::new();
             while !stopping.load(Ordering::SeqCst) {
                 ticks.tick().await;
