--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -268,7 +268,7 @@
     code: Option<i32>,
 ) -> ExitCode {
     let tallies = tallies.lock().unwrap_or_else(PoisonError::into_inner);
-    let repeated = ledger.repeated();
+    let repeated = ledger.executed_repeatedly();
     let executed_again = |protocol: Protocol, class: &str| {
         let class_index = CLASSES.iter().position(|(c, _)| *c == class).unwrap_or(0);
         let of = |txn: &str| {
--- a/crates/glenctl/src/demo_fleet.rs
+++ b/crates/glenctl/src/demo_fleet.rs
@@ -54,7 +54,7 @@
     if counts.served != counts.asked || counts.nowhere > 0 || counts.asked == 0 {
         violations.push("a request was not served".to_string());
     }
-    let repeated = machine.ledger.repeated().len();
+    let repeated = machine.ledger.executed_repeatedly().len();
     if repeated > 0 {
         violations.push(format!("{repeated} requests were carried out more than once"));
     }
--- a/crates/glenctl/tests/fleet.rs
+++ b/crates/glenctl/tests/fleet.rs
@@ -18,7 +18,7 @@
 
 /// Asserts that no request with an effect was carried out more than once.
 fn assert_no_repeated_execution(ledger: &Ledger) {
-    let repeated: Vec<_> = ledger.repeated().into_iter().collect();
+    let repeated: Vec<_> = ledger.executed_repeatedly().into_iter().collect();
     assert!(repeated.is_empty(), "carried out more than once: {repeated:?}");
 }
 
--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -97,7 +97,7 @@
     let rig = started(plan(6, 4, 6, slow(600)), 6);
     // Killed with the attempt out: the unsafe one may have run, and is not sent again.
     let first = ask(&rig, 0, slip("w1", "t1", false));
-    until("it is at a server", || rig.ledger.of("t1").attempts == 1);
+    until("it is at a server", || rig.ledger.count_of("t1").attempts == 1);
     rig.apply_fault(&Fault::Kill(0));
     assert_eq!(answer(first), Answer::Lost);
     let again = answer(ask(&rig, 1, slip("w1", "t2", true)));
@@ -106,7 +106,7 @@
     assert_eq!(rig.ledger.runs_of_path("slip", "/w1"), 1);
     // The keyed one goes again with its key, and all who ask are told one answer.
     let first = ask(&rig, 3, pay("w2", "t4", false));
-    until("it is at a server", || rig.ledger.of("t4").attempts == 1);
+    until("it is at a server", || rig.ledger.count_of("t4").attempts == 1);
     rig.apply_fault(&Fault::Kill(3));
     assert_eq!(answer(first), Answer::Lost);
     let (one, other) = (ask(&rig, 1, pay("w2", "t5", true)), ask(&rig, 2, pay("w2", "t6", true)));
@@ -138,7 +138,11 @@
         rig.net.heal();
         let again = answer(ask(&rig, 1, make("w", &next, true)));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
-        assert_eq!((rig.ledger.of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")), (0, 1), "{kind}");
+        assert_eq!(
+            (rig.ledger.count_of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")),
+            (0, 1),
+            "{kind}"
+        );
     }
 }
 
@@ -161,7 +165,7 @@
     for (kind, make) in [("slip", slip as fn(&str, &str, bool) -> Ask), ("pay", pay)] {
         let [hold, left, next] = ["hold", "left", "next"].map(|word| format!("{word}-{kind}"));
         let full = ask(&rig, 0, Ask::new("look", Effect::Safe, &hold, 3500));
-        until("the server is full", || rig.ledger.of(&hold).attempts == 1);
+        until("the server is full", || rig.ledger.count_of(&hold).attempts == 1);
         let waits = ask(&rig, 0, longer(make("w", &left, false)));
         until("its node has it", || rig.metric(0, "custody_mine") == Some(1));
         waits.abort();
@@ -170,7 +174,11 @@
         until("there is a place", || sockets(Some(rig.address(0)), None) == 0);
         let again = answer(ask(&rig, 1, longer(make("w", &next, true))));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
-        assert_eq!((rig.ledger.of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")), (0, 1), "{kind}");
+        assert_eq!(
+            (rig.ledger.count_of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")),
+            (0, 1),
+            "{kind}"
+        );
         until("it is over", || rig.metric(0, "custody_mine") == Some(0));
     }
 }
@@ -239,7 +247,7 @@
             (1..6).map(|n| works(n).matches("\"never\":false").count()).sum::<usize>() > before
         });
         rig.apply_fault(&Fault::Pause(0));
-        let sent = rig.ledger.of(&txn).attempts;
+        let sent = rig.ledger.count_of(&txn).attempts;
         rig.net.heal();
         let again = answer(ask(&rig, 1, slip(&path, &format!("{txn}-again"), true)));
         rig.apply_fault(&Fault::Resume(0));
@@ -374,7 +382,7 @@
     let lost: Vec<u64> = load
         .outcomes()
         .iter()
-        .filter(|o| o.answer == Answer::Lost && o.time == 0)
+        .filter(|o| o.answer == Answer::Lost && o.repeat == 0)
         .map(|o| o.number)
         .collect();
     let outcomes = load.end();
@@ -382,8 +390,8 @@
     // How long clients of lost nodes waited for another's answer.
     let mut took: Vec<u128> = outcomes
         .iter()
-        .filter(|o| o.time > 0 && lost.contains(&o.number) && matches!(o.answer, Answer::Served(_)))
-        .map(|o| o.at.duration_since(since).as_millis())
+        .filter(|o| o.repeat > 0 && lost.contains(&o.number) && matches!(o.answer, Answer::Served(_)))
+        .map(|o| o.answered_at.duration_since(since).as_millis())
         .collect();
     took.sort_unstable();
     println!(
--- a/crates/node/tests/differential.rs
+++ b/crates/node/tests/differential.rs
@@ -49,8 +49,8 @@
     match random.below(14) {
         0..=2 => Step::Serve,
         3 => Step::ServeAfter(Duration::from_millis(5)),
-        4 => Step::Error { ran: true },
-        5 => Step::Error { ran: false },
+        4 => Step::Error { executed: true },
+        5 => Step::Error { executed: false },
         6 | 7 => Step::TurnAway,
         8 => Step::Reject,
         9 => Step::Hold,
@@ -96,7 +96,7 @@
     let steps: BTreeMap<String, Vec<Step>> =
         plays.iter().map(|p| (p.ask.txn.clone(), p.steps.clone())).collect();
     let follow: Script = Arc::new(move |seen| {
-        let step = steps.get(&seen.txn).and_then(|s| s.get(seen.before));
+        let step = steps.get(&seen.txn).and_then(|s| s.get(seen.earlier_attempts));
         *step.unwrap_or(&Step::Serve)
     });
     let servers: Vec<StandIn> = CELLS
@@ -124,7 +124,7 @@
             conn.ask(&p.ask).await
         });
         let key = p.ask.key.as_deref().map_or(0, |key| ledger.runs_of_key(key));
-        (answer, ledger.of(&p.ask.txn), key)
+        (answer, ledger.count_of(&p.ask.txn), key)
     });
     let told = told.collect();
     assert!(servers.iter().all(|s| s.identity.protocol == server));
@@ -133,7 +133,7 @@
 
 /// The body that must come back, byte for byte.
 fn body(ask: &Ask) -> Vec<u8> {
-    served_body(&glenwood_testkit::script::Seen {
+    served_body(&glenwood_testkit::script::ReceivedRequest {
         server: String::new(),
         class: ask.class.clone(),
         path: ask.path.clone(),
@@ -143,7 +143,7 @@
         user: None,
         remaining_ms: None,
         body: ask.body.clone(),
-        before: 0,
+        earlier_attempts: 0,
     })
 }
 
--- a/crates/node/tests/inspect.rs
+++ b/crates/node/tests/inspect.rs
@@ -23,7 +23,7 @@
     // One that a node before has left there is in nobody's way.
     std::fs::write(&path, "left").expect("a file");
     let script: Script = std::sync::Arc::new(|seen| match seen.class.as_str() {
-        "slip" => Step::Error { ran: true },
+        "slip" => Step::Error { executed: true },
         _ => Step::Serve,
     });
     let identity = Identity { name: "s0".into(), cell: 0, protocol: Protocol::Http };
--- a/crates/node/tests/msgpack.rs
+++ b/crates/node/tests/msgpack.rs
@@ -8,7 +8,7 @@
 use glenwood_testkit::client::{ask_once, Answer, Ask, Client, Effect, RpcClient};
 use glenwood_testkit::discovery::{active, host, Discovery};
 use glenwood_testkit::node::{config, settings, Node, Program};
-use glenwood_testkit::peer::{Came, Peer};
+use glenwood_testkit::peer::{Peer, ReceivedCall};
 use glenwood_testkit::script::{always, Ledger, Step};
 use glenwood_testkit::server::{Identity, Protocol, StandIn};
 use glenwood_testkit::{until, wait, PATIENCE};
@@ -40,7 +40,7 @@
 }
 
 fn client(node: &Node) -> RpcClient {
-    RpcClient::to(node.address_for(Protocol::Rpc))
+    RpcClient::connect_to(node.address_for(Protocol::Rpc))
 }
 
 fn send(client: &mut RpcClient, ask: &Ask) -> u32 {
@@ -59,7 +59,7 @@
     Answer::Served(words.as_bytes().to_vec())
 }
 
-fn txn(came: &Came) -> String {
+fn txn(came: &ReceivedCall) -> String {
     came.call.txn.clone().unwrap_or_default()
 }
 
@@ -186,13 +186,16 @@
     // Once more, with other words.
     peer.answer(of(2), &ok("two again"));
     // To a number that was never given out.
-    peer.answer(&Came { id: 4_000_000, ..of(0).clone() }, &ok("whose?"));
+    peer.answer(&ReceivedCall { id: 4_000_000, ..of(0).clone() }, &ok("whose?"));
     // Text where bin should be: this one may have run.
     let id = of(1).id;
-    peer.raw(conn, &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat());
+    peer.send_raw(
+        conn,
+        &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat(),
+    );
     // A value that is no message, whole as a value; and a request from the server.
-    peer.raw(conn, &[0x93, 0x05, 0xa1, b'x', 0xc0]);
-    peer.raw(conn, &[0x94, 0x00, 0x00, 0xa1, b'x', 0x90]);
+    peer.send_raw(conn, &[0x93, 0x05, 0xa1, b'x', 0xc0]);
+    peer.send_raw(conn, &[0x94, 0x00, 0x00, 0xa1, b'x', 0x90]);
     peer.answer(of(0), &ok("zero"));
     peer.answer(of(3), &ok("three"));
     let wanted = [served("zero"), Answer::Failed, served("two"), served("three"), served("four")];
@@ -220,7 +223,7 @@
         .collect();
     let came = peer.calls(3);
     peer.answer(&came[0], &ok("good"));
-    peer.raw(came[0].conn, &[0xc1]);
+    peer.send_raw(came[0].conn, &[0xc1]);
     let mut kinds: Vec<&str> = ids.iter().map(|id| answer(&mut client, *id).kind()).collect();
     kinds.sort_unstable();
     assert_eq!(kinds, ["failed", "failed", "served"]);
@@ -436,10 +439,10 @@
     let mut client = client(&node);
     let ask = |txn: &str| Ask::new("slip", Effect::Unsafe, txn, 15_000);
     let both = [ask("t0").rpc(7), ask("other").rpc(8), ask("t1").rpc(7), ask("behind").rpc(9)].concat();
-    wait("a write", client.raw(&both)).expect("the node reads");
+    wait("a write", client.send_raw(&both)).expect("the node reads");
     let came = peer.calls(2);
     came.iter().for_each(|c| peer.answer(c, &ok("one answer")));
-    let mut all = wait("the end", client.rest());
+    let mut all = wait("the end", client.read_to_end());
     all.sort_by_key(|(id, _)| *id);
     assert_eq!(all, [(7, served("one answer")), (8, served("one answer"))]);
     assert_eq!(peer.waiting(), 0, "the second was passed on");
@@ -452,7 +455,7 @@
     let (_discovery, node) = node_with(10_000.0, "", &[&peer]);
     let mut client = client(&node);
     let notification = [0x93, 0x02, 0xa4, b's', b'l', b'i', b'p', 0x90];
-    wait("a write", client.raw(&[notification, notification].concat())).expect("the node reads");
+    wait("a write", client.send_raw(&[notification, notification].concat())).expect("the node reads");
     let id = send(&mut client, &Ask::new("slip", Effect::Unsafe, "t0", 15_000));
     let came = peer.call();
     assert_eq!(txn(&came), "t0");
@@ -475,8 +478,8 @@
         for _ in 0..4 {
             let mut bad = client(&node);
             // It may be closed before all is written.
-            let _ = wait("a write", bad.raw(bytes));
-            assert!(wait("the end", bad.rest()).is_empty());
+            let _ = wait("a write", bad.send_raw(bytes));
+            assert!(wait("the end", bad.read_to_end()).is_empty());
         }
     }
     let grown = node.resident_bytes().saturating_sub(before);
@@ -545,7 +548,7 @@
     let no_map = [&[0x94, 0x00, 0x64][..], &text("slip"), &[0x91, 0x01]].concat();
     let short = [&[0x93, 0x00, 0x64][..], &text("slip")].concat();
     for bytes in [twice, worded, negative, numbered, no_map, short] {
-        wait("a write", client.raw(&bytes)).expect("the node reads");
+        wait("a write", client.send_raw(&bytes)).expect("the node reads");
         assert_eq!(answer(&mut client, 0x64), Answer::BadRequest, "{bytes:x?}");
     }
     // The same id while the first is open: to send it on would be to run that one again.
@@ -567,7 +570,7 @@
     send(&mut gone, &Ask::new("look", Effect::Safe, "t0", 15_000));
     let open = peer.call();
     let half = Ask::new("slip", Effect::Unsafe, "half", 15_000).rpc(1);
-    wait("a write", gone.raw(&half[..half.len() - 3])).expect("the node reads");
+    wait("a write", gone.send_raw(&half[..half.len() - 3])).expect("the node reads");
     drop(gone);
     let mut other = client(&node);
     // What it had open is given up: its id may be used again.
@@ -611,7 +614,7 @@
     for id in open.into_iter().chain([late]) {
         assert_eq!(answer(&mut client, id), served("yes"));
     }
-    assert!(wait("the end", client.rest()).is_empty());
+    assert!(wait("the end", client.read_to_end()).is_empty());
     assert_eq!(node.exit_code(), Some(0));
 }
 
@@ -657,7 +660,7 @@
             while served + refused < CALLS {
                 if written < all.len() {
                     let end = (written + 32 * 1024).min(all.len());
-                    client.raw(&all[written..end]).await.expect("the node reads");
+                    client.send_raw(&all[written..end]).await.expect("the node reads");
                     written = end;
                 }
                 let patience = if written < all.len() { Duration::from_millis(1) } else { PATIENCE };
@@ -688,7 +691,7 @@
     let (served, refused) = flood.join().expect("no panic");
     assert_eq!(served + refused, CALLS);
     assert!(served > 0 && others > 0);
-    assert_eq!(ledger.repeated(), []);
+    assert_eq!(ledger.executed_repeatedly(), []);
     assert!(ledger.ids() >= served);
 }
 
@@ -763,7 +766,7 @@
         })
         .collect();
     assert_eq!(by, BTreeSet::from([true]));
-    assert!(servers.iter().all(|s| s.open() > 0), "each has its turns");
+    assert!(servers.iter().all(|s| s.open_connections() > 0), "each has its turns");
 }
 
 /// A server that is down is probed in its own protocol, and served again once it is back.
@@ -791,7 +794,7 @@
     let _back = StandIn::start_at(at, identity, always(Step::Serve), ledger.clone());
     until("it is served again", || matches!(ask(), Answer::Served(_)));
     assert!(ledger.probes() > 0);
-    assert_eq!(ledger.repeated(), []);
+    assert_eq!(ledger.executed_repeatedly(), []);
 }
 
 /// A bad file of the operator's ends the program with one line: file, field, reason.
@@ -832,7 +835,7 @@
             assert!(body.starts_with(ask.txn.as_bytes()) && body.ends_with(&ask.body));
         }
     }
-    assert_eq!(server.open(), 1, "one connection to the server is enough");
+    assert_eq!(server.open_connections(), 1, "one connection to the server is enough");
 }
 
 /// Calls over the bound on a connection, or over what memory there is for them, are refused at once with the module's
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -146,7 +146,7 @@
     }
 
     /// Interprets an HTTP response.
-    pub fn of_http(message: &http::Message) -> Self {
+    pub fn from_http(message: &http::Message) -> Self {
         match message.status() {
             200 => Self::Served(message.body.clone()),
             429 | 503 => {
@@ -161,7 +161,7 @@
     }
 
     /// Interprets a MessagePack-RPC reply.
-    pub fn of_rpc(answer: &message::Answer) -> Self {
+    pub fn from_rpc(answer: &message::Answer) -> Self {
         match answer {
             Ok(body) => Self::Served(body.to_vec()),
             Err(error) => match error.code {
@@ -206,7 +206,7 @@
                 Self::Http(stream) => {
                     stream.get_mut().write_all(&ask.http()).await?;
                     let message = http::read(stream).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-                    Ok::<_, io::Error>(Answer::of_http(&message))
+                    Ok::<_, io::Error>(Answer::from_http(&message))
                 }
                 Self::Rpc(client) => {
                     let id = client.send(ask).await?;
@@ -238,7 +238,7 @@
     ///
     /// # Panics
     /// If the connection cannot be established.
-    pub fn to(address: SocketAddr) -> Self {
+    pub fn connect_to(address: SocketAddr) -> Self {
         let stream = crate::wait("a connection", TcpStream::connect(address)).expect("cannot connect");
         Self::new(stream)
     }
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     /// If the connection has ended.
-    pub async fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn send_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
@@ -271,7 +271,7 @@
         loop {
             if let Some(frame) = self.frames.poll().map_err(|e| invalid(e.to_string()))? {
                 return match message::read(&frame) {
-                    Ok(Message::Reply(id, answer)) => Ok((id, Answer::of_rpc(&answer))),
+                    Ok(Message::Reply(id, answer)) => Ok((id, Answer::from_rpc(&answer))),
                     other => Err(invalid(format!("{other:?}"))),
                 };
             }
@@ -302,7 +302,7 @@
     }
 
     /// Reads all answers until the connection ends.
-    pub async fn rest(&mut self) -> Vec<(u32, Answer)> {
+    pub async fn read_to_end(&mut self) -> Vec<(u32, Answer)> {
         let mut all = Vec::new();
         while let Ok(next) = self.next().await {
             all.push(next);
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -16,7 +16,7 @@
 
 /// A received call.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct ReceivedCall {
     /// Index of its connection, from 0.
     pub conn: usize,
     /// Call id on that connection.
@@ -37,7 +37,7 @@
 #[derive(Default)]
 struct State {
     conns: Vec<Conn>,
-    received: VecDeque<Came>,
+    received: VecDeque<ReceivedCall>,
     probes: usize,
     ids: Vec<(usize, u32)>,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Waits for the next call.
-    pub fn call(&self) -> Came {
+    pub fn call(&self) -> ReceivedCall {
         let mut next = None;
         until("a call", || {
             next = lock(&self.state).received.pop_front();
@@ -84,7 +84,7 @@
     }
 
     /// Waits for this many calls, in the order in which they arrive.
-    pub fn calls(&self, count: usize) -> Vec<Came> {
+    pub fn calls(&self, count: usize) -> Vec<ReceivedCall> {
         (0..count).map(|_| self.call()).collect()
     }
 
@@ -118,17 +118,17 @@
     }
 
     /// Answers a call.
-    pub fn answer(&self, call: &Came, answer: &Answer) {
+    pub fn answer(&self, call: &ReceivedCall, answer: &Answer) {
         let mut bytes = BytesMut::new();
         write_answer(&mut bytes, call.id, answer);
-        self.raw(call.conn, &bytes);
+        self.send_raw(call.conn, &bytes);
     }
 
     /// Writes raw bytes.
     ///
     /// # Panics
     /// If the write fails.
-    pub fn raw(&self, conn: usize, bytes: &[u8]) {
+    pub fn send_raw(&self, conn: usize, bytes: &[u8]) {
         let write_half = lock(&self.state).conns[conn].write_half.take();
         if let Some(mut write_half) = write_half {
             let result = crate::wait("a write", write_half.write_all(bytes));
@@ -187,7 +187,7 @@
                 let mut state = lock(&shared);
                 state.conns[number].bytes += n;
                 state.ids.push((number, id));
-                state.received.push_back(Came { conn: number, id, call });
+                state.received.push_back(ReceivedCall { conn: number, id, call });
             }
         }
     });
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -14,7 +14,7 @@
     /// Answers with an error.
     Error {
         /// Whether the request is executed first.
-        ran: bool,
+        executed: bool,
     },
     /// Turns it away without processing it.
     TurnAway,
@@ -36,7 +36,7 @@
 
 /// A request as a server receives it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Name of the server.
     pub server: String,
     /// Class.
@@ -56,11 +56,11 @@
     /// Body.
     pub body: Vec<u8>,
     /// Number of earlier attempts with this id at servers of the same ledger.
-    pub before: usize,
+    pub earlier_attempts: usize,
 }
 
 /// Decides what a server does with a request.
-pub type Script = Arc<dyn Fn(&Seen) -> Step + Send + Sync>;
+pub type Script = Arc<dyn Fn(&ReceivedRequest) -> Step + Send + Sync>;
 
 /// A script that does the same with every request.
 pub fn always(step: Step) -> Script {
@@ -92,13 +92,13 @@
 #[derive(Clone)]
 pub struct Ledger {
     counts: Arc<Mutex<Counts>>,
-    memory: Duration,
+    key_retention: Duration,
 }
 
 impl Ledger {
     /// An empty ledger. The servers of a cell do not execute a key again within `memory`.
-    pub fn new(memory: Duration) -> Self {
-        Self { counts: Arc::default(), memory }
+    pub fn new(key_retention: Duration) -> Self {
+        Self { counts: Arc::default(), key_retention }
     }
 
     fn counts(&self) -> MutexGuard<'_, Counts> {
@@ -106,7 +106,7 @@
     }
 
     /// Records an attempt that arrived completely, and returns the number of earlier attempts with this id.
-    pub fn arrived(&self, txn: &str) -> usize {
+    pub fn record_attempt(&self, txn: &str) -> usize {
         let mut counts = self.counts();
         let count = counts.by_id.entry(txn.to_string()).or_default();
         count.attempts += 1;
@@ -114,12 +114,12 @@
     }
 
     /// Executes a request, unless its key was executed in this cell within the memory time.
-    pub fn execute(&self, seen: &Seen, cell: u64) {
+    pub fn execute(&self, seen: &ReceivedRequest, cell: u64) {
         let mut counts = self.counts();
         if let Some(key) = &seen.key {
             let now = Instant::now();
             let last_execution = counts.by_key.get(&(cell, key.clone()));
-            if last_execution.is_some_and(|at| now - *at < self.memory) {
+            if last_execution.is_some_and(|at| now - *at < self.key_retention) {
                 return;
             }
             counts.by_key.insert((cell, key.clone()), now);
@@ -130,7 +130,7 @@
     }
 
     /// Records a probe.
-    pub fn probed(&self) {
+    pub fn record_probe(&self) {
         self.counts().probes += 1;
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Counts for one id.
-    pub fn of(&self, txn: &str) -> Count {
+    pub fn count_of(&self, txn: &str) -> Count {
         self.counts().by_id.get(txn).cloned().unwrap_or_default()
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// All ids that were executed more than once.
-    pub fn repeated(&self) -> Vec<(String, Count)> {
+    pub fn executed_repeatedly(&self) -> Vec<(String, Count)> {
         let counts = self.counts();
         counts.by_id.iter().filter(|(_, c)| c.executions > 1).map(|(id, c)| (id.clone(), c.clone())).collect()
     }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -17,7 +17,7 @@
 
 use crate::http;
 use crate::runtime;
-use crate::script::{Ledger, Script, Seen, Step};
+use crate::script::{Ledger, ReceivedRequest, Script, Step};
 
 /// Protocol that a server speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
 }
 
 /// Body of the answer to a served request, made of what the server received.
-pub fn served_body(seen: &Seen) -> Vec<u8> {
+pub fn served_body(seen: &ReceivedRequest) -> Vec<u8> {
     let mut body = format!("{} {}{}", seen.txn, seen.class, seen.path).into_bytes();
     body.push(b' ');
     body.extend_from_slice(&seen.body);
@@ -72,11 +72,11 @@
 impl Worker {
     /// Records an attempt, looks up what the script does with it, and executes the request if the script says
     /// so.
-    fn process(&self, mut seen: Seen) -> (Seen, Step) {
-        seen.before = self.ledger.arrived(&seen.txn);
+    fn process(&self, mut seen: ReceivedRequest) -> (ReceivedRequest, Step) {
+        seen.earlier_attempts = self.ledger.record_attempt(&seen.txn);
         let step = (self.script)(&seen);
         let executed = match step {
-            Step::Error { ran } => ran,
+            Step::Error { executed } => executed,
             Step::TurnAway | Step::Reject | Step::DropBefore => false,
             Step::Serve
             | Step::ServeAfter(_)
@@ -134,7 +134,7 @@
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
@@ -187,7 +187,7 @@
     let mut stream = BufReader::new(stream);
     while let Some(message) = http::read(&mut stream).await? {
         if message.target() == "/health" {
-            worker.ledger.probed();
+            worker.ledger.record_probe();
             stream.get_mut().write_all(&http::answer(200, "", b"")).await?;
             continue;
         }
@@ -197,7 +197,7 @@
         let user = header_text("cookie").and_then(|c| {
             c.split(';').find_map(|pair| pair.trim().strip_prefix("user=").map(str::to_string))
         });
-        let seen = Seen {
+        let seen = ReceivedRequest {
             server: worker.identity.name.clone(),
             class: request_target[..class_end].to_string(),
             path: request_target[class_end..].to_string(),
@@ -207,7 +207,7 @@
             user,
             remaining_ms: header_text("x-remaining-ms").and_then(|v| v.parse().ok()),
             body: message.body.clone(),
-            before: 0,
+            earlier_attempts: 0,
         };
         let (seen, step) = worker.process(seen);
         let served = || http::answer(200, "", &served_body(&seen));
@@ -305,11 +305,11 @@
             connection.answer(id, &Ok(Bytes::new()));
             connection.wrote(usize::MAX);
             if call.class == "health" {
-                worker.ledger.probed();
+                worker.ledger.record_probe();
                 let _ = out.send(WriteCommand::Bytes(encode_answer(id, &Ok(Bytes::new()))));
                 continue;
             }
-            let seen = Seen {
+            let seen = ReceivedRequest {
                 server: worker.identity.name.clone(),
                 class: call.class,
                 path: call.path,
@@ -319,7 +319,7 @@
                 user: call.user,
                 remaining_ms: call.remaining_ms,
                 body: call.body.to_vec(),
-                before: 0,
+                earlier_attempts: 0,
             };
             let (seen, step) = worker.process(seen);
             reply(&out, id, &seen, step);
@@ -340,7 +340,7 @@
     bytes
 }
 
-fn reply(out: &mpsc::UnboundedSender<WriteCommand>, id: u32, seen: &Seen, step: Step) {
+fn reply(out: &mpsc::UnboundedSender<WriteCommand>, id: u32, seen: &ReceivedRequest, step: Step) {
     let served = encode_answer(id, &Ok(Bytes::from(served_body(seen))));
     let error = |code| encode_answer(id, &Err(ErrorReply::new(code, "as scripted")));
     let send_later = |span: Duration, what: WriteCommand| {
