--- a/crates/glenctl/benches/fleet.rs
+++ b/crates/glenctl/benches/fleet.rs
@@ -47,7 +47,7 @@
     println!("status over {INSTANCES}, as a process: p50 {p50:.1} ms, p99 {p99:.1} ms");
     let durations = (0..10).map(|n| {
         let name = format!("n{}", n % INSTANCES);
-        let pid = machine.of(&name)["pid"].as_u64().unwrap_or(0).to_string();
+        let pid = machine.instance(&name)["pid"].as_u64().unwrap_or(0).to_string();
         // From the kill until it is ready at its address again.
         let began = Instant::now();
         let _ = Command::new("kill").args(["-KILL", &pid]).status();
@@ -55,7 +55,7 @@
             std::thread::sleep(Duration::from_millis(2));
         }
         let took = ms(began.elapsed());
-        machine.until_well();
+        machine.wait_converged();
         took
     });
     let (p50, worst) = quantiles(durations.collect());
--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -219,7 +219,7 @@
     log("restore: the server http-0 is back, cold, and discovery lists it as active");
     let back = StandIn::start_at(crashed_at, crashed_identity, script.clone(), ledger.clone());
     let server_identity = &back.identity;
-    discovery.tell(host(
+    discovery.update(host(
         &server_identity.name,
         back.address,
         server_identity.protocol,
@@ -232,7 +232,7 @@
     log("drain: discovery lists the server rpc-1 as leaving");
     if let Some(draining) = servers.iter().find(|s| s.identity.name == "rpc-1") {
         let server_identity = &draining.identity;
-        discovery.tell(host(
+        discovery.update(host(
             &server_identity.name,
             draining.address,
             server_identity.protocol,
--- a/crates/glenctl/src/demo_fleet.rs
+++ b/crates/glenctl/src/demo_fleet.rs
@@ -44,21 +44,22 @@
         violations.push(format!("{}: {e}", file.display()));
     }
     machine.fleet(&["apply"]);
-    machine.until_well();
+    machine.wait_converged();
     let counts = load.end();
     print!("{}", String::from_utf8_lossy(&machine.fleet(&["status"]).stdout));
     println!(
         "{} asked, {} served, {} refused, {} lost, {} failed, {} times no node was ready",
-        counts.asked, counts.served, counts.refused, counts.lost, counts.other, counts.nowhere
+        counts.asked, counts.served, counts.refused, counts.lost, counts.other, counts.no_node_ready
     );
-    if counts.served != counts.asked || counts.nowhere > 0 || counts.asked == 0 {
+    if counts.served != counts.asked || counts.no_node_ready > 0 || counts.asked == 0 {
         violations.push("a request was not served".to_string());
     }
     let repeated = machine.ledger.executed_repeatedly().len();
     if repeated > 0 {
         violations.push(format!("{repeated} requests were carried out more than once"));
     }
-    let on_other_release = (0..INSTANCES).filter(|n| machine.of(&format!("n{n}"))["release"] != "r2").count();
+    let on_other_release =
+        (0..INSTANCES).filter(|n| machine.instance(&format!("n{n}"))["release"] != "r2").count();
     if on_other_release > 0 {
         violations.push(format!("{on_other_release} instances do not run r2"));
     }
--- a/crates/glenctl/tests/fleet.rs
+++ b/crates/glenctl/tests/fleet.rs
@@ -27,8 +27,9 @@
 fn eight_instances_are_rolled_under_load_while_the_agent_is_killed() {
     let mut machine = machine("eight", 8, "");
     let pids_before = machine.pids();
-    let versions: Vec<String> =
-        (0..8).map(|n| machine.of(&format!("n{n}"))["config"].as_str().expect("a version").into()).collect();
+    let versions: Vec<String> = (0..8)
+        .map(|n| machine.instance(&format!("n{n}"))["config"].as_str().expect("a version").into())
+        .collect();
     // The roll also changes the configuration files.
     std::fs::write(machine.folder.join("own.toml"), "[msgpack]\nshared = true\nopen_calls = 16\n")
         .expect("write the file");
@@ -52,7 +53,7 @@
     assert_eq!(status["outcome"][0], "Done", "{}", machine.agent_log());
     let counts = load.end();
     for (n, version) in versions.iter().enumerate() {
-        let instance = machine.of(&format!("n{n}"));
+        let instance = machine.instance(&format!("n{n}"));
         assert_eq!(instance["release"], "r2");
         assert_ne!(instance["config"].as_str(), Some(version.as_str()));
     }
@@ -62,7 +63,7 @@
         "{pids_before:?} {pids_after:?}"
     );
     assert!(counts.asked > 1000, "{counts:?}");
-    assert_eq!((counts.served, counts.nowhere), (counts.asked, 0), "{counts:?}");
+    assert_eq!((counts.served, counts.no_node_ready), (counts.asked, 0), "{counts:?}");
     assert_no_repeated_execution(&machine.ledger);
 }
 
@@ -79,18 +80,18 @@
     let output_text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(1), "{output_text}");
     assert!(output_text.contains("RolledBack: n0 was not ready in time"), "{output_text}");
-    machine.until_well();
+    machine.wait_converged();
     let counts = load.end();
-    assert_eq!((counts.served, counts.nowhere), (counts.asked, 0), "{counts:?}");
+    assert_eq!((counts.served, counts.no_node_ready), (counts.asked, 0), "{counts:?}");
     assert_no_repeated_execution(&machine.ledger);
     for n in 0..3 {
-        assert_eq!(machine.of(&format!("n{n}"))["release"], "r1");
+        assert_eq!(machine.instance(&format!("n{n}"))["release"], "r1");
     }
     // A release whose file does not match its digest is never started.
     let output = machine.fleet(&["roll", "--to", "other"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(machine.agent_log().contains("not the file with the digest of other"));
-    machine.until_well();
+    machine.wait_converged();
 }
 
 /// The agent restarts a crashed instance but not a stopped one, stops a protected one only with a reason,
@@ -98,21 +99,21 @@
 #[test]
 fn instances_are_restarted_started_and_stopped() {
     let machine = machine("kept", 2, "[[protect]]\nnames = ['n1']");
-    let pid = machine.of("n0")["pid"].as_u64().expect("the process runs");
+    let pid = machine.instance("n0")["pid"].as_u64().expect("the process runs");
     assert!(Command::new("kill").arg("-KILL").arg(pid.to_string()).status().is_ok_and(|s| s.success()));
-    until("n0 is back", || machine.of("n0")["pid"].as_u64().is_some_and(|now| now != pid));
-    machine.until_well();
+    until("n0 is back", || machine.instance("n0")["pid"].as_u64().is_some_and(|now| now != pid));
+    machine.wait_converged();
     assert!(machine.fleet(&["stop", "n0"]).status.success());
-    until("it is stopped", || machine.of("n0")["pid"].is_null());
+    until("it is stopped", || machine.instance("n0")["pid"].is_null());
     assert!(machine.fleet(&["start", "n0"]).status.success());
-    machine.until_well();
+    machine.wait_converged();
     let refused = machine.fleet(&["stop", "n1"]);
     assert_eq!(refused.status.code(), Some(3));
     assert!(String::from_utf8_lossy(&refused.stderr).contains("n1 is protected at this time"));
     assert!(machine.fleet(&["stop", "n1", "--override", "the disk fails"]).status.success());
     let unknown = machine.fleet(&["stop", "n7"]);
     assert_eq!(unknown.status.code(), Some(3));
-    until("it is stopped", || machine.of("n1")["pid"].is_null());
+    until("it is stopped", || machine.instance("n1")["pid"].is_null());
     assert_eq!(
         machine.fleet(&["status"]).status.code(),
         Some(0),
@@ -126,11 +127,11 @@
     assert!(plan.contains("noted only; protected now"), "{plan}");
     assert_eq!(machine.fleet(&["retire", "n0"]).status.code(), Some(3));
     assert_eq!(machine.fleet(&["retire", "n1"]).status.code(), Some(0));
-    assert!(machine.of("n1").is_null());
+    assert!(machine.instance("n1").is_null());
     assert!(machine.fleet(&["apply"]).status.success(), "the file still lists n1");
-    machine.until_well();
+    machine.wait_converged();
     assert!(machine.fleet(&["stop", "n1", "--override", "again"]).status.success());
-    until("it is stopped", || machine.of("n1")["pid"].is_null());
+    until("it is stopped", || machine.instance("n1")["pid"].is_null());
     // Another operator holds the lease.
     let lease = glenwood_agent::talk::Ask::Lease {
         who: "ben".into(),
@@ -195,7 +196,7 @@
     assert_eq!(output.status.code(), Some(4), "{output_text}");
     assert!(output_text.contains("many2"), "{output_text}");
     machines[2].start_agent();
-    let releases: Vec<Value> = machines.iter().map(|m| m.of("n0")["release"].clone()).collect();
+    let releases: Vec<Value> = machines.iter().map(|m| m.instance("n0")["release"].clone()).collect();
     assert_eq!(releases, ["r2", "r2", "r1"]);
     // Ben holds the lease at two of three agents.
     for machine in &machines[..2] {
@@ -208,14 +209,14 @@
     let output = fleet(&["roll", "--to", "r2"]);
     let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.code() == Some(3) && output_text.contains("held by ben"), "{output_text}");
-    assert_eq!(machines[2].of("n0")["release"], "r1", "the third agent alone is no majority");
+    assert_eq!(machines[2].instance("n0")["release"], "r1", "the third agent alone is no majority");
     assert!(
         machines[2].status().expect("the agent answers")["lease"].is_null(),
         "the lease that it granted was returned"
     );
     // As the only agent named, it is a majority of one.
     assert!(machines[2].fleet(&["roll", "--to", "r2"]).status.success());
-    assert_eq!(machines[2].of("n0")["release"], "r2");
+    assert_eq!(machines[2].instance("n0")["release"], "r2");
 }
 
 /// When the disk is full the agent refuses actions that it can't record, logs the error, keeps answering, and
@@ -224,9 +225,9 @@
 #[test]
 fn a_full_disk_blocks_the_agents_actions_but_not_the_instances() {
     let mut machine = machine("full", 2, "");
-    let pid = machine.of("n1")["pid"].clone();
+    let pid = machine.instance("n1")["pid"].clone();
     machine.kill_agent();
-    machine.start_agent_with_room(8);
+    machine.start_agent_with_file_size_limit(8);
     let disk_full = || machine.agent_log().contains("File too large");
     let mut rounds = 0;
     while !disk_full() {
@@ -244,15 +245,15 @@
         assert!(machine.status().is_some(), "the agent answers");
     }
     assert!(wait("an answer", is_ready(machine.addresses[1])), "n1 keeps running");
-    machine.make_room();
+    machine.lift_file_size_limit();
     // The lease granted before the disk was full may still be held until it expires.
     until("n0 is started", || machine.fleet(&["start", "n0"]).status.success());
-    machine.until_well();
+    machine.wait_converged();
     assert!(!machine.agent_ended(), "{}", machine.agent_log());
     machine.kill_agent();
     machine.start_agent();
-    machine.until_well();
-    assert_eq!(machine.of("n1")["pid"], pid, "the running instance was found, not restarted");
+    machine.wait_converged();
+    assert_eq!(machine.instance("n1")["pid"], pid, "the running instance was found, not restarted");
 }
 
 /// The agent keeps answering when its log can't be written because standard error is on a full disk.
@@ -300,5 +301,5 @@
     assert_eq!(roll.wait().expect("wait for the process").code(), Some(1));
     let outcome = machine.status().expect("the agent answers")["outcome"].clone();
     assert_eq!(outcome, serde_json::json!(["RolledBack", "an operator's word"]));
-    machine.until_well();
+    machine.wait_converged();
 }
--- a/crates/node/benches/list_change.rs
+++ b/crates/node/benches/list_change.rs
@@ -53,7 +53,7 @@
     let rest = spent(&node, |_| ());
     let changes = spent(&node, |number| {
         let health = if number % 2 == 0 { "leaving" } else { "active" };
-        discovery.tell(entry(servers / 2, health));
+        discovery.update(entry(servers / 2, health));
     });
     let of_each = |spent: Duration| spent.as_secs_f64() * 1000.0 / f64::from(CHANGES);
     Measured { change: of_each(changes.saturating_sub(rest)), rest: of_each(rest) }
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -199,7 +199,7 @@
                     if fails[n] == 2 {
                         // The second failure is known half a second later.
                         let me = &server.identity;
-                        discovery.tell(host(&me.name, server.address, me.protocol, 0, "left", 0));
+                        discovery.update(host(&me.name, server.address, me.protocol, 0, "left", 0));
                         gone.lock().expect("times").insert(me.name.clone(), Instant::now());
                     }
                 }
--- a/crates/node/tests/list_change.rs
+++ b/crates/node/tests/list_change.rs
@@ -33,11 +33,11 @@
     let entries = || node.log().iter().filter(|line| line.contains(" entry ")).count();
     let changed = |count: usize| until("the change is taken", || entries() == count);
     // The first ones find the whole list just read.
-    (0..2).for_each(|number| discovery.tell(entry(SERVERS / 2 + number, "leaving")));
+    (0..2).for_each(|number| discovery.update(entry(SERVERS / 2 + number, "leaving")));
     changed(2);
     let before = node.cpu_time();
     for number in 0..CHANGES as usize {
-        discovery.tell(entry(SERVERS / 3 + number, "leaving"));
+        discovery.update(entry(SERVERS / 3 + number, "leaving"));
         changed(3 + number);
     }
     let spent = (node.cpu_time() - before) / CHANGES;
--- a/crates/node/tests/msgpack.rs
+++ b/crates/node/tests/msgpack.rs
@@ -407,7 +407,7 @@
     // The node tries to connect from the moment that the calls are decided on.
     until("a connection is tried", || node.descriptors() > 8);
     std::thread::sleep(Duration::from_millis(300));
-    discovery.tell(entry("leaving"));
+    discovery.update(entry("leaving"));
     std::thread::sleep(Duration::from_millis(600));
     // Now it lets all of them in. What has been written within two seconds would be seen.
     drop(fillers);
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -86,7 +86,7 @@
 
     /// Changes or adds one entry and notifies all watches. An entry with the health `left` is removed from
     /// the list.
-    pub fn tell(&self, host: Value) {
+    pub fn update(&self, host: Value) {
         let mut state = lock(&self.state);
         state.version += 1;
         let version = state.version;
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -113,7 +113,7 @@
         };
         machine.start_agent();
         assert!(machine.fleet(&["apply"]).status.success());
-        machine.until_well();
+        machine.wait_converged();
         machine
     }
 
@@ -131,11 +131,11 @@
     }
 
     /// Starts the agent with a limit on the size of files, in blocks of 512 bytes, which makes the disk look
-    /// full once a file reaches it. [`Machine::make_room`] lifts the limit.
+    /// full once a file reaches it. [`Machine::lift_file_size_limit`] lifts the limit.
     ///
     /// # Panics
     /// If the agent does not answer.
-    pub fn start_agent_with_room(&mut self, blocks: usize) {
+    pub fn start_agent_with_file_size_limit(&mut self, blocks: usize) {
         let mut command = Command::new("/bin/sh");
         let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\" \"$@\"");
         command.arg("-c").arg(script).arg(&self.glenctl);
@@ -146,7 +146,7 @@
     ///
     /// # Panics
     /// If no agent is running.
-    pub fn make_room(&self) {
+    pub fn lift_file_size_limit(&self) {
         let pid = self.agent_pid().and_then(|pid| Pid::from_raw(pid as i32));
         let unlimited = Rlimit { current: None, maximum: None };
         prlimit(Some(pid.expect("no agent is running")), Resource::Fsize, unlimited)
@@ -216,7 +216,7 @@
     ///
     /// # Panics
     /// If they do not get there.
-    pub fn until_well(&self) {
+    pub fn wait_converged(&self) {
         until("all instances match the desired state", || {
             let status = self.status();
             status.is_some_and(|s| {
@@ -230,7 +230,7 @@
     ///
     /// # Panics
     /// If the agent does not answer.
-    pub fn of(&self, name: &str) -> Value {
+    pub fn instance(&self, name: &str) -> Value {
         self.status().expect("the agent does not answer")["instances"][name].clone()
     }
 
@@ -284,7 +284,7 @@
     /// Any other answer.
     pub other: usize,
     /// Times that no node was ready when a client needed one.
-    pub nowhere: usize,
+    pub no_node_ready: usize,
 }
 
 /// Whether the node at this address reports itself ready.
@@ -338,7 +338,7 @@
                 refused: total.refused + counts.refused,
                 lost: total.lost + counts.lost,
                 other: total.other + counts.other,
-                nowhere: total.nowhere + counts.nowhere,
+                no_node_ready: total.no_node_ready + counts.no_node_ready,
             }
         })
     }
@@ -360,7 +360,7 @@
             let first = next_node.fetch_add(1, Ordering::Relaxed);
             let all = (0..addresses.len()).map(|n| (first + n) % addresses.len());
             let Some(node) = all.into_iter().find(|n| ready[*n].load(Ordering::Relaxed)) else {
-                counts.nowhere += 1;
+                counts.no_node_ready += 1;
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -192,7 +192,7 @@
     /// links.
     pub fn set_health(&self, node: usize, server: usize, health: &str) {
         let node_links = &self.links[node % self.links.len()];
-        node_links.list.tell(Self::entry(server, node_links.servers[server], health));
+        node_links.list.update(Self::entry(server, node_links.servers[server], health));
     }
 
     fn slot(&self, n: usize) -> MutexGuard<'_, Slot> {
