--- a/crates/node/tests/registrations.rs
+++ b/crates/node/tests/registrations.rs
@@ -226,15 +226,15 @@
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(3);
-    service.change(|e| e.mute(0, true));
+    service.change(|e| e.set_mute(0, true));
     let node = node(nobody(), &operator(&service, "alone = true"));
     let a = server("a", script.clone(), &ledger);
     let _at_a = register(&service, &a, 1.0, 1500.0);
     node.wait_ready();
     for (n, mute) in [1, 2].into_iter().enumerate() {
         service.change(|e| {
-            e.mute(mute - 1, false);
-            e.mute(mute, true);
+            e.set_mute(mute - 1, false);
+            e.set_mute(mute, true);
         });
         let name = format!("n{n}");
         let server = server(&name, script.clone(), &ledger);
--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -147,18 +147,18 @@
     }
 
     /// Cuts a member off from the other members, but not from its clients; or reconnects it.
-    pub fn cut(&mut self, member: usize, cut: bool) {
+    pub fn set_cut(&mut self, member: usize, cut: bool) {
         self.members[member].cut = cut;
         self.update_leader();
     }
 
     /// Makes a member accept connections without answering; or ends that.
-    pub fn mute(&mut self, member: usize, mute: bool) {
+    pub fn set_mute(&mut self, member: usize, mute: bool) {
         self.members[member].mute = mute;
     }
 
     /// Makes a member lag this far behind the order from now on.
-    pub fn lag(&mut self, member: usize, lag: Millis) {
+    pub fn set_lag(&mut self, member: usize, lag: Millis) {
         self.members[member].lag = lag;
     }
 
@@ -331,7 +331,7 @@
 
     /// The state that a client can learn over this connection, which is what its member has applied; `None`
     /// if the member does not answer or the connection has no session.
-    pub fn seen_over(&self, id: ConnId) -> Option<&Tree> {
+    pub fn visible_tree(&self, id: ConnId) -> Option<&Tree> {
         let conn = self.conns.get(&id).filter(|c| !c.closed && c.session.is_some())?;
         let member = &self.members[conn.member];
         (!member.mute && self.serves(conn.member)).then_some(&member.tree)
@@ -545,7 +545,7 @@
                 self.child_watches.insert(path.clone());
             }
             Request::SetWatches { since, data, exist, children } => {
-                let missed = tree.missed(*since, data, exist, children);
+                let missed = tree.missed_events(*since, data, exist, children);
                 self.data_watches.extend(data.iter().chain(exist).cloned());
                 self.child_watches.extend(children.iter().cloned());
                 missed.iter().for_each(|event| self.fire(event));
--- a/crates/testkit/src/coordination/tree.rs
+++ b/crates/testkit/src/coordination/tree.rs
@@ -152,7 +152,7 @@
     /// Watch events that a reconnecting client missed since `since`, for the watches that it sets again: on
     /// data, on the existence of absent znodes, and on children. The caller sets the watches for which there
     /// is no event.
-    pub fn missed(
+    pub fn missed_events(
         &self,
         since: i64,
         data: &[String],
--- a/crates/testkit/tests/ensemble.rs
+++ b/crates/testkit/tests/ensemble.rs
@@ -99,16 +99,16 @@
             let member = random.below(MEMBERS as u64) as usize;
             match random.below(16) {
                 0 => world.ensemble.kill(member),
-                1 => world.ensemble.cut(member, true),
+                1 => world.ensemble.set_cut(member, true),
                 2..=4 => {
                     for m in 0..MEMBERS {
                         world.ensemble.restore(m);
-                        world.ensemble.cut(m, false);
+                        world.ensemble.set_cut(m, false);
                     }
                 }
-                5..=7 => world.ensemble.lag(member, random.below(1500) as f64),
-                8 => world.ensemble.mute(member, true),
-                9 => (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false)),
+                5..=7 => world.ensemble.set_lag(member, random.below(1500) as f64),
+                8 => world.ensemble.set_mute(member, true),
+                9 => (0..MEMBERS).for_each(|m| world.ensemble.set_mute(m, false)),
                 10..=12 => {
                     world.add_client(next);
                     present.insert(next);
@@ -131,9 +131,9 @@
         }
         for member in 0..MEMBERS {
             world.ensemble.restore(member);
-            world.ensemble.cut(member, false);
-            world.ensemble.lag(member, 0.0);
-            world.ensemble.mute(member, false);
+            world.ensemble.set_cut(member, false);
+            world.ensemble.set_lag(member, 0.0);
+            world.ensemble.set_mute(member, false);
         }
         world.advance(20_000.0, |w| {
             present.iter().for_each(|id| register(w, *id));
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -130,9 +130,9 @@
     let old = world.followers[0].machine.session().id();
     // All members stay silent for longer than the session time-out. The servers' sessions expire as well and
     // are created again.
-    (0..MEMBERS).for_each(|m| world.ensemble.mute(m, true));
+    (0..MEMBERS).for_each(|m| world.ensemble.set_mute(m, true));
     world.advance(10_000.0, |_| {});
-    (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false));
+    (0..MEMBERS).for_each(|m| world.ensemble.set_mute(m, false));
     world.advance(10_000.0, |w| (1..5).for_each(|id| register(w, id)));
     assert_ne!(world.followers[0].machine.session().id(), old);
     apply_outputs(&mut world, 0, &mut view);
@@ -200,14 +200,14 @@
             let member = random.below(MEMBERS as u64) as usize;
             match random.below(16) {
                 0 => world.ensemble.kill(member),
-                1 => world.ensemble.cut(member, true),
+                1 => world.ensemble.set_cut(member, true),
                 2..=4 => (0..MEMBERS).for_each(|m| {
                     world.ensemble.restore(m);
-                    world.ensemble.cut(m, false);
+                    world.ensemble.set_cut(m, false);
                 }),
-                5..=7 => world.ensemble.lag(member, random.below(1500) as f64),
-                8 => world.ensemble.mute(member, true),
-                9 => (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false)),
+                5..=7 => world.ensemble.set_lag(member, random.below(1500) as f64),
+                8 => world.ensemble.set_mute(member, true),
+                9 => (0..MEMBERS).for_each(|m| world.ensemble.set_mute(m, false)),
                 10..=12 => {
                     world.add_client(next);
                     present.push(next);
@@ -227,9 +227,9 @@
         }
         for m in 0..MEMBERS {
             world.ensemble.restore(m);
-            world.ensemble.cut(m, false);
-            world.ensemble.lag(m, 0.0);
-            world.ensemble.mute(m, false);
+            world.ensemble.set_cut(m, false);
+            world.ensemble.set_lag(m, 0.0);
+            world.ensemble.set_mute(m, false);
         }
         world.advance(20_000.0, |w| present.iter().for_each(|id| register(w, *id)));
         let mut wanted: Vec<String> = present.iter().map(|id| format!("s{id}")).collect();
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -418,9 +418,9 @@
     let (mut world, _, mut list) = set_up(6, None);
     for round in 0..12u64 {
         let member = (round % MEMBERS as u64) as usize;
-        world.ensemble.mute(member, true);
+        world.ensemble.set_mute(member, true);
         list.advance(&mut world, 3.0 * TIMEOUT);
-        world.ensemble.mute(member, false);
+        world.ensemble.set_mute(member, false);
         world.add_registrar(100 + round, host(100 + round, 1.0));
         list.advance(&mut world, 2.0 * TIMEOUT);
         assert_eq!(list.health(100 + round), Some(Health::Active), "round {round}");
@@ -475,7 +475,7 @@
         if leader == member {
             continue;
         }
-        world.ensemble.lag(member, 150.0);
+        world.ensemble.set_lag(member, 150.0);
         world.add_registrar(4, host(4, 1.0));
         list.advance(&mut world, 100.0);
         if !world.registrars[&4].machine.is_registered() {
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -330,9 +330,9 @@
         match random.below(13) {
             0 | 1 => world.ensemble.kill(member),
             2 => (0..MEMBERS).for_each(|m| world.ensemble.kill(m)),
-            3 => world.ensemble.cut(member, true),
-            4 => world.ensemble.lag(member, random.below(300) as f64),
-            5 => world.ensemble.mute(member, true),
+            3 => world.ensemble.set_cut(member, true),
+            4 => world.ensemble.set_lag(member, random.below(300) as f64),
+            5 => world.ensemble.set_mute(member, true),
             6 => world.views[0].cut = true,
             7 => {
                 if let Some(registrar) = world.registrars.get_mut(&chosen) {
@@ -377,9 +377,9 @@
         for member in 0..MEMBERS {
             if random.below(3) > 0 {
                 world.ensemble.restore(member);
-                world.ensemble.cut(member, false);
-                world.ensemble.lag(member, 0.0);
-                world.ensemble.mute(member, false);
+                world.ensemble.set_cut(member, false);
+                world.ensemble.set_lag(member, 0.0);
+                world.ensemble.set_mute(member, false);
             }
         }
         world.views[0].cut &= random.below(3) == 0;
--- a/crates/testkit/tests/tree.rs
+++ b/crates/testkit/tests/tree.rs
@@ -178,7 +178,8 @@
     s.send_request(1, &create("/n", false, false)).0.expect("created");
     s.send_request(1, &create("/c/x", false, false)).0.expect("created");
     let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let missed = s.tree.missed(seen, &all(&["/a", "/b", "/c"]), &all(&["/n", "/m"]), &all(&["/c", "/n"]));
+    let missed =
+        s.tree.missed_events(seen, &all(&["/a", "/b", "/c"]), &all(&["/n", "/m"]), &all(&["/c", "/n"]));
     let wanted = [
         event(EventKind::DataChanged, "/a"),
         event(EventKind::Deleted, "/b"),
@@ -187,7 +188,7 @@
         event(EventKind::ChildrenChanged, "/n"),
     ];
     assert_eq!(missed, wanted);
-    assert_eq!(s.tree.missed(s.tree.zxid(), &all(&["/a", "/c"]), &[], &all(&["/c"])), []);
+    assert_eq!(s.tree.missed_events(s.tree.zxid(), &all(&["/a", "/c"]), &[], &all(&["/c"])), []);
 }
 
 fn any_request() -> impl Strategy<Value = Request> {
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -84,7 +84,7 @@
 
     /// The state of the service that the machine can see now.
     pub fn visible_tree<'a>(&self, ensemble: &'a Ensemble) -> Option<&'a Tree> {
-        ensemble.seen_over(self.conn.filter(|_| !self.cut)?)
+        ensemble.visible_tree(self.conn.filter(|_| !self.cut)?)
     }
 
     pub fn take_events(&mut self) -> Vec<M::Event> {
