--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -381,7 +381,7 @@
 
     fn next_queued(&mut self, id: ConnId) -> Option<Bytes> {
         let conn = self.conns.get_mut(&id)?;
-        // Writes need a leader; requests queued behind one wait for their turn.
+        // Nothing is served without a leader: writes need one, and later requests must not overtake them.
         if conn.closed || conn.pending.is_some() || conn.opening.is_some() || self.leader.is_none() {
             return None;
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -34,7 +34,7 @@
 
 impl Machine {
     /// Starts a machine with this many instances of the release `r1` and waits until they are ready.
-    /// `glenctl` is the path of that program, and `sha256` computes the digest of a file; `more` is added to
+    /// `glenctl` is the path of that program, and `sha256` computes the digest of a file; `extra` is added to
     /// the fleet file, after the keys of its table `fleet`.
     ///
     /// # Panics
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -31,7 +31,7 @@
 }
 
 /// Node settings with the classes that the test servers know, one per effect: `look` (safe), `pay` (keyed)
-/// and `slip` (unsafe). `aim_ms` is their latency objective in milliseconds.
+/// and `slip` (unsafe). `target_ms` is their latency objective in milliseconds.
 pub fn settings(target_ms: f64) -> Value {
     json!({
         "Me": 0, "PeersTotal": 1, "Tick": 1.0, "Discovery": "subscribe", "Weights": "silent",
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -124,7 +124,7 @@
         self.send_raw(call.conn, &bytes);
     }
 
-    /// Writes raw bytes.
+    /// Writes raw bytes, unless the connection is closed.
     ///
     /// # Panics
     /// If the write fails.
--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -49,9 +49,9 @@
 pub type RepeatTargets = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
 
 impl Load {
-    /// Starts the load. `make` builds the request from its number and repeat count, and `to` gives the
-    /// current address of a node. When an answer is lost, `again` names the nodes to which the client sends
-    /// the repeat, to all of them at once; an empty list makes the client give up.
+    /// Starts the load. `build` makes the request from its number and repeat count, and `address_of` gives
+    /// the current address of a node. When an answer is lost, `repeat_targets` names the nodes to which the
+    /// client sends the repeat, to all of them at once; an empty list makes the client give up.
     pub fn start(
         nodes: Vec<usize>,
         per_second: f64,
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -173,7 +173,7 @@
     /// on, know one another.
     ///
     /// # Panics
-    /// If a node does not become ready.
+    /// If a node does not become ready or does not learn of the others.
     pub fn start(plan: Plan) -> Self {
         let rig = Self::new(plan);
         (0..rig.plan.nodes).for_each(|n| rig.spawn(n));
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -161,7 +161,7 @@
     // ---- Datagrams ----
 
     /// Opens the address by which all others know a node's socket. Datagrams sent there are forwarded to the
-    /// node's current socket once [`DatagramRelay::set_node_address`] has named it.
+    /// node's current socket once that is set with [`DatagramRelay::set_node_address`].
     ///
     /// # Panics
     /// If no port is free.
@@ -182,7 +182,7 @@
     }
 }
 
-/// The stable address of a node's socket, which stays the same over restarts of the node.
+/// Relays datagrams to one socket of a node, at an address that stays the same over restarts of the node.
 #[derive(Clone)]
 pub struct DatagramRelay {
     node: usize,
--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -14,7 +14,7 @@
 pub enum Fault {
     /// Kills a node's process.
     Kill(usize),
-    /// Starts a node again under its name and address.
+    /// Starts a node again under its name and its stable addresses.
     Start(usize),
     /// Pauses a node's process (SIGSTOP).
     #[serde(rename = "Stop")]
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -79,7 +79,8 @@
 #[derive(Default)]
 struct Counts {
     by_id: BTreeMap<String, Count>,
-    /// Time of the last execution of each key in each cell. A repeat within the memory time is not executed.
+    /// Time of the last execution of each key in each cell. The key is not executed again within the retention
+    /// time.
     by_key: BTreeMap<(u64, String), Instant>,
     /// Number of executions of each key, over all cells.
     key_runs: BTreeMap<String, usize>,
@@ -96,7 +97,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger. The servers of a cell do not execute a key again within `memory`.
+    /// An empty ledger. The servers of a cell do not execute a key again within `key_retention`.
     pub fn new(key_retention: Duration) -> Self {
         Self { counts: Arc::default(), key_retention }
     }
@@ -113,7 +114,7 @@
         count.attempts - 1
     }
 
-    /// Executes a request, unless its key was executed in this cell within the memory time.
+    /// Executes a request, unless its key was executed in this cell within the retention time.
     pub fn execute(&self, seen: &ReceivedRequest, cell: u64) {
         let mut counts = self.counts();
         if let Some(key) = &seen.key {
