--- a/crates/node/tests/differential.rs
+++ b/crates/node/tests/differential.rs
@@ -10,7 +10,7 @@
 use glenwood_testkit::node::{config, settings, Node, Program};
 use glenwood_testkit::script::{Count, Ledger, Script, Step};
 use glenwood_testkit::server::{served_body, Identity, Protocol, StandIn};
-use glenwood_testkit::{wait, PATIENCE};
+use glenwood_testkit::{wait, WAIT_TIMEOUT};
 
 /// How many scripts are played, each over all four pairs.
 const SCRIPTS: u64 = 200;
@@ -92,7 +92,7 @@
 type Told = (Answer, Count, usize);
 
 fn play(plays: &[Play], client: Protocol, server: Protocol) -> Vec<Told> {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let steps: BTreeMap<String, Vec<Step>> =
         plays.iter().map(|p| (p.ask.txn.clone(), p.steps.clone())).collect();
     let follow: Script = Arc::new(move |seen| {
--- a/crates/node/tests/msgpack.rs
+++ b/crates/node/tests/msgpack.rs
@@ -11,7 +11,7 @@
 use glenwood_testkit::peer::{Peer, ReceivedCall};
 use glenwood_testkit::script::{always, Ledger, Step};
 use glenwood_testkit::server::{Identity, Protocol, StandIn};
-use glenwood_testkit::{until, wait, PATIENCE};
+use glenwood_testkit::{until, wait, WAIT_TIMEOUT};
 
 const OWN: &str = "[msgpack]\nlisten = '127.0.0.1:0'\n";
 const EFFECTS: [(&str, Effect); 3] =
@@ -641,7 +641,7 @@
 #[test]
 fn ten_thousand_calls_at_once_have_one_answer_each() {
     const CALLS: usize = 10_000;
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let servers = ["s0", "s1"].map(|name| stand_in(name, Protocol::Rpc, Step::Serve, &ledger));
     let discovery = Discovery::start(&servers.each_ref().map(active));
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
@@ -663,7 +663,7 @@
                     client.send_raw(&all[written..end]).await.expect("the node reads");
                     written = end;
                 }
-                let patience = if written < all.len() { Duration::from_millis(1) } else { PATIENCE };
+                let patience = if written < all.len() { Duration::from_millis(1) } else { WAIT_TIMEOUT };
                 while let Ok(next) = tokio::time::timeout(patience, client.next()).await {
                     let (id, answer) = next.expect("the connection stands");
                     seen[id as usize] += 1;
@@ -698,7 +698,7 @@
 /// Who does not read answers is read no further: the node keeps no more for it than its bounds.
 #[test]
 fn who_does_not_read_answers_is_read_no_further() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
@@ -725,7 +725,7 @@
 /// Where only one address may be listened on, the first byte tells the protocols apart.
 #[test]
 fn one_listener_takes_both_protocols() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = stand_in("s0", Protocol::Http, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let config = config("n0", discovery.address, settings(10_000.0));
@@ -748,7 +748,7 @@
 /// Servers are marked by the list or by the operator's file, and a probe speaks what they speak.
 #[test]
 fn servers_are_marked_by_list_or_operators_file() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let servers = ["s0", "s1", "s2"].map(|name| stand_in(name, Protocol::Rpc, Step::Serve, &ledger));
     let unmarked = |n: usize, kind: &str| {
         let mut entry = host(&format!("s{n}"), servers[n].address, Protocol::Http, 1, "active", 0);
@@ -772,7 +772,7 @@
 /// A server that is down is probed in its own protocol, and served again once it is back.
 #[test]
 fn a_server_that_is_back_is_found_by_its_probe() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let first = stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let (at, identity) = (first.address, first.identity.clone());
     let discovery = Discovery::start(&[active(&first)]);
@@ -821,7 +821,7 @@
 /// A client that asks one thing at a time over one connection finds its answers in order, whichever protocol it speaks.
 #[test]
 fn a_kept_connection_serves_call_after_call() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let node = Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(OWN));
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -3,7 +3,7 @@
 //! it.
 //!
 //! Everything runs on one shared runtime. Callers may be on any thread outside that runtime: functions that
-//! wait block the calling thread and panic after [`PATIENCE`].
+//! wait block the calling thread and panic after [`WAIT_TIMEOUT`].
 #![warn(missing_docs)]
 
 pub mod client;
@@ -24,7 +24,7 @@
 use tokio::runtime::{Handle, Runtime};
 
 /// Time limit for every wait. It is far longer than any wait takes, even on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns the runtime that all test doubles of this process share.
 ///
@@ -40,20 +40,20 @@
 /// that runtime.
 ///
 /// # Panics
-/// If the future takes longer than [`PATIENCE`].
+/// If the future takes longer than [`WAIT_TIMEOUT`].
 pub fn wait<T>(what: &str, future: impl Future<Output = T>) -> T {
-    let result = runtime().block_on(async { tokio::time::timeout(PATIENCE, future).await });
+    let result = runtime().block_on(async { tokio::time::timeout(WAIT_TIMEOUT, future).await });
     result.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
 }
 
 /// Polls a condition and blocks until it holds.
 ///
 /// # Panics
-/// If the condition does not hold within [`PATIENCE`].
+/// If the condition does not hold within [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "timed out waiting for: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -128,7 +128,7 @@
     /// Stops sending and waits for the answers that are still outstanding.
     ///
     /// # Panics
-    /// If that takes longer than [`crate::PATIENCE`].
+    /// If that takes longer than [`crate::WAIT_TIMEOUT`].
     pub fn end(self) -> Vec<Outcome> {
         self.stopped.store(true, Ordering::SeqCst);
         crate::wait("the last answers", self.task).expect("a client panicked");
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -327,14 +327,14 @@
     /// Waits until each running node considers exactly the running nodes alive.
     ///
     /// # Panics
-    /// If that takes longer than twice [`crate::PATIENCE`].
+    /// If that takes longer than twice [`crate::WAIT_TIMEOUT`].
     pub fn wait_for_membership(&self) {
         let running = self.running();
         let started_at = Instant::now();
         let mut pending = running.clone();
         while !pending.is_empty() {
             pending.retain(|n| self.metric(*n, "members_living") != Some(running.len() as u64 - 1));
-            if started_at.elapsed() > 2 * crate::PATIENCE {
+            if started_at.elapsed() > 2 * crate::WAIT_TIMEOUT {
                 let states = |n: &usize| self.report(*n).map(|r| r["members"]["states"].to_string());
                 let states: Vec<_> = pending.iter().map(|n| (*n, states(n))).collect();
                 panic!("these nodes do not know all {} running nodes: {states:?}", running.len());
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -79,8 +79,8 @@
 #[derive(Default)]
 struct Counts {
     by_id: BTreeMap<String, Count>,
-    /// Time of the last execution of each key in each cell. The key is not executed again within the retention
-    /// time.
+    /// Time of the last execution of each key in each cell. The key is not executed again within the
+    /// retention time.
     by_key: BTreeMap<(u64, String), Instant>,
     /// Number of executions of each key, over all cells.
     key_runs: BTreeMap<String, usize>,
