--- a/crates/glenctl/src/demo.rs
+++ b/crates/glenctl/src/demo.rs
@@ -188,8 +188,10 @@
     let mut nodes = [node(0), node(1)];
     log("2 nodes, 3 HTTP and 3 MessagePack-RPC servers, discovery: all on loopback");
     let (tallies, stop): (Tallies, _) = (Arc::default(), Arc::new(AtomicBool::new(false)));
-    let addresses: Vec<Arc<Mutex<SocketAddr>>> =
-        nodes.iter().flat_map(|node| Protocol::BOTH.map(|p| Arc::new(Mutex::new(node.takes(p))))).collect();
+    let addresses: Vec<Arc<Mutex<SocketAddr>>> = nodes
+        .iter()
+        .flat_map(|node| Protocol::BOTH.map(|p| Arc::new(Mutex::new(node.address_for(p)))))
+        .collect();
     let clients: Vec<_> = (0..4 * CLIENTS_PER_ENDPOINT)
         .map(|n| {
             let protocol = Protocol::BOTH[n % 2];
@@ -217,7 +219,7 @@
     log("restore: the server http-0 is back, cold, and discovery lists it as active");
     let back = StandIn::start_at(crashed_at, crashed_identity, script.clone(), ledger.clone());
     let server_identity = &back.identity;
-    discovery.tell(host(
+    discovery.update(host(
         &server_identity.name,
         back.address,
         server_identity.protocol,
@@ -230,7 +232,7 @@
     log("drain: discovery lists the server rpc-1 as leaving");
     if let Some(draining) = servers.iter().find(|s| s.identity.name == "rpc-1") {
         let server_identity = &draining.identity;
-        discovery.tell(host(
+        discovery.update(host(
             &server_identity.name,
             draining.address,
             server_identity.protocol,
@@ -246,7 +248,7 @@
     let code = nodes[1].exit_code();
     nodes[1] = node(1);
     for (n, protocol) in Protocol::BOTH.into_iter().enumerate() {
-        *addresses[2 + n].lock().unwrap_or_else(PoisonError::into_inner) = nodes[1].takes(protocol);
+        *addresses[2 + n].lock().unwrap_or_else(PoisonError::into_inner) = nodes[1].address_for(protocol);
     }
     run_until(1.0);
     stop.store(true, Ordering::Relaxed);
@@ -266,7 +268,7 @@
     code: Option<i32>,
 ) -> ExitCode {
     let tallies = tallies.lock().unwrap_or_else(PoisonError::into_inner);
-    let repeated = ledger.repeated();
+    let repeated = ledger.executed_repeatedly();
     let executed_again = |protocol: Protocol, class: &str| {
         let class_index = CLASSES.iter().position(|(c, _)| *c == class).unwrap_or(0);
         let of = |txn: &str| {
--- a/crates/node/benches/list_change.rs
+++ b/crates/node/benches/list_change.rs
@@ -25,12 +25,12 @@
 
 /// Processor time that a node uses over as many spans as there are changes; each span begins with `tell`.
 fn spent(node: &Node, mut tell: impl FnMut(u32)) -> Duration {
-    let (before, began) = (node.processor_time(), Instant::now());
+    let (before, began) = (node.cpu_time(), Instant::now());
     for number in 0..CHANGES {
         tell(number);
         std::thread::sleep((EVERY * (number + 1)).saturating_sub(began.elapsed()));
     }
-    node.processor_time() - before
+    node.cpu_time() - before
 }
 
 /// Processor time, in milliseconds.
@@ -53,7 +53,7 @@
     let rest = spent(&node, |_| ());
     let changes = spent(&node, |number| {
         let health = if number % 2 == 0 { "leaving" } else { "active" };
-        discovery.tell(entry(servers / 2, health));
+        discovery.update(entry(servers / 2, health));
     });
     let of_each = |spent: Duration| spent.as_secs_f64() * 1000.0 / f64::from(CHANGES);
     Measured { change: of_each(changes.saturating_sub(rest)), rest: of_each(rest) }
--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -11,9 +11,9 @@
 use glenwood_testkit::client::{Answer, Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::{ask_at, Load, Outcome};
-use glenwood_testkit::rig::relay::{Between, End, Trouble};
-use glenwood_testkit::rig::schedule::{Fault, Kind, Printed, Schedule};
-use glenwood_testkit::rig::{very_many, Plan, Rig, MEMBERS};
+use glenwood_testkit::rig::relay::{End, Impairment, LinkImpairment};
+use glenwood_testkit::rig::schedule::{Fault, FaultKind, ReplayHint, Schedule};
+use glenwood_testkit::rig::{large_process_count, Plan, Rig, MEMBERS_LOG_PREFIX};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::{runtime, until};
 use peers::sockets;
@@ -30,8 +30,8 @@
 fn plan(nodes: usize, servers: usize, keepers: usize, script: Script) -> Plan {
     let mut plan =
         Plan::new(Program::new(PathBuf::from(env!("CARGO_BIN_EXE_glenwood"))), nodes, servers, script);
-    plan.sockets = vec![MEMBERS, CUSTODY_ADDRESS_PREFIX];
-    plan.change = |settings| {
+    plan.sockets = vec![MEMBERS_LOG_PREFIX, CUSTODY_ADDRESS_PREFIX];
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("classes") {
             (class["Deadline"], class["Slo"]) = (json!(DEADLINE_MS), json!(DEADLINE_MS));
         }
@@ -62,8 +62,8 @@
 fn start_rig(plan: Plan, keepers: usize) -> ExclusiveRig {
     static LOCK: Mutex<()> = Mutex::new(());
     let guard = LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    let rig = Rig::started(plan);
-    until("keepers give votes", || (0..keepers).all(|n| rig.figure(n, "custody_votes") == Some(1)));
+    let rig = Rig::start(plan);
+    until("keepers give votes", || (0..keepers).all(|n| rig.metric(n, "custody_votes") == Some(1)));
     ExclusiveRig { rig: Arc::new(rig), _guard: guard }
 }
 
@@ -99,8 +99,8 @@
     // The node is killed while the attempt is pending: the unsafe request may have run, and is not sent
     // again.
     let first = send_request(&rig, 0, slip("w1", "t1", false));
-    until("it is at a server", || rig.ledger.of("t1").attempts == 1);
-    rig.cause(&Fault::Kill(0));
+    until("it is at a server", || rig.ledger.count_of("t1").attempts == 1);
+    rig.apply_fault(&Fault::Kill(0));
     assert_eq!(wait_answer(first), Answer::Lost);
     let again = wait_answer(send_request(&rig, 1, slip("w1", "t2", true)));
     assert_eq!(again, Answer::Failed, "it may have run");
@@ -112,8 +112,8 @@
     assert_eq!(rig.ledger.runs_of_path("slip", "/w1"), 1);
     // The keyed request is sent again with its key, and all repeats get the same answer.
     let first = send_request(&rig, 3, pay("w2", "t4", false));
-    until("it is at a server", || rig.ledger.of("t4").attempts == 1);
-    rig.cause(&Fault::Kill(3));
+    until("it is at a server", || rig.ledger.count_of("t4").attempts == 1);
+    rig.apply_fault(&Fault::Kill(3));
     assert_eq!(wait_answer(first), Answer::Lost);
     let (one, other) =
         (send_request(&rig, 1, pay("w2", "t5", true)), send_request(&rig, 2, pay("w2", "t6", true)));
@@ -135,20 +135,20 @@
         Box::new(move |rig, n| default_operator(rig, n).replace("patience_ms = 600", "patience_ms = 1000"));
     let rig = start_rig(plan, 6);
     for (kind, make_request) in [("slip", slip as fn(&str, &str, bool) -> Ask), ("pay", pay)] {
-        let guarded = rig.figure(0, "custody_guarded").expect("a figure");
+        let guarded = rig.metric(0, "custody_guarded").expect("a figure");
         let [left_txn, next_txn] = ["left", "next"].map(|txn| format!("{kind}-{txn}"));
         for (from, to) in [(vec![End::Node(0)], Vec::new()), (Vec::new(), vec![End::Node(0)])] {
-            rig.net.lay(Between { from, to, trouble: Trouble::Cut });
+            rig.net.impair(LinkImpairment { from, to, impairment: Impairment::Cut });
         }
         let first = send_request(&rig, 0, make_request("w", &left_txn, false));
-        until("its node asks the keepers", || rig.figure(0, "custody_guarded") == Some(guarded + 1));
+        until("its node asks the keepers", || rig.metric(0, "custody_guarded") == Some(guarded + 1));
         first.abort();
         until("its node sees that the client left", || sockets(Some(rig.address(0)), None) == 0);
         rig.net.heal();
         let again = wait_answer(send_request(&rig, 1, make_request("w", &next_txn, true)));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
         assert_eq!(
-            (rig.ledger.of(&left_txn).attempts, rig.ledger.runs_of_path(kind, "/w")),
+            (rig.ledger.count_of(&left_txn).attempts, rig.ledger.runs_of_path(kind, "/w")),
             (0, 1),
             "{kind}"
         );
@@ -163,7 +163,7 @@
     let script: Script = Arc::new(|seen| if seen.txn.starts_with("hold") { Step::Hold } else { Step::Serve });
     let mut plan = plan(6, 1, 6, script);
     // Long enough that nothing expires during the test.
-    plan.change = |settings| {
+    plan.adjust_settings = |settings| {
         for class in settings["Classes"].as_array_mut().expect("classes") {
             (class["Deadline"], class["Slo"]) = (json!(4000), json!(8000));
         }
@@ -176,9 +176,9 @@
     for (kind, make_request) in [("slip", slip as fn(&str, &str, bool) -> Ask), ("pay", pay)] {
         let [hold_txn, left_txn, next_txn] = ["hold", "left", "next"].map(|word| format!("{word}-{kind}"));
         let full = send_request(&rig, 0, Ask::new("look", Effect::Safe, &hold_txn, 3500));
-        until("the server is full", || rig.ledger.of(&hold_txn).attempts == 1);
+        until("the server is full", || rig.ledger.count_of(&hold_txn).attempts == 1);
         let waiting = send_request(&rig, 0, longer(make_request("w", &left_txn, false)));
-        until("its node holds the work", || rig.figure(0, "custody_mine") == Some(1));
+        until("its node holds the work", || rig.metric(0, "custody_mine") == Some(1));
         waiting.abort();
         until("its node sees that the client left", || sockets(Some(rig.address(0)), None) == 1);
         full.abort();
@@ -186,11 +186,11 @@
         let again = wait_answer(send_request(&rig, 1, longer(make_request("w", &next_txn, true))));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
         assert_eq!(
-            (rig.ledger.of(&left_txn).attempts, rig.ledger.runs_of_path(kind, "/w")),
+            (rig.ledger.count_of(&left_txn).attempts, rig.ledger.runs_of_path(kind, "/w")),
             (0, 1),
             "{kind}"
         );
-        until("the node holds no work", || rig.figure(0, "custody_mine") == Some(0));
+        until("the node holds no work", || rig.metric(0, "custody_mine") == Some(0));
     }
 }
 
@@ -219,15 +219,15 @@
     for (make_request, kind) in [(slip as fn(&str, &str, bool) -> Ask, "slip"), (pay, "pay")] {
         let node = if kind == "slip" { 0 } else { 1 };
         // This node has no server left, so its work waits.
-        (0..2).for_each(|server| rig.tell(node, server, "leaving"));
+        (0..2).for_each(|server| rig.set_health(node, server, "leaving"));
         until("the node knows that no server is left", || {
-            rig.figure(node, "cluster_unhealthy").is_some() && rig.figure(node, "custody_mine") == Some(0)
+            rig.metric(node, "cluster_unhealthy").is_some() && rig.metric(node, "custody_mine") == Some(0)
         });
-        let before: u64 = rig.running().iter().filter_map(|n| rig.figure(*n, "custody_orphans")).sum();
+        let before: u64 = rig.running().iter().filter_map(|n| rig.metric(*n, "custody_orphans")).sum();
         let first = send_request(&rig, node, make_request("w1", &format!("{kind}1"), false));
-        until("the node holds the work", || rig.figure(node, "custody_mine") == Some(1));
+        until("the node holds the work", || rig.metric(node, "custody_mine") == Some(1));
         assert_eq!(rig.ledger.runs_of_path(kind, "/w1"), 0);
-        rig.cause(&Fault::Kill(node));
+        rig.apply_fault(&Fault::Kill(node));
         let began = Instant::now();
         until("another node has run it", || rig.ledger.runs_of_path(kind, "/w1") == 1);
         println!("{kind}: taken over and run {} ms after the loss", began.elapsed().as_millis());
@@ -235,7 +235,7 @@
         let again = wait_answer(send_request(&rig, 3, make_request("w1", &format!("{kind}2"), true)));
         assert!(matches!(again, Answer::Served(_)), "{again:?}");
         assert_eq!(rig.ledger.runs_of_path(kind, "/w1"), 1);
-        let orphans = || rig.running().iter().filter_map(|n| rig.figure(*n, "custody_orphans")).sum::<u64>();
+        let orphans = || rig.running().iter().filter_map(|n| rig.metric(*n, "custody_orphans")).sum::<u64>();
         until("the takeover is counted", || orphans() > before);
     }
 }
@@ -250,7 +250,7 @@
     // answers.
     let delay_datagrams = || {
         for (from, to) in [(vec![End::Node(0)], Vec::new()), (Vec::new(), vec![End::Node(0)])] {
-            rig.net.lay(Between { from, to, trouble: Trouble::Delay(120, 0) });
+            rig.net.impair(LinkImpairment { from, to, impairment: Impairment::Delay(120, 0) });
         }
     };
     let was_suspended_in_time = (0..5).any(|round| {
@@ -261,13 +261,13 @@
         until("a keeper has the intent", || {
             (1..6).map(|n| works(n).matches("\"never\":false").count()).sum::<usize>() > before
         });
-        rig.cause(&Fault::Stop(0));
-        let sent = rig.ledger.of(&txn).attempts;
+        rig.apply_fault(&Fault::Pause(0));
+        let sent = rig.ledger.count_of(&txn).attempts;
         rig.net.heal();
         let again = wait_answer(send_request(&rig, 1, slip(&path, &format!("{txn}-again"), true)));
-        rig.cause(&Fault::GoOn(0));
+        rig.apply_fault(&Fault::Resume(0));
         let first_answer = wait_answer(first);
-        rig.wait_known();
+        rig.wait_for_membership();
         let runs = rig.ledger.runs_of_path("slip", &format!("/{path}"));
         assert!(runs <= 1);
         if sent > 0 || runs > 0 && matches!(again, Answer::Served(_)) {
@@ -345,18 +345,18 @@
     (by_number.len(), served)
 }
 
-fn run_faults(seed: u64, kinds: &[Kind]) {
-    let schedule = Schedule::drawn(seed, 12, 6000, kinds).or_again();
-    let _printed = Printed::new(&schedule, "glenwood-node", "custody", "twelve_nodes");
+fn run_faults(seed: u64, kinds: &[FaultKind]) {
+    let schedule = Schedule::generate(seed, 12, 6000, kinds).or_from_environment();
+    let _printed = ReplayHint::new(&schedule, "glenwood-node", "custody", "twelve_nodes");
     let mut plan = plan(12, 6, 9, serve_after(40));
     plan.seed = schedule.seed;
     let rig = start_rig(plan, 9);
     let load = start_clients(&rig, 60.0);
-    rig.play(&schedule);
+    rig.run_schedule(&schedule);
     rig.net.heal();
     let outcomes = load.end();
     let (works, served) = check_outcomes(&rig, &outcomes);
-    let sum = |name: &str| rig.running().iter().filter_map(|n| rig.figure(*n, name)).sum::<u64>();
+    let sum = |name: &str| rig.running().iter().filter_map(|n| rig.metric(*n, name)).sum::<u64>();
     let (adopted, shared) = (sum("custody_adopted"), sum("custody_shared"));
     println!(
         "seed {seed}, {} faults: {works} guarded works, {served} served, {adopted} taken over, {shared} answers shared, {} \
@@ -371,39 +371,42 @@
 
 #[test]
 fn twelve_nodes_under_crashes_and_stalls_run_nothing_unsafe_twice() {
-    run_faults(1, &[Kind::Crash, Kind::Stall]);
+    run_faults(1, &[FaultKind::Crash, FaultKind::Stall]);
 }
 
 #[test]
 fn twelve_nodes_under_cuts_and_lost_datagrams_run_nothing_unsafe_twice() {
-    run_faults(2, &[Kind::Cut, Kind::Lossy]);
+    run_faults(2, &[FaultKind::Cut, FaultKind::Lossy]);
 }
 
 #[test]
 fn twelve_nodes_under_everything_run_nothing_unsafe_twice() {
     let seeds = std::env::var("GLENWOOD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     for seed in 0..seeds {
-        run_faults(100 + seed, &[Kind::Crash, Kind::Stall, Kind::Cut, Kind::Lossy, Kind::Upgrade]);
+        run_faults(
+            100 + seed,
+            &[FaultKind::Crash, FaultKind::Stall, FaultKind::Cut, FaultKind::Lossy, FaultKind::Upgrade],
+        );
     }
 }
 
 #[test]
 fn a_tenth_of_very_many_processes_is_killed_at_once() {
-    let process_count = very_many();
+    let process_count = large_process_count();
     let mut plan = plan(process_count, process_count / 10, 30, serve_after(200));
     plan.probe_ms = std::env::var("GLENWOOD_PROBE_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(500);
     let rig = start_rig(plan, 30);
     let load = start_clients(&rig, process_count as f64 / 2.0);
     until("there are enough outcomes", || load.outcomes().len() > 100);
     let killed: Vec<usize> = (0..process_count).filter(|n| n % 10 == 7).collect();
-    killed.iter().for_each(|n| rig.cause(&Fault::Kill(*n)));
+    killed.iter().for_each(|n| rig.apply_fault(&Fault::Kill(*n)));
     let since = Instant::now();
-    rig.wait_known();
+    rig.wait_for_membership();
     println!("the loss of {} is known to all after {} ms", killed.len(), since.elapsed().as_millis());
     let lost: Vec<u64> = load
         .outcomes()
         .iter()
-        .filter(|o| o.answer == Answer::Lost && o.time == 0)
+        .filter(|o| o.answer == Answer::Lost && o.repeat == 0)
         .map(|o| o.number)
         .collect();
     let outcomes = load.end();
@@ -411,8 +414,8 @@
     // How long after the kill clients of lost nodes had an answer from another node.
     let mut took: Vec<u128> = outcomes
         .iter()
-        .filter(|o| o.time > 0 && lost.contains(&o.number) && matches!(o.answer, Answer::Served(_)))
-        .map(|o| o.at.duration_since(since).as_millis())
+        .filter(|o| o.repeat > 0 && lost.contains(&o.number) && matches!(o.answer, Answer::Served(_)))
+        .map(|o| o.answered_at.duration_since(since).as_millis())
         .collect();
     took.sort_unstable();
     println!(
--- a/crates/node/tests/differential.rs
+++ b/crates/node/tests/differential.rs
@@ -11,7 +11,7 @@
 use glenwood_testkit::node::{config, settings, Node, Program};
 use glenwood_testkit::script::{Count, Ledger, Script, Step};
 use glenwood_testkit::server::{served_body, Identity, Protocol, StandIn};
-use glenwood_testkit::{wait, PATIENCE};
+use glenwood_testkit::{wait, WAIT_TIMEOUT};
 
 /// Number of scripts, each run over all four pairs of protocols.
 const SCRIPTS: u64 = 200;
@@ -50,8 +50,8 @@
     match random.below(14) {
         0..=2 => Step::Serve,
         3 => Step::ServeAfter(Duration::from_millis(5)),
-        4 => Step::Error { ran: true },
-        5 => Step::Error { ran: false },
+        4 => Step::Error { executed: true },
+        5 => Step::Error { executed: false },
         6 | 7 => Step::TurnAway,
         8 => Step::Reject,
         9 => Step::Hold,
@@ -94,11 +94,11 @@
 type RequestOutcome = (Answer, Count, usize);
 
 fn run_script(requests: &[ScriptedRequest], client: Protocol, server: Protocol) -> Vec<RequestOutcome> {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let steps: BTreeMap<String, Vec<Step>> =
         requests.iter().map(|p| (p.ask.txn.clone(), p.steps.clone())).collect();
     let server_script: Script = Arc::new(move |seen| {
-        let step = steps.get(&seen.txn).and_then(|s| s.get(seen.before));
+        let step = steps.get(&seen.txn).and_then(|s| s.get(seen.earlier_attempts));
         *step.unwrap_or(&Step::Serve)
     });
     let servers: Vec<StandIn> = CELLS
@@ -122,11 +122,11 @@
     let outcomes = requests.iter().map(|p| {
         // Each request has its own connection, so that the end of one does not affect the next.
         let answer = wait("an answer", async {
-            let mut conn = Client::connect(client, node.takes(client)).await.expect("it listens");
+            let mut conn = Client::connect(client, node.address_for(client)).await.expect("it listens");
             conn.ask(&p.ask).await
         });
         let key = p.ask.key.as_deref().map_or(0, |key| ledger.runs_of_key(key));
-        (answer, ledger.of(&p.ask.txn), key)
+        (answer, ledger.count_of(&p.ask.txn), key)
     });
     let outcomes = outcomes.collect();
     assert!(servers.iter().all(|s| s.identity.protocol == server));
@@ -135,7 +135,7 @@
 
 /// The answer's body that the client must get, byte for byte.
 fn expected_body(ask: &Ask) -> Vec<u8> {
-    served_body(&glenwood_testkit::script::Seen {
+    served_body(&glenwood_testkit::script::ReceivedRequest {
         server: String::new(),
         class: ask.class.clone(),
         path: ask.path.clone(),
@@ -145,7 +145,7 @@
         user: None,
         remaining_ms: None,
         body: ask.body.clone(),
-        before: 0,
+        earlier_attempts: 0,
     })
 }
 
--- a/crates/node/tests/fleet_size.rs
+++ b/crates/node/tests/fleet_size.rs
@@ -35,7 +35,7 @@
     let mut node_config = config("n0", silent.local_addr().expect("bound"), settings(400.0));
     node_config["known"] = json!({"seq": 41, "whole": true, "hosts": [active(&server)]});
     let node = Node::start(&program(), &node_config, None);
-    assert!(node.says_ready(), "at the first readiness check");
+    assert!(node.is_ready(), "at the first readiness check");
     assert!(served(&node, "t1"));
 }
 
@@ -45,7 +45,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let node =
         Node::start(&program(), &config("n0", silent.local_addr().expect("bound"), settings(400.0)), None);
-    assert!(!node.says_ready());
+    assert!(!node.is_ready());
 }
 
 /// The trace that the operator's file switches on is enough to count what a fleet does; without it no trace
@@ -223,7 +223,7 @@
     for n in 0..50 {
         assert!(served(&node, &format!("t{n}")), "{n}");
     }
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 /// Guards a release that the list reports late, over real sockets: a server that turns all requests away,
--- a/crates/node/tests/inspect.rs
+++ b/crates/node/tests/inspect.rs
@@ -23,7 +23,7 @@
     // A file that an earlier node left at this path does not prevent the start.
     std::fs::write(&path, "left").expect("a file");
     let script: Script = std::sync::Arc::new(|seen| match seen.class.as_str() {
-        "slip" => Step::Error { ran: true },
+        "slip" => Step::Error { executed: true },
         _ => Step::Serve,
     });
     let identity = Identity { name: "s0".into(), cell: 0, protocol: Protocol::Http };
--- a/crates/node/tests/list_change.rs
+++ b/crates/node/tests/list_change.rs
@@ -35,14 +35,14 @@
     let entries = || node.log().iter().filter(|line| line.contains(" entry ")).count();
     let wait_applied = |count: usize| until("the change is applied", || entries() == count);
     // Not measured: the first changes meet a list that has only just been read.
-    (0..2).for_each(|number| discovery.tell(entry(SERVERS / 2 + number, "leaving")));
+    (0..2).for_each(|number| discovery.update(entry(SERVERS / 2 + number, "leaving")));
     wait_applied(2);
-    let before = node.processor_time();
+    let before = node.cpu_time();
     for number in 0..CHANGES as usize {
-        discovery.tell(entry(SERVERS / 3 + number, "leaving"));
+        discovery.update(entry(SERVERS / 3 + number, "leaving"));
         wait_applied(3 + number);
     }
-    let spent = (node.processor_time() - before) / CHANGES;
+    let spent = (node.cpu_time() - before) / CHANGES;
     println!("{spent:?} per change");
     assert!(spent < MAX_TIME_PER_CHANGE, "{spent:?} per change");
 }
--- a/crates/node/tests/msgpack.rs
+++ b/crates/node/tests/msgpack.rs
@@ -9,10 +9,10 @@
 use glenwood_testkit::client::{ask_once, Answer, Ask, Client, Effect, RpcClient};
 use glenwood_testkit::discovery::{active, host, Discovery};
 use glenwood_testkit::node::{config, settings, Node, Program};
-use glenwood_testkit::peer::{Came, Peer};
+use glenwood_testkit::peer::{Peer, ReceivedCall};
 use glenwood_testkit::script::{always, Ledger, Step};
 use glenwood_testkit::server::{Identity, Protocol, StandIn};
-use glenwood_testkit::{until, wait, PATIENCE};
+use glenwood_testkit::{until, wait, WAIT_TIMEOUT};
 
 const MSGPACK_SECTION: &str = "[msgpack]\nlisten = '127.0.0.1:0'\n";
 const EFFECTS: [(&str, Effect); 3] =
@@ -41,7 +41,7 @@
 }
 
 fn client(node: &Node) -> RpcClient {
-    RpcClient::to(node.takes(Protocol::Rpc))
+    RpcClient::connect_to(node.address_for(Protocol::Rpc))
 }
 
 fn send(client: &mut RpcClient, ask: &Ask) -> u32 {
@@ -60,7 +60,7 @@
     Answer::Served(content.as_bytes().to_vec())
 }
 
-fn txn(received: &Came) -> String {
+fn txn(received: &ReceivedCall) -> String {
     received.call.txn.clone().unwrap_or_default()
 }
 
@@ -193,13 +193,16 @@
     // A duplicate reply with another content.
     peer.answer(call_of(2), &ok("two again"));
     // A reply to a msgid that was never used.
-    peer.answer(&Came { id: 4_000_000, ..call_of(0).clone() }, &ok("whose?"));
+    peer.answer(&ReceivedCall { id: 4_000_000, ..call_of(0).clone() }, &ok("whose?"));
     // A string where a bin is required: the call may have run, so it fails.
     let id = call_of(1).id;
-    peer.raw(conn, &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat());
+    peer.send_raw(
+        conn,
+        &[&[0x94, 0x01, 0xce][..], &id.to_be_bytes(), &[0xc0, 0xa3, b'b', b'a', b'd']].concat(),
+    );
     // A well-formed value that is no message, and a request from the server.
-    peer.raw(conn, &[0x93, 0x05, 0xa1, b'x', 0xc0]);
-    peer.raw(conn, &[0x94, 0x00, 0x00, 0xa1, b'x', 0x90]);
+    peer.send_raw(conn, &[0x93, 0x05, 0xa1, b'x', 0xc0]);
+    peer.send_raw(conn, &[0x94, 0x00, 0x00, 0xa1, b'x', 0x90]);
     peer.answer(call_of(0), &ok("zero"));
     peer.answer(call_of(3), &ok("three"));
     let expected = [served("zero"), Answer::Failed, served("two"), served("three"), served("four")];
@@ -227,7 +230,7 @@
         .collect();
     let received = peer.calls(3);
     peer.answer(&received[0], &ok("good"));
-    peer.raw(received[0].conn, &[0xc1]);
+    peer.send_raw(received[0].conn, &[0xc1]);
     let mut kinds: Vec<&str> = ids.iter().map(|id| answer(&mut client, *id).kind()).collect();
     kinds.sort_unstable();
     assert_eq!(kinds, ["failed", "failed", "served"]);
@@ -416,7 +419,7 @@
     // The node connects as soon as it has chosen a server for the calls.
     until("a connection is tried", || node.descriptors() > 8);
     std::thread::sleep(Duration::from_millis(300));
-    discovery.tell(entry("leaving"));
+    discovery.update(entry("leaving"));
     std::thread::sleep(Duration::from_millis(600));
     // Now the connections are accepted. A call written within two seconds would be noticed.
     drop(fillers);
@@ -451,10 +454,10 @@
     let mut client = client(&node);
     let ask = |txn: &str| Ask::new("slip", Effect::Unsafe, txn, 15_000);
     let pipelined = [ask("t0").rpc(7), ask("other").rpc(8), ask("t1").rpc(7), ask("behind").rpc(9)].concat();
-    wait("a write", client.raw(&pipelined)).expect("the node reads");
+    wait("a write", client.send_raw(&pipelined)).expect("the node reads");
     let received = peer.calls(2);
     received.iter().for_each(|c| peer.answer(c, &ok("one answer")));
-    let mut all = wait("the end", client.rest());
+    let mut all = wait("the end", client.read_to_end());
     all.sort_by_key(|(id, _)| *id);
     assert_eq!(all, [(7, served("one answer")), (8, served("one answer"))]);
     assert_eq!(peer.waiting(), 0, "the second call was forwarded");
@@ -467,7 +470,7 @@
     let (_discovery, node) = node_with(10_000.0, "", &[&peer]);
     let mut client = client(&node);
     let notification = [0x93, 0x02, 0xa4, b's', b'l', b'i', b'p', 0x90];
-    wait("a write", client.raw(&[notification, notification].concat())).expect("the node reads");
+    wait("a write", client.send_raw(&[notification, notification].concat())).expect("the node reads");
     let id = send(&mut client, &Ask::new("slip", Effect::Unsafe, "t0", 15_000));
     let received = peer.call();
     assert_eq!(txn(&received), "t0");
@@ -482,7 +485,7 @@
 fn announced_lengths_and_deep_nesting_take_no_memory() {
     let peer = Peer::start();
     let (_discovery, node) = node_with(10_000.0, "", &[&peer]);
-    let before = node.resident();
+    let before = node.resident_bytes();
     let long = [0x94, 0x00, 0x05, 0xa4, b's', b'l', b'i', b'p', 0xc6, 0xff, 0xff, 0xff, 0xff];
     let wide = [0xdd, 0xff, 0xff, 0xff, 0xff];
     let deep = vec![0x91; 1_000_000];
@@ -490,11 +493,11 @@
         for _ in 0..4 {
             let mut bad = client(&node);
             // The node may close the connection before everything is written.
-            let _ = wait("a write", bad.raw(bytes));
-            assert!(wait("the end", bad.rest()).is_empty());
+            let _ = wait("a write", bad.send_raw(bytes));
+            assert!(wait("the end", bad.read_to_end()).is_empty());
         }
     }
-    let growth = node.resident().saturating_sub(before);
+    let growth = node.resident_bytes().saturating_sub(before);
     assert!(growth < 8 * 1024 * 1024, "{growth} bytes more");
     let mut good = client(&node);
     let id = send(&mut good, &Ask::new("look", Effect::Safe, "t0", 15_000));
@@ -560,7 +563,7 @@
     let no_map = [&[0x94, 0x00, 0x64][..], &text("slip"), &[0x91, 0x01]].concat();
     let short = [&[0x93, 0x00, 0x64][..], &text("slip")].concat();
     for bytes in [duplicate_key, text_body, negative, integer_key, no_map, short] {
-        wait("a write", client.raw(&bytes)).expect("the node reads");
+        wait("a write", client.send_raw(&bytes)).expect("the node reads");
         assert_eq!(answer(&mut client, 0x64), Answer::BadRequest, "{bytes:x?}");
     }
     // The same id while the first call is open: forwarding it would run that call twice.
@@ -583,7 +586,7 @@
     send(&mut disconnected, &Ask::new("look", Effect::Safe, "t0", 15_000));
     let open = peer.call();
     let half = Ask::new("slip", Effect::Unsafe, "half", 15_000).rpc(1);
-    wait("a write", disconnected.raw(&half[..half.len() - 3])).expect("the node reads");
+    wait("a write", disconnected.send_raw(&half[..half.len() - 3])).expect("the node reads");
     drop(disconnected);
     let mut other = client(&node);
     // The client's open call is cancelled: its id may be used again.
@@ -627,7 +630,7 @@
     for id in open.into_iter().chain([late]) {
         assert_eq!(answer(&mut client, id), served("yes"));
     }
-    assert!(wait("the end", client.rest()).is_empty());
+    assert!(wait("the end", client.read_to_end()).is_empty());
     assert_eq!(node.exit_code(), Some(0));
 }
 
@@ -654,13 +657,13 @@
 #[test]
 fn ten_thousand_calls_at_once_have_one_answer_each() {
     const CALLS: usize = 10_000;
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let servers = ["s0", "s1"].map(|name| start_stand_in(name, Protocol::Rpc, Step::Serve, &ledger));
     let discovery = Discovery::start(&servers.each_ref().map(active));
     let node =
         Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(MSGPACK_SECTION));
     node.wait_ready();
-    let (http, rpc) = (node.takes(Protocol::Http), node.takes(Protocol::Rpc));
+    let (http, rpc) = (node.address_for(Protocol::Http), node.address_for(Protocol::Rpc));
     let flood = std::thread::spawn(move || {
         glenwood_testkit::runtime().block_on(async {
             let stream = tokio::net::TcpStream::connect(rpc).await.expect("it listens");
@@ -675,10 +678,10 @@
             while served + refused < CALLS {
                 if written < all.len() {
                     let end = (written + 32 * 1024).min(all.len());
-                    client.raw(&all[written..end]).await.expect("the node reads");
+                    client.send_raw(&all[written..end]).await.expect("the node reads");
                     written = end;
                 }
-                let patience = if written < all.len() { Duration::from_millis(1) } else { PATIENCE };
+                let patience = if written < all.len() { Duration::from_millis(1) } else { WAIT_TIMEOUT };
                 while let Ok(next) = tokio::time::timeout(patience, client.next()).await {
                     let (id, answer) = next.expect("the connection stands");
                     seen[id as usize] += 1;
@@ -706,7 +709,7 @@
     let (served, refused) = flood.join().expect("no panic");
     assert_eq!(served + refused, CALLS);
     assert!(served > 0 && others > 0);
-    assert_eq!(ledger.repeated(), []);
+    assert_eq!(ledger.executed_repeatedly(), []);
     assert!(ledger.ids() >= served);
 }
 
@@ -714,18 +717,18 @@
 /// limits.
 #[test]
 fn a_client_that_does_not_read_answers_is_not_read_from() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = start_stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let node =
         Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(MSGPACK_SECTION));
     node.wait_ready();
-    let before = node.resident();
+    let before = node.resident_bytes();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     // With the system's maximum receive buffer of up to 32 MB, all answers would fit into the kernel's
     // buffers.
     socket.set_recv_buffer_size(64 * 1024).expect("a small buffer");
-    socket.connect(&node.takes(Protocol::Rpc).into()).expect("the node listens");
+    socket.connect(&node.address_for(Protocol::Rpc).into()).expect("the node listens");
     let mut non_reading: std::net::TcpStream = socket.into();
     non_reading.set_write_timeout(Some(Duration::from_secs(3))).expect("a socket");
     // 83 MB of calls, most of them refused at once because a call with the same id is open: far more answers
@@ -735,7 +738,7 @@
         (0..200_000).flat_map(|n| Ask::new("slip", Effect::Unsafe, "t", 60_000).rpc(n).to_vec()).collect();
     let is_stuck = (0..5).any(|_| std::io::Write::write_all(&mut non_reading, &calls).is_err());
     assert!(is_stuck, "the node read all calls");
-    let growth = node.resident().saturating_sub(before);
+    let growth = node.resident_bytes().saturating_sub(before);
     assert!(growth < 24 * 1024 * 1024, "{growth} bytes more");
     let (answer, _) = ask_once(Protocol::Http, node.address, &Ask::new("look", Effect::Safe, "o", 15_000));
     assert!(matches!(answer, Answer::Served(_) | Answer::Refused(_)), "{answer:?}");
@@ -744,7 +747,7 @@
 /// With a shared listener (`msgpack.shared`) the first byte of a connection tells the two protocols apart.
 #[test]
 fn one_listener_takes_both_protocols() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = start_stand_in("s0", Protocol::Http, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let config = config("n0", discovery.address, settings(10_000.0));
@@ -768,7 +771,7 @@
 /// protocol.
 #[test]
 fn the_list_or_the_operators_file_marks_msgpack_servers() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let servers = ["s0", "s1", "s2"].map(|name| start_stand_in(name, Protocol::Rpc, Step::Serve, &ledger));
     let unmarked = |n: usize, kind: &str| {
         let mut entry = host(&format!("s{n}"), servers[n].address, Protocol::Http, 1, "active", 0);
@@ -786,13 +789,13 @@
         })
         .collect();
     assert_eq!(outcomes, BTreeSet::from([true]));
-    assert!(servers.iter().all(|s| s.open() > 0), "each server is in rotation");
+    assert!(servers.iter().all(|s| s.open_connections() > 0), "each server is in rotation");
 }
 
 /// A server that is down is probed in its own protocol, and returns to rotation once it is back.
 #[test]
 fn a_server_that_is_back_is_found_by_its_probe() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let first = start_stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let (socket_address, identity) = (first.address, first.identity.clone());
     let discovery = Discovery::start(&[active(&first)]);
@@ -804,7 +807,7 @@
         n += 1;
         ask_once(
             Protocol::Rpc,
-            node.takes(Protocol::Rpc),
+            node.address_for(Protocol::Rpc),
             &Ask::new("slip", Effect::Unsafe, &format!("t{n}"), 1000),
         )
         .0
@@ -815,7 +818,7 @@
     let _back = StandIn::start_at(socket_address, identity, always(Step::Serve), ledger.clone());
     until("the server is back in rotation", || matches!(ask(), Answer::Served(_)));
     assert!(ledger.probes() > 0);
-    assert_eq!(ledger.repeated(), []);
+    assert_eq!(ledger.executed_repeatedly(), []);
 }
 
 /// With an invalid operator's file the program exits with one line that names the file, the field and the
@@ -847,14 +850,14 @@
 /// protocol.
 #[test]
 fn a_kept_connection_serves_call_after_call() {
-    let ledger = Ledger::new(PATIENCE);
+    let ledger = Ledger::new(WAIT_TIMEOUT);
     let server = start_stand_in("s0", Protocol::Rpc, Step::Serve, &ledger);
     let discovery = Discovery::start(&[active(&server)]);
     let node =
         Node::start(&program(), &config("n0", discovery.address, settings(10_000.0)), Some(MSGPACK_SECTION));
     node.wait_ready();
     for protocol in Protocol::BOTH {
-        let socket_address = node.takes(protocol);
+        let socket_address = node.address_for(protocol);
         let mut client = wait("a connection", Client::connect(protocol, socket_address)).expect("it listens");
         for n in 0..20 {
             let ask = Ask::new("pay", Effect::Keyed, &format!("{}{n}", protocol.name()), 15_000);
@@ -862,7 +865,7 @@
             assert!(body.starts_with(ask.txn.as_bytes()) && body.ends_with(&ask.body));
         }
     }
-    assert_eq!(server.open(), 1, "one connection to the server is enough");
+    assert_eq!(server.open_connections(), 1, "one connection to the server is enough");
 }
 
 /// Calls beyond a connection's limit, or beyond the memory for answers, are refused at once with a
--- a/crates/node/tests/registrations.rs
+++ b/crates/node/tests/registrations.rs
@@ -232,15 +232,15 @@
     let (seen, script) = counting();
     let ledger = ledger();
     let service = Service::start(3);
-    service.change(|e| e.mute(0, true));
+    service.change(|e| e.set_mute(0, true));
     let node = node(unused_address(), &operator(&service, "alone = true"));
     let a = server("a", script.clone(), &ledger);
     let _registration_a = register(&service, &a, 1.0, 1500.0);
     node.wait_ready();
     for (n, mute_member) in [1, 2].into_iter().enumerate() {
         service.change(|e| {
-            e.mute(mute_member - 1, false);
-            e.mute(mute_member, true);
+            e.set_mute(mute_member - 1, false);
+            e.set_mute(mute_member, true);
         });
         let name = format!("n{n}");
         let server = server(&name, script.clone(), &ledger);
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -11,7 +11,7 @@
 use glenwood_testkit::client::{Answer, Ask, Effect};
 use glenwood_testkit::node::Program;
 use glenwood_testkit::rig::load::Load;
-use glenwood_testkit::rig::relay::{Between, Trouble};
+use glenwood_testkit::rig::relay::{Impairment, LinkImpairment};
 use glenwood_testkit::rig::schedule::Fault;
 use glenwood_testkit::rig::{Plan, Rig};
 use glenwood_testkit::script::{always, Step};
@@ -41,13 +41,14 @@
         let program = Program::new(env!("CARGO_BIN_EXE_glenwood"));
         let mut plan = Plan::new(program, NODES, 1, always(Step::Serve));
         (plan.probe_ms, plan.sockets) = (0, vec![USAGE]);
-        plan.change = |settings| {
+        plan.adjust_settings = |settings| {
             settings["Customers"] =
                 json!([{"Name": "acme", "QuotaPerS": ALLOWANCE as f64 * 1000.0 / WINDOW_MS as f64}]);
         };
         plan.operator = Box::new(|rig, _| {
-            let one =
-                |n| format!("[[usage.instance]]\nname = 'n{n}'\naddress = '{}'\n", rig.front_of(USAGE, n));
+            let one = |n| {
+                format!("[[usage.instance]]\nname = 'n{n}'\naddress = '{}'\n", rig.stable_address(USAGE, n))
+            };
             format!(
                 "[usage]\nlist = 1\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\nwindow_ms = {WINDOW_MS}\n\
                  exchange_ms = 50\ngone_ms = 2000\n{}",
@@ -55,14 +56,14 @@
                 (0..NODES).map(one).collect::<String>()
             )
         });
-        Self { rig: Arc::new(Rig::started(plan)), spent: MaxSpent::new(), restarts: [0; NODES] }
+        Self { rig: Arc::new(Rig::start(plan)), spent: MaxSpent::new(), restarts: [0; NODES] }
     }
 
     /// From now on the relay loses `loss` percent of all datagrams, and duplicates and delays some.
     fn impair_network(&self, loss: u8) {
         self.rig.net.heal();
-        for trouble in [Trouble::Loss(loss), Trouble::Doubled(12), Trouble::Delay(0, 40)] {
-            self.rig.net.lay(Between { from: Vec::new(), to: Vec::new(), trouble });
+        for impairment in [Impairment::Loss(loss), Impairment::Duplicated(12), Impairment::Delay(0, 40)] {
+            self.rig.net.impair(LinkImpairment { from: Vec::new(), to: Vec::new(), impairment });
         }
     }
 
@@ -145,9 +146,9 @@
     }
     fleet.impair_network(10);
     fleet.record_spent();
-    fleet.rig.cause(&Fault::Kill(1));
+    fleet.rig.apply_fault(&Fault::Kill(1));
     let windows = fleet.run_load(2, &[0, 2, 3]);
-    fleet.rig.cause(&Fault::Start(1));
+    fleet.rig.apply_fault(&Fault::Start(1));
     fleet.restarts[1] += 1;
     let more = fleet.run_load(5, &[0, 1, 2, 3]);
     assert!([windows, more].concat().iter().all(|spent| *spent <= ALLOWANCE));
--- a/crates/testkit/src/coordination/ensemble.rs
+++ b/crates/testkit/src/coordination/ensemble.rs
@@ -1,8 +1,9 @@
-//! An ensemble of members in virtual time: one order of transactions, a leader with an epoch, members that apply what is
-//! in the order each in its time, sessions that end when nobody hears of them, and connections of clients.
+//! An ensemble in virtual time: a single order of transactions, a leader with an epoch, members that apply
+//! the transactions each with its own lag, sessions that expire when nothing is heard from them, and client
+//! connections.
 //!
-//! What is acknowledged is in the order and stays there: the order outlives every member, as logs and snapshots on disks
-//! would. A member that cannot reach a majority serves nobody.
+//! An acknowledged transaction stays in the order. The order outlives every member, as logs and snapshots on
+//! disk would. A member that cannot reach a majority serves nobody.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,34 +16,34 @@
 
 use super::tree::{Tree, Txn};
 
-/// How long it takes to agree on a leader.
-const ELECTION: Millis = 200.0;
-/// Bounds of a session's time-out.
-const TIMEOUTS: (i32, i32) = (100, 60_000);
+/// Time that the election of a leader takes.
+const ELECTION_TIME: Millis = 200.0;
+/// Lower and upper bound of session time-outs, in milliseconds.
+const SESSION_TIMEOUT_BOUNDS: (i32, i32) = (100, 60_000);
 
-/// A connection of a client.
+/// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// A request whose answer waits for its transaction to be applied at its member.
-struct Waiting {
+/// A request that is answered once its transaction is applied at its member.
+struct PendingRequest {
     xid: i32,
     zxid: i64,
-    closes: bool,
+    closes_session: bool,
 }
 
 struct Conn {
     member: usize,
     frames: Frames,
-    /// Its session, once it has been greeted.
+    /// The session, once it is established.
     session: Option<i64>,
-    /// The zxid of the new session that its greeting waits for, and the session.
-    greeting: Option<(i64, i64)>,
-    asked: VecDeque<Bytes>,
-    waiting: Option<Waiting>,
+    /// While a new session is being created: the zxid of its transaction, and the session id.
+    opening: Option<(i64, i64)>,
+    queued: VecDeque<Bytes>,
+    pending: Option<PendingRequest>,
     out: Vec<u8>,
-    data: BTreeSet<String>,
-    children: BTreeSet<String>,
+    data_watches: BTreeSet<String>,
+    child_watches: BTreeSet<String>,
     closed: bool,
 }
 
@@ -50,32 +51,32 @@
 struct Member {
     tree: Tree,
     up: bool,
-    /// Reaches no other member.
+    /// Cannot reach any other member.
     cut: bool,
-    /// Accepts and says nothing.
+    /// Accepts connections and data but does not answer.
     mute: bool,
-    /// How far behind the order it is.
+    /// How far the member lags behind the order.
     lag: Millis,
-    /// How much of the order it has applied.
+    /// Number of transactions applied.
     applied: usize,
 }
 
-/// All members, and what they agree on.
+/// All members and the state that they agree on.
 pub struct Ensemble {
     members: Vec<Member>,
-    /// The order: each transaction, and when it was agreed on.
+    /// The order: each transaction with the time at which it was agreed on.
     order: Vec<(Millis, Txn)>,
-    /// What all of the order makes.
+    /// The state after all transactions.
     newest: Tree,
     leader: Option<usize>,
-    /// When there will be a leader, where there is none and a majority is.
-    elected: Option<Millis>,
+    /// When the election ends, if there is no leader but a majority.
+    election_end: Option<Millis>,
     epoch: i64,
     counter: i64,
-    /// When each session was last heard of.
-    heard: BTreeMap<i64, Millis>,
-    /// The connection that each session is at.
-    at: BTreeMap<i64, ConnId>,
+    /// When each session was last heard from.
+    last_heard: BTreeMap<i64, Millis>,
+    /// The connection that each session currently uses.
+    connection_of: BTreeMap<i64, ConnId>,
     conns: BTreeMap<ConnId, Conn>,
     last_conn: u64,
     last_session: i64,
@@ -83,7 +84,7 @@
 }
 
 impl Ensemble {
-    /// So many members, all up, with a leader.
+    /// An ensemble with this many members, all up, and a leader.
     pub fn new(members: usize) -> Self {
         let member = || Member { up: true, ..Member::default() };
         let mut ensemble = Self {
@@ -91,31 +92,31 @@
             order: Vec::new(),
             newest: Tree::default(),
             leader: None,
-            elected: None,
+            election_end: None,
             epoch: 0,
             counter: 0,
-            heard: BTreeMap::new(),
-            at: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            connection_of: BTreeMap::new(),
             conns: BTreeMap::new(),
             last_conn: 0,
             last_session: 0,
             now: 0.0,
         };
-        ensemble.lead();
+        ensemble.elect();
         ensemble
     }
 
-    /// What all of the order makes.
+    /// The state after all transactions.
     pub fn newest(&self) -> &Tree {
         &self.newest
     }
 
-    /// The names under a path after each transaction of the order, for who wants to compare what a client saw.
+    /// The children of a path after each transaction, to compare with what a client saw.
     pub fn history(&self, path: &str) -> Vec<Vec<String>> {
         let mut tree = Tree::default();
         let names = Request::GetChildren { path: path.to_string(), watch: false, stat: false };
         let after = self.order.iter().map(|(_, txn)| {
-            // The answer was said long ago.
+            // The response was sent when the transaction was first applied.
             let _ = tree.apply(txn);
             match tree.read(&names) {
                 Some(Ok(Response::Children { names, .. })) => names,
@@ -125,39 +126,39 @@
         after.collect()
     }
 
-    /// The member that leads.
+    /// The current leader.
     pub fn leader(&self) -> Option<usize> {
         self.leader
     }
 
     // ---- Faults ----
 
-    /// Ends a member, with its clients' connections. What it had applied is on its disk.
+    /// Stops a member and closes its client connections. It keeps what it has applied, as on disk.
     pub fn kill(&mut self, member: usize) {
         self.members[member].up = false;
         self.drop_clients(member);
-        self.look_for_leader();
+        self.update_leader();
     }
 
     /// Starts a member again.
     pub fn restore(&mut self, member: usize) {
         self.members[member].up = true;
-        self.look_for_leader();
+        self.update_leader();
     }
 
-    /// Cuts a member off from the others, not from its clients.
-    pub fn cut(&mut self, member: usize, cut: bool) {
+    /// Cuts a member off from the other members, but not from its clients; or reconnects it.
+    pub fn set_cut(&mut self, member: usize, cut: bool) {
         self.members[member].cut = cut;
-        self.look_for_leader();
+        self.update_leader();
     }
 
-    /// A member accepts and says nothing.
-    pub fn mute(&mut self, member: usize, mute: bool) {
+    /// Makes a member accept connections without answering; or ends that.
+    pub fn set_mute(&mut self, member: usize, mute: bool) {
         self.members[member].mute = mute;
     }
 
-    /// A member is so far behind the order from now on.
-    pub fn lag(&mut self, member: usize, lag: Millis) {
+    /// Makes a member lag this far behind the order from now on.
+    pub fn set_lag(&mut self, member: usize, lag: Millis) {
         self.members[member].lag = lag;
     }
 
@@ -167,17 +168,18 @@
         }
     }
 
-    /// Does a member reach a majority?
+    /// Whether a member is part of a majority.
     fn serves(&self, member: usize) -> bool {
         let reached = self.members.iter().filter(|m| m.up && !m.cut).count();
         let m = &self.members[member];
         m.up && (!m.cut || self.members.len() == 1) && 2 * reached > self.members.len()
     }
 
-    fn look_for_leader(&mut self) {
+    fn update_leader(&mut self) {
         for member in 0..self.members.len() {
             if !self.serves(member) {
-                // Who can't tell what is agreed on serves nobody, not even readers.
+                // A member without a majority cannot know what is agreed on and serves nobody, not even
+                // reads.
                 self.drop_clients(member);
             }
         }
@@ -185,100 +187,102 @@
             self.leader = None;
         }
         let any = (0..self.members.len()).any(|m| self.serves(m));
-        self.elected = match (self.leader, any) {
-            (None, true) => self.elected.or(Some(self.now + ELECTION)),
+        self.election_end = match (self.leader, any) {
+            (None, true) => self.election_end.or(Some(self.now + ELECTION_TIME)),
             _ => None,
         };
     }
 
-    /// A new leader: a new epoch, and a whole time-out for every session, as nobody knows who was heard meanwhile.
-    fn lead(&mut self) {
-        self.elected = None;
+    /// Elects a leader and starts an epoch. Every session gets a full time-out, as nobody knows when it was
+    /// last heard from.
+    fn elect(&mut self) {
+        self.election_end = None;
         self.leader = (0..self.members.len()).find(|m| self.serves(*m));
         if self.leader.is_some() {
             self.epoch += 1;
             self.counter = 0;
             let now = self.now;
-            self.heard.values_mut().for_each(|heard| *heard = now);
+            self.last_heard.values_mut().for_each(|last_heard| *last_heard = now);
         }
     }
 
     // ---- Time ----
 
-    /// When [`Ensemble::handle_timeout`] is to be called.
+    /// When [`Ensemble::handle_timeout`] has to be called next.
     pub fn poll_timeout(&self) -> Option<Millis> {
-        let ends = self.heard.iter().filter(|_| self.leader.is_some());
-        let ends = ends.filter_map(|(id, heard)| {
+        let expiries = self.last_heard.iter().filter(|_| self.leader.is_some());
+        let expiries = expiries.filter_map(|(id, last_heard)| {
             let timeout = self.newest.sessions().find(|(other, _)| other == id)?.1;
-            Some(heard + f64::from(timeout))
+            Some(last_heard + f64::from(timeout))
         });
-        let applies = self.members.iter().enumerate().filter(|(n, _)| self.serves(*n));
-        let applies = applies.filter_map(|(_, m)| self.order.get(m.applied).map(|(at, _)| at + m.lag));
-        ends.chain(applies).chain(self.elected).min_by(f64::total_cmp)
+        let applications = self.members.iter().enumerate().filter(|(n, _)| self.serves(*n));
+        let applications =
+            applications.filter_map(|(_, m)| self.order.get(m.applied).map(|(at, _)| at + m.lag));
+        expiries.chain(applications).chain(self.election_end).min_by(f64::total_cmp)
     }
 
-    /// Does what is due by now.
+    /// Handles everything that is due by now.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.now = now.max(self.now);
-        if self.elected.is_some_and(|at| at <= now) {
-            self.lead();
+        if self.election_end.is_some_and(|at| at <= now) {
+            self.elect();
         }
         if self.leader.is_some() {
-            let over: Vec<i64> = self
+            let expired: Vec<i64> = self
                 .newest
                 .sessions()
                 .filter(|(id, timeout)| {
-                    self.heard.get(id).is_none_or(|heard| heard + f64::from(*timeout) <= now)
+                    self.last_heard.get(id).is_none_or(|last_heard| last_heard + f64::from(*timeout) <= now)
                 })
                 .map(|(id, _)| id)
                 .collect();
-            for id in over {
-                let zxid = self.next();
+            for id in expired {
+                let zxid = self.next_zxid();
                 let txn = self.newest.close_session(zxid, now as i64, id);
-                self.agree(txn);
+                self.commit(txn);
             }
         }
         self.apply_due();
     }
 
-    fn next(&mut self) -> i64 {
+    fn next_zxid(&mut self) -> i64 {
         self.counter += 1;
         (self.epoch << 32) | self.counter
     }
 
-    /// Puts a transaction into the order.
-    fn agree(&mut self, txn: Txn) {
-        // What it answers is said by the member that its client is at.
+    /// Appends a transaction to the order.
+    fn commit(&mut self, txn: Txn) {
+        // The response is sent by the member that the client is connected to.
         let _ = self.newest.apply(&txn);
         let newest = &self.newest;
-        self.heard.retain(|id, _| newest.has_session(*id));
+        self.last_heard.retain(|id, _| newest.has_session(*id));
         self.order.push((self.now, txn));
     }
 
     fn apply_due(&mut self) {
         for n in 0..self.members.len() {
             if self.serves(n) {
-                self.apply_here(n);
+                self.apply_at(n);
             }
-            self.serve_asked(n);
+            self.serve_queued(n);
         }
     }
 
-    /// Says what a transaction came to, to the client that waits for it here.
-    fn tell(&mut self, member: usize, zxid: i64, answer: &Result<Response, Code>) {
+    /// Sends the result of a transaction to the client of this member that waits for it.
+    fn respond(&mut self, member: usize, zxid: i64, answer: &Result<Response, Code>) {
         for (id, conn) in self.conns.iter_mut().filter(|(_, c)| c.member == member && !c.closed) {
-            if let Some((waits, session)) = conn.greeting.filter(|(waits, _)| *waits == zxid) {
-                debug_assert_eq!(waits, zxid);
-                conn.greeting = None;
+            if let Some((awaited, session)) = conn.opening.filter(|(awaited, _)| *awaited == zxid) {
+                debug_assert_eq!(awaited, zxid);
+                conn.opening = None;
                 conn.session = Some(session);
-                self.at.insert(session, *id);
+                self.connection_of.insert(session, *id);
                 let timeout = self.members[member].tree.sessions().find(|(s, _)| *s == session);
-                conn.greet(session, timeout.map_or(0, |(_, timeout)| timeout));
+                conn.send_connect_response(session, timeout.map_or(0, |(_, timeout)| timeout));
             }
-            if conn.waiting.as_ref().is_some_and(|w| w.zxid == zxid) {
-                if let Some(waiting) = conn.waiting.take() {
-                    conn.reply(waiting.xid, zxid, answer);
-                    conn.closed |= waiting.closes;
+            if conn.pending.as_ref().is_some_and(|p| p.zxid == zxid) {
+                if let Some(pending) = conn.pending.take() {
+                    conn.reply(pending.xid, zxid, answer);
+                    conn.closed |= pending.closes_session;
                 }
             }
         }
@@ -286,7 +290,7 @@
 
     // ---- Clients ----
 
-    /// A client connects to a member; `None` where nobody listens.
+    /// Connects a client to a member; `None` if the member does not accept connections.
     pub fn open(&mut self, member: usize) -> Option<ConnId> {
         let m = &self.members[member];
         if !m.up || (!m.mute && !self.serves(member)) {
@@ -298,42 +302,42 @@
             member,
             frames: Frames::new(MAX_RECORD_BYTES),
             session: None,
-            greeting: None,
-            asked: VecDeque::new(),
-            waiting: None,
+            opening: None,
+            queued: VecDeque::new(),
+            pending: None,
             out: Vec::new(),
-            data: BTreeSet::new(),
-            children: BTreeSet::new(),
+            data_watches: BTreeSet::new(),
+            child_watches: BTreeSet::new(),
             closed: false,
         };
         self.conns.insert(id, conn);
         Some(id)
     }
 
-    /// A client has gone.
+    /// Removes the connection of a client that has disconnected.
     pub fn close(&mut self, id: ConnId) {
         self.conns.remove(&id);
     }
 
-    /// Has the service ended this connection?
+    /// Whether the service has closed this connection.
     pub fn is_closed(&self, id: ConnId) -> bool {
         self.conns.get(&id).is_none_or(|c| c.closed)
     }
 
-    /// The member that a connection is to.
+    /// The member that a connection leads to.
     pub fn member_of(&self, id: ConnId) -> Option<usize> {
         self.conns.get(&id).map(|c| c.member)
     }
 
-    /// What a client could know over this connection: what its member has applied. `None` where its member says nothing,
-    /// or the connection has no session.
-    pub fn seen_over(&self, id: ConnId) -> Option<&Tree> {
+    /// The state that a client can learn over this connection, which is what its member has applied; `None`
+    /// if the member does not answer or the connection has no session.
+    pub fn visible_tree(&self, id: ConnId) -> Option<&Tree> {
         let conn = self.conns.get(&id).filter(|c| !c.closed && c.session.is_some())?;
         let member = &self.members[conn.member];
         (!member.mute && self.serves(conn.member)).then_some(&member.tree)
     }
 
-    /// What is to be written to a client; it is taken by this.
+    /// Takes the bytes to be written to a client.
     pub fn output(&mut self, id: ConnId) -> Vec<u8> {
         let Some(conn) = self.conns.get_mut(&id) else { return Vec::new() };
         if self.members[conn.member].mute {
@@ -342,7 +346,7 @@
         std::mem::take(&mut conn.out)
     }
 
-    /// Takes what a client wrote.
+    /// Handles bytes from a client.
     pub fn received(&mut self, now: Millis, id: ConnId, bytes: &[u8]) {
         self.now = now.max(self.now);
         let Some(conn) = self.conns.get_mut(&id).filter(|c| !c.closed) else { return };
@@ -353,7 +357,7 @@
         conn.frames.push(bytes);
         loop {
             match conn.frames.poll() {
-                Ok(Some(record)) => conn.asked.push_back(record),
+                Ok(Some(record)) => conn.queued.push_back(record),
                 Ok(None) => break,
                 Err(_) => {
                     conn.closed = true;
@@ -364,31 +368,31 @@
         self.apply_due();
     }
 
-    /// Serves what clients of a member have asked, each in its order.
-    fn serve_asked(&mut self, member: usize) {
+    /// Serves queued requests of a member's clients, each client's in order.
+    fn serve_queued(&mut self, member: usize) {
         let ids: Vec<ConnId> =
             self.conns.iter().filter(|(_, c)| c.member == member).map(|(id, _)| *id).collect();
         for id in ids {
-            while let Some(record) = self.next_asked(id) {
+            while let Some(record) = self.next_queued(id) {
                 self.serve(id, member, record);
             }
         }
     }
 
-    fn next_asked(&mut self, id: ConnId) -> Option<Bytes> {
+    fn next_queued(&mut self, id: ConnId) -> Option<Bytes> {
         let conn = self.conns.get_mut(&id)?;
-        // What changes something is served when there is a leader, and what stands behind it in its turn.
-        if conn.closed || conn.waiting.is_some() || conn.greeting.is_some() || self.leader.is_none() {
+        // Nothing is served without a leader: writes need one, and later requests must not overtake them.
+        if conn.closed || conn.pending.is_some() || conn.opening.is_some() || self.leader.is_none() {
             return None;
         }
-        conn.asked.pop_front()
+        conn.queued.pop_front()
     }
 
     fn serve(&mut self, id: ConnId, member: usize, record: Bytes) {
         let session = self.conns.get(&id).and_then(|c| c.session);
-        let Some(session) = session else { return self.greet(id, member, record) };
+        let Some(session) = session else { return self.connect(id, member, record) };
         if self.newest.has_session(session) {
-            self.heard.insert(session, self.now);
+            self.last_heard.insert(session, self.now);
         }
         let zxid = self.members[member].tree.zxid();
         let (xid, request) = match Request::read(record) {
@@ -401,9 +405,9 @@
                 return;
             }
         };
-        let moved = self.at.get(&session) != Some(&id);
-        let next = (self.epoch << 32) | (self.counter + 1);
-        let txn = self.newest.prepare(next, self.now as i64, session, &request).filter(|_| !moved);
+        let moved = self.connection_of.get(&session) != Some(&id);
+        let zxid_if_written = (self.epoch << 32) | (self.counter + 1);
+        let txn = self.newest.prepare(zxid_if_written, self.now as i64, session, &request).filter(|_| !moved);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if moved {
             conn.reply(xid, zxid, &Err(Code::SessionMoved));
@@ -416,12 +420,12 @@
             return;
         }
         if let Some(txn) = txn {
-            let closes = matches!(request, Request::CloseSession);
-            conn.waiting = Some(Waiting { xid, zxid: next, closes });
+            let closes_session = matches!(request, Request::CloseSession);
+            conn.pending = Some(PendingRequest { xid, zxid: zxid_if_written, closes_session });
             self.counter += 1;
-            self.agree(txn);
-            // The member may have it already: that is, at once.
-            return self.apply_here(member);
+            self.commit(txn);
+            // Without lag the member applies it at once.
+            return self.apply_at(member);
         }
         let tree = &self.members[member].tree;
         let answer = tree.read(&request).unwrap_or(Err(Code::Unimplemented));
@@ -429,8 +433,8 @@
         conn.reply(xid, zxid, &answer);
     }
 
-    /// Applies what is due at one member, without serving more.
-    fn apply_here(&mut self, n: usize) {
+    /// Applies the transactions that are due at one member, without serving further requests.
+    fn apply_at(&mut self, n: usize) {
         loop {
             let member = &mut self.members[n];
             let Some((at, txn)) = self.order.get(member.applied) else { return };
@@ -443,38 +447,43 @@
             for conn in self.conns.values_mut().filter(|c| c.member == n && !c.closed) {
                 fired.iter().for_each(|event| conn.fire(event));
             }
-            self.tell(n, zxid, &answer);
+            self.respond(n, zxid, &answer);
         }
     }
 
-    fn greet(&mut self, id: ConnId, member: usize, record: Bytes) {
-        let hello = ConnectRequest::read(record);
+    fn connect(&mut self, id: ConnId, member: usize, record: Bytes) {
+        let connect_request = ConnectRequest::read(record);
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Ok(hello) = hello else {
+        let Ok(connect_request) = connect_request else {
             conn.closed = true;
             return;
         };
-        // Who has seen more than this member has is turned away: it would go back in time here.
-        if hello.last_zxid > self.members[member].tree.zxid() {
+        // A client that has seen later transactions than this member is turned away, as it would go back in
+        // time here.
+        if connect_request.last_zxid > self.members[member].tree.zxid() {
             conn.closed = true;
             return;
         }
-        if hello.session != 0 {
-            let known = self.newest.sessions().find(|(s, _)| *s == hello.session);
-            let timeout = known.filter(|_| hello.password == password(hello.session)).map(|(_, t)| t);
+        if connect_request.session != 0 {
+            let known = self.newest.sessions().find(|(s, _)| *s == connect_request.session);
+            let timeout = known
+                .filter(|_| connect_request.password == password(connect_request.session))
+                .map(|(_, t)| t);
             match timeout {
                 Some(timeout) => {
-                    conn.session = Some(hello.session);
-                    conn.greet(hello.session, timeout);
-                    self.heard.insert(hello.session, self.now);
-                    if let Some(old) = self.at.insert(hello.session, id).filter(|old| *old != id) {
+                    conn.session = Some(connect_request.session);
+                    conn.send_connect_response(connect_request.session, timeout);
+                    self.last_heard.insert(connect_request.session, self.now);
+                    if let Some(old) =
+                        self.connection_of.insert(connect_request.session, id).filter(|old| *old != id)
+                    {
                         if let Some(old) = self.conns.get_mut(&old) {
                             old.closed = true;
                         }
                     }
                 }
                 None => {
-                    conn.greet(0, 0);
+                    conn.send_connect_response(0, 0);
                     conn.closed = true;
                 }
             }
@@ -482,27 +491,27 @@
         }
         self.last_session += 1;
         let session = (self.last_session << 8) | (member as i64 + 1);
-        let zxid = self.next();
+        let zxid = self.next_zxid();
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.greeting = Some((zxid, session));
+            conn.opening = Some((zxid, session));
         }
-        let timeout = hello.timeout.clamp(TIMEOUTS.0, TIMEOUTS.1);
+        let timeout = connect_request.timeout.clamp(SESSION_TIMEOUT_BOUNDS.0, SESSION_TIMEOUT_BOUNDS.1);
         let txn = self.newest.open_session(zxid, self.now as i64, session, timeout);
-        self.agree(txn);
-        self.heard.insert(session, self.now);
-        self.apply_here(member);
+        self.commit(txn);
+        self.last_heard.insert(session, self.now);
+        self.apply_at(member);
     }
 }
 
-/// A session's password: a stand-in has no secrets, and a wrong one must still be told from a right one.
+/// Derives a session's password. It is no secret, but lets a wrong password be told from the right one.
 fn password(session: i64) -> Bytes {
     Bytes::copy_from_slice(&[session.to_be_bytes(), (!session).to_be_bytes()].concat())
 }
 
 impl Conn {
-    fn greet(&mut self, session: i64, timeout: i32) {
-        let word = ConnectResponse { timeout, session, password: password(session) };
-        self.out.extend(with_length_prefix(&word.write()));
+    fn send_connect_response(&mut self, session: i64, timeout: i32) {
+        let response = ConnectResponse { timeout, session, password: password(session) };
+        self.out.extend(with_length_prefix(&response.write()));
     }
 
     fn reply(&mut self, xid: i32, zxid: i64, answer: &Result<Response, Code>) {
@@ -514,9 +523,9 @@
     fn fire(&mut self, event: &WatchEvent) {
         let path = event.path.as_str();
         let watched = match event.kind {
-            EventKind::Created | EventKind::DataChanged => self.data.remove(path),
-            EventKind::Deleted => self.data.remove(path) | self.children.remove(path),
-            EventKind::ChildrenChanged => self.children.remove(path),
+            EventKind::Created | EventKind::DataChanged => self.data_watches.remove(path),
+            EventKind::Deleted => self.data_watches.remove(path) | self.child_watches.remove(path),
+            EventKind::ChildrenChanged => self.child_watches.remove(path),
         };
         if watched {
             self.out.extend(with_length_prefix(&event.write()));
@@ -527,18 +536,18 @@
     fn watch(&mut self, tree: &Tree, request: &Request, answer: &Result<Response, Code>) {
         match request {
             Request::Exists { path, watch: true } if matches!(answer, Ok(_) | Err(Code::NoNode)) => {
-                self.data.insert(path.clone());
+                self.data_watches.insert(path.clone());
             }
             Request::GetData { path, watch: true } if answer.is_ok() => {
-                self.data.insert(path.clone());
+                self.data_watches.insert(path.clone());
             }
             Request::GetChildren { path, watch: true, .. } if answer.is_ok() => {
-                self.children.insert(path.clone());
+                self.child_watches.insert(path.clone());
             }
             Request::SetWatches { since, data, exist, children } => {
-                let missed = tree.missed(*since, data, exist, children);
-                self.data.extend(data.iter().chain(exist).cloned());
-                self.children.extend(children.iter().cloned());
+                let missed = tree.missed_events(*since, data, exist, children);
+                self.data_watches.extend(data.iter().chain(exist).cloned());
+                self.child_watches.extend(children.iter().cloned());
                 missed.iter().for_each(|event| self.fire(event));
             }
             _ => {}
--- a/crates/testkit/src/coordination/tree.rs
+++ b/crates/testkit/src/coordination/tree.rs
@@ -1,30 +1,31 @@
-//! The tree of nodes and sessions, as a machine: a request is turned into a transaction against the newest state, and the
-//! same transactions in the same order make the same tree at every member.
+//! The tree of znodes and the sessions, as a state machine. A request is turned into a transaction against
+//! the newest state, and the same transactions in the same order produce the same tree at every member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
 use glenwood_coordination::proto::{Code, EventKind, Mode, Request, Response, Stat, WatchEvent};
 
-/// The longest data of a node, as services have it by default.
-pub const DATA_MOST: usize = 1024 * 1024 - 1;
+/// Maximum size of a znode's data, the default limit of ZooKeeper servers.
+pub const MAX_DATA_BYTES: usize = 1024 * 1024 - 1;
 
-/// A node of the tree.
+/// A znode.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Node {
+struct Znode {
     data: Bytes,
     stat: Stat,
     children: BTreeSet<String>,
 }
 
-impl Node {
-    /// Its stat as clients see it: births of children are what is counted, and a death is a change too.
-    fn shown(&self) -> Stat {
+impl Znode {
+    /// The stat that clients see. Internally `cversion` counts only created children; clients expect removals
+    /// to be counted too.
+    fn client_stat(&self) -> Stat {
         Stat { cversion: self.stat.cversion.wrapping_mul(2).wrapping_sub(self.stat.children), ..self.stat }
     }
 }
 
-/// One change, already checked.
+/// One validated change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Change {
     Create { path: String, data: Bytes, owner: i64 },
@@ -34,7 +35,7 @@
     CloseSession { id: i64 },
 }
 
-/// What a request is answered with once its transaction is applied.
+/// How a request is answered once its transaction is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Reply {
     Created { path: String, stat: bool },
@@ -44,42 +45,42 @@
     Done,
 }
 
-/// A transaction: all of its changes, or none, under one zxid.
+/// A transaction: all of its changes or none, under one zxid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Txn {
-    /// Its place in the one order.
+    /// Position in the order.
     pub zxid: i64,
-    /// When it was made, Unix time in milliseconds.
+    /// When it was created, in Unix time in milliseconds.
     pub time: i64,
     changes: Vec<Change>,
     replies: Vec<Result<Reply, Code>>,
     multi: bool,
 }
 
-/// What each member holds.
+/// The state that each member holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tree {
-    nodes: BTreeMap<String, Node>,
-    /// Sessions that stand, with their time-outs in milliseconds.
+    nodes: BTreeMap<String, Znode>,
+    /// Live sessions with their time-outs in milliseconds.
     sessions: BTreeMap<i64, i32>,
     zxid: i64,
 }
 
 impl Default for Tree {
-    /// The root alone.
+    /// A tree with only the root.
     fn default() -> Self {
-        let root = Node { data: Bytes::new(), stat: Stat::default(), children: BTreeSet::new() };
+        let root = Znode { data: Bytes::new(), stat: Stat::default(), children: BTreeSet::new() };
         Self { nodes: BTreeMap::from([("/".to_string(), root)]), sessions: BTreeMap::new(), zxid: 0 }
     }
 }
 
-/// Where a node hangs, and its name there.
+/// Splits a path into the parent's path and the name.
 fn split(path: &str) -> (&str, &str) {
     let (parent, name) = path.rsplit_once('/').unwrap_or(("", path));
     (if parent.is_empty() { "/" } else { parent }, name)
 }
 
-/// Is this the path of a node?
+/// Whether this is a valid path.
 fn is_path(path: &str) -> bool {
     path == "/"
         || (path.starts_with('/')
@@ -89,53 +90,53 @@
 }
 
 impl Tree {
-    /// The newest transaction that it has.
+    /// zxid of the newest applied transaction.
     pub fn zxid(&self) -> i64 {
         self.zxid
     }
 
-    /// Does this session stand?
+    /// Whether the session is alive.
     pub fn has_session(&self, id: i64) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// All sessions that stand, with their time-outs in milliseconds.
+    /// Live sessions with their time-outs in milliseconds.
     pub fn sessions(&self) -> impl Iterator<Item = (i64, i32)> + '_ {
         self.sessions.iter().map(|(id, timeout)| (*id, *timeout))
     }
 
-    /// All paths, in order.
+    /// All paths in order.
     pub fn paths(&self) -> impl Iterator<Item = &str> {
         self.nodes.keys().map(String::as_str)
     }
 
-    /// The data of a node, if there is one.
+    /// Data of a znode, if it exists.
     pub fn data(&self, path: &str) -> Option<&Bytes> {
         self.nodes.get(path).map(|node| &node.data)
     }
 
-    fn node(&self, path: &str) -> Result<&Node, Code> {
+    fn node(&self, path: &str) -> Result<&Znode, Code> {
         self.nodes.get(path).ok_or(Code::NoNode)
     }
 
-    /// Answers what only reads; `None` for what changes something.
+    /// Answers a read request; `None` for a request that writes.
     pub fn read(&self, request: &Request) -> Option<Result<Response, Code>> {
-        let bad = |path: &str| !is_path(path);
+        let is_invalid = |path: &str| !is_path(path);
         Some(match request {
             Request::Exists { path, .. }
             | Request::GetData { path, .. }
             | Request::GetChildren { path, .. }
-                if bad(path) =>
+                if is_invalid(path) =>
             {
                 Err(Code::BadArguments)
             }
-            Request::Exists { path, .. } => self.node(path).map(|n| Response::Stat(n.shown())),
+            Request::Exists { path, .. } => self.node(path).map(|n| Response::Stat(n.client_stat())),
             Request::GetData { path, .. } => {
-                self.node(path).map(|n| Response::Data { data: n.data.clone(), stat: n.shown() })
+                self.node(path).map(|n| Response::Data { data: n.data.clone(), stat: n.client_stat() })
             }
             Request::GetChildren { path, stat, .. } => self.node(path).map(|n| Response::Children {
                 names: n.children.iter().cloned().collect(),
-                stat: stat.then_some(n.shown()),
+                stat: stat.then_some(n.client_stat()),
             }),
             Request::Sync { path } => Ok(Response::Synced { path: path.clone() }),
             Request::Ping | Request::SetWatches { .. } => Ok(Response::Done),
@@ -148,9 +149,10 @@
         })
     }
 
-    /// What happened since a zxid to nodes that are watched, for a client that takes its watches up again. The watches
-    /// that are left, on data with those on nodes that are not there, and on children, are to be set.
-    pub fn missed(
+    /// Watch events that a reconnecting client missed since `since`, for the watches that it sets again: on
+    /// data, on the existence of absent znodes, and on children. The caller sets the watches for which there
+    /// is no event.
+    pub fn missed_events(
         &self,
         since: i64,
         data: &[String],
@@ -173,15 +175,15 @@
         of_data.chain(of_exist).chain(of_children).collect()
     }
 
-    // ---- Making transactions, at the leader ----
+    // ---- Creating transactions, at the leader ----
 
-    /// A new session.
+    /// Transaction that opens a session.
     pub fn open_session(&self, zxid: i64, time: i64, id: i64, timeout: i32) -> Txn {
         let changes = vec![Change::OpenSession { id, timeout }];
         Txn { zxid, time, changes, replies: vec![Ok(Reply::Done)], multi: false }
     }
 
-    /// The end of a session, and of what is ephemeral in it.
+    /// Transaction that ends a session and deletes its ephemeral znodes.
     pub fn close_session(&self, zxid: i64, time: i64, id: i64) -> Txn {
         let owned = self.nodes.iter().filter(|(_, n)| n.stat.ephemeral_owner == id);
         let mut changes: Vec<Change> = owned.map(|(path, _)| Change::Delete { path: path.clone() }).collect();
@@ -189,8 +191,8 @@
         Txn { zxid, time, changes, replies: vec![Ok(Reply::Done)], multi: false }
     }
 
-    /// Turns what a session asks for into a transaction; `None` for what only reads. One that fails is a transaction
-    /// too, with no change in it: its place in the order is what its client is told.
+    /// Turns a session's request into a transaction; `None` for a request that only reads. A request that
+    /// fails also becomes a transaction, without changes, as its answer carries its position in the order.
     pub fn prepare(&self, zxid: i64, time: i64, session: i64, request: &Request) -> Option<Txn> {
         if !self.has_session(session) {
             let replies = vec![Err(Code::SessionExpired)];
@@ -199,7 +201,7 @@
         let (changes, replies, multi) = match request {
             Request::CloseSession => return Some(self.close_session(zxid, time, session)),
             Request::Multi(all) => {
-                let (changes, replies) = self.all_or_none(zxid, time, session, all);
+                let (changes, replies) = self.prepare_multi(zxid, time, session, all);
                 (changes, replies, true)
             }
             Request::Create { .. }
@@ -214,14 +216,14 @@
         Some(Txn { zxid, time, changes, replies, multi })
     }
 
-    fn all_or_none(
+    fn prepare_multi(
         &self,
         zxid: i64,
         time: i64,
         session: i64,
         all: &[Request],
     ) -> (Vec<Change>, Vec<Result<Reply, Code>>) {
-        // Each sees what those before it did.
+        // Each request sees the effects of those before it.
         let mut scratch = self.clone();
         let (mut changes, mut replies) = (Vec::new(), Vec::new());
         for (n, request) in all.iter().enumerate() {
@@ -229,13 +231,14 @@
                 Ok((change, reply)) => {
                     let step: Vec<Change> = change.into_iter().collect();
                     let txn = Txn { zxid, time, changes: step.clone(), replies: Vec::new(), multi: false };
-                    // What it would answer is said when the whole is applied.
+                    // The response is computed when the whole transaction is applied.
                     let _ = scratch.apply(&txn);
                     changes.extend(step);
                     replies.push(Ok(reply));
                 }
                 Err(code) => {
-                    // The one that failed says why; those before it were undone, those behind it not tried.
+                    // The failing request reports its error, those before it that they were rolled back, and
+                    // those after it that they were not tried.
                     let other = |i: usize| match i.cmp(&n) {
                         std::cmp::Ordering::Less => Code::RolledBack,
                         std::cmp::Ordering::Equal => code,
@@ -258,8 +261,8 @@
         };
         match request {
             Request::Create { path, data, mode, stat, .. } => {
-                let path = self.place_for(path, *mode)?;
-                if data.len() > DATA_MOST {
+                let path = self.resolve_path(path, *mode)?;
+                if data.len() > MAX_DATA_BYTES {
                     return Err(Code::BadArguments);
                 }
                 let owner = if mode.ephemeral { session } else { 0 };
@@ -277,7 +280,7 @@
             }
             Request::SetData { path, data, version } => {
                 versioned(path, *version)?;
-                if data.len() > DATA_MOST {
+                if data.len() > MAX_DATA_BYTES {
                     return Err(Code::BadArguments);
                 }
                 let change = Change::SetData { path: path.clone(), data: data.clone() };
@@ -291,29 +294,29 @@
         }
     }
 
-    /// The path that a new node gets, where it may be made.
-    fn place_for(&self, path: &str, mode: Mode) -> Result<String, Code> {
+    /// Path of a new znode, if it may be created.
+    fn resolve_path(&self, path: &str, mode: Mode) -> Result<String, Code> {
         let (parent, _) = split(path);
-        // A sequential node may have nothing but its number for a name.
-        let named = if mode.sequential { format!("{path}0") } else { path.to_string() };
-        if !is_path(&named) || named == "/" {
+        // The name of a sequential znode may consist of its number alone.
+        let candidate = if mode.sequential { format!("{path}0") } else { path.to_string() };
+        if !is_path(&candidate) || candidate == "/" {
             return Err(if path == "/" { Code::NodeExists } else { Code::BadArguments });
         }
         let parent = self.node(parent)?;
         if parent.stat.ephemeral_owner != 0 {
             return Err(Code::NoChildrenForEphemerals);
         }
-        let path = if mode.sequential { format!("{path}{:010}", parent.stat.cversion) } else { named };
+        let path = if mode.sequential { format!("{path}{:010}", parent.stat.cversion) } else { candidate };
         if self.nodes.contains_key(&path) {
             return Err(Code::NodeExists);
         }
         Ok(path)
     }
 
-    // ---- Applying them, at every member ----
+    // ---- Applying transactions, at every member ----
 
-    /// Applies the next transaction; gives what it answers, and what watches are to fire, in order. One that was applied
-    /// before is left alone.
+    /// Applies the next transaction and returns its response and the watch events, in order. Each transaction
+    /// must be applied once only; this is not checked.
     pub fn apply(&mut self, txn: &Txn) -> (Result<Response, Code>, Vec<WatchEvent>) {
         let mut fired = Vec::new();
         let mut fire = |kind, path: &str| fired.push(WatchEvent { kind, path: path.to_string() });
@@ -331,15 +334,15 @@
                         data_length: data.len() as i32,
                         ..Stat::default()
                     };
-                    let node = Node { data: data.clone(), stat, children: BTreeSet::new() };
+                    let node = Znode { data: data.clone(), stat, children: BTreeSet::new() };
                     self.nodes.insert(path.clone(), node);
-                    let parent = self.hang(path, zxid, true);
+                    let parent = self.update_parent(path, zxid, true);
                     fire(EventKind::Created, path);
                     fire(EventKind::ChildrenChanged, &parent);
                 }
                 Change::Delete { path } => {
                     self.nodes.remove(path);
-                    let parent = self.hang(path, txn.zxid, false);
+                    let parent = self.update_parent(path, txn.zxid, false);
                     fire(EventKind::Deleted, path);
                     fire(EventKind::ChildrenChanged, &parent);
                 }
@@ -363,7 +366,7 @@
         }
         self.zxid = self.zxid.max(txn.zxid);
         let replies: Vec<_> =
-            txn.replies.iter().map(|r| r.as_ref().map_err(|c| *c).map(|r| self.say(r))).collect();
+            txn.replies.iter().map(|r| r.as_ref().map_err(|c| *c).map(|r| self.response_to(r))).collect();
         let answer = if txn.multi {
             Ok(Response::Multi(replies))
         } else {
@@ -372,11 +375,11 @@
         (answer, fired)
     }
 
-    fn say(&self, reply: &Reply) -> Response {
-        let stat = |path: &str| self.nodes.get(path).map(Node::shown).unwrap_or_default();
+    fn response_to(&self, reply: &Reply) -> Response {
+        let stat = |path: &str| self.nodes.get(path).map(Znode::client_stat).unwrap_or_default();
         match reply {
-            Reply::Created { path, stat: wants } => {
-                Response::Created { path: path.clone(), stat: wants.then(|| stat(path)) }
+            Reply::Created { path, stat: wants_stat } => {
+                Response::Created { path: path.clone(), stat: wants_stat.then(|| stat(path)) }
             }
             Reply::Stat { path } => Response::Stat(stat(path)),
             Reply::Deleted => Response::Deleted,
@@ -385,15 +388,16 @@
         }
     }
 
-    /// Hangs a node under its parent, or takes it off; gives the parent's path.
-    fn hang(&mut self, path: &str, zxid: i64, on: bool) -> String {
+    /// Adds a znode to its parent's children or removes it; returns the parent's path.
+    fn update_parent(&mut self, path: &str, zxid: i64, is_created: bool) -> String {
         let (parent, name) = split(path);
         if let Some(node) = self.nodes.get_mut(parent) {
             let changed =
-                if on { node.children.insert(name.to_string()) } else { node.children.remove(name) };
-            debug_assert!(changed, "{path} hung there already, or did not");
-            // Numbers of sequential nodes come of this, so it grows by births alone here and never runs back.
-            node.stat.cversion = node.stat.cversion.wrapping_add(i32::from(on));
+                if is_created { node.children.insert(name.to_string()) } else { node.children.remove(name) };
+            debug_assert!(changed, "{path} was already a child, or was not one");
+            // Numbers of sequential znodes derive from this counter, so it counts only created children and
+            // never decreases.
+            node.stat.cversion = node.stat.cversion.wrapping_add(i32::from(is_created));
             node.stat.pzxid = zxid;
             node.stat.children = node.children.len() as i32;
         }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in discovery service: the list, and watches on its changes.
+//! A test discovery service: the server list, and watches on its changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,43 +14,43 @@
 use crate::runtime;
 use crate::server::{Protocol, StandIn};
 
-/// How often a watch with no news says that it stands.
-const ALIVE: Duration = Duration::from_millis(500);
+/// Interval at which a watch without changes sends an empty line to show that it is alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One entry of the list.
+/// One entry of the server list.
 pub fn host(
     name: &str,
     address: SocketAddr,
     protocol: Protocol,
     cell: u64,
     health: &str,
-    born_ms: u64,
+    started_ms: u64,
 ) -> Value {
     let dial = match protocol {
         Protocol::Http => address.to_string(),
         Protocol::Rpc => format!("msgpack-rpc://{address}"),
     };
     json!({"host": name, "dial": dial, "site": "a", "class": "m1", "block": cell, "health": health, "share": 1.0,
-           "born_ms": born_ms})
+           "born_ms": started_ms})
 }
 
-/// The entry of a stand-in server that is in service.
+/// The entry of a test server that is active.
 pub fn active(server: &StandIn) -> Value {
-    let me = &server.identity;
-    host(&me.name, server.address, me.protocol, me.cell, "active", 0)
+    let identity = &server.identity;
+    host(&identity.name, server.address, identity.protocol, identity.cell, "active", 0)
 }
 
 #[derive(Default)]
 struct State {
     hosts: Vec<Value>,
-    /// Each change, by the version that it made.
+    /// Each change with the version that it produced.
     changes: Vec<(u64, Value)>,
     version: u64,
 }
 
-/// A discovery service that runs; it ends when this is dropped.
+/// A running discovery service. Dropping it ends the service.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     changed: watch::Sender<u64>,
@@ -62,29 +62,31 @@
 }
 
 impl Discovery {
-    /// Starts one with a list, at any free port of 127.0.0.1.
+    /// Starts a service with this list on a free port of 127.0.0.1.
     ///
     /// # Panics
-    /// Where there is none.
+    /// If no port is free.
     pub fn start(hosts: &[Value]) -> Self {
-        Self::start_at("127.0.0.1:0".parse().expect("an address"), hosts)
+        Self::start_at("127.0.0.1:0".parse().expect("a valid address"), hosts)
     }
 
-    /// Starts one with a list at an address.
+    /// Starts a service with this list at an address.
     ///
     /// # Panics
-    /// Where the address can't be had.
-    pub fn start_at(at: SocketAddr, hosts: &[Value]) -> Self {
-        let listener = crate::wait("a listener", TcpListener::bind(at)).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+    /// If the address is not available.
+    pub fn start_at(address: SocketAddr, hosts: &[Value]) -> Self {
+        let listener =
+            crate::wait("binding a listener", TcpListener::bind(address)).expect("cannot bind the listener");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let state = Arc::new(Mutex::new(State { hosts: hosts.to_vec(), changes: Vec::new(), version: 1 }));
         let (changed, changes) = watch::channel(1);
         let accepting = runtime().spawn(accept(listener, state.clone(), changes));
         Self { address, state, changed, accepting }
     }
 
-    /// Changes one entry, or adds it; tells all watches.
-    pub fn tell(&self, host: Value) {
+    /// Changes or adds one entry and notifies all watches. An entry with the health `left` is removed from
+    /// the list.
+    pub fn update(&self, host: Value) {
         let mut state = lock(&self.state);
         state.version += 1;
         let version = state.version;
@@ -110,7 +112,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let (state, changed) = (state.clone(), changed.clone());
         conns.spawn(async move {
-            // What breaks a connection is the other side's affair.
+            // An I/O error only ends this connection.
             let _ = serve(stream, state, changed).await;
         });
         while conns.try_join_next().is_some() {}
@@ -123,16 +125,16 @@
     mut changed: watch::Receiver<u64>,
 ) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
-    while let Some(asked) = http::read(&mut stream).await? {
-        let Some(from) = asked.target().split("from=").nth(1) else {
-            let whole = {
+    while let Some(request) = http::read(&mut stream).await? {
+        let Some(from_version) = request.target().split("from=").nth(1) else {
+            let full_list = {
                 let state = lock(&state);
                 json!({"seq": state.version, "whole": true, "hosts": state.hosts}).to_string()
             };
-            stream.get_mut().write_all(&http::answer(200, "", whole.as_bytes())).await?;
+            stream.get_mut().write_all(&http::answer(200, "", full_list.as_bytes())).await?;
             continue;
         };
-        let mut from: u64 = from.parse().unwrap_or(0);
+        let mut from_version: u64 = from_version.parse().unwrap_or(0);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.get_mut().write_all(head.as_bytes()).await?;
         loop {
@@ -140,21 +142,21 @@
                 let state = lock(&state);
                 changed.mark_unchanged();
                 let new: Vec<&Value> =
-                    state.changes.iter().filter(|(v, _)| *v > from).map(|(_, h)| h).collect();
-                let line = if from == 0 {
-                    // From before the first version: the whole list.
+                    state.changes.iter().filter(|(v, _)| *v > from_version).map(|(_, h)| h).collect();
+                let line = if from_version == 0 {
+                    // A watch from version 0 has nothing yet and gets the full list.
                     json!({"seq": state.version, "whole": true, "hosts": state.hosts}).to_string()
                 } else if new.is_empty() {
                     String::new()
                 } else {
                     json!({"seq": state.version, "whole": false, "hosts": new}).to_string()
                 };
-                from = state.version;
+                from_version = state.version;
                 line + "\n"
             };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
             stream.get_mut().write_all(chunk.as_bytes()).await?;
-            let _ = tokio::time::timeout(ALIVE, changed.changed()).await;
+            let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, changed.changed()).await;
         }
     }
     Ok(())
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Real instances under an agent, driven by `glenctl` as a process, and clients that ask them all the while.
+//! Real node instances under an agent that is controlled through `glenctl` as a process, and clients that
+//! send requests meanwhile.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -17,13 +18,13 @@
 use crate::server::{Identity, Protocol, StandIn};
 use crate::{runtime, until, wait};
 
-/// One machine: a folder, an agent, and what its instances need.
+/// One machine: a directory, an agent, and everything that its instances need.
 pub struct Machine {
-    /// Its folder; the agent's own is `run` in it.
+    /// Directory of the machine; the agent's own directory is `run` in it.
     pub folder: PathBuf,
-    /// Where its instances listen.
+    /// Addresses that the instances listen on.
     pub addresses: Vec<SocketAddr>,
-    /// What its servers carried out.
+    /// What the servers executed.
     pub ledger: Ledger,
     glenctl: PathBuf,
     agent: Option<Child>,
@@ -32,22 +33,23 @@
 }
 
 impl Machine {
-    /// A machine with so many instances of the release `r1`, all of them ready. `glenctl` is that program's file, and
-    /// `sha256` gives the digest of a file; `more` goes into the file of what is desired, behind its table `fleet`.
+    /// Starts a machine with this many instances of the release `r1` and waits until they are ready.
+    /// `glenctl` is the path of that program, and `sha256` computes the digest of a file; `extra` is added to
+    /// the fleet file, after the keys of its table `fleet`.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the instances do not become ready.
     pub fn new(
         glenctl: &Path,
         sha256: impl Fn(&Path) -> String,
         name: &str,
         instances: usize,
-        more: &str,
+        extra: &str,
     ) -> Self {
         let folder = std::env::temp_dir().join(format!("glenwood-fleet-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let folder = folder.canonicalize().expect("it is there");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        let folder = folder.canonicalize().expect("cannot resolve the directory");
         let ledger = Ledger::new(Duration::from_secs(8));
         let script: Script = Arc::new(|_| Step::ServeAfter(Duration::from_millis(3)));
         let servers: Vec<StandIn> = (0..4)
@@ -58,45 +60,48 @@
             })
             .collect();
         let discovery = Discovery::start(&servers.iter().map(active).collect::<Vec<_>>());
-        // Instances keep their addresses over restarts, so these are chosen here; all are held until all are known.
-        let held: Vec<TcpListener> =
-            (0..instances).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
-        let addresses: Vec<SocketAddr> = held.iter().map(|l| l.local_addr().expect("bound")).collect();
-        drop(held);
+        // Instances keep their addresses over restarts, so the ports are chosen here. All listeners stay
+        // bound until every port is chosen, so that the ports differ.
+        let listeners: Vec<TcpListener> = (0..instances)
+            .map(|_| TcpListener::bind("127.0.0.1:0").expect("cannot bind to a free port"))
+            .collect();
+        let addresses: Vec<SocketAddr> =
+            listeners.iter().map(|l| l.local_addr().expect("a bound socket has an address")).collect();
+        drop(listeners);
         let (program, shell) = (sha256(glenctl), sha256(Path::new("/bin/sh")));
         let mut text = format!(
             "[fleet]\npause_ms = 100\nready_within_ms = 10000\nstop_within_ms = 8000\ncanary_requests = 20\n\
-             canary_ms = 400\n{more}\n"
+             canary_ms = 400\n{extra}\n"
         );
         let path = glenctl.display();
         for release in ["r1", "r2"] {
             text += &format!("[releases.{release}]\npath = '{path}'\n");
             text += &format!("sha256 = '{program}'\narguments = ['node']\n");
         }
-        // One that starts and never answers.
+        // A release that starts but never answers.
         text += &format!(
             "[releases.hangs]\npath = '/bin/sh'\nsha256 = '{shell}'\narguments = ['-c', 'sleep 600']\n"
         );
         text += &format!("[releases.other]\npath = '/bin/sh'\nsha256 = '{program}'\n");
-        std::fs::write(folder.join("own.toml"), "[msgpack]\nshared = true\n").expect("a file");
+        std::fs::write(folder.join("own.toml"), "[msgpack]\nshared = true\n").expect("cannot write the file");
         for (n, address) in addresses.iter().enumerate() {
             let mut settings = settings(400.0);
             (settings["Me"], settings["PeersTotal"]) = (n.into(), instances.into());
             for class in settings["Classes"].as_array_mut().into_iter().flatten() {
-                // A node that ends takes its time by the longest of these.
+                // A node's shutdown takes as long as the longest of these.
                 class["Deadline"] = 2000.0.into();
             }
             let mut config = config(&format!("n{n}"), discovery.address, settings);
             config["listen"] = address.to_string().into();
             let file = folder.join(format!("n{n}.json"));
-            std::fs::write(&file, config.to_string()).expect("a file");
+            std::fs::write(&file, config.to_string()).expect("cannot write the file");
             text += &format!(
                 "[[instance]]\nname = 'n{n}'\nrelease = 'r1'\nconfig = '{}'\noperator = '{}'\n",
                 file.display(),
                 folder.join("own.toml").display()
             );
         }
-        std::fs::write(folder.join("fleet.toml"), text).expect("a file");
+        std::fs::write(folder.join("fleet.toml"), text).expect("cannot write the file");
         let mut machine = Self {
             folder,
             addresses,
@@ -108,56 +113,56 @@
         };
         machine.start_agent();
         assert!(machine.fleet(&["apply"]).status.success());
-        machine.until_well();
+        machine.wait_converged();
         machine
     }
 
-    /// Its agent's socket.
+    /// Path of the agent's socket.
     pub fn socket(&self) -> PathBuf {
         self.folder.join("run").join("agent.sock")
     }
 
-    /// Starts its agent, and waits until that answers.
+    /// Starts the agent and waits until it answers.
     ///
     /// # Panics
-    /// Where it does not.
+    /// If the agent does not answer.
     pub fn start_agent(&mut self) {
-        self.start_agent_by(Command::new(&self.glenctl));
+        self.spawn_agent(Command::new(&self.glenctl));
     }
 
-    /// The same, on a disk that is full as soon as a file has so many blocks of 512 bytes, as the limit of the process
-    /// on the size of files makes it look; [`Machine::make_room`] ends that.
+    /// Starts the agent with a limit on the size of files, in blocks of 512 bytes, which makes the disk look
+    /// full once a file reaches it. [`Machine::lift_file_size_limit`] lifts the limit.
     ///
     /// # Panics
-    /// Where it does not answer.
-    pub fn start_agent_with_room(&mut self, blocks: usize) {
+    /// If the agent does not answer.
+    pub fn start_agent_with_file_size_limit(&mut self, blocks: usize) {
         let mut command = Command::new("/bin/sh");
         let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\" \"$@\"");
         command.arg("-c").arg(script).arg(&self.glenctl);
-        self.start_agent_by(command);
+        self.spawn_agent(command);
     }
 
-    /// The disk of the running agent has room again.
+    /// Lifts the limit on the size of files of the running agent.
     ///
     /// # Panics
-    /// Where no agent runs.
-    pub fn make_room(&self) {
+    /// If no agent is running.
+    pub fn lift_file_size_limit(&self) {
         let pid = self.agent_pid().and_then(|pid| Pid::from_raw(pid as i32));
-        let endless = Rlimit { current: None, maximum: None };
-        prlimit(Some(pid.expect("an agent runs")), Resource::Fsize, endless)
-            .expect("it may have its own limit");
+        let unlimited = Rlimit { current: None, maximum: None };
+        prlimit(Some(pid.expect("no agent is running")), Resource::Fsize, unlimited)
+            .expect("cannot set the limit");
     }
 
-    fn start_agent_by(&mut self, mut command: Command) {
+    fn spawn_agent(&mut self, mut command: Command) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("agent.log"));
         command.args(["agent", "--fleet"]).arg(self.folder.join("fleet.toml"));
         command.arg("--folder").arg(self.folder.join("run"));
-        command.stdin(Stdio::null()).stderr(log.expect("a file"));
-        self.agent = Some(command.spawn().expect("it starts"));
+        command.stdin(Stdio::null()).stderr(log.expect("cannot open the log"));
+        self.agent = Some(command.spawn().expect("cannot start the agent"));
         until("the agent answers", || self.status().is_some());
     }
 
-    /// Has its agent ended by itself?
+    /// Whether the agent has exited by itself.
     pub fn agent_ended(&mut self) -> bool {
         let ended = self.agent.as_mut().is_some_and(|agent| matches!(agent.try_wait(), Ok(Some(_))));
         if ended {
@@ -166,80 +171,80 @@
         ended
     }
 
-    /// The number of its agent's process, where it runs.
+    /// Process id of the agent, if it runs.
     pub fn agent_pid(&self) -> Option<u32> {
         self.agent.as_ref().map(Child::id)
     }
 
-    /// Ends the agent with no warning.
+    /// Kills the agent (SIGKILL).
     ///
     /// # Panics
-    /// Where it can't be ended.
+    /// If it cannot be killed.
     pub fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
-            agent.kill().expect("it runs");
-            agent.wait().expect("it has ended");
+            agent.kill().expect("cannot kill the agent");
+            agent.wait().expect("cannot wait for the agent");
         }
     }
 
-    /// `glenctl fleet` with these arguments, for this machine's agent.
+    /// A `glenctl fleet` command with these arguments for this machine's agent.
     pub fn command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(&self.glenctl);
         command.args(["fleet", "--who", "ada", "--agents"]).arg(self.socket()).args(arguments);
         command
     }
 
-    /// The same, run to its end.
+    /// Runs a `glenctl fleet` command to completion.
     ///
     /// # Panics
-    /// Where it can't be run.
+    /// If it cannot be run.
     pub fn fleet(&self, arguments: &[&str]) -> Output {
-        self.command(arguments).output().expect("it runs")
+        self.command(arguments).output().expect("cannot run glenctl")
     }
 
-    /// What the agent says of all; `None` where it does not answer.
+    /// The agent's status; `None` if the agent does not answer.
     ///
     /// # Panics
-    /// Where `glenctl` can't be run.
+    /// If `glenctl` cannot be run.
     pub fn status(&self) -> Option<Value> {
         let output = self.fleet(&["status", "--json"]);
         let all: Value = serde_json::from_slice(&output.stdout).ok()?;
         Some(all["agents"][0]["status"].clone())
     }
 
-    /// Waits until all is as it should be.
+    /// Waits until all instances match the desired state.
     ///
     /// # Panics
-    /// Where it does not come to that.
-    pub fn until_well(&self) {
-        until("all is as it should be", || {
+    /// If they do not get there.
+    pub fn wait_converged(&self) {
+        until("all instances match the desired state", || {
             let status = self.status();
             status.is_some_and(|s| {
-                let all = s["instances"].as_object().expect("instances");
+                let all = s["instances"].as_object().expect("the status has no instances");
                 all.len() == self.addresses.len() && all.values().all(|i| i["drift"] == serde_json::json!([]))
             })
         });
     }
 
-    /// What the agent says of one instance.
+    /// The agent's status of one instance.
     ///
     /// # Panics
-    /// Where the agent does not answer.
-    pub fn of(&self, name: &str) -> Value {
-        self.status().expect("it answers")["instances"][name].clone()
+    /// If the agent does not answer.
+    pub fn instance(&self, name: &str) -> Value {
+        self.status().expect("the agent does not answer")["instances"][name].clone()
     }
 
-    /// The processes of all instances.
+    /// Process ids of all instances.
     ///
     /// # Panics
-    /// Where the agent does not answer.
+    /// If the agent does not answer.
     pub fn pids(&self) -> Vec<u64> {
-        let status = self.status().expect("it answers");
-        let all = status["instances"].as_object().expect("instances").clone();
+        let status = self.status().expect("the agent does not answer");
+        let all = status["instances"].as_object().expect("the status has no instances").clone();
         all.values().filter_map(|i| i["pid"].as_u64()).collect()
     }
 
-    /// Its agent's log.
+    /// The agent's log.
     pub fn agent_log(&self) -> String {
         std::fs::read_to_string(self.folder.join("agent.log")).unwrap_or_default()
     }
@@ -258,45 +263,45 @@
     }
 }
 
-/// Fronts and clients: each goes to a node that says that it is ready, and leaves one that does not any more, as fronts do
-/// that look at `/ready`.
+/// Clients behind a front: each sends to a node that reports itself ready, and leaves a node that no longer
+/// does, like a front that polls `/ready`.
 pub struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<tokio::task::JoinHandle<Counts>>,
 }
 
-/// What became of the requests.
+/// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Requests.
+    /// Requests sent.
     pub asked: usize,
     /// Served.
     pub served: usize,
     /// Refused.
     pub refused: usize,
-    /// Their connection ended first.
+    /// Requests whose connection ended before the answer.
     pub lost: usize,
-    /// Anything else.
+    /// Any other answer.
     pub other: usize,
-    /// No node was ready when one was needed.
-    pub nowhere: usize,
+    /// Times that no node was ready when a client needed one.
+    pub no_node_ready: usize,
 }
 
-/// Does the node at this address say that it is ready?
+/// Whether the node at this address reports itself ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let ask = async {
+    let probe = async {
         let mut stream = tokio::net::TcpStream::connect(address).await?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await?;
         Ok::<bool, std::io::Error>(head.ends_with(b"200"))
     };
-    matches!(tokio::time::timeout(Duration::from_secs(1), ask).await, Ok(Ok(true)))
+    matches!(tokio::time::timeout(Duration::from_secs(1), probe).await, Ok(Ok(true)))
 }
 
 impl Load {
-    /// Begins: twelve clients, of both protocols and all classes.
+    /// Starts twelve clients that use both protocols and all classes.
     pub fn start(addresses: &[SocketAddr]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let ready: Arc<Vec<AtomicBool>> = Arc::new(addresses.iter().map(|_| AtomicBool::new(true)).collect());
@@ -309,42 +314,42 @@
                 }
             });
         }
-        let turn = Arc::new(AtomicUsize::new(0));
+        let next_node = Arc::new(AtomicUsize::new(0));
         let clients = (0..12)
             .map(|client| {
                 let (stop, ready, addresses) = (stop.clone(), ready.clone(), addresses.to_vec());
-                runtime().spawn(drive(client, addresses, ready, stop, turn.clone()))
+                runtime().spawn(run_client(client, addresses, ready, stop, next_node.clone()))
             })
             .collect();
         Self { stop, clients }
     }
 
-    /// Ends it.
+    /// Stops the clients and returns their total counts.
     ///
     /// # Panics
-    /// Where a client does not end.
+    /// If a client does not end.
     pub fn end(self) -> Counts {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.into_iter().fold(Counts::default(), |sum, client| {
-            let c = wait("a client ends", client).expect("it ended well");
+        self.clients.into_iter().fold(Counts::default(), |total, client| {
+            let counts = wait("a client ends", client).expect("a client panicked");
             Counts {
-                asked: sum.asked + c.asked,
-                served: sum.served + c.served,
-                refused: sum.refused + c.refused,
-                lost: sum.lost + c.lost,
-                other: sum.other + c.other,
-                nowhere: sum.nowhere + c.nowhere,
+                asked: total.asked + counts.asked,
+                served: total.served + counts.served,
+                refused: total.refused + counts.refused,
+                lost: total.lost + counts.lost,
+                other: total.other + counts.other,
+                no_node_ready: total.no_node_ready + counts.no_node_ready,
             }
         })
     }
 }
 
-async fn drive(
+async fn run_client(
     client: usize,
     addresses: Vec<SocketAddr>,
     ready: Arc<Vec<AtomicBool>>,
     stop: Arc<AtomicBool>,
-    turn: Arc<AtomicUsize>,
+    next_node: Arc<AtomicUsize>,
 ) -> Counts {
     let classes = [("look", Effect::Safe), ("pay", Effect::Keyed), ("slip", Effect::Unsafe)];
     let mut counts = Counts::default();
@@ -352,10 +357,10 @@
     while !stop.load(Ordering::Relaxed) {
         open = open.filter(|(node, _)| ready[*node].load(Ordering::Relaxed));
         if open.is_none() {
-            let from = turn.fetch_add(1, Ordering::Relaxed);
-            let all = (0..addresses.len()).map(|n| (from + n) % addresses.len());
+            let first = next_node.fetch_add(1, Ordering::Relaxed);
+            let all = (0..addresses.len()).map(|n| (first + n) % addresses.len());
             let Some(node) = all.into_iter().find(|n| ready[*n].load(Ordering::Relaxed)) else {
-                counts.nowhere += 1;
+                counts.no_node_ready += 1;
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
@@ -363,7 +368,7 @@
             open = conn.ok().map(|conn| (node, conn));
         }
         let Some((_, conn)) = &mut open else {
-            // Its listener is closed by now: the next look at it tells.
+            // The node's listener is closed already; the next readiness poll will notice it.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own.
+//! Nodes as separate processes.
 
 use std::ffi::OsString;
 use std::io::{BufRead, BufReader};
@@ -14,31 +14,32 @@
 
 use crate::until;
 
-/// The program that a node runs, and what goes before its own arguments.
+/// The program that a node runs.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments.
+    /// Arguments that precede the node's own.
     pub arguments: Vec<OsString>,
 }
 
 impl Program {
-    /// A program without arguments.
+    /// A program without additional arguments.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into(), arguments: Vec::new() }
     }
 }
 
-/// The classes that stand-ins know, one of each effect: `look`, `pay` and `slip`.
-pub fn settings(aim_ms: f64) -> Value {
+/// Node settings with the classes that the test servers know, one per effect: `look` (safe), `pay` (keyed)
+/// and `slip` (unsafe). `target_ms` is their latency objective in milliseconds.
+pub fn settings(target_ms: f64) -> Value {
     json!({
         "Me": 0, "PeersTotal": 1, "Tick": 1.0, "Discovery": "subscribe", "Weights": "silent",
         "Classes": [
-            {"Name": "look", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "pure", "Value": 1},
-            {"Name": "pay", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "token", "DedupScope": "cell",
+            {"Name": "look", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "pure", "Value": 1},
+            {"Name": "pay", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "token", "DedupScope": "cell",
              "MemorySpan": 60000, "Value": 2},
-            {"Name": "slip", "Slo": aim_ms, "Deadline": 15000.0, "Idempotency": "side_effect", "Value": 2}
+            {"Name": "slip", "Slo": target_ms, "Deadline": 15000.0, "Idempotency": "side_effect", "Value": 2}
         ],
         "Customers": [],
         "Limits": {"AttemptsCap": 3, "MayDuplicate": false, "Cancel": true, "Probes": true, "ConnectTimeout": 2000.0,
@@ -47,54 +48,54 @@
     })
 }
 
-/// The configuration of a node that finds its servers at `discovery`.
+/// Configuration of a node that finds its servers through `discovery`.
 pub fn config(name: &str, discovery: SocketAddr, settings: Value) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings})
 }
 
-/// A node that runs; it is killed when this is dropped.
+/// A running node. Dropping it kills the process.
 pub struct Node {
     child: Child,
     folder: PathBuf,
-    /// Where clients connect, over HTTP and, where that is shared, MessagePack-RPC.
+    /// Address for clients: HTTP and, if the port is shared, MessagePack-RPC.
     pub address: SocketAddr,
-    /// Its own listener for MessagePack-RPC, where it has one.
+    /// Address of a separate MessagePack-RPC listener, if there is one.
     pub rpc: Option<SocketAddr>,
     name: String,
-    wants_rpc: bool,
+    expects_rpc: bool,
     log: Arc<Mutex<Vec<String>>>,
 }
 
 fn folder() -> PathBuf {
-    static LAST: AtomicUsize = AtomicUsize::new(0);
-    let number = LAST.fetch_add(1, Ordering::Relaxed);
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("glenwood-{}-{number}", std::process::id()))
 }
 
 impl Node {
-    /// Starts a node with a configuration and, where it has one, an operator's file; waits until it listens.
+    /// Starts a node with a configuration and an optional operator file, and waits until it listens.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the node does not start to listen.
     pub fn start(program: &Program, config: &Value, operator: Option<&str>) -> Self {
         let mut node = Self::spawn(program, config, operator);
         node.wait_listening();
         node
     }
 
-    /// Starts one and does not wait for it.
+    /// Starts a node without waiting for it.
     ///
     /// # Panics
-    /// Where it can't be started.
+    /// If the process cannot be started.
     pub fn spawn(program: &Program, config: &Value, operator: Option<&str>) -> Self {
         let folder = folder();
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        std::fs::write(folder.join("config.json"), config.to_string()).expect("cannot write the file");
         let mut command = Command::new(&program.path);
         command.args(&program.arguments);
         if let Some(text) = operator {
-            std::fs::write(folder.join("node.toml"), text).expect("a file");
+            std::fs::write(folder.join("node.toml"), text).expect("cannot write the file");
             command.arg("--operator").arg(folder.join("node.toml"));
         }
         for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "GLENWOOD_OPERATOR"] {
@@ -102,62 +103,62 @@
         }
         command.env("BALANCER_CONFIG", folder.join("config.json"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("cannot start the process");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let (lines, errors) = (log.clone(), BufReader::new(child.stderr.take().expect("piped")));
+        let (lines, stderr) = (log.clone(), BufReader::new(child.stderr.take().expect("stderr is piped")));
         std::thread::spawn(move || {
-            for line in errors.lines().map_while(Result::ok) {
+            for line in stderr.lines().map_while(Result::ok) {
                 lines.lock().unwrap_or_else(PoisonError::into_inner).push(line);
             }
         });
-        let wants_rpc = operator.is_some_and(|text| text.contains("[msgpack]\nlisten"));
+        let expects_rpc = operator.is_some_and(|text| text.contains("[msgpack]\nlisten"));
         let name = config["name"].as_str().unwrap_or_default().to_string();
-        Self { child, folder, name, address: ([0, 0, 0, 0], 0).into(), rpc: None, wants_rpc, log }
+        Self { child, folder, name, address: ([0, 0, 0, 0], 0).into(), rpc: None, expects_rpc, log }
     }
 
-    /// Waits until it listens.
+    /// Waits until the node listens.
     ///
     /// # Panics
-    /// Where it does not come up.
+    /// If the node exits or does not start to listen.
     pub fn wait_listening(&mut self) {
-        let own = format!("{} listens at ", self.name);
+        let prefix = format!("{} listens at ", self.name);
         until("the node listens", || {
-            assert!(self.running(), "the node ended: {:?}", self.log());
-            let address = self.said(&own);
-            self.rpc = self.said(" takes MessagePack-RPC at ");
+            assert!(self.is_running(), "the node exited: {:?}", self.log());
+            let address = self.logged_address(&prefix);
+            self.rpc = self.logged_address(" takes MessagePack-RPC at ");
             self.address = address.unwrap_or(self.address);
-            address.is_some() && (self.rpc.is_some() || !self.wants_rpc)
+            address.is_some() && (self.rpc.is_some() || !self.expects_rpc)
         });
     }
 
-    /// The address that its log has said behind these words, up to a comma.
-    pub fn said(&self, words: &str) -> Option<SocketAddr> {
+    /// The address that the log shows after this text, up to a comma.
+    pub fn logged_address(&self, text: &str) -> Option<SocketAddr> {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        let behind = |line: &String| line.split_once(words)?.1.split(',').next()?.parse().ok();
-        log.iter().find_map(behind)
+        let after = |line: &String| line.split_once(text)?.1.split(',').next()?.parse().ok();
+        log.iter().find_map(after)
     }
 
-    /// How many lines of its log have these words.
-    pub fn lines(&self, words: &str) -> usize {
+    /// Number of log lines that contain this text.
+    pub fn count_log_lines(&self, text: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        log.iter().filter(|line| line.contains(words)).count()
+        log.iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the node reports that it is ready.
     ///
     /// # Panics
-    /// Where it does not.
+    /// If the node does not become ready.
     pub fn wait_ready(&self) {
-        until("the node is ready", || self.says_ready());
+        until("the node is ready", || self.is_ready());
     }
 
-    /// Asks it once whether it is ready.
-    pub fn says_ready(&self) -> bool {
-        let ask = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        crate::wait("an answer", async {
+    /// Queries the readiness endpoint once.
+    pub fn is_ready(&self) -> bool {
+        let request = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+        crate::wait("an answer of the node", async {
             use tokio::io::{AsyncWriteExt, BufReader};
             let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else { return false };
-            if stream.write_all(ask).await.is_err() {
+            if stream.write_all(request).await.is_err() {
                 return false;
             }
             let answer = crate::http::read(&mut BufReader::new(stream)).await;
@@ -165,9 +166,9 @@
         })
     }
 
-    /// What it says of itself at its socket; `None` where nobody answers there.
+    /// Reads the report from a node's inspection socket; `None` if nothing answers there.
     pub fn inspect(socket: &Path) -> Option<Value> {
-        crate::wait("an answer", async {
+        crate::wait("an answer of the node", async {
             use tokio::io::AsyncReadExt;
             let mut stream = tokio::net::UnixStream::connect(socket).await.ok()?;
             let mut text = String::new();
@@ -176,109 +177,111 @@
         })
     }
 
-    /// Its log so far.
+    /// The log so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Where clients of a protocol connect.
+    /// Address for clients of a protocol.
     ///
     /// # Panics
-    /// Where it was not told to take that protocol.
-    pub fn takes(&self, protocol: crate::server::Protocol) -> SocketAddr {
+    /// If the node has no listener for the protocol.
+    pub fn address_for(&self, protocol: crate::server::Protocol) -> SocketAddr {
         match protocol {
             crate::server::Protocol::Http => self.address,
-            crate::server::Protocol::Rpc => self.rpc.expect("a listener of its own"),
+            crate::server::Protocol::Rpc => self.rpc.expect("the node has no MessagePack-RPC listener"),
         }
     }
 
-    /// Tells it to stop, as at a planned restart.
+    /// Asks the node to shut down gracefully (SIGTERM), as for a planned restart.
     ///
     /// # Panics
-    /// Where it can't be told.
+    /// If the signal cannot be sent.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Gives it another configuration file, and tells it so (SIGHUP).
+    /// Replaces the configuration file and makes the node reload it (SIGHUP).
     ///
     /// # Panics
-    /// Where the file can't be written, or it can't be told.
+    /// If the file cannot be written or the signal cannot be sent.
     pub fn reload(&self, config: &Value) {
-        std::fs::write(self.folder.join("config.json"), config.to_string()).expect("a file");
+        std::fs::write(self.folder.join("config.json"), config.to_string()).expect("cannot write the file");
         self.signal(Signal::HUP);
     }
 
-    /// Makes it stand still.
+    /// Pauses the process (SIGSTOP).
     ///
     /// # Panics
-    /// Where it can't be told.
-    pub fn stop(&self) {
+    /// If the signal cannot be sent.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process (SIGCONT).
     ///
     /// # Panics
-    /// Where it can't be told.
-    pub fn go_on(&self) {
+    /// If the signal cannot be sent.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Ends it without a word, and waits until it has ended.
+    /// Kills the process (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     fn signal(&self, signal: Signal) {
-        // A child that was not waited for keeps its number, so this reaches no other process.
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("a process id");
-        rustix::process::kill_process(pid, signal).expect("it is a process of this one");
+        // The process id stays reserved until the child is waited for, so the signal cannot reach another
+        // process.
+        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("invalid process id");
+        rustix::process::kill_process(pid, signal).expect("cannot send the signal");
     }
 
-    /// Its memory that is resident, in bytes.
-    pub fn resident(&self) -> usize {
+    /// Resident memory in bytes.
+    pub fn resident_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         line.and_then(|l| l.trim().split(' ').next()?.parse::<usize>().ok()).unwrap_or(0) * 1024
     }
 
-    /// The processor time that it has used, in the kernel too, in hundredths of a second.
-    pub fn cpu(&self) -> u64 {
+    /// CPU time used so far, user and system, in clock ticks of 10 ms.
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
         fields.skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum()
     }
 
-    /// The processor time that its threads have used, those that have ended left out, to the nanosecond.
-    pub fn processor_time(&self) -> Duration {
+    /// CPU time of the threads that are alive, with nanosecond resolution; threads that have ended are not
+    /// included.
+    pub fn cpu_time(&self) -> Duration {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         let threads = threads.into_iter().flatten().flatten().map(|thread| thread.path().join("schedstat"));
         let used = |path| std::fs::read_to_string(path).ok()?.split(' ').next()?.parse::<u64>().ok();
         Duration::from_nanos(threads.filter_map(used).sum())
     }
 
-    /// How many file descriptors it holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// Does it run?
-    pub fn running(&mut self) -> bool {
+    /// Whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until it ends; its exit code.
+    /// Waits for the process to end and returns its exit code.
     ///
     /// # Panics
-    /// Where it does not end.
+    /// If the process does not end.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the node ends", || !self.running());
+        until("the node exits", || !self.is_running());
         self.child.wait().ok().and_then(|status| status.code())
     }
 
-    /// The folder of its files.
+    /// Directory of the node's files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -1,4 +1,4 @@
-//! A MessagePack-RPC server that its test plays by hand, byte by byte where it wants.
+//! A MessagePack-RPC server whose every answer is given by the test, byte by byte if needed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,37 +14,37 @@
 
 use crate::{runtime, until};
 
-/// A call that has come.
+/// A received call.
 #[derive(Clone, Debug)]
-pub struct Came {
-    /// Its connection, from 0.
+pub struct ReceivedCall {
+    /// Index of its connection, from 0.
     pub conn: usize,
-    /// Its number there.
+    /// Call id on that connection.
     pub id: u32,
-    /// What is called.
+    /// The call.
     pub call: Call,
 }
 
 struct Conn {
-    to: Option<OwnedWriteHalf>,
-    reading: JoinHandle<()>,
-    /// The other side has closed.
+    write_half: Option<OwnedWriteHalf>,
+    reader: JoinHandle<()>,
+    /// Whether the other side has closed the connection.
     closed: bool,
-    /// All bytes that came.
+    /// Bytes of all reads that contained calls; 0 for a connection that only carried probes.
     bytes: usize,
 }
 
 #[derive(Default)]
 struct State {
     conns: Vec<Conn>,
-    came: VecDeque<Came>,
+    received: VecDeque<ReceivedCall>,
     probes: usize,
     ids: Vec<(usize, u32)>,
 }
 
-/// A server whose calls wait for its test's word.
+/// A server that holds calls until the test answers them.
 pub struct Peer {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     accepting: JoinHandle<()>,
@@ -55,44 +55,45 @@
 }
 
 impl Peer {
-    /// Starts one. Probes are answered by itself.
+    /// Starts a server. It answers health probes by itself.
     ///
     /// # Panics
-    /// Where there is no free port.
+    /// If no port is free.
     pub fn start() -> Self {
-        let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let state: Arc<Mutex<State>> = Arc::default();
-        let held = state.clone();
+        let shared = state.clone();
         let accepting = runtime().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                take(&held, stream);
+                serve(&shared, stream);
             }
         });
         Self { address, state, accepting }
     }
 
-    /// The next call; waits for it.
-    pub fn call(&self) -> Came {
+    /// Waits for the next call.
+    pub fn call(&self) -> ReceivedCall {
         let mut next = None;
         until("a call", || {
-            next = lock(&self.state).came.pop_front();
+            next = lock(&self.state).received.pop_front();
             next.is_some()
         });
-        next.expect("found")
+        next.expect("a call was received")
     }
 
-    /// So many calls, in the order in which they came.
-    pub fn calls(&self, count: usize) -> Vec<Came> {
+    /// Waits for this many calls, in the order in which they arrive.
+    pub fn calls(&self, count: usize) -> Vec<ReceivedCall> {
         (0..count).map(|_| self.call()).collect()
     }
 
-    /// How many calls have come that were not taken.
+    /// Number of calls received but not yet taken by the test.
     pub fn waiting(&self) -> usize {
-        lock(&self.state).came.len()
+        lock(&self.state).received.len()
     }
 
-    /// How many calls came in all, and whether any number came twice on a connection.
+    /// Number of calls received in all, and whether any call id was used twice on a connection.
     pub fn ids(&self) -> (usize, bool) {
         let mut ids = lock(&self.state).ids.clone();
         let all = ids.len();
@@ -101,69 +102,69 @@
         (all, ids.len() < all)
     }
 
-    /// How many connections were ever opened, without those of probes.
+    /// Number of connections ever opened, without those that only carried probes.
     pub fn connections(&self) -> usize {
         lock(&self.state).conns.iter().filter(|c| c.bytes > 0).count()
     }
 
-    /// How many probes came.
+    /// Number of probes received.
     pub fn probes(&self) -> usize {
         lock(&self.state).probes
     }
 
-    /// Has the node closed this connection?
+    /// Whether the node has closed this connection.
     pub fn is_closed(&self, conn: usize) -> bool {
         lock(&self.state).conns[conn].closed
     }
 
     /// Answers a call.
-    pub fn answer(&self, came: &Came, answer: &Answer) {
+    pub fn answer(&self, call: &ReceivedCall, answer: &Answer) {
         let mut bytes = BytesMut::new();
-        write_answer(&mut bytes, came.id, answer);
-        self.raw(came.conn, &bytes);
+        write_answer(&mut bytes, call.id, answer);
+        self.send_raw(call.conn, &bytes);
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes, unless the connection is closed.
     ///
     /// # Panics
-    /// Where the connection takes none.
-    pub fn raw(&self, conn: usize, bytes: &[u8]) {
-        let to = lock(&self.state).conns[conn].to.take();
-        if let Some(mut to) = to {
-            let wrote = crate::wait("a write", to.write_all(bytes));
-            lock(&self.state).conns[conn].to = Some(to);
-            wrote.expect("the node reads");
+    /// If the write fails.
+    pub fn send_raw(&self, conn: usize, bytes: &[u8]) {
+        let write_half = lock(&self.state).conns[conn].write_half.take();
+        if let Some(mut write_half) = write_half {
+            let result = crate::wait("a write", write_half.write_all(bytes));
+            lock(&self.state).conns[conn].write_half = Some(write_half);
+            result.expect("cannot write to the node");
         }
     }
 
-    /// Ends a connection.
+    /// Closes a connection.
     pub fn close(&self, conn: usize) {
         let mut state = lock(&self.state);
-        state.conns[conn].reading.abort();
-        state.conns[conn].to = None;
+        state.conns[conn].reader.abort();
+        state.conns[conn].write_half = None;
     }
 }
 
 impl Drop for Peer {
     fn drop(&mut self) {
         self.accepting.abort();
-        lock(&self.state).conns.iter().for_each(|c| c.reading.abort());
+        lock(&self.state).conns.iter().for_each(|c| c.reader.abort());
     }
 }
 
-fn take(state: &Arc<Mutex<State>>, stream: TcpStream) {
+fn serve(state: &Arc<Mutex<State>>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (mut from, to) = stream.into_split();
-    let held = state.clone();
+    let (mut read_half, write_half) = stream.into_split();
+    let shared = state.clone();
     let mut all = lock(state);
     let number = all.conns.len();
-    let reading = runtime().spawn(async move {
+    let reader = runtime().spawn(async move {
         let mut frames = Frames::new(Bounds::default());
         let mut chunk = vec![0; 16 * 1024];
         loop {
-            let n = from.read(&mut chunk).await.unwrap_or(0);
+            let n = read_half.read(&mut chunk).await.unwrap_or(0);
             if n == 0 {
-                lock(&held).conns[number].closed = true;
+                lock(&shared).conns[number].closed = true;
                 return;
             }
             frames.push(&chunk[..n]);
@@ -172,23 +173,23 @@
                 if call.class == "health" {
                     let mut bytes = BytesMut::new();
                     write_answer(&mut bytes, id, &Ok(bytes::Bytes::new()));
-                    let to = {
-                        let mut state = lock(&held);
+                    let write_half = {
+                        let mut state = lock(&shared);
                         state.probes += 1;
-                        state.conns[number].to.take()
+                        state.conns[number].write_half.take()
                     };
-                    if let Some(mut to) = to {
-                        let _ = to.write_all(&bytes).await;
-                        lock(&held).conns[number].to = Some(to);
+                    if let Some(mut write_half) = write_half {
+                        let _ = write_half.write_all(&bytes).await;
+                        lock(&shared).conns[number].write_half = Some(write_half);
                     }
                     continue;
                 }
-                let mut state = lock(&held);
+                let mut state = lock(&shared);
                 state.conns[number].bytes += n;
                 state.ids.push((number, id));
-                state.came.push_back(Came { conn: number, id, call });
+                state.received.push_back(ReceivedCall { conn: number, id, call });
             }
         }
     });
-    all.conns.push(Conn { to: Some(to), reading, closed: false, bytes: 0 });
+    all.conns.push(Conn { write_half: Some(write_half), reader, closed: false, bytes: 0 });
 }
--- a/crates/testkit/src/rig/load.rs
+++ b/crates/testkit/src/rig/load.rs
@@ -1,4 +1,4 @@
-//! Clients of a rig: requests at a rate, and clients that come again where their answer is lost.
+//! Clients of a rig: requests at a fixed rate, from clients that repeat a request whose answer was lost.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use crate::runtime;
 use crate::server::Protocol;
 
-/// Asks one thing on a connection of its own; [`Answer::Lost`] where the node can't be reached.
+/// Sends one request on a new connection; [`Answer::Lost`] if the node cannot be reached.
 pub async fn ask_at(address: SocketAddr, ask: &Ask) -> Answer {
     match Client::connect(Protocol::Http, address).await {
         Ok(mut client) => client.ask(ask).await,
@@ -19,85 +19,91 @@
     }
 }
 
-/// What one asking came to.
+/// Result of sending a request once.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request, by the number that it was made from.
+    /// Number of the request.
     pub number: u64,
-    /// Which asking of it this was, from 0.
-    pub time: usize,
-    /// The node that was asked.
+    /// How often the client had sent the request before: 0 for the first time.
+    pub repeat: usize,
+    /// The node that it was sent to.
     pub node: usize,
-    /// What it answered.
+    /// The answer.
     pub answer: Answer,
-    /// How long that took.
+    /// Time until the answer.
     pub took: Duration,
-    /// When it was answered.
-    pub at: Instant,
+    /// When the answer arrived.
+    pub answered_at: Instant,
 }
 
-/// Requests that come at a rate, each to the next of some nodes, until that is ended.
+/// Requests sent at a fixed rate to some nodes in turn, until stopped.
 pub struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     asked: Arc<AtomicU64>,
     outcomes: Arc<Mutex<Vec<Outcome>>>,
-    asking: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
-/// What a client does when its answer was lost.
-pub type Again = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
+/// Decides where a client repeats a request whose answer was lost: from the request's number, the number of
+/// earlier repeats and the node, to the nodes that are asked next.
+pub type RepeatTargets = Arc<dyn Fn(u64, usize, usize) -> Vec<usize> + Send + Sync>;
 
 impl Load {
-    /// Starts it: `make` gives the request of a number and of which asking; `to` the address of a node as it is now. Where an
-    /// answer is lost, `again` says which nodes are asked next, all at once, given the number, the asking and the
-    /// node that was lost; none: the client gives up.
+    /// Starts the load. `build` makes the request from its number and repeat count, and `address_of` gives
+    /// the current address of a node. When an answer is lost, `repeat_targets` names the nodes to which the
+    /// client sends the repeat, to all of them at once; an empty list makes the client give up.
     pub fn start(
         nodes: Vec<usize>,
         per_second: f64,
-        to: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
-        make: Arc<dyn Fn(u64, usize) -> Ask + Send + Sync>,
-        again: Again,
+        address_of: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
+        build: Arc<dyn Fn(u64, usize) -> Ask + Send + Sync>,
+        repeat_targets: RepeatTargets,
     ) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let asked = Arc::new(AtomicU64::new(0));
         let outcomes: Arc<Mutex<Vec<Outcome>>> = Arc::default();
-        let (ended, counted, noted) = (over.clone(), asked.clone(), outcomes.clone());
-        let asking = runtime().spawn(async move {
-            let mut pace = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
-            pace.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+        let (stopping, counter, results) = (stopped.clone(), asked.clone(), outcomes.clone());
+        let task = runtime().spawn(async move {
+            let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / per_second));
+            ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
             let mut clients = tokio::task::JoinSet::new();
-            while !ended.load(Ordering::SeqCst) {
-                pace.tick().await;
-                let number = counted.fetch_add(1, Ordering::SeqCst);
+            while !stopping.load(Ordering::SeqCst) {
+                ticks.tick().await;
+                let number = counter.fetch_add(1, Ordering::SeqCst);
                 let node = nodes[number as usize % nodes.len()];
-                let (to, make, again, noted) = (to.clone(), make.clone(), again.clone(), noted.clone());
+                let (address_of, build, repeat_targets, results) =
+                    (address_of.clone(), build.clone(), repeat_targets.clone(), results.clone());
                 clients.spawn(async move {
-                    let mut next = vec![node];
-                    for time in 0.. {
-                        let asks = next.iter().map(|node| {
-                            let (ask, address, node) = (make(number, time), to(*node), *node);
+                    let mut targets = vec![node];
+                    for repeat in 0.. {
+                        let sends = targets.iter().map(|node| {
+                            let (request, address, node) = (build(number, repeat), address_of(*node), *node);
                             async move {
-                                let began = Instant::now();
-                                let answer = ask_at(address, &ask).await;
+                                let sent_at = Instant::now();
+                                let answer = ask_at(address, &request).await;
                                 Outcome {
                                     number,
-                                    time,
+                                    repeat,
                                     node,
                                     answer,
-                                    took: began.elapsed(),
-                                    at: Instant::now(),
+                                    took: sent_at.elapsed(),
+                                    answered_at: Instant::now(),
                                 }
                             }
                         });
-                        let mut waiting: tokio::task::JoinSet<Outcome> = asks.collect();
-                        let (mut lost, mut any) = (None, false);
-                        while let Some(Ok(outcome)) = waiting.join_next().await {
-                            any |= outcome.answer != Answer::Lost;
-                            lost = Some(outcome.node);
-                            noted.lock().unwrap_or_else(PoisonError::into_inner).push(outcome);
+                        let mut pending: tokio::task::JoinSet<Outcome> = sends.collect();
+                        let (mut lost_node, mut answered) = (None, false);
+                        while let Some(Ok(outcome)) = pending.join_next().await {
+                            answered |= outcome.answer != Answer::Lost;
+                            lost_node = Some(outcome.node);
+                            results.lock().unwrap_or_else(PoisonError::into_inner).push(outcome);
                         }
-                        next = if any { Vec::new() } else { again(number, time, lost.unwrap_or(node)) };
-                        if next.is_empty() {
+                        targets = if answered {
+                            Vec::new()
+                        } else {
+                            repeat_targets(number, repeat, lost_node.unwrap_or(node))
+                        };
+                        if targets.is_empty() {
                             return;
                         }
                     }
@@ -106,26 +112,26 @@
             }
             while clients.join_next().await.is_some() {}
         });
-        Self { over, asked, outcomes, asking }
+        Self { stopped, asked, outcomes, task }
     }
 
-    /// How many requests were asked so far, without their repeats.
+    /// Number of requests sent so far, without repeats.
     pub fn asked(&self) -> u64 {
         self.asked.load(Ordering::SeqCst)
     }
 
-    /// What they came to so far.
+    /// Results so far.
     pub fn outcomes(&self) -> Vec<Outcome> {
         self.outcomes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Ends it, and waits for what is still out.
+    /// Stops sending and waits for the answers that are still outstanding.
     ///
     /// # Panics
-    /// Where that takes too long.
+    /// If that takes longer than [`crate::WAIT_TIMEOUT`].
     pub fn end(self) -> Vec<Outcome> {
-        self.over.store(true, Ordering::SeqCst);
-        crate::wait("the last answers", self.asking).expect("no client panics");
+        self.stopped.store(true, Ordering::SeqCst);
+        crate::wait("the last answers", self.task).expect("a client panicked");
         let outcomes = std::mem::take(&mut *self.outcomes.lock().unwrap_or_else(PoisonError::into_inner));
         outcomes
     }
--- a/crates/testkit/src/rig/mod.rs
+++ b/crates/testkit/src/rig/mod.rs
@@ -1,8 +1,9 @@
-//! Many processes of the program, with faults between them: nodes, servers with one ledger, discovery, and a relay for every
-//! link. One place for all tests of several processes.
+//! A test rig of many processes with faults between them: nodes, servers that share one ledger, discovery,
+//! and a relay on every link. All tests that run several processes use it.
 //!
-//! All that is known by an address that must last, a node to the others, is known by one of the relay, which is never given
-//! up; the processes themselves take any free port, and say which. So no port is ever found by binding and freeing it.
+//! An address that has to outlive a process, such as the one by which the other nodes know a node, belongs to
+//! the relay, which never gives it up. The processes themselves listen on any free port and log it, so no
+//! port is reserved by binding and releasing it.
 
 pub mod load;
 pub mod relay;
@@ -22,73 +23,74 @@
 use crate::script::{Ledger, Script};
 use crate::server::{Identity, Protocol, StandIn};
 use crate::until;
-use relay::{End, Front, Net};
+use relay::{DatagramRelay, End, Net};
 use schedule::{Fault, Schedule};
 
-/// How many processes a test of very many starts: 60, which two busy cores bear, or what GLENWOOD_PROCESSES says, to be run by
-/// hand on a machine for it.
-pub fn very_many() -> usize {
+/// Number of processes for tests that start very many of them: the value of GLENWOOD_PROCESSES, or 60, which
+/// two busy cores can run. Larger numbers are meant for manual runs on a larger machine.
+pub fn large_process_count() -> usize {
     std::env::var("GLENWOOD_PROCESSES").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
 }
 
-/// What a node logs before the address of its socket for membership.
-pub const MEMBERS: &str = "members: listens at ";
+/// Text that a node logs in front of the address of its membership socket.
+pub const MEMBERS_LOG_PREFIX: &str = "members: listens at ";
 
-/// What a node's operator's file has, by its rig and its number.
-pub type Operator = Box<dyn Fn(&Rig, usize) -> String + Send + Sync>;
+/// Produces additional text for a node's operator file from the rig and the node's number.
+pub type OperatorText = Box<dyn Fn(&Rig, usize) -> String + Send + Sync>;
 
-/// What there is to be.
+/// What a [`Rig`] consists of.
 pub struct Plan {
-    /// The program.
+    /// The program that nodes run.
     pub program: Program,
-    /// How many nodes, and how many zones they lie in.
+    /// Number of nodes.
     pub nodes: usize,
-    /// See `nodes`.
+    /// Number of zones that the nodes are spread over.
     pub zones: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// By how many ways nodes reach servers and discovery: each node has its own where there are as many, else node n goes
-    /// by way n modulo this.
-    pub ways: usize,
-    /// What servers do.
+    /// Number of separate sets of links from nodes to servers and discovery. Node n uses set n modulo this
+    /// number, so each node has its own set where there are as many sets as nodes.
+    pub link_sets: usize,
+    /// Behaviour of the servers.
     pub script: Script,
-    /// How long a server remembers keys.
-    pub memory: Duration,
-    /// What the settings of the nodes are to have besides.
-    pub change: fn(&mut Value),
-    /// What the operator's file of a node has besides the tables `inspect` and `members`.
-    pub operator: Operator,
-    /// How often nodes probe one another; 0: no table `members`.
+    /// How long servers remember idempotency keys.
+    pub key_retention: Duration,
+    /// Adjusts the settings of every node.
+    pub adjust_settings: fn(&mut Value),
+    /// Text of a node's operator file besides the tables `inspect` and `members`.
+    pub operator: OperatorText,
+    /// Interval of membership probes between nodes, in milliseconds; 0 leaves the table `members` out.
     pub probe_ms: u64,
-    /// The sockets for datagrams that each node has, by what it logs before a socket's own address: each has an address
-    /// that lasts, [`Rig::front_of`].
+    /// The datagram sockets of each node, each named by the text that the node logs in front of the socket's
+    /// address. Each socket is reached at an address that stays the same over restarts, see
+    /// [`Rig::stable_address`].
     pub sockets: Vec<&'static str>,
-    /// For the chances of links.
+    /// Seed for the random faults on links.
     pub seed: u64,
 }
 
 impl Plan {
-    /// Some nodes and servers in three zones, with nothing of note.
+    /// Nodes and servers in three zones, with default settings.
     pub fn new(program: Program, nodes: usize, servers: usize, script: Script) -> Self {
         Self {
             program,
             nodes,
             zones: 3,
             servers,
-            ways: nodes.min(16),
+            link_sets: nodes.min(16),
             script,
-            memory: Duration::from_secs(60),
-            change: |_| {},
+            key_retention: Duration::from_secs(60),
+            adjust_settings: |_| {},
             operator: Box::new(|_, _| String::new()),
             probe_ms: 100,
-            sockets: vec![MEMBERS],
+            sockets: vec![MEMBERS_LOG_PREFIX],
             seed: 1,
         }
     }
 }
 
-/// A way by which some nodes reach servers and discovery.
-struct Way {
+/// A set of links over which some nodes reach servers and discovery.
+struct Links {
     discovery: SocketAddr,
     list: Discovery,
     servers: Vec<SocketAddr>,
@@ -97,83 +99,87 @@
 #[derive(Default)]
 struct Slot {
     node: Option<Node>,
-    /// One that ends, beside its successor.
-    old: Option<Node>,
-    /// Where clients reach the one that runs, or ran last.
+    /// The previous process, which is shutting down next to its successor.
+    predecessor: Option<Node>,
+    /// Where clients reach the running process, or reached the last one.
     address: Option<SocketAddr>,
     starts: usize,
 }
 
-/// Processes that run, and what lies between them.
+/// Running processes and the links between them.
 pub struct Rig {
-    /// What there is.
+    /// The plan that this rig was built from.
     pub plan: Plan,
     /// The links.
     pub net: Net,
-    /// What the servers saw and carried out.
+    /// What the servers received and executed.
     pub ledger: Ledger,
     folder: PathBuf,
-    /// By the kind of socket, by node.
-    fronts: Vec<Vec<Front>>,
-    ways: Vec<Way>,
+    /// Indexed by the kind of socket, then by node.
+    datagram_relays: Vec<Vec<DatagramRelay>>,
+    links: Vec<Links>,
     slots: Vec<Mutex<Slot>>,
     _servers: Vec<StandIn>,
 }
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        // The nodes first: they still write into the folder.
+        // Nodes are stopped first, because they still write into the directory.
         self.slots.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Rig {
-    /// Servers, discovery and links; no node runs yet.
+    /// Starts servers, discovery and links, but no node.
     ///
     /// # Panics
-    /// Where anything does not come up.
+    /// If any of them does not start.
     pub fn new(plan: Plan) -> Self {
-        static LAST: AtomicUsize = AtomicUsize::new(0);
-        let number = LAST.fetch_add(1, Ordering::Relaxed);
+        static NEXT: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("glenwood-rig-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("secret"), "a secret of all the nodes of a rig").expect("a file");
+        std::fs::create_dir_all(&folder).expect("cannot create the directory");
+        std::fs::write(folder.join("secret"), "a secret of all the nodes of a rig")
+            .expect("cannot write the file");
         let net = Net::new(plan.seed);
-        let ledger = Ledger::new(plan.memory);
+        let ledger = Ledger::new(plan.key_retention);
         let servers: Vec<StandIn> = (0..plan.servers)
             .map(|n| {
                 let identity = Identity { name: format!("s{n}"), cell: 0, protocol: Protocol::Http };
                 StandIn::start(identity, plan.script.clone(), ledger.clone())
             })
             .collect();
-        let ways = (0..plan.ways)
-            .map(|way| {
-                // A node of this way stands for all of them: faults on links to servers are laid by ways.
-                let from = End::Node(way);
-                let lead = |(n, server): (usize, &StandIn)| net.lead(from, End::Server(n), server.address);
-                let servers: Vec<SocketAddr> = servers.iter().enumerate().map(lead).collect();
+        let links = (0..plan.link_sets)
+            .map(|set| {
+                // The first node that uses a set of links represents all of its nodes: faults on links to
+                // servers apply to whole sets.
+                let from = End::Node(set);
+                let open_link =
+                    |(n, server): (usize, &StandIn)| net.link(from, End::Server(n), server.address);
+                let servers: Vec<SocketAddr> = servers.iter().enumerate().map(open_link).collect();
                 let entry = |(n, at): (usize, &SocketAddr)| Self::entry(n, *at, "active");
                 let list = Discovery::start(&servers.iter().enumerate().map(entry).collect::<Vec<_>>());
-                Way { discovery: net.lead(from, End::Discovery, list.address), list, servers }
+                Links { discovery: net.link(from, End::Discovery, list.address), list, servers }
             })
             .collect();
-        let fronts_of = |_| (0..plan.nodes).map(|n| net.front(n)).collect();
-        let fronts = (0..plan.sockets.len()).map(fronts_of).collect();
+        let open_relays = |_| (0..plan.nodes).map(|n| net.relay_datagrams(n)).collect();
+        let datagram_relays = (0..plan.sockets.len()).map(open_relays).collect();
         let slots = (0..plan.nodes).map(|_| Mutex::default()).collect();
-        Self { plan, net, ledger, folder, fronts, ways, slots, _servers: servers }
+        Self { plan, net, ledger, folder, datagram_relays, links, slots, _servers: servers }
     }
 
-    /// The same, with all nodes started and ready, and known to one another where they have membership.
+    /// Like [`Rig::new`], but also starts all nodes and waits until they are ready and, where membership is
+    /// on, know one another.
     ///
     /// # Panics
-    /// Where they do not come up.
-    pub fn started(plan: Plan) -> Self {
+    /// If a node does not become ready or does not learn of the others.
+    pub fn start(plan: Plan) -> Self {
         let rig = Self::new(plan);
         (0..rig.plan.nodes).for_each(|n| rig.spawn(n));
-        (0..rig.plan.nodes).for_each(|n| rig.wait_up(n));
+        (0..rig.plan.nodes).for_each(|n| rig.wait_ready(n));
         if rig.plan.probe_ms > 0 {
-            rig.wait_known();
+            rig.wait_for_membership();
         }
         rig
     }
@@ -182,60 +188,64 @@
         host(&format!("s{server}"), at, Protocol::Http, 0, health, 0)
     }
 
-    /// Discovery says this of a server to the nodes of this one's way.
-    pub fn tell(&self, node: usize, server: usize, health: &str) {
-        let way = &self.ways[node % self.ways.len()];
-        way.list.tell(Self::entry(server, way.servers[server], health));
+    /// Changes the health that discovery reports for a server to this node and to all nodes that share its
+    /// links.
+    pub fn set_health(&self, node: usize, server: usize, health: &str) {
+        let node_links = &self.links[node % self.links.len()];
+        node_links.list.update(Self::entry(server, node_links.servers[server], health));
     }
 
     fn slot(&self, n: usize) -> MutexGuard<'_, Slot> {
         self.slots[n].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with a node that runs; `None` where it does not.
-    pub fn with<T>(&self, n: usize, what: impl FnOnce(&mut Node) -> T) -> Option<T> {
+    /// Calls a function with a node's process; `None` if the node is not running.
+    pub fn with_node<T>(&self, n: usize, what: impl FnOnce(&mut Node) -> T) -> Option<T> {
         self.slot(n).node.as_mut().map(what)
     }
 
-    /// The name of a node.
+    /// Name of a node.
     pub fn name(n: usize) -> String {
         format!("n{n}")
     }
 
-    /// The zone of a node.
+    /// Zone of a node.
     pub fn zone(&self, n: usize) -> String {
         format!("z{}", n % self.plan.zones)
     }
 
-    /// The address by which the others know a node's socket of this kind, over all its lives.
+    /// The address by which the other nodes know a node's socket of this kind. It stays the same over
+    /// restarts.
     ///
     /// # Panics
-    /// Where there is no such kind.
-    pub fn front_of(&self, kind: &str, n: usize) -> SocketAddr {
-        let kind = self.plan.sockets.iter().position(|words| *words == kind).expect("a kind of socket");
-        self.fronts[kind][n].address
+    /// If the plan has no socket of this kind.
+    pub fn stable_address(&self, kind: &str, n: usize) -> SocketAddr {
+        let kind =
+            self.plan.sockets.iter().position(|prefix| *prefix == kind).expect("the plan has no such socket");
+        self.datagram_relays[kind][n].address
     }
 
-    /// The folder of the rig's files.
+    /// Directory of the rig's files.
     pub fn folder(&self) -> &std::path::Path {
         &self.folder
     }
 
-    /// The socket at which a node says what it is.
+    /// Path of a node's inspection socket.
     pub fn socket(&self, n: usize) -> PathBuf {
         self.folder.join(format!("n{n}.sock"))
     }
 
-    /// What a node says of itself; `None` where it does not answer.
+    /// A node's report from its inspection socket; `None` if the node does not answer.
     pub fn report(&self, n: usize) -> Option<Value> {
         Node::inspect(&self.socket(n))
     }
 
-    /// A figure that a node shows at its operators' door; `None` where it does not answer, or has none of that name.
-    pub fn figure(&self, n: usize, name: &str) -> Option<u64> {
-        let door = self.slot(n).node.as_ref()?.said(" answers operators at ")?;
-        let text = crate::wait("an answer", async {
-            let mut stream = tokio::net::TcpStream::connect(door).await.ok()?;
+    /// Reads one metric from a node's operator endpoint; `None` if the node does not answer or has no metric
+    /// of that name.
+    pub fn metric(&self, n: usize, name: &str) -> Option<u64> {
+        let endpoint = self.slot(n).node.as_ref()?.logged_address(" answers operators at ")?;
+        let text = crate::wait("the metrics of a node", async {
+            let mut stream = tokio::net::TcpStream::connect(endpoint).await.ok()?;
             stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").await.ok()?;
             let answer = crate::http::read(&mut BufReader::new(stream)).await.ok()??;
             String::from_utf8(answer.body).ok()
@@ -245,26 +255,26 @@
         line?.parse().ok()
     }
 
-    /// Where clients reach a node now, or reached it when it ran last.
+    /// Where clients reach a node, or reached it when it last ran.
     ///
     /// # Panics
-    /// Where it has never run.
+    /// If the node has never run.
     pub fn address(&self, n: usize) -> SocketAddr {
-        self.slot(n).address.expect("it has run")
+        self.slot(n).address.expect("the node has never run")
     }
 
     fn operator(&self, n: usize) -> String {
         let mut text = format!("[inspect]\nsocket = '{}'\n", self.socket(n).display());
         if self.plan.probe_ms > 0 {
-            // A seed in each zone.
+            // One seed node per zone.
             let seeds: Vec<String> = (0..self.plan.zones.min(self.plan.nodes))
-                .map(|s| format!("'{}'", self.front_of(MEMBERS, s)))
+                .map(|s| format!("'{}'", self.stable_address(MEMBERS_LOG_PREFIX, s)))
                 .collect();
             text += &format!(
                 "[members]\ncluster = 'rig'\nsecret = '{}/secret'\nlisten = '127.0.0.1:0'\naddress = '{}'\nzone = '{}'\n\
                  seeds = [{}]\nprobe_ms = {}\n",
                 self.folder.display(),
-                self.front_of(MEMBERS, n),
+                self.stable_address(MEMBERS_LOG_PREFIX, n),
                 self.zone(n),
                 seeds.join(", "),
                 self.plan.probe_ms
@@ -273,81 +283,81 @@
         text + &(self.plan.operator)(self, n)
     }
 
-    /// Starts a node, under its name and addresses; does not wait for it.
+    /// Starts a node under its name and addresses without waiting for it.
     pub fn spawn(&self, n: usize) {
-        let way = &self.ways[n % self.ways.len()];
+        let node_links = &self.links[n % self.links.len()];
         let mut settings = settings(1000.0);
         settings["Me"] = json!(n);
         settings["PeersTotal"] = json!(self.plan.nodes);
-        (self.plan.change)(&mut settings);
-        let mut config = config(&Self::name(n), way.discovery, settings);
+        (self.plan.adjust_settings)(&mut settings);
+        let mut config = config(&Self::name(n), node_links.discovery, settings);
         let operator = self.operator(n);
         let mut slot = self.slot(n);
         slot.starts += 1;
         config["mgmt"] = json!("127.0.0.1:0");
         config["seed"] = json!(format!("{:x}", 1000 * n + slot.starts));
         if let Some(address) = slot.address.filter(|_| slot.node.is_some()) {
-            // A successor comes to where the one before it listens.
+            // A successor takes over the listening address of its predecessor.
             config["listen"] = json!(address.to_string());
         }
         let node = Node::spawn(&self.plan.program, &config, Some(&operator));
-        slot.old = slot.node.replace(node);
+        slot.predecessor = slot.node.replace(node);
     }
 
-    /// Waits until a node that was started serves; its sockets are known to the relay from then on.
+    /// Waits until a started node serves requests, then tells the relay where its sockets are.
     ///
     /// # Panics
-    /// Where it does not come up.
-    pub fn wait_up(&self, n: usize) {
-        let own = |words: &str| self.slot(n).node.as_ref().and_then(|node| node.said(words));
+    /// If the node does not become ready.
+    pub fn wait_ready(&self, n: usize) {
+        let logged = |prefix: &str| self.slot(n).node.as_ref().and_then(|node| node.logged_address(prefix));
         {
             let mut slot = self.slot(n);
-            let node = slot.node.as_mut().expect("it was started");
+            let node = slot.node.as_mut().expect("the node was not started");
             node.wait_listening();
             node.wait_ready();
             let address = node.address;
             slot.address = Some(address);
         }
-        for (kind, words) in self.plan.sockets.iter().enumerate() {
-            until(words, || own(words).is_some());
-            self.fronts[kind][n].is_at(own(words).expect("said"));
+        for (kind, prefix) in self.plan.sockets.iter().enumerate() {
+            until(prefix, || logged(prefix).is_some());
+            self.datagram_relays[kind][n].set_node_address(logged(prefix).expect("the address is logged"));
         }
     }
 
-    /// Waits until each node that runs takes all those that run for living, and nobody else.
+    /// Waits until each running node considers exactly the running nodes alive.
     ///
     /// # Panics
-    /// Where they do not.
-    pub fn wait_known(&self) {
+    /// If that takes longer than twice [`crate::WAIT_TIMEOUT`].
+    pub fn wait_for_membership(&self) {
         let running = self.running();
-        let began = Instant::now();
-        let mut left = running.clone();
-        while !left.is_empty() {
-            left.retain(|n| self.figure(*n, "members_living") != Some(running.len() as u64 - 1));
-            if began.elapsed() > 2 * crate::PATIENCE {
+        let started_at = Instant::now();
+        let mut pending = running.clone();
+        while !pending.is_empty() {
+            pending.retain(|n| self.metric(*n, "members_living") != Some(running.len() as u64 - 1));
+            if started_at.elapsed() > 2 * crate::WAIT_TIMEOUT {
                 let states = |n: &usize| self.report(*n).map(|r| r["members"]["states"].to_string());
-                let states: Vec<_> = left.iter().map(|n| (*n, states(n))).collect();
-                panic!("these do not know all {}: {states:?}", running.len());
+                let states: Vec<_> = pending.iter().map(|n| (*n, states(n))).collect();
+                panic!("these nodes do not know all {} running nodes: {states:?}", running.len());
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The nodes that run.
+    /// The nodes that are running.
     pub fn running(&self) -> Vec<usize> {
         (0..self.plan.nodes).filter(|n| self.slot(*n).node.is_some()).collect()
     }
 
-    /// How many log lines of a node have these words, over the life that runs.
-    pub fn lines(&self, n: usize, words: &str) -> usize {
-        self.with(n, |node| node.lines(words)).unwrap_or(0)
+    /// Number of log lines of a node's current process that contain this text.
+    pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
+        self.with_node(n, |node| node.count_log_lines(text)).unwrap_or(0)
     }
 
-    /// Carries a fault out.
+    /// Carries out a fault.
     ///
     /// # Panics
-    /// Where a node that is started does not come up.
-    pub fn cause(&self, fault: &Fault) {
+    /// If a node that the fault starts does not become ready.
+    pub fn apply_fault(&self, fault: &Fault) {
         match fault {
             Fault::Kill(n) => {
                 let node = self.slot(*n).node.take();
@@ -356,37 +366,37 @@
             Fault::Start(n) => {
                 if self.slot(*n).node.is_none() {
                     self.spawn(*n);
-                    self.wait_up(*n);
+                    self.wait_ready(*n);
                 }
             }
-            Fault::Stop(n) => drop(self.with(*n, |node| node.stop())),
-            Fault::GoOn(n) => drop(self.with(*n, |node| node.go_on())),
-            Fault::Terminate(n) => drop(self.with(*n, |node| node.terminate())),
+            Fault::Pause(n) => drop(self.with_node(*n, |node| node.pause())),
+            Fault::Resume(n) => drop(self.with_node(*n, |node| node.resume())),
+            Fault::Terminate(n) => drop(self.with_node(*n, |node| node.terminate())),
             Fault::Upgrade(n) => {
                 self.spawn(*n);
                 {
                     let mut slot = self.slot(*n);
-                    slot.node.as_mut().expect("it was started").wait_listening();
-                    slot.old.iter().for_each(Node::terminate);
+                    slot.node.as_mut().expect("the node was not started").wait_listening();
+                    slot.predecessor.iter().for_each(Node::terminate);
                 }
-                self.wait_up(*n);
+                self.wait_ready(*n);
             }
-            Fault::Lay(between) => self.net.lay(between.clone()),
+            Fault::Impair(link_impairment) => self.net.impair(link_impairment.clone()),
             Fault::Heal => self.net.heal(),
         }
     }
 
-    /// Plays faults, each at its time.
+    /// Carries out the faults of a schedule, each at its time.
     ///
     /// # Panics
-    /// Where one can't be carried out.
-    pub fn play(&self, schedule: &Schedule) {
-        let began = Instant::now();
+    /// If a fault cannot be carried out.
+    pub fn run_schedule(&self, schedule: &Schedule) {
+        let started_at = Instant::now();
         for step in &schedule.steps {
-            // The time of a fault is a part of the schedule: nothing is waited for here.
+            // The times are part of the schedule: this does not wait for the effect of the previous fault.
             let due = Duration::from_millis(step.at);
-            std::thread::sleep(due.saturating_sub(began.elapsed()));
-            self.cause(&step.fault);
+            std::thread::sleep(due.saturating_sub(started_at.elapsed()));
+            self.apply_fault(&step.fault);
         }
     }
 }
--- a/crates/testkit/src/rig/relay.rs
+++ b/crates/testkit/src/rig/relay.rs
@@ -1,5 +1,5 @@
-//! One relay for all links of a rig: datagrams between nodes, and connections to servers and to discovery. What goes between
-//! two ends goes by the faults that are laid between them at that moment.
+//! One relay for all links of a rig: datagrams between nodes, and connections to servers and discovery.
+//! Traffic between two ends is subject to the faults that are active on that link at that moment.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,88 +19,92 @@
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum End {
-    /// A node, by its number.
+    /// A node, by number.
     Node(usize),
-    /// A server, by its number.
+    /// A server, by number.
     Server(usize),
     /// The discovery service.
     Discovery,
 }
 
-/// What happens on a link, one way.
+/// What goes wrong on a link, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Trouble {
-    /// Nothing goes through. A connection stays open and silent, a new one comes up and stays silent.
+pub enum Impairment {
+    /// Nothing passes. Open connections stay open without traffic, and so do new ones.
     Cut,
-    /// Connections are broken, and new ones are at once; datagrams are lost.
+    /// Connections, existing and new, are reset; datagrams are lost.
     Reset,
-    /// So many in a hundred datagrams are lost.
+    /// This percentage of datagrams is lost.
     Loss(u8),
-    /// So many in a hundred datagrams come twice.
-    Doubled(u8),
-    /// All takes so many milliseconds, and datagrams up to so many more, so that they overtake one another.
+    /// This percentage of datagrams is delivered twice.
+    #[serde(rename = "Doubled")]
+    Duplicated(u8),
+    /// All traffic is delayed by the first value in milliseconds, and datagrams by a random extra of up to
+    /// the second, so that they are reordered.
     Delay(u64, u64),
 }
 
-/// Troubles between some ends and some others; an empty list stands for all.
+/// An impairment on all links from some ends to some others; an empty list means all ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Between {
-    /// From these.
+pub struct LinkImpairment {
+    /// Sending ends.
     pub from: Vec<End>,
-    /// To these.
+    /// Receiving ends.
     pub to: Vec<End>,
-    /// What happens.
-    pub trouble: Trouble,
+    /// What goes wrong.
+    #[serde(rename = "trouble")]
+    pub impairment: Impairment,
 }
 
-impl Between {
+impl LinkImpairment {
     fn covers(&self, from: End, to: End) -> bool {
-        let among = |ends: &[End], end: End| ends.is_empty() || ends.contains(&end);
-        among(&self.from, from) && among(&self.to, to)
+        let matches = |ends: &[End], end: End| ends.is_empty() || ends.contains(&end);
+        matches(&self.from, from) && matches(&self.to, to)
     }
 }
 
-/// What becomes of something that goes over a link now.
+/// The combined impairments that apply to a link at the moment.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct Conditions {
     cut: bool,
     reset: bool,
     loss: u8,
-    doubled: u8,
+    duplicates: u8,
     delay: (u64, u64),
 }
 
-struct Laid {
-    troubles: Vec<Between>,
+struct LinkState {
+    impairments: Vec<LinkImpairment>,
     random: fastrand::Rng,
 }
 
-/// What was counted.
+/// Traffic counters.
 #[derive(Debug, Default)]
-pub struct Passed {
-    /// Datagrams that came, and those that were given on.
+pub struct Traffic {
+    /// Datagrams received.
     pub datagrams: AtomicU64,
-    /// See `datagrams`.
-    pub given: AtomicU64,
-    /// Datagrams from sockets that nobody named.
-    pub strangers: AtomicU64,
-    /// Connections.
+    /// Datagrams forwarded.
+    pub forwarded: AtomicU64,
+    /// Datagrams dropped because their source socket belongs to no known node.
+    pub unknown_sources: AtomicU64,
+    /// Connections accepted.
     pub connections: AtomicU64,
 }
 
-/// Whose each socket is, and the one by which the others know it.
-type Faces = HashMap<SocketAddr, (usize, Arc<UdpSocket>)>;
+/// Maps the address of a node's own socket to the node's number and to the relay socket that represents it
+/// towards other nodes.
+type Senders = HashMap<SocketAddr, (usize, Arc<UdpSocket>)>;
 
-/// The troubles of all links, and what went over them.
+/// The state of all links, and counters of their traffic.
 #[derive(Clone)]
 pub struct Net {
-    laid: Arc<Mutex<Laid>>,
-    /// Told anew with each change.
+    state: Arc<Mutex<LinkState>>,
+    /// Notified of each change.
     changed: watch::Sender<u64>,
-    /// By the address of a socket, whose it is, and by which address the others know it.
-    faces: Arc<Mutex<Faces>>,
-    /// What was counted.
-    pub passed: Arc<Passed>,
+    /// Nodes by the addresses of their own sockets.
+    senders: Arc<Mutex<Senders>>,
+    /// Traffic counters.
+    pub traffic: Arc<Traffic>,
 }
 
 fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -108,120 +112,130 @@
 }
 
 impl Net {
-    /// Links without trouble; `seed` is for what is left to chance.
+    /// Links without impairments; `seed` drives the random choices.
     pub fn new(seed: u64) -> Self {
         let random = fastrand::Rng::with_seed(seed);
-        let laid = Laid { troubles: Vec::new(), random };
+        let state = LinkState { impairments: Vec::new(), random };
         Self {
-            laid: Arc::new(Mutex::new(laid)),
+            state: Arc::new(Mutex::new(state)),
             changed: watch::channel(0).0,
-            faces: Arc::default(),
-            passed: Arc::default(),
+            senders: Arc::default(),
+            traffic: Arc::default(),
         }
     }
 
-    /// Lays one more trouble.
-    pub fn lay(&self, between: Between) {
-        lock(&self.laid).troubles.push(between);
+    /// Adds an impairment.
+    pub fn impair(&self, link_impairment: LinkImpairment) {
+        lock(&self.state).impairments.push(link_impairment);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Takes all troubles away.
+    /// Removes all impairments.
     pub fn heal(&self) {
-        lock(&self.laid).troubles.clear();
+        lock(&self.state).impairments.clear();
         self.changed.send_modify(|n| *n += 1);
     }
 
-    fn fate(&self, from: End, to: End) -> Fate {
-        let mut fate = Fate::default();
-        for between in lock(&self.laid).troubles.iter().filter(|between| between.covers(from, to)) {
-            match between.trouble {
-                Trouble::Cut => fate.cut = true,
-                Trouble::Reset => fate.reset = true,
-                Trouble::Loss(part) => fate.loss = fate.loss.max(part),
-                Trouble::Doubled(part) => fate.doubled = fate.doubled.max(part),
-                Trouble::Delay(least, more) => fate.delay = (least, more),
+    fn conditions(&self, from: End, to: End) -> Conditions {
+        let mut conditions = Conditions::default();
+        for active in lock(&self.state).impairments.iter().filter(|active| active.covers(from, to)) {
+            match active.impairment {
+                Impairment::Cut => conditions.cut = true,
+                Impairment::Reset => conditions.reset = true,
+                Impairment::Loss(percent) => conditions.loss = conditions.loss.max(percent),
+                Impairment::Duplicated(percent) => conditions.duplicates = conditions.duplicates.max(percent),
+                Impairment::Delay(base, jitter) => conditions.delay = (base, jitter),
             }
         }
-        fate
+        conditions
     }
 
-    fn chance(&self, of: u8) -> bool {
-        of > 0 && lock(&self.laid).random.u8(0..100) < of
+    fn happens(&self, percent: u8) -> bool {
+        percent > 0 && lock(&self.state).random.u8(0..100) < percent
     }
 
-    fn between(&self, (least, more): (u64, u64)) -> Duration {
-        Duration::from_millis(least + if more > 0 { lock(&self.laid).random.u64(0..=more) } else { 0 })
+    fn random_delay(&self, (base, jitter): (u64, u64)) -> Duration {
+        Duration::from_millis(base + if jitter > 0 { lock(&self.state).random.u64(0..=jitter) } else { 0 })
     }
 
     // ---- Datagrams ----
 
-    /// The address by which all others know a node: what is sent there reaches it where it is now, once that is said.
+    /// Opens the address by which all others know a node's socket. Datagrams sent there are forwarded to the
+    /// node's current socket once that is set with [`DatagramRelay::set_node_address`].
     ///
     /// # Panics
-    /// Where there is no free port.
-    pub fn front(&self, node: usize) -> Front {
-        let socket = crate::wait("a socket", UdpSocket::bind("127.0.0.1:0")).expect("a free port");
-        let address = socket.local_addr().expect("bound");
-        let front =
-            Front { node, address, socket: Arc::new(socket), behind: Arc::default(), net: self.clone() };
-        let relay = front.clone();
-        runtime().spawn(async move { relay.run().await });
-        front
+    /// If no port is free.
+    pub fn relay_datagrams(&self, node: usize) -> DatagramRelay {
+        let socket = crate::wait("binding a socket", UdpSocket::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = socket.local_addr().expect("a bound socket has an address");
+        let relay = DatagramRelay {
+            node,
+            address,
+            socket: Arc::new(socket),
+            node_address: Arc::default(),
+            net: self.clone(),
+        };
+        let task = relay.clone();
+        runtime().spawn(async move { task.run().await });
+        relay
     }
 }
 
-/// The one address of a node's socket, over all its lives.
+/// Relays datagrams to one socket of a node, at an address that stays the same over restarts of the node.
 #[derive(Clone)]
-pub struct Front {
+pub struct DatagramRelay {
     node: usize,
-    /// What the others know.
+    /// The address that other nodes use.
     pub address: SocketAddr,
     socket: Arc<UdpSocket>,
-    behind: Arc<Mutex<Option<SocketAddr>>>,
+    node_address: Arc<Mutex<Option<SocketAddr>>>,
     net: Net,
 }
 
-impl Front {
-    /// The node's socket is there from now on.
-    pub fn is_at(&self, own: SocketAddr) {
-        let before = lock(&self.behind).replace(own);
-        let mut faces = lock(&self.net.faces);
-        before.filter(|before| *before != own).into_iter().for_each(|before| drop(faces.remove(&before)));
-        faces.insert(own, (self.node, self.socket.clone()));
+impl DatagramRelay {
+    /// Sets the current address of the node's own socket.
+    pub fn set_node_address(&self, address: SocketAddr) {
+        let previous = lock(&self.node_address).replace(address);
+        let mut senders = lock(&self.net.senders);
+        previous
+            .filter(|previous| *previous != address)
+            .into_iter()
+            .for_each(|previous| drop(senders.remove(&previous)));
+        senders.insert(address, (self.node, self.socket.clone()));
     }
 
     async fn run(self) {
         let mut bytes = vec![0; 65536];
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut bytes).await else { continue };
-            self.net.passed.datagrams.fetch_add(1, Ordering::Relaxed);
-            // Whoever sends is known to the receiver by its own one address.
-            let Some((from, face)) = lock(&self.net.faces).get(&source).cloned() else {
-                self.net.passed.strangers.fetch_add(1, Ordering::Relaxed);
+            self.net.traffic.datagrams.fetch_add(1, Ordering::Relaxed);
+            // The receiver sees the sender's stable address as the source.
+            let Some((from, sender)) = lock(&self.net.senders).get(&source).cloned() else {
+                self.net.traffic.unknown_sources.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
-            let fate = self.net.fate(End::Node(from), End::Node(self.node));
-            if fate.cut || fate.reset || self.net.chance(fate.loss) {
+            let conditions = self.net.conditions(End::Node(from), End::Node(self.node));
+            if conditions.cut || conditions.reset || self.net.happens(conditions.loss) {
                 continue;
             }
-            for _ in 0..=usize::from(self.net.chance(fate.doubled)) {
-                self.give(&face, &bytes[..length], fate).await;
+            for _ in 0..=usize::from(self.net.happens(conditions.duplicates)) {
+                self.forward(&sender, &bytes[..length], conditions).await;
             }
         }
     }
 
-    async fn give(&self, face: &Arc<UdpSocket>, bytes: &[u8], fate: Fate) {
-        let Some(to) = *lock(&self.behind) else { return };
-        self.net.passed.given.fetch_add(1, Ordering::Relaxed);
-        if fate.delay == (0, 0) {
-            let _ = face.send_to(bytes, to).await;
+    async fn forward(&self, sender: &Arc<UdpSocket>, bytes: &[u8], conditions: Conditions) {
+        let Some(to) = *lock(&self.node_address) else { return };
+        self.net.traffic.forwarded.fetch_add(1, Ordering::Relaxed);
+        if conditions.delay == (0, 0) {
+            let _ = sender.send_to(bytes, to).await;
             return;
         }
-        let (face, bytes, wait) = (face.clone(), bytes.to_vec(), self.net.between(fate.delay));
+        let (sender, bytes, wait) = (sender.clone(), bytes.to_vec(), self.net.random_delay(conditions.delay));
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            let _ = face.send_to(&bytes, to).await;
+            let _ = sender.send_to(&bytes, to).await;
         });
     }
 }
@@ -229,13 +243,14 @@
 // ---- Connections ----
 
 impl Net {
-    /// An address that leads from one end to another: connections there go on to `target`.
+    /// Opens an address for connections from one end to another and forwards them to `target`.
     ///
     /// # Panics
-    /// Where there is no free port.
-    pub fn lead(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
-        let listener = crate::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+    /// If no port is free.
+    pub fn link(&self, from: End, to: End, target: SocketAddr) -> SocketAddr {
+        let listener = crate::wait("binding a listener", TcpListener::bind("127.0.0.1:0"))
+            .expect("cannot bind to a free port");
+        let address = listener.local_addr().expect("a bound socket has an address");
         let net = self.clone();
         runtime().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -247,29 +262,29 @@
     }
 
     async fn connect(&self, client: TcpStream, from: End, to: End, target: SocketAddr) {
-        self.passed.connections.fetch_add(1, Ordering::Relaxed);
+        self.traffic.connections.fetch_add(1, Ordering::Relaxed);
         let mut changed = self.changed.subscribe();
-        while self.fate(from, to).cut {
+        while self.conditions(from, to).cut {
             if changed.changed().await.is_err() {
                 return;
             }
         }
-        if self.fate(from, to).reset {
+        if self.conditions(from, to).reset {
             return reset(client);
         }
         let Ok(server) = TcpStream::connect(target).await else { return reset(client) };
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let (client, server) = (client.into_split(), server.into_split());
-        let there = self.copy(client.0, server.1, from, to);
-        let back = self.copy(server.0, client.1, to, from);
-        let (there, back) = tokio::join!(there, back);
-        for end in [there, back].into_iter().flatten() {
+        let upstream = self.copy(client.0, server.1, from, to);
+        let downstream = self.copy(server.0, client.1, to, from);
+        let (upstream, downstream) = tokio::join!(upstream, downstream);
+        for end in [upstream, downstream].into_iter().flatten() {
             drop(end);
         }
     }
 
-    /// Takes what comes over the one way, and gives it on when that is let through. An end that was read to its end, or a
-    /// trouble that breaks the connection, ends it.
+    /// Copies one direction of a connection, as far as the impairments allow. Returns the writing half at end
+    /// of file, and `None` when the connection breaks or is reset.
     async fn copy(
         &self,
         mut read: OwnedReadHalf,
@@ -280,12 +295,12 @@
         let (mut chunk, mut changed) = (vec![0; 16 * 1024], self.changed.subscribe());
         loop {
             changed.mark_unchanged();
-            let fate = self.fate(from, to);
-            if fate.reset {
-                // Dropped with what has not been read, it is a reset.
+            let conditions = self.conditions(from, to);
+            if conditions.reset {
+                // Dropping a socket with unread data resets the connection.
                 return None;
             }
-            if fate.cut {
+            if conditions.cut {
                 let _ = changed.changed().await;
                 continue;
             }
@@ -301,16 +316,16 @@
                 Ok(n) => n,
                 Err(_) => return None,
             };
-            // It has left the one end, and does not reach the other while the way is cut. It is lost where the connection breaks
-            // meanwhile.
-            let came = Instant::now();
-            while self.fate(from, to).cut && !self.fate(from, to).reset {
+            // The data has left the sender, but is held back while the link is cut, and is lost if the
+            // connection is reset in the meantime.
+            let read_at = Instant::now();
+            while self.conditions(from, to).cut && !self.conditions(from, to).reset {
                 let _ = changed.changed().await;
             }
-            if self.fate(from, to).reset {
+            if self.conditions(from, to).reset {
                 return None;
             }
-            tokio::time::sleep_until(came + Duration::from_millis(fate.delay.0)).await;
+            tokio::time::sleep_until(read_at + Duration::from_millis(conditions.delay.0)).await;
             if write.write_all(&chunk[..n]).await.is_err() {
                 return None;
             }
@@ -318,7 +333,7 @@
     }
 }
 
-/// Closes so that the other side sees a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     let _ = stream.set_zero_linger();
 }
