--- a/crates/testkit/src/rig/schedule.rs
+++ b/crates/testkit/src/rig/schedule.rs
@@ -1,51 +1,55 @@
-//! Faults as data: which, when, drawn from a seed or given, printed where a test fails, and played again.
+//! Fault schedules as data: generated from a seed or given, printed when a test fails, and replayed.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-use super::relay::{Between, End, Trouble};
+use super::relay::{End, Impairment, LinkImpairment};
 
-/// The variable that holds a schedule to be played in place of the one that a test would draw.
-pub const AGAIN: &str = "GLENWOOD_SCHEDULE";
+/// Environment variable with a schedule to run instead of the generated one.
+pub const SCHEDULE_VARIABLE: &str = "GLENWOOD_SCHEDULE";
 
 /// One fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A node ends without a word.
+    /// Kills a node's process.
     Kill(usize),
-    /// It starts again, under its name and its address.
+    /// Starts a node again under its name and its stable addresses.
     Start(usize),
-    /// It stands still.
-    Stop(usize),
-    /// It goes on.
-    GoOn(usize),
-    /// It is told to end.
+    /// Pauses a node's process (SIGSTOP).
+    #[serde(rename = "Stop")]
+    Pause(usize),
+    /// Resumes a paused process (SIGCONT).
+    #[serde(rename = "GoOn")]
+    Resume(usize),
+    /// Asks a node to shut down.
     Terminate(usize),
-    /// Its successor starts while it runs; it is told to end once that is ready.
+    /// Starts a successor while the node runs, and asks the old process to shut down once the new one
+    /// listens.
     Upgrade(usize),
-    /// A trouble is laid on links.
-    Lay(Between),
-    /// All links are good again.
+    /// Adds an impairment to links.
+    #[serde(rename = "Lay")]
+    Impair(LinkImpairment),
+    /// Removes all impairments.
     Heal,
 }
 
-/// A fault and when it comes, counted from the beginning.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
-    /// Milliseconds.
+pub struct TimedFault {
+    /// Milliseconds since the start of the schedule.
     pub at: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Faults in the order in which they come.
+/// A list of faults in order of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// What it was drawn from, for the chances of links too.
+    /// Seed from which the schedule was generated; also the seed for random faults on links.
     pub seed: u64,
     /// The faults.
-    pub steps: Vec<Step>,
+    pub steps: Vec<TimedFault>,
 }
 
 impl fmt::Display for Schedule {
@@ -54,25 +58,25 @@
     }
 }
 
-/// The kinds of trouble that a schedule draws from.
+/// Kinds of faults that a generated schedule contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Nodes are killed and start again at once or later.
+pub enum FaultKind {
+    /// Nodes are killed, and restarted at once or later.
     Crash,
-    /// Nodes stand still for a while.
+    /// Nodes are paused for a while.
     Stall,
-    /// Some nodes are cut off from the others, both ways or one way.
+    /// Some nodes are cut off from the others, in both directions or in one.
     Cut,
-    /// Datagrams get lost, come twice and overtake one another.
+    /// Datagrams are lost, duplicated and reordered.
     Lossy,
     /// Nodes are upgraded.
     Upgrade,
 }
 
 impl Schedule {
-    /// Draws faults of these kinds over so many milliseconds among so many nodes: one after another, each mended before the
-    /// end, and never more than a minority out at a time.
-    pub fn drawn(seed: u64, nodes: usize, span: u64, kinds: &[Kind]) -> Self {
+    /// Generates faults of these kinds over `span` milliseconds among so many nodes: one after another, each
+    /// undone before the end, and never with more than half of the nodes affected at a time.
+    pub fn generate(seed: u64, nodes: usize, span: u64, kinds: &[FaultKind]) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut steps, mut at) = (Vec::new(), 0);
         loop {
@@ -82,49 +86,55 @@
                 break;
             }
             let node = random.usize(0..nodes);
-            let mut put = |at, fault| steps.push(Step { at, fault });
+            let mut add = |at, fault| steps.push(TimedFault { at, fault });
             match kinds[random.usize(0..kinds.len())] {
-                Kind::Crash => {
-                    put(at, Fault::Kill(node));
-                    // At once, or after the others have noticed.
-                    let away = if random.bool() { 0 } else { length };
-                    put(at + away, Fault::Start(node));
-                    at += away;
+                FaultKind::Crash => {
+                    add(at, Fault::Kill(node));
+                    // Restarts at once, or after the others have had time to notice.
+                    let downtime = if random.bool() { 0 } else { length };
+                    add(at + downtime, Fault::Start(node));
+                    at += downtime;
                 }
-                Kind::Stall => {
-                    put(at, Fault::Stop(node));
-                    put(at + length, Fault::GoOn(node));
+                FaultKind::Stall => {
+                    add(at, Fault::Pause(node));
+                    add(at + length, Fault::Resume(node));
                     at += length;
                 }
-                Kind::Cut => {
+                FaultKind::Cut => {
                     let size = [1, nodes / 2][random.usize(0..2)].max(1);
-                    let (some, rest): (Vec<usize>, Vec<usize>) = {
+                    let (isolated, rest): (Vec<usize>, Vec<usize>) = {
                         let mut all: Vec<usize> = (0..nodes).collect();
                         random.shuffle(&mut all);
                         let rest = all.split_off(size);
                         (all, rest)
                     };
-                    let ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
+                    let nodes_as_ends = |all: &[usize]| all.iter().map(|n| End::Node(*n)).collect::<Vec<_>>();
                     let cut = |from: &[usize], to: &[usize]| {
-                        Fault::Lay(Between { from: ends(from), to: ends(to), trouble: Trouble::Cut })
+                        Fault::Impair(LinkImpairment {
+                            from: nodes_as_ends(from),
+                            to: nodes_as_ends(to),
+                            impairment: Impairment::Cut,
+                        })
                     };
-                    put(at, cut(&some, &rest));
+                    add(at, cut(&isolated, &rest));
                     if random.bool() {
-                        put(at, cut(&rest, &some));
+                        add(at, cut(&rest, &isolated));
                     }
-                    put(at + length, Fault::Heal);
+                    add(at + length, Fault::Heal);
                     at += length;
                 }
-                Kind::Lossy => {
-                    let lay = |trouble| Fault::Lay(Between { from: Vec::new(), to: Vec::new(), trouble });
-                    put(at, lay(Trouble::Loss(random.u8(5..40))));
-                    put(at, lay(Trouble::Doubled(random.u8(0..30))));
-                    put(at, lay(Trouble::Delay(0, random.u64(0..40))));
-                    put(at + length, Fault::Heal);
+                FaultKind::Lossy => {
+                    let on_all_links = |impairment| {
+                        Fault::Impair(LinkImpairment { from: Vec::new(), to: Vec::new(), impairment })
+                    };
+                    add(at, on_all_links(Impairment::Loss(random.u8(5..40))));
+                    add(at, on_all_links(Impairment::Duplicated(random.u8(0..30))));
+                    add(at, on_all_links(Impairment::Delay(0, random.u64(0..40))));
+                    add(at + length, Fault::Heal);
                     at += length;
                 }
-                Kind::Upgrade => {
-                    put(at, Fault::Upgrade(node));
+                FaultKind::Upgrade => {
+                    add(at, Fault::Upgrade(node));
                     at += length;
                 }
             }
@@ -132,37 +142,37 @@
         Self { seed, steps }
     }
 
-    /// The one that is to be played again, where there is one; else this.
+    /// The schedule from the environment variable, or this one if it is not set.
     ///
     /// # Panics
-    /// Where what is given can't be read.
-    pub fn or_again(self) -> Self {
-        match std::env::var(AGAIN) {
-            Ok(text) => serde_json::from_str(&text).expect("a schedule as it was printed"),
+    /// If the variable does not hold a valid schedule.
+    pub fn or_from_environment(self) -> Self {
+        match std::env::var(SCHEDULE_VARIABLE) {
+            Ok(text) => serde_json::from_str(&text).expect("invalid schedule"),
             Err(_) => self,
         }
     }
 
-    /// How it is played again.
-    pub fn command(&self, package: &str, test: &str, name: &str) -> String {
-        format!("{AGAIN}='{self}' cargo test -p {package} --test {test} {name}")
+    /// Shell command that replays this schedule.
+    pub fn replay_command(&self, package: &str, test: &str, name: &str) -> String {
+        format!("{SCHEDULE_VARIABLE}='{self}' cargo test -p {package} --test {test} {name}")
     }
 }
 
-/// Says how a schedule is played again, where its test fails while this lives.
-pub struct Printed(String);
+/// Prints the command that replays a schedule if the test panics while this value is alive.
+pub struct ReplayHint(String);
 
-impl Printed {
-    /// For this schedule of this test.
+impl ReplayHint {
+    /// For a schedule of this test.
     pub fn new(schedule: &Schedule, package: &str, test: &str, name: &str) -> Self {
-        Self(schedule.command(package, test, name))
+        Self(schedule.replay_command(package, test, name))
     }
 }
 
-impl Drop for Printed {
+impl Drop for ReplayHint {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("to play it again:\n{}", self.0);
+            eprintln!("to replay it:\n{}", self.0);
         }
     }
 }
@@ -173,17 +183,22 @@
 
     #[test]
     fn a_schedule_is_drawn_alike_and_read_as_it_was_printed() {
-        let kinds = [Kind::Crash, Kind::Stall, Kind::Cut, Kind::Lossy, Kind::Upgrade];
+        let kinds =
+            [FaultKind::Crash, FaultKind::Stall, FaultKind::Cut, FaultKind::Lossy, FaultKind::Upgrade];
         for seed in 0..50 {
-            let drawn = Schedule::drawn(seed, 12, 20_000, &kinds);
-            assert_eq!(drawn, Schedule::drawn(seed, 12, 20_000, &kinds));
-            assert_eq!(serde_json::from_str::<Schedule>(&drawn.to_string()).expect("as printed"), drawn);
-            assert!(!drawn.steps.is_empty() && drawn.steps.iter().all(|step| step.at <= 20_000));
-            assert!(drawn.steps.is_sorted_by_key(|step| step.at));
-            // Who is out comes back.
-            let count = |is: &dyn Fn(&Fault) -> bool| drawn.steps.iter().filter(|s| is(&s.fault)).count();
+            let generated = Schedule::generate(seed, 12, 20_000, &kinds);
+            assert_eq!(generated, Schedule::generate(seed, 12, 20_000, &kinds));
+            assert_eq!(
+                serde_json::from_str::<Schedule>(&generated.to_string())
+                    .expect("a printed schedule can be read"),
+                generated
+            );
+            assert!(!generated.steps.is_empty() && generated.steps.iter().all(|step| step.at <= 20_000));
+            assert!(generated.steps.is_sorted_by_key(|step| step.at));
+            // Every node that is taken out comes back.
+            let count = |is: &dyn Fn(&Fault) -> bool| generated.steps.iter().filter(|s| is(&s.fault)).count();
             assert_eq!(count(&|f| matches!(f, Fault::Kill(_))), count(&|f| matches!(f, Fault::Start(_))));
-            assert_eq!(count(&|f| matches!(f, Fault::Stop(_))), count(&|f| matches!(f, Fault::GoOn(_))));
+            assert_eq!(count(&|f| matches!(f, Fault::Pause(_))), count(&|f| matches!(f, Fault::Resume(_))));
         }
     }
 }
--- a/crates/testkit/tests/ensemble.rs
+++ b/crates/testkit/tests/ensemble.rs
@@ -1,4 +1,5 @@
-//! Sessions of the client machine at the stand-in ensemble, in virtual time, through kills, cuts, lags and mute members.
+//! Client sessions at the test ensemble, in virtual time, while members are killed, cut off, lagging or
+//! silent.
 
 mod world;
 
@@ -12,21 +13,21 @@
     Request::GetChildren { path: "/servers".into(), watch, stat: false }
 }
 
-/// A follower: reads the children again after each new connection and each watch that fired.
+/// A follower that reads the children again after each new connection and each watch event.
 fn follow(world: &mut World, id: u64, view: &mut BTreeSet<String>, reads: &mut usize) {
     follow_all(world, id, view, reads, &mut Vec::new());
 }
 
 type View = BTreeSet<String>;
 
-/// The same, with all views that it had.
+/// Like `follow`, and also collects every view.
 fn follow_all(world: &mut World, id: u64, view: &mut View, reads: &mut usize, views: &mut Vec<View>) {
-    let told = std::mem::take(&mut world.clients.get_mut(&id).expect("it is there").said);
-    for event in told {
+    let events = std::mem::take(&mut world.clients.get_mut(&id).expect("the client exists").events);
+    for event in events {
         match event {
             Event::Established { .. } | Event::Fired(_) => {
                 *reads += 1;
-                world.ask(id, "children", children(true));
+                world.send_request(id, "children", children(true));
             }
             Event::Answer("children", Ok(Response::Children { names, .. })) => {
                 views.push(names.iter().cloned().collect());
@@ -39,36 +40,36 @@
 
 fn set_up(members: usize) -> World {
     let mut world = World::new(members);
-    world.join(0);
-    world.pass(10.0, |_| {});
-    world.ask(0, "root", create("/servers", false));
-    world.pass(10.0, |_| {});
-    assert!(world.clients[&0].said.iter().any(|e| matches!(e, Event::Answer("root", Ok(_)))));
-    world.clients.get_mut(&0).expect("it is there").said = vec![Event::Established { new: true }];
+    world.add_client(0);
+    world.advance(10.0, |_| {});
+    world.send_request(0, "root", create("/servers", false));
+    world.advance(10.0, |_| {});
+    assert!(world.clients[&0].events.iter().any(|e| matches!(e, Event::Answer("root", Ok(_)))));
+    world.clients.get_mut(&0).expect("the client exists").events = vec![Event::Established { new: true }];
     world
 }
 
 #[test]
 fn a_server_that_vanishes_is_gone_a_time_out_later() {
     let mut world = set_up(MEMBERS);
-    world.join(1);
+    world.add_client(1);
     let (mut view, mut reads) = (BTreeSet::new(), 0);
-    world.pass(3000.0, |w| {
+    world.advance(3000.0, |w| {
         register(w, 1);
         follow(w, 0, &mut view, &mut reads);
     });
     assert_eq!(view, BTreeSet::from(["s1".to_string()]));
-    // It is there for as long as it pings, and no read is made while nothing happens.
+    // The entry stays for as long as the server sends pings, and nothing is read while nothing changes.
     let before = reads;
-    world.pass(60_000.0, |w| follow(w, 0, &mut view, &mut reads));
+    world.advance(60_000.0, |w| follow(w, 0, &mut view, &mut reads));
     assert_eq!((view.len(), reads), (1, before));
-    world.vanish(1);
-    let vanished = world.now;
+    world.crash(1);
+    let crashed_at = world.now;
     while !view.is_empty() {
-        assert!(world.now < vanished + TIMEOUT + 50.0, "still there after {} ms", world.now - vanished);
-        world.pass(10.0, |w| follow(w, 0, &mut view, &mut reads));
+        assert!(world.now < crashed_at + TIMEOUT + 50.0, "still present after {} ms", world.now - crashed_at);
+        world.advance(10.0, |w| follow(w, 0, &mut view, &mut reads));
     }
-    assert!(world.now >= vanished + TIMEOUT * 0.5);
+    assert!(world.now >= crashed_at + TIMEOUT * 0.5);
 }
 
 #[test]
@@ -76,69 +77,69 @@
     let mut world = set_up(MEMBERS);
     world.ensemble.kill(0);
     world.ensemble.kill(1);
-    world.pass(1000.0, |_| {});
+    world.advance(1000.0, |_| {});
     assert!(world.ensemble.open(2).is_none() && !world.clients[&0].machine.is_connected());
     world.ensemble.restore(1);
-    world.pass(5000.0, |_| {});
+    world.advance(5000.0, |_| {});
     assert!(
         world.clients[&0].machine.is_connected() && world.ensemble.newest().paths().any(|p| p == "/servers")
     );
 }
 
-/// A hundred rounds of random faults, servers coming and going: nobody's view goes back in time, and when the faults end
-/// all agree on who is there.
+/// 100 rounds of random faults while servers come and go. A client's view never goes back in time, and after
+/// the faults everyone agrees on the servers.
 #[test]
 fn views_agree_after_a_hundred_rounds_of_faults() {
     for seed in 0..10 {
         let (mut world, mut random) = (set_up(MEMBERS), Random(seed));
         let (mut view, mut reads, mut views) = (BTreeSet::new(), 0, Vec::new());
-        let mut there = BTreeSet::new();
+        let mut present = BTreeSet::new();
         let mut next = 1;
         for _ in 0..100 {
             let member = random.below(MEMBERS as u64) as usize;
             match random.below(16) {
                 0 => world.ensemble.kill(member),
-                1 => world.ensemble.cut(member, true),
+                1 => world.ensemble.set_cut(member, true),
                 2..=4 => {
                     for m in 0..MEMBERS {
                         world.ensemble.restore(m);
-                        world.ensemble.cut(m, false);
+                        world.ensemble.set_cut(m, false);
                     }
                 }
-                5..=7 => world.ensemble.lag(member, random.below(1500) as f64),
-                8 => world.ensemble.mute(member, true),
-                9 => (0..MEMBERS).for_each(|m| world.ensemble.mute(m, false)),
+                5..=7 => world.ensemble.set_lag(member, random.below(1500) as f64),
+                8 => world.ensemble.set_mute(member, true),
+                9 => (0..MEMBERS).for_each(|m| world.ensemble.set_mute(m, false)),
                 10..=12 => {
-                    world.join(next);
-                    there.insert(next);
+                    world.add_client(next);
+                    present.insert(next);
                     next += 1;
                 }
                 _ => {
                     if let Some(id) =
-                        there.iter().nth(random.below(there.len().max(1) as u64) as usize).copied()
+                        present.iter().nth(random.below(present.len().max(1) as u64) as usize).copied()
                     {
-                        there.remove(&id);
-                        world.vanish(id);
+                        present.remove(&id);
+                        world.crash(id);
                     }
                 }
             }
-            let clients: Vec<u64> = there.iter().copied().collect();
-            world.pass(random.below(1500) as f64, |w| {
+            let clients: Vec<u64> = present.iter().copied().collect();
+            world.advance(random.below(1500) as f64, |w| {
                 clients.iter().for_each(|id| register(w, *id));
                 follow_all(w, 0, &mut view, &mut reads, &mut views);
             });
         }
         for member in 0..MEMBERS {
             world.ensemble.restore(member);
-            world.ensemble.cut(member, false);
-            world.ensemble.lag(member, 0.0);
-            world.ensemble.mute(member, false);
+            world.ensemble.set_cut(member, false);
+            world.ensemble.set_lag(member, 0.0);
+            world.ensemble.set_mute(member, false);
         }
-        world.pass(20_000.0, |w| {
-            there.iter().for_each(|id| register(w, *id));
+        world.advance(20_000.0, |w| {
+            present.iter().for_each(|id| register(w, *id));
             follow_all(w, 0, &mut view, &mut reads, &mut views);
         });
-        let wanted: BTreeSet<String> = there.iter().map(|id| format!("s{id}")).collect();
+        let wanted: BTreeSet<String> = present.iter().map(|id| format!("s{id}")).collect();
         let newest: BTreeSet<String> = world
             .ensemble
             .newest()
@@ -146,7 +147,7 @@
             .filter_map(|p| p.strip_prefix("/servers/").map(str::to_string))
             .collect();
         assert_eq!((&view, &newest), (&wanted, &wanted), "seed {seed}");
-        // Each view is what the list once was, and none is older than the one before.
+        // Each view is a past state of the list, and never an older one than the view before.
         let history = world.ensemble.history("/servers");
         let mut at = 0;
         for (n, view) in views.iter().enumerate() {
