--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,21 +1,22 @@
-//! System calls that fail as Linux documents them, in one process that is started with this library preloaded. Which calls fail,
-//! how often and with what is in its environment: see [`Plan`]. For tests alone: nothing that is shipped depends on it.
+//! Fault injection for tests: a library for `LD_PRELOAD` that makes system calls of one process fail in the
+//! ways that Linux documents. The environment of the process defines which calls fail, how often and with
+//! which errors; see [`Plan`]. Nothing that is shipped depends on this crate.
 #![warn(missing_docs)]
 
 mod calls;
 mod plan;
 
-pub use plan::{Call, Plan, Rule, Share, Step, VARIABLE};
+pub use plan::{ClockStep, Fault, PerMille, Plan, Rule, ENV_VAR};
 
 use std::path::PathBuf;
 
-/// Where the library to preload lies, beside the test that runs.
+/// Returns the path of the shared library, which cargo builds next to the running test executable.
 ///
 /// # Panics
-/// Where it is not there.
-pub fn library() -> PathBuf {
-    let test = std::env::current_exe().expect("a test runs");
-    let path = test.with_file_name("libglenwood_faults.so");
-    assert!(path.exists(), "{} is not there", path.display());
+/// If the library does not exist.
+pub fn library_path() -> PathBuf {
+    let test_executable = std::env::current_exe().expect("path of the test executable");
+    let path = test_executable.with_file_name("libglenwood_faults.so");
+    assert!(path.exists(), "fault injection library {} does not exist", path.display());
     path
 }
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -2,14 +2,14 @@
 
 mod peers;
 
-use glenwood_faults::{Call, Plan, Share};
+use glenwood_faults::{Fault, PerMille, Plan};
 use libc::{ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO};
 use peers::*;
 use serde_json::json;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The share of calls that fail, in a thousand.
-const OFTEN: Share = 600;
+const OFTEN: PerMille = 600;
 /// All that accept(2) names for a moment's trouble.
 const ACCEPT: [i32; 7] = [ECONNABORTED, EPROTO, EINTR, ENOMEM, ENOBUFS, ENFILE, EMFILE];
 
@@ -25,7 +25,7 @@
         // No connection to it is ever idle, and could be closed in place of a client's.
         let server = Peer::new(|_| Say::Last(answer(200, "Connection: close\r\n", "served")));
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let plan = Plan::new(seed).fails(Call::Accept, OFTEN, &ACCEPT);
+        let plan = Plan::new(seed).with_fault(Fault::Accept, OFTEN, &ACCEPT);
         let node = Node::ready_with_faults(&config(registry.address), &plan);
         let lost: usize = std::thread::scope(|scope| {
             let node = &node;
@@ -56,7 +56,7 @@
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready_with_faults(
             &config(registry.address),
-            &Plan::new(seed).fails(Call::Accept, OFTEN, &ACCEPT),
+            &Plan::new(seed).with_fault(Fault::Accept, OFTEN, &ACCEPT),
         );
         node.stand_still();
         let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
@@ -79,7 +79,7 @@
     for seed in 1..=5 {
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let plan = Plan::new(seed).fails(Call::Socket, OFTEN, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
+        let plan = Plan::new(seed).with_fault(Fault::Socket, OFTEN, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
         let began = Instant::now();
         let node = Node::ready_with_faults(&config(registry.address), &plan);
         assert!(began.elapsed() < READY_WITHIN, "seed {seed}: ready after {:?}", began.elapsed());
@@ -100,7 +100,8 @@
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
-        let plan = Plan::new(seed).fails(Call::Recv, OFTEN, &[EINTR]).fails(Call::Send, OFTEN, &[EINTR]);
+        let plan =
+            Plan::new(seed).with_fault(Fault::Recv, OFTEN, &[EINTR]).with_fault(Fault::Send, OFTEN, &[EINTR]);
         let mut node = Node::ready_with_faults(&config, &plan);
         for reload in 1..=5 {
             node.reload(&config.to_string());
@@ -147,7 +148,7 @@
         let registry = Registry::new(&[host("s0", warm.address, "active", 1), started]);
         let mut config = config(registry.address);
         config["settings"]["Contract"]["WarmWithin"] = json!(WARM_WITHIN.as_millis() as f64);
-        let node = Node::ready_with_faults(&config, &Plan::new(1).steps(0, off_by_s));
+        let node = Node::ready_with_faults(&config, &Plan::new(1).with_clock_step(0, off_by_s));
         let at_first = shares(&node, [&warm, &cold], "first", WARM_WITHIN / 6);
         assert!(at_first[1] < COLD * at_first[0], "off by {off_by_s} s, at first: {at_first:?}");
         shares(&node, [&warm, &cold], "then", WARM_WITHIN);
--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use glenwood_faults::{Call, Plan};
+use glenwood_faults::{Fault, Plan};
 use libc::{
     EADDRNOTAVAIL, ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, EPROTO,
     ETIMEDOUT,
@@ -58,18 +58,18 @@
     let [first, second, third] = clock;
     let held_up = if number == STANDS_STILL { 0 } else { 2 };
     Plan::new(dice.next())
-        .fails(Call::Accept, 200, &[ECONNABORTED, EPROTO, EINTR, ENOMEM, ENOBUFS, ENFILE, EMFILE])
-        .fails(Call::Connect, 30, &[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ETIMEDOUT, EHOSTUNREACH])
-        .fails(Call::Socket, 20, &[ENFILE, ENOBUFS, ENOMEM])
-        .fails(Call::Recv, 20, &[EINTR])
-        .fails(Call::Send, 20, &[EINTR])
-        .fails(Call::Break, 3, &[ETIMEDOUT, EHOSTUNREACH])
-        .fails(Call::Short, 100, &[1, 7, 100])
-        .fails(Call::Wait, 50, &[EINTR])
-        .fails(Call::Hold, held_up, &[20, 80, 150])
-        .steps(0, first)
-        .steps(2_500, second)
-        .steps(4_500, third)
+        .with_fault(Fault::Accept, 200, &[ECONNABORTED, EPROTO, EINTR, ENOMEM, ENOBUFS, ENFILE, EMFILE])
+        .with_fault(Fault::Connect, 30, &[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ETIMEDOUT, EHOSTUNREACH])
+        .with_fault(Fault::Socket, 20, &[ENFILE, ENOBUFS, ENOMEM])
+        .with_fault(Fault::Recv, 20, &[EINTR])
+        .with_fault(Fault::Send, 20, &[EINTR])
+        .with_fault(Fault::Disconnect, 3, &[ETIMEDOUT, EHOSTUNREACH])
+        .with_fault(Fault::ShortTransfer, 100, &[1, 7, 100])
+        .with_fault(Fault::EpollWait, 50, &[EINTR])
+        .with_fault(Fault::Stall, held_up, &[20, 80, 150])
+        .with_clock_step(0, first)
+        .with_clock_step(2_500, second)
+        .with_clock_step(4_500, third)
 }
 
 /// A server, as the list has it.
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -388,8 +388,8 @@
     /// Starts a node whose system calls fail as the plan says, and waits until it is ready.
     pub fn ready_with_faults(config: &Value, plan: &glenwood_faults::Plan) -> Self {
         let (mut command, file) = command(config, None);
-        command.env("LD_PRELOAD", glenwood_faults::library());
-        command.env(glenwood_faults::VARIABLE, plan.to_string());
+        command.env("LD_PRELOAD", glenwood_faults::library_path());
+        command.env(glenwood_faults::ENV_VAR, plan.to_string());
         let node = Self::start((command, file));
         node.wait_ready();
         node
@@ -403,8 +403,8 @@
     ) -> Self {
         let (mut command, file) = command(config, None);
         command.arg("--operator").arg(operator);
-        command.env("LD_PRELOAD", glenwood_faults::library());
-        command.env(glenwood_faults::VARIABLE, plan.to_string());
+        command.env("LD_PRELOAD", glenwood_faults::library_path());
+        command.env(glenwood_faults::ENV_VAR, plan.to_string());
         Self::start((command, file))
     }
 
