--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -2,14 +2,14 @@
 
 mod peers;
 
-use glenwood_faults::{Call, Plan, Share};
+use glenwood_faults::{Fault, PerMille, Plan};
 use libc::{ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO};
 use peers::*;
 use serde_json::json;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How many calls in a thousand fail.
-const FAILURES_PER_MILLE: Share = 600;
+const FAILURES_PER_MILLE: PerMille = 600;
 /// All temporary errors that accept(2) documents.
 const ACCEPT_ERRORS: [i32; 7] = [ECONNABORTED, EPROTO, EINTR, ENOMEM, ENOBUFS, ENFILE, EMFILE];
 
@@ -28,7 +28,7 @@
         // instead of a client's.
         let server = Peer::new(|_| Say::Last(answer(200, "Connection: close\r\n", "served")));
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let plan = Plan::new(seed).fails(Call::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS);
+        let plan = Plan::new(seed).with_fault(Fault::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS);
         let node = Node::ready_with_faults(&config(registry.address), &plan);
         let lost: usize = std::thread::scope(|scope| {
             let node = &node;
@@ -61,7 +61,7 @@
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready_with_faults(
             &config(registry.address),
-            &Plan::new(seed).fails(Call::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS),
+            &Plan::new(seed).with_fault(Fault::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS),
         );
         node.stand_still();
         let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
@@ -85,7 +85,7 @@
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let plan =
-            Plan::new(seed).fails(Call::Socket, FAILURES_PER_MILLE, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
+            Plan::new(seed).with_fault(Fault::Socket, FAILURES_PER_MILLE, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
         let began = Instant::now();
         let node = Node::ready_with_faults(&config(registry.address), &plan);
         assert!(began.elapsed() < READY_WITHIN, "seed {seed}: ready after {:?}", began.elapsed());
@@ -106,8 +106,8 @@
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
-        let plan = Plan::new(seed).fails(Call::Recv, FAILURES_PER_MILLE, &[EINTR]).fails(
-            Call::Send,
+        let plan = Plan::new(seed).with_fault(Fault::Recv, FAILURES_PER_MILLE, &[EINTR]).with_fault(
+            Fault::Send,
             FAILURES_PER_MILLE,
             &[EINTR],
         );
@@ -159,7 +159,7 @@
         let registry = Registry::new(&[host("s0", warm.address, "active", 1), started]);
         let mut config = config(registry.address);
         config["settings"]["Contract"]["WarmWithin"] = json!(WARM_WITHIN.as_millis() as f64);
-        let node = Node::ready_with_faults(&config, &Plan::new(1).steps(0, off_by_s));
+        let node = Node::ready_with_faults(&config, &Plan::new(1).with_clock_step(0, off_by_s));
         let at_first = request_counts(&node, [&warm, &cold], "first", WARM_WITHIN / 6);
         assert!(at_first[1] < MAX_COLD_SHARE * at_first[0], "off by {off_by_s} s, at first: {at_first:?}");
         request_counts(&node, [&warm, &cold], "then", WARM_WITHIN);
