--- a/crates/node/tests/peers/calls.rs
+++ b/crates/node/tests/peers/calls.rs
@@ -1,4 +1,4 @@
-//! A server of MessagePack-RPC whose answers a test gives.
+//! A MessagePack-RPC server whose answers the test provides.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,34 +7,35 @@
 use glenwood_msgpack_rpc::message::{Answer, Call};
 use glenwood_msgpack_rpc::server::{Connection, Event, Limits};
 
-/// Answers all calls that come; gives the ids of those that have one.
+/// Answers all calls on a listener; returns the shared list of the transaction ids received, for calls that
+/// have one.
 pub fn serve(
     listener: TcpListener,
     answers: impl Fn(&Call) -> Answer + Send + Sync + 'static,
 ) -> Arc<Mutex<Vec<String>>> {
     let ids: Arc<Mutex<Vec<String>>> = Arc::default();
-    let (all, answers) = (ids.clone(), Arc::new(answers));
+    let (shared_ids, answers) = (ids.clone(), Arc::new(answers));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (all, answers) = (all.clone(), answers.clone());
-            std::thread::spawn(move || converse(stream, &all, &*answers));
+            let (shared_ids, answers) = (shared_ids.clone(), answers.clone());
+            std::thread::spawn(move || serve_connection(stream, &shared_ids, &*answers));
         }
     });
     ids
 }
 
-fn converse(mut stream: TcpStream, ids: &Mutex<Vec<String>>, answers: &dyn Fn(&Call) -> Answer) {
-    let mut machine = Connection::new(Limits::default());
-    let mut chunk = [0; 4096];
-    while let Ok(n @ 1..) = stream.read(&mut chunk) {
-        machine.received(&chunk[..n]);
-        while let Some(event) = machine.poll() {
+fn serve_connection(mut stream: TcpStream, ids: &Mutex<Vec<String>>, answers: &dyn Fn(&Call) -> Answer) {
+    let mut connection = Connection::new(Limits::default());
+    let mut buffer = [0; 4096];
+    while let Ok(n @ 1..) = stream.read(&mut buffer) {
+        connection.received(&buffer[..n]);
+        while let Some(event) = connection.poll() {
             let Event::Call { id, call } = event else { continue };
-            ids.lock().expect("no panic").extend(call.txn.clone());
-            machine.answer(id, &answers(&call));
+            ids.lock().expect("mutex poisoned").extend(call.txn.clone());
+            connection.answer(id, &answers(&call));
         }
-        let out = machine.output().to_vec();
-        machine.wrote(out.len());
+        let out = connection.output().to_vec();
+        connection.wrote(out.len());
         if stream.write_all(&out).is_err() {
             return;
         }
--- a/crates/node/tests/peers/dice.rs
+++ b/crates/node/tests/peers/dice.rs
@@ -1,8 +1,8 @@
-//! Chances by a seed.
+//! Pseudo-random numbers from a seed.
 
 use std::time::Duration;
 
-/// A sequence of chances (splitmix64).
+/// A splitmix64 generator; the field is its state.
 pub struct Dice(pub u64);
 
 impl Dice {
@@ -13,14 +13,17 @@
         value ^ (value >> 31)
     }
 
-    pub fn below(&mut self, most: u64) -> u64 {
-        self.next() % most
+    /// A number from 0 up to, but not including, `bound`.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
     }
 
-    pub fn between(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(least + self.below(most - least))
+    /// A duration from `min_ms` up to, but not including, `max_ms`.
+    pub fn between(&mut self, min_ms: u64, max_ms: u64) -> Duration {
+        Duration::from_millis(min_ms + self.below(max_ms - min_ms))
     }
 
+    /// True with probability 1/`count`.
     pub fn one_in(&mut self, count: u64) -> bool {
         self.below(count) == 0
     }
--- a/crates/node/tests/peers/links.rs
+++ b/crates/node/tests/peers/links.rs
@@ -1,4 +1,5 @@
-//! Links between nodes, servers and discovery that are held, cut one way and broken, by seed.
+//! Links between nodes, servers and discovery that are delayed, cut in one direction and reset, as a seed
+//! draws.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,12 +8,12 @@
 
 use super::dice::Dice;
 
-/// For how long broken links break again at once.
-const BROKEN: Duration = Duration::from_millis(60);
-/// The relay tells links to a server apart by server alone: all nodes come by the same address.
+/// How long new connections on a link that was reset are reset too.
+const RESET_SPAN: Duration = Duration::from_millis(60);
+/// The relay distinguishes links to servers by server only: all nodes reach a server by the same address.
 const NODES: End = End::Node(usize::MAX);
 
-/// The links of one run.
+/// The links of one run; all traffic passes through the relay.
 pub struct Links(Net);
 
 impl Links {
@@ -20,71 +21,73 @@
         Self(Net::new(seed))
     }
 
-    /// Where nodes reach a server.
+    /// The address at which nodes reach a server.
     pub fn to_server(&self, server: usize, target: SocketAddr) -> SocketAddr {
         self.0.lead(NODES, End::Server(server), target)
     }
 
-    /// Where one node reaches discovery.
+    /// The address at which one node reaches discovery.
     pub fn to_discovery(&self, node: usize, target: SocketAddr) -> SocketAddr {
         self.0.lead(End::Node(node), End::Discovery, target)
     }
 
-    fn lay(&self, from: End, to: End, trouble: Trouble) {
+    fn inject(&self, from: End, to: End, trouble: Trouble) {
         self.0.lay(Between { from: vec![from], to: vec![to], trouble });
     }
 
-    fn break_between(&self, one: End, other: End) {
-        self.lay(one, other, Trouble::Reset);
-        self.lay(other, one, Trouble::Reset);
-        std::thread::sleep(BROKEN);
+    fn reset_between(&self, one: End, other: End) {
+        self.inject(one, other, Trouble::Reset);
+        self.inject(other, one, Trouble::Reset);
+        std::thread::sleep(RESET_SPAN);
     }
 
-    /// What a server answers is held for that long, and then comes or is lost with its connections.
-    fn hold_answers(&self, server: usize, dice: &mut Dice) {
-        self.lay(End::Server(server), NODES, Trouble::Cut);
+    /// Holds a server's responses for 200 to 700 ms, then delivers them or resets its connections.
+    fn hold_responses(&self, server: usize, dice: &mut Dice) {
+        self.inject(End::Server(server), NODES, Trouble::Cut);
         std::thread::sleep(dice.between(200, 700));
-        self.end(NODES, End::Server(server), dice);
+        self.release_or_reset(NODES, End::Server(server), dice);
     }
 
-    /// What discovery tells a node is held, and then comes or is lost.
-    fn hold_news(&self, node: usize, dice: &mut Dice) {
-        self.lay(End::Discovery, End::Node(node), Trouble::Cut);
+    /// Holds the data from discovery to a node for 200 to 600 ms, then delivers it or resets the connections.
+    fn hold_updates(&self, node: usize, dice: &mut Dice) {
+        self.inject(End::Discovery, End::Node(node), Trouble::Cut);
         std::thread::sleep(dice.between(200, 600));
-        self.end(End::Node(node), End::Discovery, dice);
+        self.release_or_reset(End::Node(node), End::Discovery, dice);
     }
 
-    /// The connections to a server break, and new ones do at once.
-    fn break_off(&self, server: usize) {
-        self.break_between(NODES, End::Server(server));
+    /// Resets the connections to a server, and new ones for [`RESET_SPAN`].
+    fn reset_connections(&self, server: usize) {
+        self.reset_between(NODES, End::Server(server));
         self.0.heal();
     }
 
-    /// What is held comes, or is lost.
-    fn end(&self, one: End, other: End, dice: &mut Dice) {
+    /// Delivers the data that is held, or, with probability 1/2, resets the connections first.
+    fn release_or_reset(&self, one: End, other: End, dice: &mut Dice) {
         if dice.one_in(2) {
-            self.break_between(one, other);
+            self.reset_between(one, other);
         }
         self.0.heal();
     }
 
-    /// One trouble after another: with the news of a start known, before discovery goes down, while it is down, and after it.
+    /// Injects one fault after another: before and after the test restarts a server, before discovery goes
+    /// down, while it is down, and after that.
     pub fn trouble(&self, servers: usize, nodes: usize, dice: &mut Dice) {
-        let began = Instant::now();
-        let at = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
+        let started = Instant::now();
+        let wait_until =
+            |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(started.elapsed()));
         let mut server = || dice.below(servers as u64) as usize;
-        let (first, broken, last) = (server(), server(), server());
-        at(200);
-        self.break_off(broken);
-        at(900);
-        self.hold_answers(first, dice);
-        at(2000);
-        self.hold_news(dice.below(nodes as u64) as usize, dice);
-        at(3200);
-        self.hold_answers(last, dice);
-        at(4600);
-        self.break_off(first);
-        at(5400);
-        self.hold_answers(broken, dice);
+        let (first, reset, last) = (server(), server(), server());
+        wait_until(200);
+        self.reset_connections(reset);
+        wait_until(900);
+        self.hold_responses(first, dice);
+        wait_until(2000);
+        self.hold_updates(dice.below(nodes as u64) as usize, dice);
+        wait_until(3200);
+        self.hold_responses(last, dice);
+        wait_until(4600);
+        self.reset_connections(first);
+        wait_until(5400);
+        self.hold_responses(reset, dice);
     }
 }
--- a/crates/node/tests/peers/many.rs
+++ b/crates/node/tests/peers/many.rs
@@ -1,4 +1,5 @@
-//! Thousands of servers in this process, each at an address of its own, and how late this process itself is.
+//! Thousands of servers in this process, each at its own address, and a measurement of the scheduling delay
+//! of the process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::Range;
@@ -17,260 +18,263 @@
 
 use super::dice::Dice;
 use super::record::{Record, Sent};
-use super::strays::{unasked, Delivery, Strays};
+use super::strays::{unsolicited_response, Delivery, Strays};
 use super::{answer, host};
 
-/// How long a server takes for a request where nothing else is said, in milliseconds.
-const QUICK_WORK: Range<u64> = 1..20;
+/// Default time that a server takes for a request, in milliseconds.
+const DEFAULT_WORK_MS: Range<u64> = 1..20;
 
-/// What a server does that takes no more requests.
+/// How a server leaves service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It drains, and its health check says so.
+    /// It drains, and its health check answers 503.
     Drains,
-    /// It is taken out of the list, and answers its health check as before.
+    /// It is removed from the list, but its health check still answers 200.
     IsRemoved,
-    /// It is taken out of the list, and its process ends: its connections are reset, and new ones are refused.
+    /// It is removed from the list and its process ends: its connections are reset and new ones refused.
     Dies,
 }
 
-/// How a server stands.
+/// How a server left service, and when nodes must know.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
+struct WithdrawnServer {
     how: Ending,
-    /// When that counts as told to every node.
-    told: Instant,
+    /// The moment from which every node must know of it.
+    known_at: Instant,
 }
 
 #[derive(Default)]
-struct One {
-    ended: Mutex<Option<Ended>>,
-    /// When its process started, in Unix time; 0 for long ago.
-    born_ms: Mutex<f64>,
+struct ServerState {
+    withdrawn: Mutex<Option<WithdrawnServer>>,
+    /// Start of its process in Unix time, in milliseconds; 0 means long ago.
+    started_ms: Mutex<f64>,
 }
 
-/// Servers that answer everything, also after they have ended: a request that comes too late is noted.
+/// Servers that answer every request, even after they left service, so that requests sent too late are
+/// recorded.
 pub struct ManyServers {
     addresses: Vec<SocketAddr>,
-    servers: Arc<Vec<One>>,
+    servers: Arc<Vec<ServerState>>,
     record: Arc<Record>,
     checks: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
-    strays: Arc<Mutex<Strays>>,
-    work: Range<u64>,
-    accepting: Mutex<Vec<JoinHandle<()>>>,
+    faults: Arc<Mutex<Strays>>,
+    work_ms: Range<u64>,
+    accept_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl Drop for ManyServers {
     fn drop(&mut self) {
-        self.accepting.lock().expect("no panic").iter().for_each(JoinHandle::abort);
+        self.accept_tasks.lock().expect("mutex poisoned").iter().for_each(JoinHandle::abort);
     }
 }
 
-/// Lets this process have as many descriptors as it may.
-fn use_all_descriptors() {
+/// Raises the limit of open files of this process to the maximum that it may set.
+fn raise_descriptor_limit() {
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
-    setrlimit(Resource::Nofile, limit).expect("within what it may have");
+    setrlimit(Resource::Nofile, limit).expect("failed to raise the limit of open files");
 }
 
-/// Where a server listens; the port is any free one.
-fn own_address(number: usize) -> Ipv4Addr {
+/// The loopback address on which a server listens, on any free port.
+fn listen_ip(number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 1, (number >> 8) as u8, number as u8)
 }
 
 impl ManyServers {
-    /// Starts so many; what comes to them is noted in the record.
+    /// Starts `count` servers that write the requests they receive to the record.
     pub fn start(count: usize, record: &Arc<Record>) -> Self {
-        Self::start_that_take(count, record, QUICK_WORK)
+        Self::start_that_take(count, record, DEFAULT_WORK_MS)
     }
 
-    /// The same, with how long they take for a request, in milliseconds.
-    pub fn start_that_take(count: usize, record: &Arc<Record>, work: Range<u64>) -> Self {
-        use_all_descriptors();
-        let servers: Arc<Vec<One>> = Arc::new((0..count).map(|_| One::default()).collect());
+    /// The same, with the range of times that a server takes for a request, in milliseconds.
+    pub fn start_that_take(count: usize, record: &Arc<Record>, work_ms: Range<u64>) -> Self {
+        raise_descriptor_limit();
+        let servers: Arc<Vec<ServerState>> = Arc::new((0..count).map(|_| ServerState::default()).collect());
         let (checks, connections) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
         let listeners = glenwood_testkit::wait("listeners", async {
             let mut listeners = Vec::new();
             for number in 0..count {
-                listeners.push(TcpListener::bind((own_address(number), 0)).await.expect("a free port"));
+                listeners.push(TcpListener::bind((listen_ip(number), 0)).await.expect("failed to bind"));
             }
             listeners
         });
-        let address = |listener: &TcpListener| listener.local_addr().expect("bound");
+        let address = |listener: &TcpListener| listener.local_addr().expect("no local address");
         let addresses = listeners.iter().map(address).collect();
-        let (record, strays, accepting) = (record.clone(), Arc::default(), Mutex::default());
-        let all = Self { addresses, servers, record, checks, connections, strays, work, accepting };
+        let (record, faults, accept_tasks) = (record.clone(), Arc::default(), Mutex::default());
+        let pool = Self { addresses, servers, record, checks, connections, faults, work_ms, accept_tasks };
         for (number, listener) in listeners.into_iter().enumerate() {
-            let accepting = runtime().spawn(all.process(number).accept(listener));
-            all.accepting.lock().expect("no panic").push(accepting);
+            let accept_task = runtime().spawn(pool.server_process(number).accept(listener));
+            pool.accept_tasks.lock().expect("mutex poisoned").push(accept_task);
         }
-        all
+        pool
     }
 
-    /// A process of a server.
-    fn process(&self, number: usize) -> Serving {
-        Serving {
+    /// A server's process, which does not accept yet.
+    fn server_process(&self, number: usize) -> ServerProcess {
+        ServerProcess {
             number,
-            all: self.servers.clone(),
+            states: self.servers.clone(),
             record: self.record.clone(),
             checks: self.checks.clone(),
             connections: self.connections.clone(),
-            strays: self.strays.clone(),
-            work: self.work.clone(),
+            faults: self.faults.clone(),
+            work_ms: self.work_ms.clone(),
         }
     }
 
-    /// From now on their exchanges go wrong like that.
-    pub fn send_strays(&self, strays: Strays) {
-        *self.strays.lock().expect("no panic") = strays;
+    /// Injects these faults into all exchanges from now on.
+    pub fn send_strays(&self, faults: Strays) {
+        *self.faults.lock().expect("mutex poisoned") = faults;
     }
 
-    /// How many there are.
+    /// Number of servers.
     pub fn count(&self) -> usize {
         self.addresses.len()
     }
 
-    /// How many health checks they have answered.
+    /// Number of health checks answered so far.
     pub fn checks(&self) -> usize {
         self.checks.load(Ordering::SeqCst)
     }
 
-    /// How many connections they have taken.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// A server takes no more requests, which counts as told at that time.
-    pub fn end(&self, number: usize, how: Ending, told: Instant) {
-        *self.servers[number].ended.lock().expect("no panic") = Some(Ended { how, told });
+    /// Takes a server out of service; every node must know of it from `known_at` on.
+    pub fn end(&self, number: usize, how: Ending, known_at: Instant) {
+        *self.servers[number].withdrawn.lock().expect("mutex poisoned") =
+            Some(WithdrawnServer { how, known_at });
         if how == Ending::Dies {
-            self.accepting.lock().expect("no panic")[number].abort();
+            self.accept_tasks.lock().expect("mutex poisoned")[number].abort();
         }
     }
 
-    /// Another process takes the place of a server that has ended: connections to the old one are reset.
+    /// Replaces a server that left service by a new process; connections to the old one are reset.
     pub fn restart(&self, number: usize) {
         let server = &self.servers[number];
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
-        *server.born_ms.lock().expect("no panic") = since.as_millis() as f64;
-        *server.ended.lock().expect("no panic") = None;
-        let (address, process) = (self.addresses[number], self.process(number));
-        let mut accepting = self.accepting.lock().expect("no panic");
-        accepting[number].abort();
-        accepting[number] = runtime().spawn(async move {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is before 1970");
+        *server.started_ms.lock().expect("mutex poisoned") = since_epoch.as_millis() as f64;
+        *server.withdrawn.lock().expect("mutex poisoned") = None;
+        let (address, server_process) = (self.addresses[number], self.server_process(number));
+        let mut accept_tasks = self.accept_tasks.lock().expect("mutex poisoned");
+        accept_tasks[number].abort();
+        accept_tasks[number] = runtime().spawn(async move {
             let listener = loop {
-                // The old process may not have closed the address yet.
+                // The old process may not have released the address yet.
                 match TcpListener::bind(address).await {
                     Ok(listener) => break listener,
                     Err(_) => tokio::task::yield_now().await,
                 }
             };
-            process.accept(listener).await;
+            server_process.accept(listener).await;
         });
     }
 
-    /// The entry of a server in the list, and in the news of its end.
+    /// The entry of a server in the list, or in the update that reports that it left service.
     pub fn entry(&self, number: usize) -> Value {
-        let ended = self.servers[number].ended.lock().expect("no panic").map(|ended| ended.how);
-        let health = match ended {
+        let withdrawn =
+            self.servers[number].withdrawn.lock().expect("mutex poisoned").map(|withdrawn| withdrawn.how);
+        let health = match withdrawn {
             None => "active",
             Some(Ending::Drains) => "leaving",
             Some(Ending::IsRemoved | Ending::Dies) => "left",
         };
         let mut entry = host(&format!("s{number:05}"), self.addresses[number], health, number as u64 / 2);
-        entry["born_ms"] = json!(*self.servers[number].born_ms.lock().expect("no panic"));
+        entry["born_ms"] = json!(*self.servers[number].started_ms.lock().expect("mutex poisoned"));
         entry
     }
 }
 
-/// One server that runs.
+/// A running process of a server.
 #[derive(Clone)]
-struct Serving {
+struct ServerProcess {
     number: usize,
-    all: Arc<Vec<One>>,
+    states: Arc<Vec<ServerState>>,
     record: Arc<Record>,
     checks: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
-    strays: Arc<Mutex<Strays>>,
-    work: Range<u64>,
+    faults: Arc<Mutex<Strays>>,
+    work_ms: Range<u64>,
 }
 
-/// The writing side of a connection.
-type Out = Arc<tokio::sync::Mutex<OwnedWriteHalf>>;
+/// The write half of a connection.
+type SharedWriter = Arc<tokio::sync::Mutex<OwnedWriteHalf>>;
 
-async fn write(out: &Out, bytes: &[u8]) -> std::io::Result<()> {
-    out.lock().await.write_all(bytes).await
+async fn write(writer: &SharedWriter, bytes: &[u8]) -> std::io::Result<()> {
+    writer.lock().await.write_all(bytes).await
 }
 
-/// Writes bytes after a while.
-async fn write_later(out: Out, after: Duration, bytes: Vec<u8>) {
-    tokio::time::sleep(after).await;
-    // What breaks a connection is the other side's affair.
-    let _ = write(&out, &bytes).await;
+/// Writes bytes after a delay.
+async fn write_after(writer: SharedWriter, delay: Duration, bytes: Vec<u8>) {
+    tokio::time::sleep(delay).await;
+    // The node may have closed the connection.
+    let _ = write(&writer, &bytes).await;
 }
 
-impl Serving {
+impl ServerProcess {
     async fn accept(self, listener: TcpListener) {
-        // Ended with this task.
-        let mut serving = JoinSet::new();
+        // Dropped, and so aborted, with this task.
+        let mut tasks = JoinSet::new();
         loop {
-            let (stream, _) = listener.accept().await.expect("a connection");
+            let (stream, _) = listener.accept().await.expect("failed to accept");
             let server = self.clone();
             self.connections.fetch_add(1, Ordering::SeqCst);
-            serving.spawn(async move {
-                // What breaks a connection is the other side's affair.
+            tasks.spawn(async move {
+                // The node may close the connection at any time.
                 let _ = server.serve(stream).await;
             });
-            while serving.try_join_next().is_some() {}
+            while tasks.try_join_next().is_some() {}
         }
     }
 
     async fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        // A process that ends resets its connections.
+        // With a linger time of 0, aborting the process resets its connections.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let opened = self.connections.load(Ordering::SeqCst) as u64;
         let mut dice = Dice(self.number as u64 ^ (opened << 20));
-        let (from, to) = stream.into_split();
-        let (mut from, out) = (BufReader::new(from), Arc::new(tokio::sync::Mutex::new(to)));
-        // Ended with this connection.
-        let mut later = JoinSet::new();
-        let on_new = self.strays.lock().expect("no panic").on_new(&mut dice);
-        if let Some(after) = on_new {
-            later.spawn(write_later(out.clone(), after, unasked(&mut dice)));
+        let (read_half, write_half) = stream.into_split();
+        let (mut reader, writer) = (BufReader::new(read_half), Arc::new(tokio::sync::Mutex::new(write_half)));
+        // Dropped, and so aborted, with this connection.
+        let mut delayed_writes = JoinSet::new();
+        let unsolicited_delay = self.faults.lock().expect("mutex poisoned").unsolicited_on_connect(&mut dice);
+        if let Some(delay) = unsolicited_delay {
+            delayed_writes.spawn(write_after(writer.clone(), delay, unsolicited_response(&mut dice)));
         }
-        while let Some(message) = http::read(&mut from).await? {
+        while let Some(message) = http::read(&mut reader).await? {
             let at = Instant::now();
-            let ended = *self.all[self.number].ended.lock().expect("no panic");
+            let withdrawn = *self.states[self.number].withdrawn.lock().expect("mutex poisoned");
             if message.target() == "/health" {
                 self.checks.fetch_add(1, Ordering::SeqCst);
-                let drains = ended.is_some_and(|ended| ended.how == Ending::Drains);
-                write(&out, &answer(if drains { 503 } else { 200 }, "", "")).await?;
+                let drains = withdrawn.is_some_and(|withdrawn| withdrawn.how == Ending::Drains);
+                write(&writer, &answer(if drains { 503 } else { 200 }, "", "")).await?;
                 continue;
             }
-            let told = message.header("x-remaining-ms").and_then(|value| value.parse().ok());
+            let remaining_ms = message.header("x-remaining-ms").and_then(|value| value.parse().ok());
             let id = message.header("x-txn").unwrap_or_default().to_string();
-            let turns_away = self.strays.lock().expect("no panic").turns_away(&mut dice);
+            let is_rejected = self.faults.lock().expect("mutex poisoned").rejects_request(&mut dice);
             self.record.sent(Sent {
                 id: id.clone(),
                 server: self.number,
                 cell: self.number as u64 / 2,
                 at,
-                told: Duration::from_millis(told.unwrap_or(u64::MAX / 2)),
-                runs: !turns_away,
-                drains_for: ended.and_then(|ended| at.checked_duration_since(ended.told)),
+                told: Duration::from_millis(remaining_ms.unwrap_or(u64::MAX / 2)),
+                runs: !is_rejected,
+                drains_for: withdrawn.and_then(|withdrawn| at.checked_duration_since(withdrawn.known_at)),
             });
-            if turns_away {
-                write(&out, &answer(503, "X-Turned-Away: 1\r\n", "")).await?;
+            if is_rejected {
+                write(&writer, &answer(503, "X-Turned-Away: 1\r\n", "")).await?;
                 continue;
             }
-            tokio::time::sleep(dice.between(self.work.start, self.work.end)).await;
-            let delivery = self.strays.lock().expect("no panic").delivery(&mut dice);
-            for after in &delivery.unasked_after {
-                later.spawn(write_later(out.clone(), *after, unasked(&mut dice)));
+            tokio::time::sleep(dice.between(self.work_ms.start, self.work_ms.end)).await;
+            let delivery = self.faults.lock().expect("mutex poisoned").delivery(&mut dice);
+            for delay in &delivery.unsolicited_delays {
+                delayed_writes.spawn(write_after(writer.clone(), *delay, unsolicited_response(&mut dice)));
             }
-            if !deliver(&out, &answer(200, "", &id), &delivery).await? {
+            if !deliver(&writer, &answer(200, "", &id), &delivery).await? {
                 return Ok(());
             }
         }
@@ -278,74 +282,75 @@
     }
 }
 
-/// Writes an answer; says whether the connection goes on.
-async fn deliver(out: &Out, bytes: &[u8], delivery: &Delivery) -> std::io::Result<bool> {
-    if delivery.interim {
-        write(out, b"HTTP/1.1 103 Early Hints\r\nLink: </style.css>; rel=preload\r\n\r\n").await?;
+/// Writes a response with the faults of `delivery`; returns whether the connection stays open.
+async fn deliver(writer: &SharedWriter, bytes: &[u8], delivery: &Delivery) -> std::io::Result<bool> {
+    if delivery.has_interim {
+        write(writer, b"HTTP/1.1 103 Early Hints\r\nLink: </style.css>; rel=preload\r\n\r\n").await?;
     }
-    if delivery.is_cut {
-        write(out, &bytes[..bytes.len() / 2]).await?;
-        out.lock().await.shutdown().await?;
+    if delivery.is_truncated {
+        write(writer, &bytes[..bytes.len() / 2]).await?;
+        writer.lock().await.shutdown().await?;
         return Ok(false);
     }
-    if delivery.in_pieces {
+    if delivery.is_split {
         for piece in bytes.chunks(7) {
-            write(out, piece).await?;
+            write(writer, piece).await?;
             tokio::task::yield_now().await;
         }
     } else {
-        write(out, &bytes.repeat(1 + usize::from(delivery.twice))).await?;
+        write(writer, &bytes.repeat(1 + usize::from(delivery.is_repeated))).await?;
     }
-    if delivery.ends {
-        out.lock().await.shutdown().await?;
+    if delivery.closes {
+        writer.lock().await.shutdown().await?;
     }
-    Ok(!delivery.ends)
+    Ok(!delivery.closes)
 }
 
-/// How late this process is: the longest that any of its threads or tasks slept beyond its time.
+/// Measures the scheduling delay of this process: the longest time by which a sleeping thread or task woke
+/// late.
 pub struct Lateness {
-    ends: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     longest: Arc<Mutex<Duration>>,
 }
 
-/// How often it is measured.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval of the measurements.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Lateness {
-    /// Begins to measure.
+    /// Starts a thread and a task that measure until this is dropped.
     pub fn measure() -> Self {
-        let (ends, longest) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Duration>>::default());
-        let note = |longest: &Mutex<Duration>, since: Instant| {
-            let mut longest = longest.lock().expect("no panic");
-            *longest = longest.max(since.elapsed().saturating_sub(LOOK));
+        let (stopped, longest) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Duration>>::default());
+        let note_delay = |longest: &Mutex<Duration>, since: Instant| {
+            let mut longest = longest.lock().expect("mutex poisoned");
+            *longest = longest.max(since.elapsed().saturating_sub(SAMPLE_INTERVAL));
         };
-        let (over, most) = (ends.clone(), longest.clone());
+        let (ended_flag, longest_delay) = (stopped.clone(), longest.clone());
         std::thread::spawn(move || {
-            while !over.load(Ordering::SeqCst) {
+            while !ended_flag.load(Ordering::SeqCst) {
                 let since = Instant::now();
-                std::thread::sleep(LOOK);
-                note(&most, since);
+                std::thread::sleep(SAMPLE_INTERVAL);
+                note_delay(&longest_delay, since);
             }
         });
-        let (over, most) = (ends.clone(), longest.clone());
+        let (ended_flag, longest_delay) = (stopped.clone(), longest.clone());
         runtime().spawn(async move {
-            while !over.load(Ordering::SeqCst) {
+            while !ended_flag.load(Ordering::SeqCst) {
                 let since = Instant::now();
-                tokio::time::sleep(LOOK).await;
-                note(&most, since);
+                tokio::time::sleep(SAMPLE_INTERVAL).await;
+                note_delay(&longest_delay, since);
             }
         });
-        Self { ends, longest }
+        Self { stopped, longest }
     }
 
-    /// The longest so far.
+    /// The longest delay so far.
     pub fn longest(&self) -> Duration {
-        *self.longest.lock().expect("no panic")
+        *self.longest.lock().expect("mutex poisoned")
     }
 }
 
 impl Drop for Lateness {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
     }
 }
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The real program between scripted peers on loopback sockets.
+//! Runs the real program between scripted clients, servers and a discovery service on loopback sockets.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -21,26 +21,26 @@
 pub mod record;
 pub mod strays;
 
-/// How long anything that should happen is waited for: far more than it takes, on a busy machine too.
+/// Timeout of every wait for an expected event; far longer than any of them takes, even on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Waits until the condition holds.
+/// Polls a condition until it holds; panics after [`PATIENCE`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(start.elapsed() < PATIENCE, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 // ---- Messages ----
 
-/// A request or an answer.
+/// An HTTP request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// The connection that it came on, counted from 1.
+    /// Number of the connection on which it arrived, from 1.
     pub conn: usize,
 }
 
@@ -53,83 +53,85 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("invalid status line")
     }
 
     pub fn path(&self) -> &str {
-        self.head.split(' ').nth(1).expect("a request line")
+        self.head.split(' ').nth(1).expect("invalid request line")
     }
 }
 
-/// Reads one message; `None` where the connection ends.
-fn read_message(from: &mut BufReader<TcpStream>, conn: usize) -> Option<Message> {
+/// Reads one message; `None` if the connection ends first.
+fn read_message(reader: &mut BufReader<TcpStream>, conn: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        if from.read_line(&mut head).ok()? == 0 {
+        if reader.read_line(&mut head).ok()? == 0 {
             return None;
         }
     }
     let mut message = Message { head, body: Vec::new(), conn };
     while message.header("transfer-encoding").is_some() {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
+        reader.read_line(&mut line).ok()?;
         let size = usize::from_str_radix(line.trim().split(';').next()?, 16).ok()?;
         let mut chunk = vec![0; size + 2];
-        from.read_exact(&mut chunk).ok()?;
+        reader.read_exact(&mut chunk).ok()?;
         message.body.extend(&chunk[..size]);
         if size == 0 {
             return Some(message);
         }
     }
-    let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
+    let length = message.header("content-length").map_or(0, |v| v.parse().expect("invalid content length"));
     message.body = vec![0; length];
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// An answer with a body.
+/// Formats a response with a body; each line of `headers` ends with CRLF.
 pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 // ---- Servers ----
 
-/// What a scripted server does with a request.
+/// How a scripted server handles a request.
 pub enum Say {
-    /// Answers.
+    /// Responds at once.
     This(Vec<u8>),
-    /// Writes that and closes.
+    /// Writes these bytes and closes the connection.
     Last(Vec<u8>),
-    /// Answers after a while.
+    /// Responds after a delay.
     Later(Duration, Vec<u8>),
-    /// Stays silent.
+    /// Sends no response and keeps the connection open.
     Nothing,
 }
 
+/// An HTTP server whose responses are scripted; it records every request.
 pub struct Peer {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Message>>>,
+    received: Arc<Mutex<Vec<Message>>>,
     open: Arc<AtomicUsize>,
 }
 
 impl Peer {
-    /// A server that follows a script.
+    /// Starts a server on a free port.
     pub fn new(script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("failed to bind"), script)
     }
 
+    /// Starts a server on a listener.
     pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
-        let address = listener.local_addr().expect("bound");
-        let (seen, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
-        let peer = Self { address, seen: seen.clone(), open: open.clone() };
+        let address = listener.local_addr().expect("no local address");
+        let (received, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
+        let peer = Self { address, received: received.clone(), open: open.clone() };
         let script = Arc::new(script);
         std::thread::spawn(move || {
             for (conn, stream) in (1..).zip(listener.incoming()) {
-                let (seen, open, script) = (seen.clone(), open.clone(), script.clone());
+                let (received, open, script) = (received.clone(), open.clone(), script.clone());
                 let Ok(stream) = stream else { return };
                 open.fetch_add(1, Ordering::SeqCst);
                 std::thread::spawn(move || {
-                    converse(stream, conn, &seen, &*script);
+                    serve_connection(stream, conn, &received, &*script);
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
@@ -137,96 +139,107 @@
         peer
     }
 
-    /// A server that serves everything, and says who it is.
+    /// A server that answers every request with 200 and its name as the body.
     pub fn good(name: &'static str) -> Self {
         Self::new(move |_| Say::This(answer(200, "", name)))
     }
 
-    /// The same, until it drains: it goes on serving what comes, and its health check says 503.
+    /// The same, but its health check answers 503 once `drains` is set; other requests are still served.
     pub fn good_until(name: &'static str, drains: &Arc<AtomicBool>) -> Self {
         let drains = drains.clone();
         Self::new(move |message| {
-            let unwell = message.path() == "/health" && drains.load(Ordering::SeqCst);
-            Say::This(answer(if unwell { 503 } else { 200 }, "", name))
+            let is_draining = message.path() == "/health" && drains.load(Ordering::SeqCst);
+            Say::This(answer(if is_draining { 503 } else { 200 }, "", name))
         })
     }
 
-    /// The requests that came, without probes.
+    /// The requests received so far, without health checks.
     pub fn seen(&self) -> Vec<Message> {
-        let seen = self.seen.lock().expect("no panic");
-        seen.iter().filter(|m| m.path() != "/health").cloned().collect()
+        let received = self.received.lock().expect("mutex poisoned");
+        received.iter().filter(|m| m.path() != "/health").cloned().collect()
     }
 
-    /// How many probes came.
+    /// Number of health checks received.
     pub fn probes(&self) -> usize {
-        self.seen.lock().expect("no panic").len() - self.seen().len()
+        self.received.lock().expect("mutex poisoned").len() - self.seen().len()
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
 
-fn converse(stream: TcpStream, conn: usize, seen: &Mutex<Vec<Message>>, script: &dyn Fn(&Message) -> Say) {
-    let Ok(mut out) = stream.try_clone() else { return };
-    let mut from = BufReader::new(stream);
-    while let Some(message) = read_message(&mut from, conn) {
-        seen.lock().expect("no panic").push(message.clone());
-        let (bytes, last) = match script(&message) {
+fn serve_connection(
+    stream: TcpStream,
+    conn: usize,
+    received: &Mutex<Vec<Message>>,
+    script: &dyn Fn(&Message) -> Say,
+) {
+    let Ok(mut writer) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(stream);
+    while let Some(message) = read_message(&mut reader, conn) {
+        received.lock().expect("mutex poisoned").push(message.clone());
+        let (bytes, closes) = match script(&message) {
             Say::This(bytes) => (bytes, false),
             Say::Last(bytes) => (bytes, true),
-            Say::Later(span, bytes) => {
-                std::thread::sleep(span);
+            Say::Later(delay, bytes) => {
+                std::thread::sleep(delay);
                 (bytes, false)
             }
             Say::Nothing => (Vec::new(), false),
         };
-        if out.write_all(&bytes).is_err() || last {
+        if writer.write_all(&bytes).is_err() || closes {
             break;
         }
     }
-    let _ = out.shutdown(std::net::Shutdown::Both);
+    let _ = writer.shutdown(std::net::Shutdown::Both);
 }
 
 // ---- Discovery ----
 
-/// An entry of the list.
-pub fn host(name: &str, at: SocketAddr, health: &str, cell: u64) -> Value {
-    json!({"host": name, "dial": at.to_string(), "site": "a", "class": "m", "block": cell,
+/// An entry of the server list.
+pub fn host(name: &str, dial: SocketAddr, health: &str, cell: u64) -> Value {
+    json!({"host": name, "dial": dial.to_string(), "site": "a", "class": "m", "block": cell,
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
-pub fn line(seq: u64, whole: bool, hosts: &[Value]) -> String {
-    json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
+/// One line of discovery's stream: the full list, or the entries that changed.
+pub fn line(seq: u64, is_full: bool, hosts: &[Value]) -> String {
+    json!({"seq": seq, "whole": is_full, "hosts": hosts}).to_string()
 }
 
 #[derive(Default)]
-struct Told {
-    whole: String,
-    /// Lines for the watches that are open.
-    news: Vec<String>,
+struct RegistryState {
+    /// The line with the full list, sent first on each watch.
+    full_list: String,
+    /// Lines sent to all open watches.
+    updates: Vec<String>,
     down: bool,
-    /// Watches stay open and say nothing.
+    /// Watches stay open but send nothing.
     silent: bool,
-    /// Raised to end all watches.
-    epoch: usize,
+    /// Incremented to end all watches.
+    generation: usize,
+    /// Paths of all requests.
     calls: Vec<String>,
     watches: usize,
 }
 
-/// Discovery: the whole list at first, then the news.
+/// A discovery service: it sends the full list first, then changes.
 #[derive(Clone)]
 pub struct Registry {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<RegistryState>>,
 }
 
 impl Registry {
     pub fn new(hosts: &[Value]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let told = Arc::new(Mutex::new(Told { whole: line(1, true, hosts), ..Told::default() }));
-        let registry = Self { address: listener.local_addr().expect("bound"), told };
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+        let state = Arc::new(Mutex::new(RegistryState {
+            full_list: line(1, true, hosts),
+            ..RegistryState::default()
+        }));
+        let registry = Self { address: listener.local_addr().expect("no local address"), state };
         let this = registry.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -237,90 +250,92 @@
         registry
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Told) -> T) -> T {
-        f(&mut self.told.lock().expect("no panic"))
+    fn with_state<T>(&self, f: impl FnOnce(&mut RegistryState) -> T) -> T {
+        f(&mut self.state.lock().expect("mutex poisoned"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let mut out = stream.try_clone().ok()?;
+        let mut writer = stream.try_clone().ok()?;
         let request = read_message(&mut BufReader::new(stream), 0)?;
-        let (whole, down, epoch, mut place) = self.with(|t| {
-            t.calls.push(request.path().to_string());
-            (t.whole.clone(), t.down, t.epoch, t.news.len())
+        let (full_list, down, generation, mut next_update) = self.with_state(|inner| {
+            inner.calls.push(request.path().to_string());
+            (inner.full_list.clone(), inner.down, inner.generation, inner.updates.len())
         });
         if down {
             return None;
         }
         if !request.path().contains("watch") {
-            return out.write_all(&answer(200, "", &whole)).ok();
+            return writer.write_all(&answer(200, "", &full_list)).ok();
         }
-        out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut say = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
-        say(&whole).ok()?;
-        self.with(|t| t.watches += 1);
-        let mut quiet = Instant::now();
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+        let mut write_line = |line: &str| write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1);
+        write_line(&full_list).ok()?;
+        self.with_state(|inner| inner.watches += 1);
+        let mut last_write = Instant::now();
         loop {
-            if self.with(|t| t.silent) {
+            if self.with_state(|inner| inner.silent) {
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             }
-            let (now_epoch, news) = self.with(|t| (t.epoch, t.news[place..].to_vec()));
-            if now_epoch != epoch {
+            let (current_generation, updates) =
+                self.with_state(|inner| (inner.generation, inner.updates[next_update..].to_vec()));
+            if current_generation != generation {
                 return None;
             }
-            place += news.len();
-            for line in &news {
-                say(line).ok()?;
+            next_update += updates.len();
+            for line in &updates {
+                write_line(line).ok()?;
             }
-            if quiet.elapsed() > Duration::from_millis(500) {
-                say("").ok()?;
-                quiet = Instant::now();
+            if last_write.elapsed() > Duration::from_millis(500) {
+                write_line("").ok()?;
+                last_write = Instant::now();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Tells all watches, and has the list as `hosts` from now on.
+    /// Replaces the list by `hosts` and sends `changes` to all watches.
     pub fn tell(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
-        self.with(|t| {
-            t.whole = line(seq, true, hosts);
-            t.news.push(line(seq, false, changes));
+        self.with_state(|inner| {
+            inner.full_list = line(seq, true, hosts);
+            inner.updates.push(line(seq, false, changes));
         });
     }
 
-    /// Says something else to all watches.
-    pub fn say(&self, words: &str) {
-        self.with(|t| t.news.push(words.to_string()));
+    /// Sends an arbitrary line to all watches.
+    pub fn say(&self, data: &str) {
+        self.with_state(|inner| inner.updates.push(data.to_string()));
     }
 
-    /// Goes down, or comes back; watches end.
+    /// Takes the service down or up; either ends all watches.
     pub fn down(&self, down: bool) {
-        self.with(|t| {
-            (t.down, t.epoch) = (down, t.epoch + 1);
+        self.with_state(|inner| {
+            (inner.down, inner.generation) = (down, inner.generation + 1);
         });
     }
 
-    /// The link goes dead without a word.
+    /// Stops sending on all watches but leaves them open, as a link does that fails unnoticed.
     pub fn silent(&self) {
-        self.with(|t| t.silent = true);
+        self.with_state(|inner| inner.silent = true);
     }
 
+    /// The paths of all requests so far.
     pub fn calls(&self) -> Vec<String> {
-        self.with(|t| t.calls.clone())
+        self.with_state(|inner| inner.calls.clone())
     }
 
-    /// How many watches were ever begun.
+    /// Number of watches opened so far.
     pub fn watches(&self) -> usize {
-        self.with(|t| t.watches)
+        self.with_state(|inner| inner.watches)
     }
 }
 
 // ---- The node ----
 
-/// A configuration whose classes are `look` (safe), `pay` (keyed) and `slip` (unsafe).
+/// A node configuration with the classes `look` (safe), `pay` (keyed) and `slip` (unsafe).
 pub fn config(discovery: SocketAddr) -> Value {
-    let class = |name: &str, effect: &str| {
-        json!({"Name": name, "Idempotency": effect, "DedupScope": "cell", "MemorySpan": 20000.0, "Slo": 3000.0,
+    let class = |name: &str, idempotency: &str| {
+        json!({"Name": name, "Idempotency": idempotency, "DedupScope": "cell", "MemorySpan": 20000.0, "Slo": 3000.0,
             "Deadline": 20000.0, "Value": 1.0, "LateValue": 0.5, "Stream": false})
     };
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
@@ -336,24 +351,29 @@
             "Me": 0, "PeersTotal": 1, "Tick": 5.0, "Weights": "nominal", "MyZone": "a", "Zones": ["a"]}})
 }
 
+/// A node process; it is killed when dropped.
 pub struct Node {
     child: Child,
-    file: String,
+    /// Path of its configuration.
+    config_path: String,
     pub address: SocketAddr,
+    /// The lines that it has written to stderr.
     log: Arc<Mutex<Vec<String>>>,
 }
 
-fn command(config: &Value, descriptors: Option<usize>) -> (Command, String) {
+/// Writes the configuration to a file of its own and prepares a command for the node; `descriptor_limit` is
+/// its limit of open files. Also returns the path of the file.
+fn command(config: &Value, descriptor_limit: Option<usize>) -> (Command, String) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
-    let file = format!("{}/config-{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&file, config.to_string()).expect("a file");
+    let config_path = format!("{}/config-{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    std::fs::write(&config_path, config.to_string()).expect("failed to write the configuration");
     let program = env!("CARGO_BIN_EXE_glenwood");
-    let mut command = match descriptors {
+    let mut command = match descriptor_limit {
         None => Command::new(program),
-        Some(n) => {
+        Some(limit) => {
             let mut shell = Command::new("sh");
-            shell.arg("-c").arg(format!("ulimit -n {n}; exec '{program}'"));
+            shell.arg("-c").arg(format!("ulimit -n {limit}; exec '{program}'"));
             shell
         }
     };
@@ -361,121 +381,126 @@
     for name in ["NAME", "LISTEN", "DISCOVERY", "MGMT"] {
         command.env_remove(format!("BALANCER_{name}"));
     }
-    command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    (command, file)
+    command
+        .env("BALANCER_CONFIG", &config_path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    (command, config_path)
 }
 
-/// Runs a node that should not come up: its exit code and what it says.
+/// Runs a node that is expected to exit; returns its exit code and stderr.
 pub fn run(config: &Value) -> (Option<i32>, String) {
-    let output = command(config, None).0.output().expect("it runs");
+    let output = command(config, None).0.output().expect("failed to run the node");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// The same, with an operator's file.
+/// The same, with an operator's settings file.
 pub fn run_with_operator(config: &Value, operator: &std::path::Path) -> (Option<i32>, String) {
-    let output = command(config, None).0.arg("--operator").arg(operator).output().expect("it runs");
+    let output =
+        command(config, None).0.arg("--operator").arg(operator).output().expect("failed to run the node");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 impl Node {
-    /// Starts a node with an operator's file; it may not listen yet.
+    /// Starts a node with an operator's settings file; does not wait until it listens.
     pub fn started_with_operator(config: &Value, operator: &std::path::Path) -> Self {
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         command.arg("--operator").arg(operator);
-        Self::spawned((command, file))
+        Self::spawn_child((command, config_path))
     }
 
-    /// Starts a node whose system calls fail as the plan says, and waits until it is ready.
+    /// Starts a node whose system calls fail according to the plan, and waits until it is ready.
     pub fn ready_with_faults(config: &Value, plan: &glenwood_faults::Plan) -> Self {
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         command.env("LD_PRELOAD", glenwood_faults::library());
         command.env(glenwood_faults::VARIABLE, plan.to_string());
-        let node = Self::start((command, file));
+        let node = Self::start((command, config_path));
         node.wait_ready();
         node
     }
 
-    /// The same with an operator's file; waits until it listens.
+    /// The same with an operator's settings file; waits only until it listens.
     pub fn listening_with_faults(
         config: &Value,
         operator: &std::path::Path,
         plan: &glenwood_faults::Plan,
     ) -> Self {
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         command.arg("--operator").arg(operator);
         command.env("LD_PRELOAD", glenwood_faults::library());
         command.env(glenwood_faults::VARIABLE, plan.to_string());
-        Self::start((command, file))
+        Self::start((command, config_path))
     }
 
-    /// Starts a node and waits until it listens.
-    pub fn listening(config: &Value, descriptors: Option<usize>) -> Self {
-        Self::start(command(config, descriptors))
+    /// Starts a node, with a limit of open files if one is given, and waits until it listens.
+    pub fn listening(config: &Value, descriptor_limit: Option<usize>) -> Self {
+        Self::start(command(config, descriptor_limit))
     }
 
-    /// Starts a node whose environment names discovery too, and waits until it is ready.
+    /// Starts a node with discovery's address also in its environment, and waits until it is ready.
     pub fn ready_with_discovery(config: &Value, discovery: SocketAddr) -> Self {
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         command.env("BALANCER_DISCOVERY", discovery.to_string());
-        let node = Self::start((command, file));
+        let node = Self::start((command, config_path));
         node.wait_ready();
         node
     }
 
-    fn start(what: (Command, String)) -> Self {
-        let mut node = Self::spawned(what);
-        node.address = node.wait_said(" listens at ").parse().expect("an address");
+    fn start(prepared: (Command, String)) -> Self {
+        let mut node = Self::spawn_child(prepared);
+        node.address = node.wait_said(" listens at ").parse().expect("invalid address");
         node
     }
 
-    /// Starts a node that has a folder in common with others, and may not listen yet.
+    /// Starts a node that shares a directory with others; does not wait until it listens.
     pub fn started_in(folder: &std::path::Path, config: &Value) -> Self {
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         command.env("TMPDIR", folder);
-        Self::spawned((command, file))
+        Self::spawn_child((command, config_path))
     }
 
-    /// Waits until it listens.
+    /// Waits until the node listens.
     pub fn wait_listening(mut self) -> Self {
-        self.address = self.wait_said(" listens at ").parse().expect("an address");
+        self.address = self.wait_said(" listens at ").parse().expect("invalid address");
         self
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it runs");
+        self.child.kill().expect("failed to kill the node");
         let _ = self.child.wait();
     }
 
-    /// Starts a node that may not listen yet.
+    /// Starts a node; does not wait until it listens.
     pub fn started(config: &Value) -> Self {
-        Self::spawned(command(config, None))
+        Self::spawn_child(command(config, None))
     }
 
-    fn spawned((mut command, file): (Command, String)) -> Self {
-        let mut child = command.spawn().expect("it starts");
+    fn spawn_child((mut command, config_path): (Command, String)) -> Self {
+        let mut child = command.spawn().expect("failed to start the node");
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = log.clone();
-        let errors = BufReader::new(child.stderr.take().expect("piped"));
+        let stderr_reader = BufReader::new(child.stderr.take().expect("stderr is not piped"));
         std::thread::spawn(move || {
-            for line in errors.lines().map_while(Result::ok) {
-                lines.lock().expect("no panic").push(line);
+            for line in stderr_reader.lines().map_while(Result::ok) {
+                lines.lock().expect("mutex poisoned").push(line);
             }
         });
-        Self { child, file, address: ([0, 0, 0, 0], 0).into(), log }
+        Self { child, config_path, address: ([0, 0, 0, 0], 0).into(), log }
     }
 
-    /// What the log says behind these words; waits for it.
-    pub fn wait_said(&self, words: &str) -> String {
-        until(words, || self.logged(words));
-        self.said(words)
+    /// Waits until a line of the log contains the pattern; returns the rest of the line after it.
+    pub fn wait_said(&self, pattern: &str) -> String {
+        until(pattern, || self.logged(pattern));
+        self.said(pattern)
     }
 
-    /// What the log says behind these words.
-    pub fn said(&self, words: &str) -> String {
-        let lines = self.log.lock().expect("no panic");
-        let line = lines.iter().find_map(|l| Some(l.split_once(words)?.1.to_string()));
-        line.expect("it was said")
+    /// The rest of the first line of the log that contains the pattern, after the pattern.
+    pub fn said(&self, pattern: &str) -> String {
+        let lines = self.log.lock().expect("mutex poisoned");
+        let line = lines.iter().find_map(|l| Some(l.split_once(pattern)?.1.to_string()));
+        line.expect("no such line in the log")
     }
 
     /// Starts a node and waits until it is ready.
@@ -491,43 +516,46 @@
         });
     }
 
-    pub fn logged(&self, words: &str) -> bool {
-        self.log.lock().expect("no panic").iter().any(|l| l.contains(words))
+    /// Whether a line of the log contains the pattern.
+    pub fn logged(&self, pattern: &str) -> bool {
+        self.log.lock().expect("mutex poisoned").iter().any(|l| l.contains(pattern))
     }
 
-    /// The lines of its log so far that are wanted.
-    pub fn log_of(&self, wanted: impl Fn(&str) -> bool) -> Vec<String> {
-        let log = self.log.lock().expect("no panic");
-        log.iter().filter(|line| wanted(line)).cloned().collect()
+    /// The lines of the log that the predicate selects.
+    pub fn log_of(&self, is_selected: impl Fn(&str) -> bool) -> Vec<String> {
+        let log = self.log.lock().expect("mutex poisoned");
+        log.iter().filter(|line| is_selected(line)).cloned().collect()
     }
 
-    /// How many lines of the log have these words.
-    pub fn log_lines(&self, words: &str) -> usize {
-        self.log.lock().expect("no panic").iter().filter(|l| l.contains(words)).count()
+    /// Number of lines of the log that contain the pattern.
+    pub fn log_lines(&self, pattern: &str) -> usize {
+        self.log.lock().expect("mutex poisoned").iter().filter(|l| l.contains(pattern)).count()
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration, as a whole, and tells the node.
-    pub fn reload(&self, words: &str) {
-        let next = format!("{}.next", self.file);
-        std::fs::write(&next, words).expect("a file");
-        std::fs::rename(&next, &self.file).expect("the same folder");
+    /// Replaces the configuration file atomically and sends SIGHUP.
+    pub fn reload(&self, contents: &str) {
+        let new_file = format!("{}.next", self.config_path);
+        std::fs::write(&new_file, contents).expect("failed to write the configuration");
+        std::fs::rename(&new_file, &self.config_path).expect("failed to replace the configuration");
         self.signal("-HUP");
     }
 
-    /// Stands still until [`Node::go_on`].
+    /// Stops the process (SIGSTOP) until [`Node::go_on`].
     pub fn stand_still(&self) {
         self.signal("-STOP");
     }
 
+    /// Continues a stopped process (SIGCONT).
     pub fn go_on(&self) {
         self.signal("-CONT");
     }
 
-    /// Sends it a signal.
+    /// Sends a signal, named as the arguments of `kill` are.
     pub fn signal(&self, name: &str) {
         let signal = match name {
             "-TERM" => Signal::TERM,
@@ -535,40 +563,44 @@
             "-STOP" => Signal::STOP,
             "-CONT" => Signal::CONT,
             "-KILL" => Signal::KILL,
-            other => panic!("{other} is no signal of these"),
+            other => panic!("unsupported signal: {other}"),
         };
-        // A child that was not waited for keeps its number, so this reaches no other process.
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("a process id");
-        kill_process(pid, signal).expect("it is a process of this one");
+        // The id of a child that was not waited for is not reused, so no other process gets the signal.
+        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).expect("invalid process id");
+        kill_process(pid, signal).expect("failed to send the signal");
     }
 
-    /// The most memory that was ever resident, in bytes.
+    /// Peak resident memory, in bytes.
     pub fn peak_memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("it is there");
-        line.trim().split(' ').next().and_then(|n| n.parse::<usize>().ok()).expect("a number") * 1024
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the node does not run");
+        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("no VmHWM line");
+        line.trim().split(' ').next().and_then(|n| n.parse::<usize>().ok()).expect("invalid VmHWM line")
+            * 1024
     }
 
-    /// The processor time that its threads have used.
+    /// CPU time used by all its threads so far.
     pub fn processor_time(&self) -> Duration {
-        let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
-        let used = |path| std::fs::read_to_string(path).ok()?.split(' ').next()?.parse::<u64>().ok();
-        let of = |thread: std::fs::DirEntry| used(thread.path().join("schedstat"));
-        Duration::from_nanos(threads.flatten().filter_map(of).sum())
+        let threads =
+            std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the node does not run");
+        let run_ns = |path| std::fs::read_to_string(path).ok()?.split(' ').next()?.parse::<u64>().ok();
+        let of_thread = |thread: std::fs::DirEntry| run_ns(thread.path().join("schedstat"));
+        Duration::from_nanos(threads.flatten().filter_map(of_thread).sum())
     }
 
-    /// How many file descriptors the node holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the node does not run").count()
     }
 
     pub fn running(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_none()
+        self.child.try_wait().expect("failed to wait").is_none()
     }
 
+    /// Waits until the process ends; its exit code, or `None` if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         until("the node ends", || !self.running());
-        self.child.wait().expect("it ended").code()
+        self.child.wait().expect("failed to wait").code()
     }
 }
 
@@ -581,8 +613,8 @@
 
 // ---- Clients ----
 
-/// A request of a class as a client would send it.
-pub fn request(class: &str, txn: &str, remaining: u64) -> String {
+/// Formats a request of a class; `remaining_ms` is the time that its client has left.
+pub fn request(class: &str, txn: &str, remaining_ms: u64) -> String {
     let (method, key) = match class {
         "look" => ("GET", ""),
         "pay" => ("POST", "Idempotency-Key: k1\r\n"),
@@ -590,98 +622,107 @@
     };
     let body = if method == "POST" { "Content-Length: 4\r\n\r\nwork" } else { "\r\n" };
     format!(
-        "{method} /{class}/7?q=a%20b HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {txn}\r\nX-Remaining-Ms: {remaining}\r\n{key}{body}"
+        "{method} /{class}/7?q=a%20b HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {txn}\r\nX-Remaining-Ms: {remaining_ms}\r\n{key}{body}"
     )
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leaving {
-    /// It closes its connection.
+    /// Closes the connection.
     Closes,
-    /// It says that it will send no more, and keeps its side open.
+    /// Shuts down its sending side (FIN) and keeps the socket open.
     SaysEnd,
-    /// It breaks the connection.
+    /// Resets the connection (RST).
     Resets,
 }
 
 impl Leaving {
     pub const ALL: [Self; 3] = [Self::Closes, Self::SaysEnd, Self::Resets];
 
-    /// Leaves; what is given back is to be kept for as long as the client is to be seen as one that left in this way.
+    /// Disconnects. Keep the returned stream for as long as the node is to see this state: dropping it
+    /// closes a half-closed connection.
     pub fn by(self, stream: TcpStream) -> Option<TcpStream> {
         match self {
             Self::Closes => None,
             Self::SaysEnd => {
-                stream.shutdown(std::net::Shutdown::Write).expect("it stands");
+                stream.shutdown(std::net::Shutdown::Write).expect("failed to shut down");
                 Some(stream)
             }
             Self::Resets => {
-                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+                socket2::SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("failed to set linger");
                 None
             }
         }
     }
 }
 
-/// The sockets of this machine that are connected from one address to another, or are about to be, where either is given. A
-/// side that has closed does not count; one whose other side has does.
-pub fn sockets(from: Option<SocketAddr>, to: Option<SocketAddr>) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of sockets");
+/// Counts the sockets of this machine with these local and remote addresses, where given, that are connected
+/// or connecting. One whose own side has closed does not count; one that only the remote side closed does.
+pub fn sockets(local: Option<SocketAddr>, remote: Option<SocketAddr>) -> usize {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read the socket table");
     let address = |text: &str| {
-        let (ip, port) = text.split_once(':').expect("an address");
-        let ip = u32::from_str_radix(ip, 16).expect("hex").to_le_bytes();
-        SocketAddr::from((ip, u16::from_str_radix(port, 16).expect("hex")))
+        let (ip, port) = text.split_once(':').expect("invalid address");
+        let ip = u32::from_str_radix(ip, 16).expect("invalid hex").to_le_bytes();
+        SocketAddr::from((ip, u16::from_str_radix(port, 16).expect("invalid hex")))
     };
-    let is = |wanted: Option<SocketAddr>, text: &str| wanted.is_none_or(|wanted| wanted == address(text));
-    let counts = |line: &&str| {
-        let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        // Established, being opened, or closed by the other side alone.
-        is(from, words[1]) && is(to, words[2]) && ["01", "02", "08"].contains(&words[3])
+    let matches_address =
+        |wanted: Option<SocketAddr>, text: &str| wanted.is_none_or(|wanted| wanted == address(text));
+    let is_counted = |line: &&str| {
+        let fields: Vec<&str> = line.split_ascii_whitespace().collect();
+        // ESTABLISHED, SYN_SENT or CLOSE_WAIT.
+        matches_address(local, fields[1])
+            && matches_address(remote, fields[2])
+            && ["01", "02", "08"].contains(&fields[3])
     };
-    table.lines().skip(1).filter(counts).count()
+    table.lines().skip(1).filter(is_counted).count()
 }
 
-/// A server whose machine lets nobody in yet: connections to it come up once it opens.
+/// A server that accepts no connections yet: its backlog is full, so connecting to it completes only after
+/// [`Shut::open`] or [`Shut::into_listener`].
 pub struct Shut {
     listener: TcpListener,
     pub address: SocketAddr,
-    fillers: Vec<TcpStream>,
+    backlog_fillers: Vec<TcpStream>,
 }
 
 impl Shut {
     pub fn new() -> Self {
-        // A listener whose backlog is full lets nobody in until it accepts.
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        // While the backlog is full, the kernel completes no further connection until one is accepted.
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("failed to open a socket");
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        socket.bind(&any.into()).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket.bind(&any.into()).expect("failed to bind");
+        socket.listen(0).expect("failed to listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("bound");
-        let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        Self { listener, address, fillers: (0..3).filter_map(fill).collect() }
+        let address = listener.local_addr().expect("no local address");
+        let connect_filler = |_| TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
+        Self { listener, address, backlog_fillers: (0..3).filter_map(connect_filler).collect() }
     }
 
-    /// How many connections of others are on their way in.
+    /// Number of connections in progress, without those that fill the backlog.
     pub fn waiting(&self) -> usize {
-        sockets(None, Some(self.address)) - self.fillers.len()
+        sockets(None, Some(self.address)) - self.backlog_fillers.len()
     }
 
+    /// Starts to accept, as a scripted server.
     pub fn open(self, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Peer {
         Peer::on(self.into_listener(), script)
     }
 
-    /// Lets all in from now on that are accepted.
+    /// Frees the backlog and returns the listener, for the caller to accept on.
     pub fn into_listener(self) -> TcpListener {
-        drop(self.fillers);
+        drop(self.backlog_fillers);
         self.listener
     }
 }
 
+/// An HTTP client on one connection.
 pub struct Client {
-    out: TcpStream,
-    from: BufReader<TcpStream>,
+    writer: TcpStream,
+    reader: BufReader<TcpStream>,
 }
 
 impl Client {
@@ -690,62 +731,63 @@
     }
 
     pub fn at(address: SocketAddr) -> Self {
-        Self::try_at(address).expect("the node listens")
+        Self::try_at(address).expect("failed to connect")
     }
 
-    /// A connection, if the node takes one.
+    /// Connects; returns an error if the node accepts no connection.
     pub fn try_at(address: SocketAddr) -> std::io::Result<Self> {
-        let out = TcpStream::connect(address)?;
-        out.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        let from = BufReader::new(out.try_clone().expect("a socket"));
-        Ok(Self { out, from })
+        let writer = TcpStream::connect(address)?;
+        writer.set_read_timeout(Some(PATIENCE)).expect("failed to set a timeout");
+        let reader = BufReader::new(writer.try_clone().expect("failed to clone the socket"));
+        Ok(Self { writer, reader })
     }
 
-    /// Sends, where the connection still stands.
-    pub fn try_send(&mut self, words: &str) -> std::io::Result<()> {
-        self.out.write_all(words.as_bytes())
+    /// Sends; returns an error if the connection is closed.
+    pub fn try_send(&mut self, data: &str) -> std::io::Result<()> {
+        self.writer.write_all(data.as_bytes())
     }
 
-    pub fn send(&mut self, words: &str) {
-        self.out.write_all(words.as_bytes()).expect("the node reads");
+    pub fn send(&mut self, data: &str) {
+        self.writer.write_all(data.as_bytes()).expect("failed to send");
     }
 
-    /// Where it is, as the node sees it.
+    /// Its own address, as the node sees it.
     pub fn address(&self) -> SocketAddr {
-        self.out.local_addr().expect("bound")
+        self.writer.local_addr().expect("no local address")
     }
 
-    /// The connection itself.
+    /// The underlying stream.
     pub fn stream(self) -> TcpStream {
-        self.out
+        self.writer
     }
 
-    /// Leaves: the node sees that the connection is closed.
+    /// Closes the connection in both directions.
     pub fn leave(&self) {
-        // Where it has ended already it can't be closed again.
-        let _ = self.out.shutdown(std::net::Shutdown::Both);
+        // Fails if the connection has ended already.
+        let _ = self.writer.shutdown(std::net::Shutdown::Both);
     }
 
-    /// The next answer; `None` where the connection ends first.
+    /// Reads the next response; `None` if the connection ends first.
     pub fn hear(&mut self) -> Option<Message> {
-        read_message(&mut self.from, 0)
+        read_message(&mut self.reader, 0)
     }
 
-    pub fn ask(&mut self, words: &str) -> Message {
-        self.send(words);
-        self.hear().expect("an answer")
+    /// Sends a request and reads its response.
+    pub fn ask(&mut self, data: &str) -> Message {
+        self.send(data);
+        self.hear().expect("no response")
     }
 
-    /// Has the node closed the connection, or broken it off with something unread? Waits for it.
+    /// Waits for the end of the connection; whether the node closed it, or reset it because of unread data.
     pub fn ended_or_reset(&mut self) -> bool {
-        match self.from.read(&mut [0; 64]) {
+        match self.reader.read(&mut [0; 64]) {
             Ok(n) => n == 0,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    /// Has the node closed the connection? Waits for it.
+    /// Waits for the end of the connection; whether the node closed it cleanly.
     pub fn ended(&mut self) -> bool {
-        matches!(self.from.read(&mut [0; 64]), Ok(0))
+        matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
 }
