--- a/crates/node/tests/peers/record.rs
+++ b/crates/node/tests/peers/record.rs
@@ -1,4 +1,4 @@
-//! What clients and servers saw of many requests, and which of the rules it breaks.
+//! Records many requests as clients and servers saw them, and checks the record against the rules.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -8,32 +8,33 @@
 
 use super::Message;
 
-/// How much later than its time a request may have its answer before it counts as lost.
-const LATE: Duration = Duration::from_millis(500);
-/// By how much the time that a server is told may exceed what its client has left.
+/// How long after its deadline a request may be answered before it counts as lost.
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// By how much the remaining time that a server is given may exceed what its client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// How long after its client left an attempt may begin.
+/// How long after its client left an attempt may still start.
 const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// For how long a server that drains may be sent something new.
+/// How long new requests may still go to a server after the node must know that it drains.
 pub const GRACE: Duration = Duration::from_millis(550);
-/// How long a process may be held up before it writes.
+/// How long a process may be paused before a write.
 pub const HELD_UP: Duration = Duration::from_millis(150);
-/// What the clients, servers and threads of the test itself may be late by, on a busy machine.
-const MEASURED: Duration = Duration::from_millis(100);
+/// Delay allowed to the clients, servers and threads of the test itself, on a busy machine.
+const MIN_TEST_DELAY: Duration = Duration::from_millis(100);
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Copy, Debug)]
 pub enum End {
-    /// It had its final answer; `is_own`: the one that a server made for this request, if any server made it.
+    /// It got a final response. `is_own`: the body is the one that a server sends for this request.
     Answered { status: u16, at: Instant, is_own: bool },
-    /// Its connection ended first.
+    /// Its connection ended before the response.
     Closed { at: Instant, node_stops: bool },
-    /// Its client left.
+    /// Its client disconnected.
     Left { at: Instant },
 }
 
 impl End {
-    /// How a request ended just now: by this answer, or with its connection.
+    /// The outcome of a request that ended just now: with this response, or without one if its connection
+    /// closed first.
     pub fn by(answer: Option<&Message>, id: &str, node_stops: bool) -> Self {
         let at = Instant::now();
         match answer {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A request that a client sent.
+/// A request as its client saw it.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub id: String,
@@ -56,22 +57,23 @@
     pub end: End,
 }
 
-/// A request that came whole at a server.
+/// An attempt as a server saw it: a request that it received completely.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub id: String,
     pub server: usize,
-    /// Whom the server shares its memory of keys with.
+    /// Servers of one cell share their memory of idempotency keys.
     pub cell: u64,
     pub at: Instant,
+    /// The remaining time that the server was given.
     pub told: Duration,
-    /// The server has carried it out, or will; else it turned it away.
+    /// Whether the server executes the request; otherwise it rejected it.
     pub runs: bool,
-    /// How long it has counted as told that the server drains.
+    /// How long, by then, the node has had to know that the server drains; `None` if it need not know.
     pub drains_for: Option<Duration>,
 }
 
-/// A process of a node that stood still.
+/// A pause of a node's process.
 #[derive(Clone, Copy, Debug)]
 pub struct Held {
     pub node: SocketAddr,
@@ -80,8 +82,8 @@
 }
 
 impl Held {
-    /// By how much it stood still for longer than a process may, within that time: this test was late to let it go on.
-    fn beyond(&self, node: SocketAddr, from: Instant, until: Instant) -> Duration {
+    /// By how much a pause within that time exceeds [`HELD_UP`]: the test was late to continue the process.
+    fn excess(&self, node: SocketAddr, from: Instant, until: Instant) -> Duration {
         if self.node != node || self.until < from || until < self.from {
             return Duration::ZERO;
         }
@@ -89,209 +91,229 @@
     }
 }
 
-/// Which rule a request breaks.
+/// The rules that a request may violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// One final answer before the deadline.
+    /// Every request gets one final response before its deadline.
     Lost,
-    /// Nobody is served what no server made for the request.
+    /// No client is served a response that no server produced for its request.
     Foreign,
-    /// Effects never twice beyond the class.
+    /// No request is executed more often than its class allows.
     Duplicate,
-    /// What may have run is not handed back as if it had not.
+    /// A request that may have run is not rejected as one that has not.
     Refused,
-    /// Nothing new to a draining server after the grace.
+    /// A draining server gets no new requests after the grace.
     Drain,
-    /// No server is told more time than its client has left.
+    /// No server is given more time than the client has left.
     Deadline,
-    /// Nothing is begun for a client that has left.
+    /// No attempt starts for a client that has disconnected.
     Left,
 }
 
-/// A request that breaks a rule.
+/// A violation of a rule by a request.
 #[derive(Clone, Debug)]
 pub struct Breach {
     pub rule: Rule,
     pub id: String,
     pub node: SocketAddr,
-    words: String,
+    details: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: request {} at {}: {}", self.rule, self.id, self.node, self.words)
+        write!(f, "{:?}: request {} at {}: {}", self.rule, self.id, self.node, self.details)
     }
 }
 
-/// What a server that starts can bear, as the settings give it.
+/// The load that a newly started server may get, according to the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     pub server: usize,
     pub at: Instant,
-    /// How many times its present capacity it bears, over which window.
+    /// The largest load within `window`, as a multiple of its current capacity.
     pub multiple: f64,
     pub window: Duration,
-    /// Which part of its capacity it has at first, and when it has all of it.
+    /// The share of its capacity that it has at its start, and the time until it has all of it.
     pub cold_share: f64,
     pub warm_within: Duration,
 }
 
 impl SlowStart {
-    /// Which part of its capacity it has then.
-    fn warmth(&self, at: Instant) -> f64 {
+    /// The share of its capacity that it has at that time.
+    fn capacity_share(&self, at: Instant) -> f64 {
         let part = at.saturating_duration_since(self.at).as_secs_f64() / self.warm_within.as_secs_f64();
         (self.cold_share + (1.0 - self.cold_share) * part).min(1.0)
     }
 }
 
-/// All requests of a run.
+/// All requests and attempts of a run.
 #[derive(Default)]
 pub struct Record {
-    asked: Mutex<Vec<Asked>>,
-    sent: Mutex<Vec<Sent>>,
-    held: Mutex<Vec<Held>>,
-    late: Mutex<Duration>,
+    requests: Mutex<Vec<Asked>>,
+    attempts: Mutex<Vec<Sent>>,
+    pauses: Mutex<Vec<Held>>,
+    measured_delay: Mutex<Duration>,
 }
 
 impl Record {
-    /// The test itself was measured to be late by so much.
-    pub fn is_late_by(&self, late: Duration) {
-        *self.late.lock().expect("no panic") = late;
+    /// Sets the delay of the test itself, as measured.
+    pub fn is_late_by(&self, delay: Duration) {
+        *self.measured_delay.lock().expect("mutex poisoned") = delay;
     }
 
-    /// What the test itself may be late by.
+    /// The delay allowed to the test itself.
     pub fn lateness(&self) -> Duration {
-        MEASURED.max(*self.late.lock().expect("no panic"))
+        MIN_TEST_DELAY.max(*self.measured_delay.lock().expect("mutex poisoned"))
     }
 
-    pub fn asked(&self, asked: Asked) {
-        self.asked.lock().expect("no panic").push(asked);
+    pub fn asked(&self, request: Asked) {
+        self.requests.lock().expect("mutex poisoned").push(request);
     }
 
-    pub fn sent(&self, sent: Sent) {
-        self.sent.lock().expect("no panic").push(sent);
+    pub fn sent(&self, received: Sent) {
+        self.attempts.lock().expect("mutex poisoned").push(received);
     }
 
-    /// All requests that came at servers.
+    /// All attempts.
     pub fn sends(&self) -> Vec<Sent> {
-        self.sent.lock().expect("no panic").clone()
+        self.attempts.lock().expect("mutex poisoned").clone()
     }
 
-    pub fn held(&self, held: Held) {
-        self.held.lock().expect("no panic").push(held);
+    pub fn held(&self, pause: Held) {
+        self.pauses.lock().expect("mutex poisoned").push(pause);
     }
 
-    /// How many requests there were, and how many were served.
+    /// The number of requests, and of those that were served.
     pub fn counts(&self) -> (usize, usize) {
-        let asked = self.asked.lock().expect("no panic");
-        let is_served = |asked: &&Asked| matches!(asked.end, End::Answered { status: 200, .. });
-        (asked.len(), asked.iter().filter(is_served).count())
+        let requests = self.requests.lock().expect("mutex poisoned");
+        let is_served = |request: &&Asked| matches!(request.end, End::Answered { status: 200, .. });
+        (requests.len(), requests.iter().filter(is_served).count())
     }
 
-    /// The first window in which a server that started was sent more than it bears. What another server was sent meanwhile on average
-    /// is the measure of its capacity.
+    /// Describes the first window in which a newly started server got more requests than it may. Its full
+    /// capacity is taken to be the mean number of requests that the other servers got in the same window.
     pub fn overload(&self, start: SlowStart, servers: usize) -> Option<String> {
-        let sent = self.sent.lock().expect("no panic");
-        let cold: Vec<&Sent> = sent.iter().filter(|s| s.server == start.server && s.at >= start.at).collect();
-        cold.iter().find_map(|last| {
-            let within = |s: &Sent| s.at <= last.at && last.at - s.at < start.window;
-            let count = cold.iter().filter(|s| within(s)).count() as f64;
-            let others = sent.iter().filter(|s| s.server != start.server && within(s)).count();
+        let attempts = self.attempts.lock().expect("mutex poisoned");
+        let to_cold: Vec<&Sent> =
+            attempts.iter().filter(|s| s.server == start.server && s.at >= start.at).collect();
+        to_cold.iter().find_map(|last| {
+            let in_window = |s: &Sent| s.at <= last.at && last.at - s.at < start.window;
+            let count = to_cold.iter().filter(|s| in_window(s)).count() as f64;
+            let others = attempts.iter().filter(|s| s.server != start.server && in_window(s)).count();
             let mean = others as f64 / (servers - 1) as f64;
-            let allowed = start.multiple * start.warmth(last.at) * mean;
-            let most = if allowed < 30.0 {
+            let allowed = start.multiple * start.capacity_share(last.at) * mean;
+            let limit = if allowed < 30.0 {
                 allowed + 3.0 * allowed.sqrt() + 3.0
             } else {
                 allowed + 2.0 * allowed.sqrt() + 2.0
             };
-            let words = || {
+            let description = || {
                 format!(
-                    "server {} had {count} requests within {:?}, {:?} after its start; {most:.1} are its budget",
+                    "server {} got {count} requests within {:?}, {:?} after its start; its limit is {limit:.1}",
                     start.server,
                     start.window,
                     last.at - start.at
                 )
             };
-            (count > most).then(words)
+            (count > limit).then(description)
         })
     }
 
-    /// What breaks a rule. `taken` says whether a node has taken a request of that id.
-    pub fn breaches(&self, taken: impl Fn(SocketAddr, &str) -> bool) -> Vec<Breach> {
-        let mut sent: HashMap<String, Vec<Sent>> = HashMap::new();
-        for one in self.sent.lock().expect("no panic").iter() {
-            sent.entry(one.id.clone()).or_default().push(one.clone());
+    /// All violations. `is_accepted` tells whether a node has accepted a request of that id.
+    pub fn breaches(&self, is_accepted: impl Fn(SocketAddr, &str) -> bool) -> Vec<Breach> {
+        let mut by_id: HashMap<String, Vec<Sent>> = HashMap::new();
+        for attempt in self.attempts.lock().expect("mutex poisoned").iter() {
+            by_id.entry(attempt.id.clone()).or_default().push(attempt.clone());
         }
-        let asked = self.asked.lock().expect("no panic");
-        let held = self.held.lock().expect("no panic");
-        let late = self.lateness();
-        let breaches = |asked: &Asked| {
-            let sent = sent.get(&asked.id).map_or(&[][..], Vec::as_slice);
-            let taken = || !sent.is_empty() || taken(asked.node, &asked.id);
-            let of_answer = lost(asked, late, taken).into_iter().chain(of_answer(asked, sent));
-            of_answer.chain(of_sends(asked, sent, &held, late)).collect::<Vec<_>>()
+        let requests = self.requests.lock().expect("mutex poisoned");
+        let pauses = self.pauses.lock().expect("mutex poisoned");
+        let delay = self.lateness();
+        let breaches = |request: &Asked| {
+            let attempts = by_id.get(&request.id).map_or(&[][..], Vec::as_slice);
+            let is_accepted = || !attempts.is_empty() || is_accepted(request.node, &request.id);
+            let of_response =
+                check_lost(request, delay, is_accepted).into_iter().chain(check_response(request, attempts));
+            of_response.chain(check_attempts(request, attempts, &pauses, delay)).collect::<Vec<_>>()
         };
-        asked.iter().flat_map(breaches).collect()
+        requests.iter().flat_map(breaches).collect()
     }
 }
 
-fn breach(asked: &Asked, rule: Rule, words: String) -> Breach {
-    Breach { rule, id: asked.id.clone(), node: asked.node, words }
+fn breach(request: &Asked, rule: Rule, details: String) -> Breach {
+    Breach { rule, id: request.id.clone(), node: request.node, details }
 }
 
-fn lost(asked: &Asked, late: Duration, taken: impl Fn() -> bool) -> Option<Breach> {
-    let within = asked.remaining + LATE + late;
-    let words = match asked.end {
-        End::Answered { at, status, .. } if at - asked.at > within => {
-            format!("answered by {status} after {:?} of {:?}", at - asked.at, asked.remaining)
+/// Checks that a request got a response in time.
+fn check_lost(request: &Asked, delay: Duration, is_accepted: impl Fn() -> bool) -> Option<Breach> {
+    let time_limit = request.remaining + ANSWER_SLACK + delay;
+    let details = match request.end {
+        End::Answered { at, status, .. } if at - request.at > time_limit => {
+            format!("answered with {status} after {:?} of {:?}", at - request.at, request.remaining)
         }
-        // A node that stops closes connections that rest, and a request may cross that.
-        End::Closed { at, node_stops } if !node_stops || taken() => {
-            format!("closed after {:?} of {:?}, the node stops: {node_stops}", at - asked.at, asked.remaining)
+        // A node that stops closes idle connections, and a request may be on its way then: it counts as lost
+        // only if the node accepted it.
+        End::Closed { at, node_stops } if !node_stops || is_accepted() => {
+            format!(
+                "closed after {:?} of {:?}, the node stops: {node_stops}",
+                at - request.at,
+                request.remaining
+            )
         }
         _ => return None,
     };
-    Some(breach(asked, Rule::Lost, words))
+    Some(breach(request, Rule::Lost, details))
 }
 
-/// Which class may be handed back though it has run.
-const HARMLESS_CLASS: &str = "look";
+/// The class that may be rejected even if it has run.
+const SAFE_CLASS: &str = "look";
 
-/// What its answer breaks.
-fn of_answer(asked: &Asked, sent: &[Sent]) -> Option<Breach> {
-    let End::Answered { status, at, is_own } = asked.end else { return None };
-    let after = at - asked.at;
+/// Checks the response.
+fn check_response(request: &Asked, attempts: &[Sent]) -> Option<Breach> {
+    let End::Answered { status, at, is_own } = request.end else { return None };
+    let after = at - request.at;
     match status {
-        200 if !is_own => Some(breach(asked, Rule::Foreign, format!("after {after:?} {}", asked.class))),
-        429 | 503 if asked.class != HARMLESS_CLASS && sent.iter().any(|one| one.runs) => {
-            Some(breach(asked, Rule::Refused, format!("{status} after {after:?}, {}: {sent:?}", asked.class)))
+        200 if !is_own => Some(breach(request, Rule::Foreign, format!("after {after:?} {}", request.class))),
+        429 | 503 if request.class != SAFE_CLASS && attempts.iter().any(|attempt| attempt.runs) => {
+            Some(breach(
+                request,
+                Rule::Refused,
+                format!("{status} after {after:?}, {}: {attempts:?}", request.class),
+            ))
         }
         _ => None,
     }
 }
 
-fn of_sends(asked: &Asked, sent: &[Sent], held: &[Held], late: Duration) -> Vec<Breach> {
+/// Checks the attempts of a request.
+fn check_attempts(request: &Asked, attempts: &[Sent], pauses: &[Held], delay: Duration) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    let mut add = |rule, words| breaches.push(breach(asked, rule, words));
-    let ran: Vec<&Sent> = sent.iter().filter(|one| one.runs).collect();
-    let cells = ran.iter().any(|one| one.cell != ran[0].cell);
-    if (asked.class == "slip" && ran.len() > 1) || (asked.class == "pay" && cells) {
-        add(Rule::Duplicate, format!("{} sends of {}: {sent:?}", sent.len(), asked.class));
+    let mut add = |rule, details| breaches.push(breach(request, rule, details));
+    let executed: Vec<&Sent> = attempts.iter().filter(|attempt| attempt.runs).collect();
+    let in_several_cells = executed.iter().any(|attempt| attempt.cell != executed[0].cell);
+    if (request.class == "slip" && executed.len() > 1) || (request.class == "pay" && in_several_cells) {
+        add(Rule::Duplicate, format!("{} attempts of {}: {attempts:?}", attempts.len(), request.class));
     }
-    for one in sent {
-        let after = one.at.saturating_duration_since(asked.at);
-        if one.drains_for.is_some_and(|span| span > GRACE + late) {
-            add(Rule::Drain, format!("to server {} that drained for {:?}", one.server, one.drains_for));
+    for attempt in attempts {
+        let after = attempt.at.saturating_duration_since(request.at);
+        if attempt.drains_for.is_some_and(|span| span > GRACE + delay) {
+            add(
+                Rule::Drain,
+                format!("to server {} that drained for {:?}", attempt.server, attempt.drains_for),
+            );
         }
-        let beyond: Duration = held.iter().map(|held| held.beyond(asked.node, asked.at, one.at)).sum();
-        if one.told + after > asked.remaining + DEADLINE_SLACK + late + beyond {
-            let left = asked.remaining.saturating_sub(after);
-            add(Rule::Deadline, format!("server {} told {:?}, left {left:?}", one.server, one.told));
+        let excess: Duration =
+            pauses.iter().map(|pause| pause.excess(request.node, request.at, attempt.at)).sum();
+        if attempt.told + after > request.remaining + DEADLINE_SLACK + delay + excess {
+            let left = request.remaining.saturating_sub(after);
+            add(
+                Rule::Deadline,
+                format!("server {} was given {:?} of {left:?}", attempt.server, attempt.told),
+            );
         }
-        if let End::Left { at } = asked.end {
-            let since = one.at.saturating_duration_since(at);
-            if since > LEFT_SLACK + HELD_UP + late {
-                add(Rule::Left, format!("to server {} {since:?} after its client left", one.server));
+        if let End::Left { at } = request.end {
+            let since = attempt.at.saturating_duration_since(at);
+            if since > LEFT_SLACK + HELD_UP + delay {
+                add(Rule::Left, format!("to server {} {since:?} after its client left", attempt.server));
             }
         }
     }
