--- a/crates/node/tests/peers/list_service.rs
+++ b/crates/node/tests/peers/list_service.rs
@@ -1,4 +1,5 @@
-//! A list service for thousands of servers, whose watches fall silent or end in place of telling, and whose calls may have no answer.
+//! A list service for thousands of servers, whose watches may stop sending or end instead of sending a
+//! change, and whose calls may get no response.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,126 +15,134 @@
 use super::lists::WATCH;
 use super::{answer, line};
 
-/// How often a watch with no news says that it stands.
-const ALIVE: Duration = Duration::from_millis(500);
+/// Interval of the empty lines that keep an idle watch alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What becomes of watches that stand.
+/// How open watches behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Watches {
-    Stand,
-    /// They say nothing more, and stay open.
-    FallSilent,
-    /// Every other one ends with the next change, and does not tell it.
-    HalfEndUntold,
+enum WatchBehavior {
+    /// They send every change.
+    Open,
+    /// They stay open but send nothing more.
+    Silent,
+    /// Every other one ends at the next change instead of sending it.
+    HalfEndUnsent,
 }
 
 struct State {
     version: u64,
-    whole: String,
-    news: Vec<(u64, String)>,
-    watches: Watches,
-    /// Watches that began before this number are the ones that fall silent or end.
-    troubled_before: usize,
-    begun: usize,
-    /// How many calls from now on have no answer.
+    /// The line with the full list.
+    full_list: String,
+    /// The line of each change, with its version.
+    updates: Vec<(u64, String)>,
+    watches: WatchBehavior,
+    /// Watches with a number below this one are affected by `watches`.
+    affected_below: usize,
+    /// Number of watches opened so far.
+    opened: usize,
+    /// How many of the next calls get no response.
     unanswered: usize,
     calls: usize,
 }
 
-/// The service.
+/// The service; clones share it.
 #[derive(Clone)]
 pub struct ListService {
-    /// Where it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<u64>>,
-    accepting: Arc<Mutex<Option<JoinHandle<()>>>>,
+    accept_task: Arc<Mutex<Option<JoinHandle<()>>>>,
 }
 
 impl ListService {
-    /// Ends it.
+    /// Stops the service; all connections to it end.
     pub fn end(&self) {
-        self.accepting.lock().expect("no panic").take().into_iter().for_each(|accepting| accepting.abort());
+        self.accept_task
+            .lock()
+            .expect("mutex poisoned")
+            .take()
+            .into_iter()
+            .for_each(|accept_task| accept_task.abort());
     }
 
-    /// Starts one with a list.
+    /// Starts a service with this list.
     pub fn start(hosts: &[Value]) -> Self {
         let listener =
-            glenwood_testkit::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("a port");
+            glenwood_testkit::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("failed to bind");
         let state = State {
             version: 1,
-            whole: line(1, true, hosts),
-            news: Vec::new(),
-            watches: Watches::Stand,
-            troubled_before: 0,
-            begun: 0,
+            full_list: line(1, true, hosts),
+            updates: Vec::new(),
+            watches: WatchBehavior::Open,
+            affected_below: 0,
+            opened: 0,
             unanswered: 0,
             calls: 0,
         };
         let service = Self {
-            address: listener.local_addr().expect("bound"),
+            address: listener.local_addr().expect("no local address"),
             state: Arc::new(Mutex::new(state)),
             changed: Arc::new(watch::channel(1).0),
-            accepting: Arc::default(),
+            accept_task: Arc::default(),
         };
         let this = service.clone();
-        let accepting = runtime().spawn(async move {
-            // Ended with this task.
-            let mut serving = JoinSet::new();
+        let accept_task = runtime().spawn(async move {
+            // Dropped, and so aborted, with this task.
+            let mut tasks = JoinSet::new();
             loop {
-                let (stream, _) = listener.accept().await.expect("a connection");
+                let (stream, _) = listener.accept().await.expect("failed to accept");
                 let this = this.clone();
-                serving.spawn(async move {
-                    // It ends when the node has had enough.
+                tasks.spawn(async move {
+                    // Ends with an error when the node closes the connection.
                     let _ = this.serve(stream).await;
                 });
-                while serving.try_join_next().is_some() {}
+                while tasks.try_join_next().is_some() {}
             }
         });
-        *service.accepting.lock().expect("no panic") = Some(accepting);
+        *service.accept_task.lock().expect("mutex poisoned") = Some(accept_task);
         service
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic"))
+    fn with_state<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
+        f(&mut self.state.lock().expect("mutex poisoned"))
     }
 
-    /// The list is this from now on, by these news.
-    pub fn tell(&self, hosts: &[Value], news: &[Value]) {
-        let version = self.with(|state| {
+    /// Replaces the list by `hosts`, and sends `updates` to all watches.
+    pub fn tell(&self, hosts: &[Value], updates: &[Value]) {
+        let version = self.with_state(|state| {
             state.version += 1;
-            state.whole = line(state.version, true, hosts);
-            state.news.push((state.version, line(state.version, false, news)));
+            state.full_list = line(state.version, true, hosts);
+            state.updates.push((state.version, line(state.version, false, updates)));
             state.version
         });
         self.changed.send_replace(version);
     }
 
-    /// All watches that stand fall silent, and so many calls from now on have no answer.
+    /// All open watches stop sending but stay open, and the next `unanswered` calls get no response.
     pub fn fall_silent(&self, unanswered: usize) {
-        self.trouble(Watches::FallSilent, unanswered);
+        self.set_fault(WatchBehavior::Silent, unanswered);
     }
 
-    /// With the next change every other watch ends, and does not tell it.
+    /// Every other open watch ends at the next change instead of sending it.
     pub fn end_half_untold(&self) {
-        self.trouble(Watches::HalfEndUntold, 0);
+        self.set_fault(WatchBehavior::HalfEndUnsent, 0);
     }
 
-    fn trouble(&self, watches: Watches, unanswered: usize) {
-        self.with(|state| {
-            (state.watches, state.troubled_before, state.unanswered) = (watches, state.begun, unanswered);
+    fn set_fault(&self, watches: WatchBehavior, unanswered: usize) {
+        self.with_state(|state| {
+            (state.watches, state.affected_below, state.unanswered) = (watches, state.opened, unanswered);
         });
     }
 
-    /// How many watches were ever begun, and how many calls came.
+    /// Number of watches opened and of calls received so far.
     pub fn counts(&self) -> (usize, usize) {
-        self.with(|state| (state.begun, state.calls))
+        self.with_state(|state| (state.opened, state.calls))
     }
 
     async fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut stream = BufReader::new(stream);
-        let Some(asked) = http::read(&mut stream).await? else { return Ok(()) };
-        let is_answered = self.with(|state| {
+        let Some(request) = http::read(&mut stream).await? else { return Ok(()) };
+        let is_answered = self.with_state(|state| {
             state.calls += 1;
             let is_answered = state.unanswered == 0;
             state.unanswered = state.unanswered.saturating_sub(1);
@@ -142,54 +151,54 @@
         if !is_answered {
             return until_closed(stream).await;
         }
-        if !asked.target().contains("watch") {
-            let whole = self.with(|state| state.whole.clone());
-            return stream.get_mut().write_all(&answer(200, "", &whole)).await;
+        if !request.target().contains("watch") {
+            let full_list = self.with_state(|state| state.full_list.clone());
+            return stream.get_mut().write_all(&answer(200, "", &full_list)).await;
         }
         self.watch(stream).await
     }
 
     async fn watch(&self, mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
         let mut changed = self.changed.subscribe();
-        let (number, mut version, whole) = self.with(|state| {
-            state.begun += 1;
-            (state.begun - 1, state.version, state.whole.clone())
+        let (number, mut version, full_list) = self.with_state(|state| {
+            state.opened += 1;
+            (state.opened - 1, state.version, state.full_list.clone())
         });
         stream.get_mut().write_all(WATCH).await?;
-        say(&mut stream, &whole).await?;
+        write_line(&mut stream, &full_list).await?;
         loop {
-            let _ = tokio::time::timeout(ALIVE, changed.changed()).await;
-            let (watches, news, newest) = self.with(|state| {
-                let is_troubled = number < state.troubled_before;
-                let watches = if is_troubled { state.watches } else { Watches::Stand };
-                let new = state.news.iter().filter(|(at, _)| *at > version);
-                let news: Vec<String> = new.map(|(_, news)| news.clone()).collect();
-                (watches, news, state.version)
+            let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, changed.changed()).await;
+            let (watches, updates, newest) = self.with_state(|state| {
+                let is_affected = number < state.affected_below;
+                let watches = if is_affected { state.watches } else { WatchBehavior::Open };
+                let later = state.updates.iter().filter(|(changed_in, _)| *changed_in > version);
+                let updates: Vec<String> = later.map(|(_, update)| update.clone()).collect();
+                (watches, updates, state.version)
             });
             match watches {
-                Watches::FallSilent => return until_closed(stream).await,
-                Watches::HalfEndUntold if number % 2 == 0 && !news.is_empty() => return Ok(()),
-                Watches::Stand | Watches::HalfEndUntold => {}
+                WatchBehavior::Silent => return until_closed(stream).await,
+                WatchBehavior::HalfEndUnsent if number % 2 == 0 && !updates.is_empty() => return Ok(()),
+                WatchBehavior::Open | WatchBehavior::HalfEndUnsent => {}
             }
             version = newest;
-            for line in &news {
-                say(&mut stream, line).await?;
+            for line in &updates {
+                write_line(&mut stream, line).await?;
             }
-            if news.is_empty() {
-                say(&mut stream, "").await?;
+            if updates.is_empty() {
+                write_line(&mut stream, "").await?;
             }
         }
     }
 }
 
-async fn say(stream: &mut BufReader<TcpStream>, words: &str) -> std::io::Result<()> {
-    let chunk = format!("{:x}\r\n{words}\n\r\n", words.len() + 1);
+async fn write_line(stream: &mut BufReader<TcpStream>, text: &str) -> std::io::Result<()> {
+    let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     stream.get_mut().write_all(chunk.as_bytes()).await
 }
 
-/// Says nothing until the node has had enough.
+/// Sends nothing until the node closes the connection.
 async fn until_closed(mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
-    let mut rest = [0; 256];
-    while stream.read(&mut rest).await? > 0 {}
+    let mut buffer = [0; 256];
+    while stream.read(&mut buffer).await? > 0 {}
     Ok(())
 }
--- a/crates/node/tests/peers/lists.rs
+++ b/crates/node/tests/peers/lists.rs
@@ -1,4 +1,4 @@
-//! A list service whose answers a test writes by hand, byte by byte.
+//! List services whose responses a test writes byte by byte, or that are overloaded.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,177 +9,184 @@
 
 use super::{answer, line};
 
-/// A list service that does by hand what each test wants: what it is asked, and the connection for the answer.
+/// A list service with a handler written by the test.
 #[derive(Clone)]
 pub struct Lists {
     pub address: SocketAddr,
-    /// The paths of all calls so far.
+    /// The paths of all requests so far.
     pub calls: Arc<Mutex<Vec<String>>>,
 }
 
 impl Lists {
-    /// `answers` is given the path, how many calls for the same thing came before, and the connection.
+    /// Starts a service. `handler` gets the path, the number of earlier requests of the same kind (watches,
+    /// or all others), and the connection.
     pub fn new(
-        answers: impl Fn(&str, usize, &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
+        handler: impl Fn(&str, usize, &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let lists = Self { address: listener.local_addr().expect("bound"), calls: Arc::default() };
-        let (all, answers) = (lists.calls.clone(), Arc::new(answers));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+        let lists = Self { address: listener.local_addr().expect("no local address"), calls: Arc::default() };
+        let (paths, handler) = (lists.calls.clone(), Arc::new(handler));
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (all, answers) = (all.clone(), answers.clone());
+                let (paths, handler) = (paths.clone(), handler.clone());
                 std::thread::spawn(move || {
                     let head = read_head(&mut stream);
-                    let path = head.split(' ').nth(1).expect("a path").to_string();
-                    let watch = path.contains("watch");
-                    let before = {
-                        let mut all = all.lock().expect("no panic");
-                        all.push(path.clone());
-                        all.iter().filter(|other| other.contains("watch") == watch).count() - 1
+                    let path = head.split(' ').nth(1).expect("invalid request line").to_string();
+                    let is_watch = path.contains("watch");
+                    let earlier = {
+                        let mut paths = paths.lock().expect("mutex poisoned");
+                        paths.push(path.clone());
+                        paths.iter().filter(|other| other.contains("watch") == is_watch).count() - 1
                     };
-                    // It ends when the node has had enough.
-                    let _ = answers(&path, before, &mut stream);
+                    // Ends with an error when the node closes the connection.
+                    let _ = handler(&path, earlier, &mut stream);
                 });
             }
         });
         lists
     }
 
+    /// Number of watches opened so far.
     pub fn watches(&self) -> usize {
-        self.calls.lock().expect("no panic").iter().filter(|path| path.contains("watch")).count()
+        self.calls.lock().expect("mutex poisoned").iter().filter(|path| path.contains("watch")).count()
     }
 }
 
+/// The head of the response to a watch.
 pub const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub fn chunk(to: &mut TcpStream, words: &str) -> std::io::Result<()> {
-    write!(to, "{:x}\r\n{words}\r\n", words.len())
+/// Writes one chunk of a chunked body.
+pub fn chunk(connection: &mut TcpStream, data: &str) -> std::io::Result<()> {
+    write!(connection, "{:x}\r\n{data}\r\n", data.len())
 }
 
-/// Something now and then, until the node has had enough.
+/// Writes a piece every 100 ms until the node closes the connection.
 pub fn trickle(
-    to: &mut TcpStream,
-    piece: impl Fn(&mut TcpStream) -> std::io::Result<()>,
+    connection: &mut TcpStream,
+    write_piece: impl Fn(&mut TcpStream) -> std::io::Result<()>,
 ) -> std::io::Result<()> {
     loop {
         std::thread::sleep(Duration::from_millis(100));
-        piece(to)?;
+        write_piece(connection)?;
     }
 }
 
-/// Says that nothing changes, until the node has had enough.
-pub fn stand(to: &mut TcpStream) -> std::io::Result<()> {
-    trickle(to, |to| chunk(to, "\n"))
+/// Keeps a watch alive without changes until the node closes the connection.
+pub fn stand(connection: &mut TcpStream) -> std::io::Result<()> {
+    trickle(connection, |connection| chunk(connection, "\n"))
 }
 
-/// How long after a change a watch ends at a crowded list service, at the most.
-const ENDS_WITHIN: Duration = Duration::from_millis(1500);
+/// An overloaded list service ends its watches at most this long after a change.
+const MAX_WATCH_END_DELAY: Duration = Duration::from_millis(1500);
 
-/// How a crowded list service works.
+/// The load of an overloaded list service.
 #[derive(Clone, Copy, Debug)]
 pub struct Crowd {
-    /// What each call costs it; calls are worked off in turn.
+    /// Time that each call takes; calls are handled one after another.
     pub each: Duration,
-    /// A call that would wait longer than this is turned away at once.
+    /// A call that would wait longer than this is rejected at once.
     pub most: Duration,
 }
 
-/// A list service that works off calls in turn, and ends watches in place of telling on them what has changed.
+/// A list service that handles calls one after another, and ends its watches instead of sending changes.
 #[derive(Clone)]
 pub struct CrowdedLists {
     pub address: SocketAddr,
-    state: Arc<Mutex<Crowded>>,
+    state: Arc<Mutex<ServiceState>>,
 }
 
-struct Crowded {
+struct ServiceState {
     crowd: Crowd,
     version: u64,
     hosts: Vec<Value>,
-    /// When it is done with what it has taken on.
-    free_at: Instant,
+    /// When all accepted calls are handled.
+    idle_at: Instant,
     calls: usize,
-    turned_away: usize,
+    rejected: usize,
 }
 
 impl CrowdedLists {
     pub fn new(hosts: &[Value], crowd: Crowd) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let state = Crowded {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+        let state = ServiceState {
             crowd,
             version: 1,
             hosts: hosts.to_vec(),
-            free_at: Instant::now(),
+            idle_at: Instant::now(),
             calls: 0,
-            turned_away: 0,
+            rejected: 0,
+        };
+        let lists = Self {
+            address: listener.local_addr().expect("no local address"),
+            state: Arc::new(Mutex::new(state)),
         };
-        let lists =
-            Self { address: listener.local_addr().expect("bound"), state: Arc::new(Mutex::new(state)) };
         let this = lists.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let this = this.clone();
-                // It ends when the node has had enough.
+                // Ends with an error when the node closes the connection.
                 std::thread::spawn(move || this.serve(stream));
             }
         });
         lists
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Crowded) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic"))
+    fn with_state<T>(&self, f: impl FnOnce(&mut ServiceState) -> T) -> T {
+        f(&mut self.state.lock().expect("mutex poisoned"))
     }
 
-    /// The list is this from now on.
+    /// Replaces the list, which ends all watches.
     pub fn change(&self, hosts: &[Value]) {
-        self.with(|state| {
+        self.with_state(|state| {
             state.version += 1;
             state.hosts = hosts.to_vec();
         });
     }
 
-    /// Calls so far, and those of them that were turned away.
+    /// Number of calls so far, and of those that were rejected.
     pub fn calls(&self) -> (usize, usize) {
-        self.with(|state| (state.calls, state.turned_away))
+        self.with_state(|state| (state.calls, state.rejected))
     }
 
-    /// When a piece of work that comes now is done; `None` where that would take too long.
-    fn turn(&self, cost: Duration) -> Option<Instant> {
-        self.with(|state| {
+    /// Queues work that takes `cost`; returns when it is done, or `None` if it would wait too long.
+    fn enqueue(&self, cost: Duration) -> Option<Instant> {
+        self.with_state(|state| {
             let now = Instant::now();
-            let begin = state.free_at.max(now);
-            if begin - now > state.crowd.most {
+            let start = state.idle_at.max(now);
+            if start - now > state.crowd.most {
                 return None;
             }
-            state.free_at = begin + cost;
-            Some(state.free_at)
+            state.idle_at = start + cost;
+            Some(state.idle_at)
         })
     }
 
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         read_head(&mut stream);
-        let each = self.with(|state| {
+        let call_cost = self.with_state(|state| {
             state.calls += 1;
             state.crowd.each
         });
-        let Some(turn) = self.turn(each) else {
-            self.with(|state| state.turned_away += 1);
+        let Some(done_at) = self.enqueue(call_cost) else {
+            self.with_state(|state| state.rejected += 1);
             return stream.write_all(&answer(503, "", ""));
         };
-        std::thread::sleep(turn.saturating_duration_since(Instant::now()));
-        let (version, hosts) = self.with(|state| (state.version, state.hosts.clone()));
+        std::thread::sleep(done_at.saturating_duration_since(Instant::now()));
+        let (version, hosts) = self.with_state(|state| (state.version, state.hosts.clone()));
         stream.write_all(WATCH)?;
         chunk(&mut stream, &(line(version, true, &hosts) + "\n"))?;
-        let mut quiet = Instant::now();
-        while self.with(|state| state.version) == version {
-            if quiet.elapsed() > Duration::from_secs(2) {
+        let mut last_write = Instant::now();
+        while self.with_state(|state| state.version) == version {
+            if last_write.elapsed() > Duration::from_secs(2) {
                 chunk(&mut stream, "\n")?;
-                quiet = Instant::now();
+                last_write = Instant::now();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        // What it has to tell waits its turn too, but not as long as calls do: until then the watch stands, and nothing is told.
-        let turn = self.turn(Duration::ZERO).unwrap_or_else(Instant::now);
-        std::thread::sleep(turn.saturating_duration_since(Instant::now()).min(ENDS_WITHIN));
+        // Handling the change waits in the queue too, though not as long as calls may: until then the watch
+        // stays open, and nothing is sent.
+        let done_at = self.enqueue(Duration::ZERO).unwrap_or_else(Instant::now);
+        std::thread::sleep(done_at.saturating_duration_since(Instant::now()).min(MAX_WATCH_END_DELAY));
         Ok(())
     }
 }
@@ -191,5 +198,5 @@
     while !head.ends_with(b"\r\n\r\n") && matches!(stream.read(&mut byte), Ok(1)) {
         head.push(byte[0]);
     }
-    String::from_utf8(head).expect("text")
+    String::from_utf8(head).expect("the head is not UTF-8")
 }
--- a/crates/node/tests/peers/queued_list.rs
+++ b/crates/node/tests/peers/queued_list.rs
@@ -1,5 +1,6 @@
-//! A list service that works calls in turn, fails what waits too long, and ends watches in place of telling a change. It keeps for
-//! each node when what counts as told to it.
+//! A list service that handles calls one after another, fails those that wait too long, and may end a watch
+//! instead of sending a change on it. It records for each node since when it must know which version of the
+//! list.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,209 +17,234 @@
 use super::lists::WATCH;
 use super::{answer, line};
 
-/// How often a watch with no news says that it stands.
-const ALIVE: Duration = Duration::from_millis(2_000);
-/// After so long in its queue a call is failed, and worked off all the same.
+/// Interval of the empty lines that keep an idle watch alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(2_000);
+/// A call that would wait longer than this is answered with 503 after this time; it still takes its full
+/// share of the queue.
 pub const FAILED_AFTER: Duration = Duration::from_secs(2);
-/// After how long what a watch ended in place of telling counts as told.
-const TOLD_AFTER_END: Duration = Duration::from_secs(2);
-/// After how long any change counts as told, whether or not it arrived.
-const TOLD_AT_LAST: Duration = Duration::from_secs(6);
+/// How long after a watch ended instead of sending a change its node must know the change.
+const KNOWN_AFTER_WATCH_END: Duration = Duration::from_secs(2);
+/// How long after any change every node must know it, whether or not it was sent.
+const KNOWN_AT_LATEST: Duration = Duration::from_secs(6);
 
-/// A version of the list, and since when a node counts as told of it.
+/// A version of the list, and the moment from which a node must know it.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct KnownVersion {
     version: u64,
-    at: Instant,
-    /// It was written to the node, which has it all.
+    known_at: Instant,
+    /// It was sent to the node completely.
     is_written: bool,
 }
 
 /// A change of the list.
 struct Change {
     version: u64,
-    made: Instant,
+    changed_at: Instant,
     line: String,
-    /// Some watches end in place of telling it.
+    /// Some watches end instead of sending it.
     ends_watches: bool,
 }
 
-/// What has become of a server by one change.
+/// The state of a server after one change of the list.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct ServerChange {
     server: usize,
     version: u64,
-    made: Instant,
+    changed_at: Instant,
     is_up: bool,
 }
 
 struct State {
     version: u64,
-    whole: String,
+    full_list: String,
     changes: Vec<Change>,
-    turns: Vec<Turn>,
-    /// For each node.
-    told: Vec<Vec<Told>>,
-    /// When all calls that came so far are worked off.
-    free: Instant,
-    a_call: Duration,
+    server_changes: Vec<ServerChange>,
+    /// The versions that each node must know.
+    known_versions: Vec<Vec<KnownVersion>>,
+    /// When all calls received so far are handled.
+    idle_at: Instant,
+    /// Time that each call takes.
+    time_per_call: Duration,
     calls: usize,
     failed: usize,
     waits: Vec<Duration>,
     dice: Dice,
 }
 
-/// The service, with an address for each node.
+/// The service; it listens on a separate address for each node.
 pub struct QueuedLists {
     addresses: Vec<SocketAddr>,
-    serving: Serving,
-    accepting: Vec<JoinHandle<()>>,
+    endpoint: NodeEndpoint,
+    accept_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Drop for QueuedLists {
     fn drop(&mut self) {
-        self.accepting.iter().for_each(JoinHandle::abort);
+        self.accept_tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
 impl QueuedLists {
-    /// Starts one with a list, for so many processes; a call takes it so long.
-    pub fn start(hosts: &[Value], nodes: usize, a_call: Duration, seed: u64) -> Self {
+    /// Starts a service with a list for so many nodes; it handles a call in `time_per_call`.
+    pub fn start(hosts: &[Value], nodes: usize, time_per_call: Duration, seed: u64) -> Self {
         let state = State {
             version: 1,
-            whole: line(1, true, hosts),
+            full_list: line(1, true, hosts),
             changes: Vec::new(),
-            turns: Vec::new(),
-            told: vec![Vec::new(); nodes],
-            free: Instant::now(),
-            a_call,
+            server_changes: Vec::new(),
+            known_versions: vec![Vec::new(); nodes],
+            idle_at: Instant::now(),
+            time_per_call,
             calls: 0,
             failed: 0,
             waits: Vec::new(),
             dice: Dice(seed),
         };
-        let serving =
-            Serving { state: Arc::new(Mutex::new(state)), changed: Arc::new(watch::channel(1).0), node: 0 };
-        let mut service = Self { addresses: Vec::new(), serving, accepting: Vec::new() };
+        let endpoint = NodeEndpoint {
+            state: Arc::new(Mutex::new(state)),
+            changed: Arc::new(watch::channel(1).0),
+            node: 0,
+        };
+        let mut service = Self { addresses: Vec::new(), endpoint, accept_tasks: Vec::new() };
         for node in 0..nodes {
             let bind = TcpListener::bind("127.0.0.1:0");
-            let listener = glenwood_testkit::wait("a listener", bind).expect("a free port");
-            service.addresses.push(listener.local_addr().expect("bound"));
-            let serving = Serving { node, ..service.serving.clone() };
-            service.accepting.push(runtime().spawn(serving.accept(listener)));
+            let listener = glenwood_testkit::wait("a listener", bind).expect("failed to bind");
+            service.addresses.push(listener.local_addr().expect("no local address"));
+            let endpoint = NodeEndpoint { node, ..service.endpoint.clone() };
+            service.accept_tasks.push(runtime().spawn(endpoint.accept(listener)));
         }
         service
     }
 
-    /// Where the node of that number finds it.
+    /// The service's address for a node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
-    /// These servers are gone, or up again; `hosts` is the list from now on, `news` what has changed. Where `ends_watches`, each watch
-    /// ends in place of telling with a chance of one half.
+    /// Changes the list to `hosts`: these servers are removed, or up again, and `updates` has their entries.
+    /// If `ends_watches`, each watch ends with probability 1/2 instead of sending the updates.
     pub fn change(
         &self,
         servers: &[usize],
         is_up: bool,
         hosts: &[Value],
-        news: &[Value],
+        updates: &[Value],
         ends_watches: bool,
     ) {
-        let version = self.serving.with(|state| {
+        let version = self.endpoint.with_state(|state| {
             state.version += 1;
-            let (version, made) = (state.version, Instant::now());
-            state.whole = line(version, true, hosts);
-            let line = line(version, false, news);
-            state.changes.push(Change { version, made, line, ends_watches });
-            state.turns.extend(servers.iter().map(|server| Turn { server: *server, version, made, is_up }));
+            let (version, changed_at) = (state.version, Instant::now());
+            state.full_list = line(version, true, hosts);
+            let line = line(version, false, updates);
+            state.changes.push(Change { version, changed_at, line, ends_watches });
+            state.server_changes.extend(servers.iter().map(|server| ServerChange {
+                server: *server,
+                version,
+                changed_at,
+                is_up,
+            }));
             version
         });
-        self.serving.changed.send_replace(version);
+        self.endpoint.changed.send_replace(version);
     }
 
-    /// For how long the node has counted as told, at that time, that the server takes nothing new; `None` where it has not.
+    /// How long, at that time, the node has had to know that the server takes no new requests; `None` if it
+    /// need not know.
     pub fn told_for(&self, node: usize, server: usize, at: Instant) -> Option<Duration> {
-        self.serving.with(|state| {
-            let told = &state.told[node];
+        self.endpoint.with_state(|state| {
+            let known_versions = &state.known_versions[node];
             let is_written = |version: u64| {
-                told.iter().any(|told| told.is_written && told.version >= version && told.at <= at)
+                known_versions
+                    .iter()
+                    .any(|known| known.is_written && known.version >= version && known.known_at <= at)
             };
-            let of_server: Vec<Turn> = state.turns.iter().filter(|t| t.server == server).copied().collect();
-            let gone = of_server.iter().filter(|turn| !turn.is_up && turn.made <= at);
-            let overtaken = |turn: &&Turn| {
-                let mut later = of_server.iter().filter(|other| other.is_up && other.version > turn.version);
+            let of_server: Vec<ServerChange> =
+                state.server_changes.iter().filter(|c| c.server == server).copied().collect();
+            let removals = of_server.iter().filter(|removal| !removal.is_up && removal.changed_at <= at);
+            let is_superseded = |removal: &&ServerChange| {
+                let mut later =
+                    of_server.iter().filter(|other| other.is_up && other.version > removal.version);
                 later.any(|later| is_written(later.version))
             };
-            let since = |turn: &Turn| {
-                let of_it = told.iter().filter(|told| told.version >= turn.version).map(|told| told.at);
-                of_it.chain([turn.made + TOLD_AT_LAST]).min().unwrap_or(turn.made)
+            let since = |removal: &ServerChange| {
+                let from_versions = known_versions
+                    .iter()
+                    .filter(|known| known.version >= removal.version)
+                    .map(|known| known.known_at);
+                from_versions
+                    .chain([removal.changed_at + KNOWN_AT_LATEST])
+                    .min()
+                    .unwrap_or(removal.changed_at)
             };
-            gone.filter(|turn| !overtaken(turn))
-                .filter_map(|turn| at.checked_duration_since(since(turn)))
+            removals
+                .filter(|removal| !is_superseded(removal))
+                .filter_map(|removal| at.checked_duration_since(since(removal)))
                 .max()
         })
     }
 
-    /// Is the server up again at that time, after it was gone?
+    /// Whether the server is up at that time after it was removed.
     pub fn is_back(&self, server: usize, at: Instant) -> bool {
-        let of = |turn: &&Turn| turn.server == server && turn.made <= at;
-        self.serving.with(|state| state.turns.iter().rfind(of).is_some_and(|turn| turn.is_up))
+        let earlier =
+            |server_change: &&ServerChange| server_change.server == server && server_change.changed_at <= at;
+        self.endpoint
+            .with_state(|state| state.server_changes.iter().rfind(earlier).is_some_and(|last| last.is_up))
     }
 
-    /// How many calls came, how many of them were failed, and the longest wait of one that was answered.
+    /// Number of calls, number of failed ones, and the longest wait of one that was answered.
     pub fn calls(&self) -> (usize, usize, Duration) {
         let longest = |state: &State| state.waits.iter().max().copied().unwrap_or_default();
-        self.serving.with(|state| (state.calls, state.failed, longest(state)))
+        self.endpoint.with_state(|state| (state.calls, state.failed, longest(state)))
     }
 }
 
+/// The endpoint of the service for one node.
 #[derive(Clone)]
-struct Serving {
+struct NodeEndpoint {
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<u64>>,
     node: usize,
 }
 
-impl Serving {
-    fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic"))
+impl NodeEndpoint {
+    fn with_state<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
+        f(&mut self.state.lock().expect("mutex poisoned"))
     }
 
     async fn accept(self, listener: TcpListener) {
-        // Ended with this task.
-        let mut serving = JoinSet::new();
+        // Dropped, and so aborted, with this task.
+        let mut tasks = JoinSet::new();
         loop {
-            let (stream, _) = listener.accept().await.expect("a connection");
+            let (stream, _) = listener.accept().await.expect("failed to accept");
             let this = self.clone();
-            serving.spawn(async move {
-                // It ends when the node has had enough.
+            tasks.spawn(async move {
+                // Ends with an error when the node closes the connection.
                 let _ = this.serve(stream).await;
             });
-            while serving.try_join_next().is_some() {}
+            while tasks.try_join_next().is_some() {}
         }
     }
 
     async fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut stream = BufReader::new(stream);
-        let Some(asked) = http::read(&mut stream).await? else { return Ok(()) };
-        if !self.wait_its_turn().await {
+        let Some(request) = http::read(&mut stream).await? else { return Ok(()) };
+        if !self.wait_in_queue().await {
             return stream.get_mut().write_all(&answer(503, "", "")).await;
         }
-        if !asked.target().contains("watch") {
-            let whole = self.read_whole().1;
-            return stream.get_mut().write_all(&answer(200, "", &whole)).await;
+        if !request.target().contains("watch") {
+            let full_list = self.read_full_list().1;
+            return stream.get_mut().write_all(&answer(200, "", &full_list)).await;
         }
         self.watch(stream).await
     }
 
-    /// Waits until a call is worked off; false where it is failed.
-    async fn wait_its_turn(&self) -> bool {
-        let wait = self.with(|state| {
+    /// Waits until a call is handled; false if it fails.
+    async fn wait_in_queue(&self) -> bool {
+        let wait = self.with_state(|state| {
             let now = Instant::now();
-            state.free = state.free.max(now) + state.a_call;
-            let wait = state.free - now;
+            state.idle_at = state.idle_at.max(now) + state.time_per_call;
+            let wait = state.idle_at - now;
             state.calls += 1;
             if wait > FAILED_AFTER {
                 state.failed += 1;
@@ -231,42 +257,43 @@
         wait <= FAILED_AFTER
     }
 
-    /// The whole list, which counts as told from now on.
-    fn read_whole(&self) -> (u64, String) {
-        self.with(|state| {
-            let told = Told { version: state.version, at: Instant::now(), is_written: true };
-            state.told[self.node].push(told);
-            (state.version, state.whole.clone())
+    /// The full list with its version, which the node must know from now on.
+    fn read_full_list(&self) -> (u64, String) {
+        self.with_state(|state| {
+            let known = KnownVersion { version: state.version, known_at: Instant::now(), is_written: true };
+            state.known_versions[self.node].push(known);
+            (state.version, state.full_list.clone())
         })
     }
 
     async fn watch(&self, mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
         let mut changed = self.changed.subscribe();
         stream.get_mut().write_all(WATCH).await?;
-        let (mut version, whole) = self.read_whole();
-        say(&mut stream, &whole).await?;
+        let (mut version, full_list) = self.read_full_list();
+        write_line(&mut stream, &full_list).await?;
         loop {
-            let _ = tokio::time::timeout(ALIVE, changed.changed()).await;
-            let Some((newest, lines)) = self.news_after(version) else { return Ok(()) };
+            let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, changed.changed()).await;
+            let Some((newest, lines)) = self.updates_after(version) else { return Ok(()) };
             version = newest;
             for line in &lines {
-                say(&mut stream, line).await?;
+                write_line(&mut stream, line).await?;
             }
             if lines.is_empty() {
-                say(&mut stream, "").await?;
+                write_line(&mut stream, "").await?;
             }
         }
     }
 
-    /// What is to be told after that version; `None` where the watch ends in its place. Both count as told.
-    fn news_after(&self, version: u64) -> Option<(u64, Vec<String>)> {
-        self.with(|state| {
+    /// The updates after that version, which the node must know from now on; `None` if the watch ends
+    /// instead, and the node must know the change [`KNOWN_AFTER_WATCH_END`] later.
+    fn updates_after(&self, version: u64) -> Option<(u64, Vec<String>)> {
+        self.with_state(|state| {
             let (mut lines, now) = (Vec::new(), Instant::now());
             for change in state.changes.iter().filter(|change| change.version > version) {
                 let is_ended = change.ends_watches && state.dice.one_in(2);
-                let at = if is_ended { now + TOLD_AFTER_END } else { now };
-                let told = Told { version: change.version, at, is_written: !is_ended };
-                state.told[self.node].push(told);
+                let known_at = if is_ended { now + KNOWN_AFTER_WATCH_END } else { now };
+                let known = KnownVersion { version: change.version, known_at, is_written: !is_ended };
+                state.known_versions[self.node].push(known);
                 if is_ended {
                     return None;
                 }
@@ -277,7 +304,7 @@
     }
 }
 
-async fn say(stream: &mut BufReader<TcpStream>, words: &str) -> std::io::Result<()> {
-    let chunk = format!("{:x}\r\n{words}\n\r\n", words.len() + 1);
+async fn write_line(stream: &mut BufReader<TcpStream>, text: &str) -> std::io::Result<()> {
+    let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     stream.get_mut().write_all(chunk.as_bytes()).await
 }
