--- a/crates/node/benches/list_change.rs
+++ b/crates/node/benches/list_change.rs
@@ -1,4 +1,4 @@
-//! What one changed server costs a whole node, from the watch's line to the decision, on sockets:
+//! Measures what the change of one server costs a node process, from the line on the watch to the decision:
 //! `cargo bench -p glenwood-node --bench list_change [-- SERVERS ...]`.
 
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use glenwood_testkit::server::Protocol;
 use serde_json::{json, Value};
 
-/// How many changes are told, and how far apart.
+/// Number of changes, and the interval between them.
 const CHANGES: u32 = 50;
-const EVERY: Duration = Duration::from_millis(100);
-/// How long the node is left to itself before it is timed.
-const SETTLE: Duration = Duration::from_secs(3);
-/// How many nodes share the servers, besides one alone.
+const INTERVAL: Duration = Duration::from_millis(100);
+/// Time that the node is left idle before the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Number of nodes that share the servers; a single node is measured too.
 const NODES: usize = 1_300;
 const SIZES: [usize; 3] = [23, 1_300, 13_000];
 
@@ -23,25 +23,25 @@
     host(&format!("server-{number:06}"), address, Protocol::Http, number as u64 / 2, health, 0)
 }
 
-/// Processor time that a node uses over as many spans as there are changes; each span begins with `tell`.
-fn spent(node: &Node, mut tell: impl FnMut(u32)) -> Duration {
-    let (before, began) = (node.processor_time(), Instant::now());
+/// CPU time that a node uses over [`CHANGES`] intervals; `change` is called at the start of each.
+fn cpu_time_used(node: &Node, mut change: impl FnMut(u32)) -> Duration {
+    let (cpu_before, started) = (node.processor_time(), Instant::now());
     for number in 0..CHANGES {
-        tell(number);
-        std::thread::sleep((EVERY * (number + 1)).saturating_sub(began.elapsed()));
+        change(number);
+        std::thread::sleep((INTERVAL * (number + 1)).saturating_sub(started.elapsed()));
     }
-    node.processor_time() - before
+    node.processor_time() - cpu_before
 }
 
-/// Processor time, in milliseconds.
+/// CPU time, in milliseconds.
 struct Measured {
-    /// Of one change, beyond what is used at rest.
-    change: f64,
-    /// At rest, in the time between two changes.
-    rest: f64,
+    /// For one change, beyond what an idle node uses.
+    per_change: f64,
+    /// Of an idle node, in the interval between two changes.
+    idle: f64,
 }
 
-fn measured(servers: usize, nodes: usize) -> Measured {
+fn measure(servers: usize, nodes: usize) -> Measured {
     let hosts: Vec<Value> = (0..servers).map(|number| entry(number, "active")).collect();
     let discovery = Discovery::start(&hosts);
     let program = Program::new(env!("CARGO_BIN_EXE_glenwood"));
@@ -49,24 +49,24 @@
     settings["PeersTotal"] = json!(nodes);
     let node = Node::start(&program, &config("n0", discovery.address, settings), None);
     node.wait_ready();
-    std::thread::sleep(SETTLE);
-    let rest = spent(&node, |_| ());
-    let changes = spent(&node, |number| {
+    std::thread::sleep(SETTLE_TIME);
+    let idle = cpu_time_used(&node, |_| ());
+    let with_changes = cpu_time_used(&node, |number| {
         let health = if number % 2 == 0 { "leaving" } else { "active" };
         discovery.tell(entry(servers / 2, health));
     });
-    let of_each = |spent: Duration| spent.as_secs_f64() * 1000.0 / f64::from(CHANGES);
-    Measured { change: of_each(changes.saturating_sub(rest)), rest: of_each(rest) }
+    let per_interval_ms = |used: Duration| used.as_secs_f64() * 1000.0 / f64::from(CHANGES);
+    Measured { per_change: per_interval_ms(with_changes.saturating_sub(idle)), idle: per_interval_ms(idle) }
 }
 
 fn main() {
-    let named: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
-    let sizes = if named.is_empty() { SIZES.to_vec() } else { named };
+    let arguments: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let sizes = if arguments.is_empty() { SIZES.to_vec() } else { arguments };
     println!("servers  nodes  ms-a-change  ms-at-rest");
     for servers in sizes {
         for nodes in [1, NODES] {
-            let Measured { change, rest } = measured(servers, nodes);
-            println!("{servers:7} {nodes:6} {change:12.3} {rest:11.3}");
+            let Measured { per_change, idle } = measure(servers, nodes);
+            println!("{servers:7} {nodes:6} {per_change:12.3} {idle:11.3}");
         }
     }
 }
--- a/crates/node/benches/proxy.rs
+++ b/crates/node/benches/proxy.rs
@@ -1,9 +1,10 @@
-//! What the node adds: the same load sent directly, through a bare hyper proxy, and through the node, on the same cores
-//! in the same run. `cargo bench -p glenwood-node --bench proxy [-- --seconds N] [--against FILE]`; `--against` loads
-//! another build of the program over HTTP as well.
+//! Measures the overhead of the node: the same load is sent directly, through a minimal hyper proxy, and
+//! through the node, on the same cores in the same run:
+//! `cargo bench -p glenwood-node --bench proxy [-- --seconds N] [--against FILE]`.
+//! `--against` also loads another build of the program over HTTP.
 //!
-//! Servers, load and proxies are processes of their own, where `taskset` is there on cores of their own: the proxies on
-//! core 0, one at a time; the servers on core 1; the load on the rest.
+//! Servers, load and proxies are separate processes. If `taskset` is available, they run on separate cores:
+//! the proxies on core 0, one at a time; the servers on core 1; the load on the others.
 
 use std::convert::Infallible;
 use std::io::{BufRead, BufReader};
@@ -26,7 +27,7 @@
 use hyper_util_io::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The least that hyper needs of a tokio stream.
+/// A minimal adapter of tokio streams to hyper.
 mod hyper_util_io {
     use std::pin::Pin;
     use std::task::{Context, Poll};
@@ -44,8 +45,8 @@
             mut buf: ReadBufCursor<'_>,
         ) -> Poll<std::io::Result<()>> {
             let mut chunk = [0; 8192];
-            let room = buf.remaining().min(chunk.len());
-            let mut read = ReadBuf::new(&mut chunk[..room]);
+            let capacity = buf.remaining().min(chunk.len());
+            let mut read = ReadBuf::new(&mut chunk[..capacity]);
             let polled = Pin::new(&mut self.0).poll_read(cx, &mut read);
             if matches!(polled, Poll::Ready(Ok(()))) {
                 buf.put_slice(read.filled());
@@ -77,8 +78,8 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
-    let at = |n: usize| arguments.get(n).map(String::as_str);
-    match at(1) {
+    let argument = |n: usize| arguments.get(n).map(String::as_str);
+    match argument(1) {
         Some("serve-http") => serve_http(),
         Some("serve-rpc") => {
             let identity = Identity { name: "s".into(), cell: 0, protocol: Protocol::Rpc };
@@ -87,50 +88,55 @@
             announce(server.address);
             std::thread::park();
         }
-        Some("bare") => bare_proxy(at(2).and_then(|a| a.parse().ok()).expect("an address")),
+        Some("bare") => bare_proxy(argument(2).and_then(|a| a.parse().ok()).expect("invalid address")),
         _ => {
             let seconds =
-                arguments.iter().position(|a| a == "--seconds").and_then(|n| at(n + 1)?.parse().ok());
-            let against = arguments.iter().position(|a| a == "--against").and_then(|n| at(n + 1));
+                arguments.iter().position(|a| a == "--seconds").and_then(|n| argument(n + 1)?.parse().ok());
+            let against = arguments.iter().position(|a| a == "--against").and_then(|n| argument(n + 1));
             measure(Duration::from_secs_f64(seconds.unwrap_or(2.0)), against);
         }
     }
 }
 
+/// Tells the parent process where this one listens.
 fn announce(address: SocketAddr) {
     println!("{address}");
 }
 
-fn one_thread(doing: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, doing);
+/// Runs a task, and those that it spawns locally, on this thread.
+fn run_on_this_thread(main_task: impl std::future::Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("failed to build a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, main_task);
 }
 
-/// A server that answers at once.
+/// Runs a server that responds at once.
 fn serve_http() {
-    one_thread(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        announce(listener.local_addr().expect("bound"));
+    run_on_this_thread(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind");
+        announce(listener.local_addr().expect("no local address"));
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
             tokio::task::spawn_local(async move {
-                let answer = service_fn(|request: Request<Incoming>| async {
+                let respond = service_fn(|request: Request<Incoming>| async {
                     let _ = request.into_body().collect().await;
                     Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"served"))))
                 });
                 let _ = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo(stream), answer)
+                    .serve_connection(TokioIo(stream), respond)
                     .await;
             });
         }
     });
 }
 
-/// A proxy that decides nothing: one connection to the server for each client's.
+/// Runs a proxy without any routing: each client connection has its own connection to the server.
 fn bare_proxy(server: SocketAddr) {
-    one_thread(async move {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        announce(listener.local_addr().expect("bound"));
+    run_on_this_thread(async move {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind");
+        announce(listener.local_addr().expect("no local address"));
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
             tokio::task::spawn_local(async move {
@@ -141,150 +147,164 @@
                 };
                 tokio::task::spawn_local(conn);
                 let send = std::rc::Rc::new(tokio::sync::Mutex::new(send));
-                let pass = service_fn(|request: Request<Incoming>| {
+                let forward = service_fn(|request: Request<Incoming>| {
                     let send = send.clone();
                     async move {
                         let (parts, body) = request.into_parts();
                         let body = body.collect().await?.to_bytes();
                         let mut send = send.lock().await;
                         send.ready().await?;
-                        let answer = send.send_request(Request::from_parts(parts, Full::new(body))).await?;
-                        let (parts, body) = answer.into_parts();
+                        let response = send.send_request(Request::from_parts(parts, Full::new(body))).await?;
+                        let (parts, body) = response.into_parts();
                         let body = body.collect().await?.to_bytes();
                         Ok::<_, hyper::Error>(Response::from_parts(parts, Full::new(body)))
                     }
                 });
-                let _ =
-                    hyper::server::conn::http1::Builder::new().serve_connection(TokioIo(stream), pass).await;
+                let _ = hyper::server::conn::http1::Builder::new()
+                    .serve_connection(TokioIo(stream), forward)
+                    .await;
             });
         }
     });
 }
 
-/// A process of this program that has said where it listens.
-struct Part {
+/// A child process of this program that listens at `address`; it is killed when dropped.
+struct ChildServer {
     child: Child,
     address: SocketAddr,
 }
 
-impl Drop for Part {
+impl Drop for ChildServer {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// The command line that pins a program to a core, if `taskset` is available.
 fn pinned(core: usize) -> Option<[String; 3]> {
-    let there = Command::new("taskset").arg("-V").stdout(Stdio::null()).status().is_ok_and(|s| s.success());
-    there.then(|| ["taskset".to_string(), "-c".to_string(), core.to_string()])
+    let is_available =
+        Command::new("taskset").arg("-V").stdout(Stdio::null()).status().is_ok_and(|s| s.success());
+    is_available.then(|| ["taskset".to_string(), "-c".to_string(), core.to_string()])
 }
 
-fn part(core: usize, arguments: &[&str]) -> Part {
-    let me = std::env::current_exe().expect("this program");
+/// Starts this program again with these arguments, pinned to a core.
+fn start_child(core: usize, arguments: &[&str]) -> ChildServer {
+    let this_program = std::env::current_exe().expect("no path of this program");
     let mut command = match pinned(core) {
         Some([taskset, flag, core]) => {
             let mut command = Command::new(taskset);
-            command.args([flag, core]).arg(me);
+            command.args([flag, core]).arg(this_program);
             command
         }
-        None => Command::new(me),
+        None => Command::new(this_program),
     };
-    let mut child = command.args(arguments).stdout(Stdio::piped()).spawn().expect("it starts");
+    let mut child = command.args(arguments).stdout(Stdio::piped()).spawn().expect("failed to start");
     let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("an address");
-    Part { child, address: line.trim().parse().expect("an address") }
+    BufReader::new(child.stdout.take().expect("stdout is not piped"))
+        .read_line(&mut line)
+        .expect("no address");
+    ChildServer { child, address: line.trim().parse().expect("invalid address") }
 }
 
 struct Figures {
-    per_second: f64,
-    took: Histogram<u64>,
-    other: u64,
+    served_per_second: f64,
+    /// Latencies of the served requests, in microseconds.
+    latencies: Histogram<u64>,
+    not_served: u64,
 }
 
-/// Loads an address for a while.
+/// Loads an address for a quarter of `span` to warm up, and then for `span`, which is measured. Over HTTP
+/// each connection has one request at a time, over MessagePack-RPC `calls` of them.
 fn load(protocol: Protocol, to: SocketAddr, connections: usize, calls: usize, span: Duration) -> Figures {
-    let warm = span / 4;
-    let begin = Instant::now() + warm;
-    let end = begin + span;
+    let warm_up = span / 4;
+    let measured_from = Instant::now() + warm_up;
+    let end = measured_from + span;
     let tasks: Vec<_> = (0..connections)
         .map(|c| {
             runtime().spawn(async move {
-                let mut took =
-                    Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that make sense");
-                let (mut served, mut other) = (0u64, 0u64);
-                let mut note = |asked: Instant, answer: &Answer| {
+                let mut latencies =
+                    Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("invalid bounds");
+                let (mut served, mut not_served) = (0u64, 0u64);
+                let mut record = |sent_at: Instant, answer: &Answer| {
                     let now = Instant::now();
-                    if now < begin || now >= end {
+                    if now < measured_from || now >= end {
                         return;
                     }
                     if matches!(answer, Answer::Served(_)) {
                         served += 1;
-                        took.saturating_record((now - asked).as_micros() as u64);
+                        latencies.saturating_record((now - sent_at).as_micros() as u64);
                     } else {
-                        other += 1;
+                        not_served += 1;
                     }
                 };
-                let ask = |n: u64| Ask::new("look", Effect::Safe, &format!("{c}-{n}"), 5000);
+                let new_ask = |n: u64| Ask::new("look", Effect::Safe, &format!("{c}-{n}"), 5000);
                 match protocol {
                     Protocol::Http => {
-                        let mut client = Client::connect(protocol, to).await.expect("it listens");
+                        let mut client = Client::connect(protocol, to).await.expect("failed to connect");
                         let mut n = 0;
                         while Instant::now() < end {
                             n += 1;
-                            let asked = Instant::now();
-                            let answer = client.ask(&ask(n)).await;
-                            note(asked, &answer);
+                            let sent_at = Instant::now();
+                            let answer = client.ask(&new_ask(n)).await;
+                            record(sent_at, &answer);
                             if answer == Answer::Lost {
-                                client = Client::connect(protocol, to).await.expect("it listens");
+                                client = Client::connect(protocol, to).await.expect("failed to connect");
                             }
                         }
                     }
                     Protocol::Rpc => {
-                        let stream = TcpStream::connect(to).await.expect("it listens");
+                        let stream = TcpStream::connect(to).await.expect("failed to connect");
                         let _ = stream.set_nodelay(true);
                         let mut client = RpcClient::new(stream);
-                        let mut asked = std::collections::HashMap::new();
+                        let mut pending = std::collections::HashMap::new();
                         let mut n = 0;
                         while Instant::now() < end {
-                            while asked.len() < calls {
+                            while pending.len() < calls {
                                 n += 1;
                                 let at = Instant::now();
-                                asked.insert(client.send(&ask(n)).await.expect("it reads"), at);
+                                pending.insert(client.send(&new_ask(n)).await.expect("failed to send"), at);
                             }
-                            let (id, answer) = client.next().await.expect("the connection stands");
-                            note(asked.remove(&id).expect("asked"), &answer);
+                            let (id, answer) = client.next().await.expect("no answer");
+                            record(pending.remove(&id).expect("an answer to no call"), &answer);
                         }
                     }
                 }
-                (served, other, took)
+                (served, not_served, latencies)
             })
         })
         .collect();
-    let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that make sense");
-    let (mut served, mut other) = (0, 0);
+    let mut all_latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("invalid bounds");
+    let (mut served, mut not_served) = (0, 0);
     for task in tasks {
-        let (s, o, took) = runtime().block_on(task).expect("no panic");
+        let (s, o, latencies) = runtime().block_on(task).expect("the task panicked");
         served += s;
-        other += o;
-        all.add(took).expect("the same bounds");
+        not_served += o;
+        all_latencies.add(latencies).expect("different bounds");
     }
-    Figures { per_second: served as f64 / span.as_secs_f64(), took: all, other }
+    Figures { served_per_second: served as f64 / span.as_secs_f64(), latencies: all_latencies, not_served }
 }
 
-fn row(name: &str, figures: &Figures) {
-    let at = |q| figures.took.value_at_quantile(q);
+fn print_row(name: &str, figures: &Figures) {
+    let quantile = |q| figures.latencies.value_at_quantile(q);
     println!(
         "  {name:12} {:>9.0}/s   p50 {:>6} us   p99 {:>6} us   not served {}",
-        figures.per_second,
-        at(0.5),
-        at(0.99),
-        figures.other
+        figures.served_per_second,
+        quantile(0.5),
+        quantile(0.99),
+        figures.not_served
     );
 }
 
 const OPERATOR: &str = "[msgpack]\nlisten = '127.0.0.1:0'\nopen_calls = 64\n";
 
-fn node(glenwood: &str, operator: Option<&str>, protocol: Protocol, server: SocketAddr) -> (Discovery, Node) {
+/// Starts a build of the node before [`SERVERS`] entries that all lead to one server.
+fn start_node(
+    executable: &str,
+    operator: Option<&str>,
+    protocol: Protocol,
+    server: SocketAddr,
+) -> (Discovery, Node) {
     let hosts: Vec<_> =
         (0..SERVERS).map(|n| host(&format!("s{n}"), server, protocol, 0, "active", 0)).collect();
     let discovery = Discovery::start(&hosts);
@@ -292,9 +312,9 @@
     config["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 2048, "sockets": 4096});
     let program = match pinned(0) {
         Some([taskset, flag, core]) => {
-            Program { path: taskset.into(), arguments: vec![flag.into(), core.into(), glenwood.into()] }
+            Program { path: taskset.into(), arguments: vec![flag.into(), core.into(), executable.into()] }
         }
-        None => Program::new(glenwood),
+        None => Program::new(executable),
     };
     let node = Node::start(&program, &config, operator);
     node.wait_ready();
@@ -302,38 +322,41 @@
 }
 
 fn measure(span: Duration, against: Option<&str>) {
-    let (http, rpc) = (part(1, &["serve-http"]), part(1, &["serve-rpc"]));
+    let (http, rpc) = (start_child(1, &["serve-http"]), start_child(1, &["serve-rpc"]));
     println!(
         "each figure over {:.1} s; ratios are to the bare hyper proxy of the same run",
         span.as_secs_f64()
     );
-    let bare = part(0, &["bare", &http.address.to_string()]);
+    let bare = start_child(0, &["bare", &http.address.to_string()]);
     let glenwood = env!("CARGO_BIN_EXE_glenwood");
-    let (_discovery, through) = node(glenwood, Some(OPERATOR), Protocol::Http, http.address);
-    let other = against.map(|file| node(file, None, Protocol::Http, http.address));
+    let (_discovery, through_node) = start_node(glenwood, Some(OPERATOR), Protocol::Http, http.address);
+    let other_build = against.map(|file| start_node(file, None, Protocol::Http, http.address));
     for connections in [1, 32, 128] {
         println!("HTTP, {connections} connections");
         let direct = load(Protocol::Http, http.address, connections, 1, span);
         let proxied = load(Protocol::Http, bare.address, connections, 1, span);
-        let node = load(Protocol::Http, through.address, connections, 1, span);
-        row("direct", &direct);
-        row("bare proxy", &proxied);
-        row("node", &node);
-        println!("  node / bare proxy {:.2}", node.per_second / proxied.per_second);
-        if let Some((_, other)) = &other {
-            let other = load(Protocol::Http, other.address, connections, 1, span);
-            row("other build", &other);
-            println!("  other build / bare proxy {:.2}", other.per_second / proxied.per_second);
+        let node = load(Protocol::Http, through_node.address, connections, 1, span);
+        print_row("direct", &direct);
+        print_row("bare proxy", &proxied);
+        print_row("node", &node);
+        println!("  node / bare proxy {:.2}", node.served_per_second / proxied.served_per_second);
+        if let Some((_, other_node)) = &other_build {
+            let other_figures = load(Protocol::Http, other_node.address, connections, 1, span);
+            print_row("other build", &other_figures);
+            println!(
+                "  other build / bare proxy {:.2}",
+                other_figures.served_per_second / proxied.served_per_second
+            );
         }
     }
-    drop((_discovery, through, bare, other));
-    let (_discovery, through) = node(glenwood, Some(OPERATOR), Protocol::Rpc, rpc.address);
+    drop((_discovery, through_node, bare, other_build));
+    let (_discovery, through_node) = start_node(glenwood, Some(OPERATOR), Protocol::Rpc, rpc.address);
     for (connections, calls) in [(1, 1), (1, 16), (32, 1), (32, 16), (128, 1)] {
         println!("MessagePack-RPC, {connections} connections with {calls} calls each");
         let direct = load(Protocol::Rpc, rpc.address, connections, calls, span);
-        let node = load(Protocol::Rpc, through.takes(Protocol::Rpc), connections, calls, span);
-        row("direct", &direct);
-        row("node", &node);
-        println!("  node / direct {:.2}", node.per_second / direct.per_second);
+        let node = load(Protocol::Rpc, through_node.takes(Protocol::Rpc), connections, calls, span);
+        print_row("direct", &direct);
+        print_row("node", &node);
+        println!("  node / direct {:.2}", node.served_per_second / direct.served_per_second);
     }
 }
