--- a/crates/node/tests/peers/links.rs
+++ b/crates/node/tests/peers/links.rs
@@ -42,17 +42,17 @@
     }
 
     /// Holds a server's responses for 200 to 700 ms, then delivers them or resets its connections.
-    fn hold_responses(&self, server: usize, dice: &mut Dice) {
+    fn hold_responses(&self, server: usize, rng: &mut Dice) {
         self.inject(End::Server(server), NODES, Trouble::Cut);
-        std::thread::sleep(dice.between(200, 700));
-        self.release_or_reset(NODES, End::Server(server), dice);
+        std::thread::sleep(rng.between(200, 700));
+        self.release_or_reset(NODES, End::Server(server), rng);
     }
 
     /// Holds the data from discovery to a node for 200 to 600 ms, then delivers it or resets the connections.
-    fn hold_updates(&self, node: usize, dice: &mut Dice) {
+    fn hold_updates(&self, node: usize, rng: &mut Dice) {
         self.inject(End::Discovery, End::Node(node), Trouble::Cut);
-        std::thread::sleep(dice.between(200, 600));
-        self.release_or_reset(End::Node(node), End::Discovery, dice);
+        std::thread::sleep(rng.between(200, 600));
+        self.release_or_reset(End::Node(node), End::Discovery, rng);
     }
 
     /// Resets the connections to a server, and new ones for [`RESET_SPAN`].
@@ -62,8 +62,8 @@
     }
 
     /// Delivers the data that is held, or, with probability 1/2, resets the connections first.
-    fn release_or_reset(&self, one: End, other: End, dice: &mut Dice) {
-        if dice.one_in(2) {
+    fn release_or_reset(&self, one: End, other: End, rng: &mut Dice) {
+        if rng.one_in(2) {
             self.reset_between(one, other);
         }
         self.0.heal();
@@ -71,23 +71,23 @@
 
     /// Injects one fault after another: before and after the test restarts a server, before discovery goes
     /// down, while it is down, and after that.
-    pub fn trouble(&self, servers: usize, nodes: usize, dice: &mut Dice) {
+    pub fn trouble(&self, servers: usize, nodes: usize, rng: &mut Dice) {
         let started = Instant::now();
         let wait_until =
             |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(started.elapsed()));
-        let mut server = || dice.below(servers as u64) as usize;
+        let mut server = || rng.below(servers as u64) as usize;
         let (first, reset, last) = (server(), server(), server());
         wait_until(200);
         self.reset_connections(reset);
         wait_until(900);
-        self.hold_responses(first, dice);
+        self.hold_responses(first, rng);
         wait_until(2000);
-        self.hold_updates(dice.below(nodes as u64) as usize, dice);
+        self.hold_updates(rng.below(nodes as u64) as usize, rng);
         wait_until(3200);
-        self.hold_responses(last, dice);
+        self.hold_responses(last, rng);
         wait_until(4600);
         self.reset_connections(first);
         wait_until(5400);
-        self.hold_responses(reset, dice);
+        self.hold_responses(reset, rng);
     }
 }
--- a/crates/node/tests/peers/many.rs
+++ b/crates/node/tests/peers/many.rs
@@ -18,7 +18,7 @@
 
 use super::dice::Dice;
 use super::record::{Record, Sent};
-use super::strays::{unsolicited_response, Delivery, Strays};
+use super::strays::{unsolicited_response, Delivery, ResponseFaults};
 use super::{answer, host};
 
 /// Default time that a server takes for a request, in milliseconds.
@@ -58,7 +58,7 @@
     record: Arc<Record>,
     checks: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
-    faults: Arc<Mutex<Strays>>,
+    faults: Arc<Mutex<ResponseFaults>>,
     work_ms: Range<u64>,
     accept_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -124,7 +124,7 @@
     }
 
     /// Injects these faults into all exchanges from now on.
-    pub fn send_strays(&self, faults: Strays) {
+    pub fn send_strays(&self, faults: ResponseFaults) {
         *self.faults.lock().expect("mutex poisoned") = faults;
     }
 
@@ -196,7 +196,7 @@
     record: Arc<Record>,
     checks: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
-    faults: Arc<Mutex<Strays>>,
+    faults: Arc<Mutex<ResponseFaults>>,
     work_ms: Range<u64>,
 }
 
@@ -235,14 +235,14 @@
         // With a linger time of 0, aborting the process resets its connections.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let opened = self.connections.load(Ordering::SeqCst) as u64;
-        let mut dice = Dice(self.number as u64 ^ (opened << 20));
+        let mut rng = Dice(self.number as u64 ^ (opened << 20));
         let (read_half, write_half) = stream.into_split();
         let (mut reader, writer) = (BufReader::new(read_half), Arc::new(tokio::sync::Mutex::new(write_half)));
         // Dropped, and so aborted, with this connection.
         let mut delayed_writes = JoinSet::new();
-        let unsolicited_delay = self.faults.lock().expect("mutex poisoned").unsolicited_on_connect(&mut dice);
+        let unsolicited_delay = self.faults.lock().expect("mutex poisoned").unsolicited_on_connect(&mut rng);
         if let Some(delay) = unsolicited_delay {
-            delayed_writes.spawn(write_after(writer.clone(), delay, unsolicited_response(&mut dice)));
+            delayed_writes.spawn(write_after(writer.clone(), delay, unsolicited_response(&mut rng)));
         }
         while let Some(message) = http::read(&mut reader).await? {
             let at = Instant::now();
@@ -255,7 +255,7 @@
             }
             let remaining_ms = message.header("x-remaining-ms").and_then(|value| value.parse().ok());
             let id = message.header("x-txn").unwrap_or_default().to_string();
-            let is_rejected = self.faults.lock().expect("mutex poisoned").rejects_request(&mut dice);
+            let is_rejected = self.faults.lock().expect("mutex poisoned").rejects_request(&mut rng);
             self.record.sent(Sent {
                 id: id.clone(),
                 server: self.number,
@@ -269,10 +269,10 @@
                 write(&writer, &answer(503, "X-Turned-Away: 1\r\n", "")).await?;
                 continue;
             }
-            tokio::time::sleep(dice.between(self.work_ms.start, self.work_ms.end)).await;
-            let delivery = self.faults.lock().expect("mutex poisoned").delivery(&mut dice);
+            tokio::time::sleep(rng.between(self.work_ms.start, self.work_ms.end)).await;
+            let delivery = self.faults.lock().expect("mutex poisoned").delivery(&mut rng);
             for delay in &delivery.unsolicited_delays {
-                delayed_writes.spawn(write_after(writer.clone(), *delay, unsolicited_response(&mut dice)));
+                delayed_writes.spawn(write_after(writer.clone(), *delay, unsolicited_response(&mut rng)));
             }
             if !deliver(&writer, &answer(200, "", &id), &delivery).await? {
                 return Ok(());
--- a/crates/node/tests/peers/queued_list.rs
+++ b/crates/node/tests/peers/queued_list.rs
@@ -68,7 +68,7 @@
     calls: usize,
     failed: usize,
     waits: Vec<Duration>,
-    dice: Dice,
+    rng: Dice,
 }
 
 /// The service; it listens on a separate address for each node.
@@ -98,7 +98,7 @@
             calls: 0,
             failed: 0,
             waits: Vec::new(),
-            dice: Dice(seed),
+            rng: Dice(seed),
         };
         let endpoint = NodeEndpoint {
             state: Arc::new(Mutex::new(state)),
@@ -290,7 +290,7 @@
         self.with_state(|state| {
             let (mut lines, now) = (Vec::new(), Instant::now());
             for change in state.changes.iter().filter(|change| change.version > version) {
-                let is_ended = change.ends_watches && state.dice.one_in(2);
+                let is_ended = change.ends_watches && state.rng.one_in(2);
                 let known_at = if is_ended { now + KNOWN_AFTER_WATCH_END } else { now };
                 let known = KnownVersion { version: change.version, known_at, is_written: !is_ended };
                 state.known_versions[self.node].push(known);
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -15,7 +15,7 @@
 use peers::list_service::ListService;
 use peers::many::{Ending, Lateness, ManyServers};
 use peers::record::*;
-use peers::strays::{Stray, Strays};
+use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
 use serde_json::{json, Value};
 
@@ -268,18 +268,18 @@
 }
 
 /// What servers send out of turn in a run, from its start on; nothing in every other run.
-fn drawn_strays(dice: &mut Dice) -> Strays {
+fn drawn_strays(dice: &mut Dice) -> ResponseFaults {
     if dice.one_in(2) {
-        return Strays::default();
+        return ResponseFaults::default();
     }
     let late = dice.between(5, 25).as_millis() as u64;
-    Strays(vec![
-        Stray::TurnsAway { share: 10 },
-        Stray::OnNewConnection { share: dice.below(300), after: 0..10 },
-        Stray::BehindAnswer { share: dice.below(60), after: 0..late },
-        Stray::Repeated { share: 5 },
-        Stray::EndsAfterAnswer { share: 10 },
-        Stray::InPieces { share: 20 },
+    ResponseFaults(vec![
+        ResponseFault::Rejection { share: 10 },
+        ResponseFault::OnConnect { share: dice.below(300), delay_ms: 0..10 },
+        ResponseFault::ExtraResponse { share: dice.below(60), delay_ms: 0..late },
+        ResponseFault::RepeatedResponse { share: 5 },
+        ResponseFault::CloseAfterResponse { share: 10 },
+        ResponseFault::SplitResponse { share: 20 },
     ])
 }
 
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -13,7 +13,7 @@
 use peers::list_service::ListService;
 use peers::many::{Lateness, ManyServers};
 use peers::record::*;
-use peers::strays::{Stray, Strays};
+use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
 use serde_json::{json, Value};
 
@@ -47,7 +47,7 @@
 }
 
 impl World {
-    fn start(seed: u64, strays: &Strays) -> Self {
+    fn start(seed: u64, strays: &ResponseFaults) -> Self {
         let record: Arc<Record> = Arc::default();
         let servers = ManyServers::start_that_take(
             number_in("GLENWOOD_SERVERS", SERVERS as u64) as usize,
@@ -127,7 +127,7 @@
 }
 
 /// Plays a seed; gives what broke, and how many connections there were.
-fn play(what: &str, strays: &Strays, seed: u64) -> (Vec<String>, usize) {
+fn play(what: &str, strays: &ResponseFaults, seed: u64) -> (Vec<String>, usize) {
     let world = World::start(seed, strays);
     let late = Lateness::measure();
     std::thread::scope(|scope| {
@@ -165,9 +165,9 @@
 static ALONE: Mutex<()> = Mutex::new(());
 
 /// Plays all seeds; gives how many connections there were.
-fn hold_the_rules(what: &str, strays: &[Stray]) -> usize {
+fn hold_the_rules(what: &str, strays: &[ResponseFault]) -> usize {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let strays = Strays(strays.to_vec());
+    let strays = ResponseFaults(strays.to_vec());
     let first = number_in("GLENWOOD_FIRST", 1);
     let (mut broken, mut connections) = (Vec::new(), 0);
     for seed in first..first + number_in("GLENWOOD_SEEDS", 1) {
@@ -181,7 +181,7 @@
 }
 
 /// Some requests are turned away in earnest.
-const TURNS_AWAY: Stray = Stray::TurnsAway { share: 30 };
+const TURNS_AWAY: ResponseFault = ResponseFault::Rejection { share: 30 };
 
 /// Guards the invariants where nothing is out of turn: the measure of the plays below.
 #[test]
@@ -194,7 +194,7 @@
 fn an_unasked_answer_on_a_new_connection_answers_no_request() {
     hold_the_rules(
         "new connection, 0 to 10 ms",
-        &[TURNS_AWAY, Stray::OnNewConnection { share: 200, after: 0..10 }],
+        &[TURNS_AWAY, ResponseFault::OnConnect { share: 200, delay_ms: 0..10 }],
     );
 }
 
@@ -203,7 +203,7 @@
 fn a_second_answer_that_comes_late_answers_no_request() {
     hold_the_rules(
         "second answer, 0 to 20 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 0..20 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 0..20 }],
     );
 }
 
@@ -212,7 +212,7 @@
 fn a_rare_second_answer_answers_no_request() {
     hold_the_rules(
         "rare second answer, 0 to 20 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 10, after: 0..20 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 10, delay_ms: 0..20 }],
     );
 }
 
@@ -221,7 +221,7 @@
 fn a_second_answer_that_comes_later_answers_no_request() {
     hold_the_rules(
         "second answer, 5 to 60 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 5..60 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 5..60 }],
     );
 }
 
@@ -230,7 +230,7 @@
 fn a_second_answer_that_comes_very_late_answers_no_request() {
     hold_the_rules(
         "second answer, 0 to 300 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 0..300 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 0..300 }],
     );
 }
 
@@ -239,10 +239,10 @@
 fn answers_with_broken_framing_answer_one_request_at_most() {
     let strays = [
         TURNS_AWAY,
-        Stray::Repeated { share: 30 },
-        Stray::Cut { share: 10 },
-        Stray::EndsAfterAnswer { share: 30 },
-        Stray::InPieces { share: 100 },
+        ResponseFault::RepeatedResponse { share: 30 },
+        ResponseFault::TruncatedResponse { share: 10 },
+        ResponseFault::CloseAfterResponse { share: 30 },
+        ResponseFault::SplitResponse { share: 100 },
     ];
     hold_the_rules("framing", &strays);
 }
@@ -251,7 +251,7 @@
 #[test]
 fn interim_answers_cost_no_connection() {
     let without = hold_the_rules("in turn", &[TURNS_AWAY]);
-    let with = hold_the_rules("interim", &[TURNS_AWAY, Stray::Interim]);
+    let with = hold_the_rules("interim", &[TURNS_AWAY, ResponseFault::InterimResponse]);
     // Two plays are not alike: each node may open one more to each server.
     let most = without * 21 / 20 + (NODES as usize) * SERVERS;
     assert!(with <= most, "{with} connections with interim answers, {without} without");
