--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -15,7 +15,7 @@
     EADDRNOTAVAIL, ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, EPROTO,
     ETIMEDOUT,
 };
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::links::Links;
 use peers::record::*;
 use peers::*;
@@ -48,13 +48,13 @@
 /// How far the wall clock of the nodes' machine is off, in seconds: from the start of each process on, and after two steps.
 type Clock = [i64; 3];
 
-fn clock(dice: &mut Dice) -> Clock {
+fn clock(dice: &mut Rng) -> Clock {
     [(); 3].map(|()| [5, -5, 3_600, -3_600][dice.below(4) as usize])
 }
 
 /// The faults of one process. No process is held up for more than 0.15 s, so one that stands still as a whole is not held up
 /// before its writes besides: both together make 0.3 s.
-fn faults(number: usize, dice: &mut Dice, clock: Clock) -> Plan {
+fn faults(number: usize, dice: &mut Rng, clock: Clock) -> Plan {
     let [first, second, third] = clock;
     let held_up = if number == STANDS_STILL { 0 } else { 2 };
     Plan::new(dice.next())
@@ -86,7 +86,7 @@
 fn server(number: usize, record: &Arc<Record>, links: &Links) -> Server {
     let drains: Arc<Mutex<Option<Instant>>> = Arc::default();
     let (since, record) = (drains.clone(), record.clone());
-    let dice = Mutex::new(Dice(number as u64));
+    let dice = Mutex::new(Rng(number as u64));
     let peer = Peer::new(move |message| {
         let at = Instant::now();
         let drains_for = since.lock().expect("no panic").map(|told| at.saturating_duration_since(told));
@@ -214,7 +214,7 @@
         }
     }
 
-    fn start(&self, number: usize, dice: &mut Dice) {
+    fn start(&self, number: usize, dice: &mut Rng) {
         let mut config = self.config.clone();
         config["seed"] = json!(format!("{:x}", dice.next()));
         config["settings"]["Me"] = json!(number);
@@ -229,7 +229,7 @@
     }
 
     /// One that clients know of: as their front drops whoever is told to stop a little later.
-    fn any(&self, dice: &mut Dice) -> Arc<Process> {
+    fn any(&self, dice: &mut Rng) -> Arc<Process> {
         let processes = self.processes.read().expect("no panic");
         let running: Vec<_> = processes.iter().filter(|p| !p.stops.load(Ordering::SeqCst)).collect();
         running[dice.below(running.len() as u64) as usize].clone()
@@ -266,7 +266,7 @@
 
 /// A client that asks again and again, on new connections and on kept ones.
 fn ask_on(world: &World, number: usize, seed: u64, until: Instant) {
-    let mut dice = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut dice = Rng(seed ^ (number as u64 + 1) << 32);
     let mut count = 0;
     while Instant::now() < until {
         let process = world.any(&mut dice);
@@ -283,7 +283,7 @@
 }
 
 /// Asks once; says whether the connection is of further use.
-fn ask(world: &World, process: &Process, client: &mut Client, id: String, dice: &mut Dice) -> bool {
+fn ask(world: &World, process: &Process, client: &mut Client, id: String, dice: &mut Rng) -> bool {
     let class = ["look", "pay", "slip"][dice.below(3) as usize];
     let remaining = dice.between(400, 2500);
     let words = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
@@ -306,7 +306,7 @@
 }
 
 /// What happens beside the clients.
-fn trouble(world: &World, dice: &mut Dice) -> SlowStart {
+fn trouble(world: &World, dice: &mut Rng) -> SlowStart {
     let began = Instant::now();
     let at = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
     let (first, second) = (dice.below(4) as usize, 4 + dice.below(3) as usize);
@@ -344,7 +344,7 @@
 
 /// Plays a seed; gives what broke, with timelines.
 fn play(seed: u64) -> Vec<String> {
-    let mut dice = Dice(seed);
+    let mut dice = Rng(seed);
     let world = World::new(seed, clock(&mut dice));
     (0..NODES).for_each(|number| world.start(number, &mut dice));
     for number in 0..NODES {
@@ -357,7 +357,7 @@
             scope.spawn(move || ask_on(world, number, seed, until));
         }
         let links = &world.links;
-        scope.spawn(move || links.trouble(SERVERS, NODES, &mut Dice(seed ^ LINKS)));
+        scope.spawn(move || links.inject_faults(SERVERS, NODES, &mut Rng(seed ^ LINKS)));
         trouble(&world, &mut dice)
     });
     let (asked, served) = world.record.counts();
--- a/crates/node/tests/peers/dice.rs
+++ b/crates/node/tests/peers/dice.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// A splitmix64 generator; the field is its state.
-pub struct Dice(pub u64);
+pub struct Rng(pub u64);
 
-impl Dice {
+impl Rng {
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let value = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/node/tests/peers/links.rs
+++ b/crates/node/tests/peers/links.rs
@@ -6,7 +6,7 @@
 
 use glenwood_testkit::rig::relay::{Between, End, Net, Trouble};
 
-use super::dice::Dice;
+use super::dice::Rng;
 
 /// How long new connections on a link that was reset are reset too.
 const RESET_SPAN: Duration = Duration::from_millis(60);
@@ -42,14 +42,14 @@
     }
 
     /// Holds a server's responses for 200 to 700 ms, then delivers them or resets its connections.
-    fn hold_responses(&self, server: usize, rng: &mut Dice) {
+    fn hold_responses(&self, server: usize, rng: &mut Rng) {
         self.inject(End::Server(server), NODES, Trouble::Cut);
         std::thread::sleep(rng.between(200, 700));
         self.release_or_reset(NODES, End::Server(server), rng);
     }
 
     /// Holds the data from discovery to a node for 200 to 600 ms, then delivers it or resets the connections.
-    fn hold_updates(&self, node: usize, rng: &mut Dice) {
+    fn hold_updates(&self, node: usize, rng: &mut Rng) {
         self.inject(End::Discovery, End::Node(node), Trouble::Cut);
         std::thread::sleep(rng.between(200, 600));
         self.release_or_reset(End::Node(node), End::Discovery, rng);
@@ -62,7 +62,7 @@
     }
 
     /// Delivers the data that is held, or, with probability 1/2, resets the connections first.
-    fn release_or_reset(&self, one: End, other: End, rng: &mut Dice) {
+    fn release_or_reset(&self, one: End, other: End, rng: &mut Rng) {
         if rng.one_in(2) {
             self.reset_between(one, other);
         }
@@ -71,7 +71,7 @@
 
     /// Injects one fault after another: before and after the test restarts a server, before discovery goes
     /// down, while it is down, and after that.
-    pub fn trouble(&self, servers: usize, nodes: usize, rng: &mut Dice) {
+    pub fn inject_faults(&self, servers: usize, nodes: usize, rng: &mut Rng) {
         let started = Instant::now();
         let wait_until =
             |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(started.elapsed()));
--- a/crates/node/tests/peers/many.rs
+++ b/crates/node/tests/peers/many.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::dice::Dice;
+use super::dice::Rng;
 use super::record::{Record, Sent};
 use super::strays::{unsolicited_response, Delivery, ResponseFaults};
 use super::{answer, host};
@@ -235,7 +235,7 @@
         // With a linger time of 0, aborting the process resets its connections.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let opened = self.connections.load(Ordering::SeqCst) as u64;
-        let mut rng = Dice(self.number as u64 ^ (opened << 20));
+        let mut rng = Rng(self.number as u64 ^ (opened << 20));
         let (read_half, write_half) = stream.into_split();
         let (mut reader, writer) = (BufReader::new(read_half), Arc::new(tokio::sync::Mutex::new(write_half)));
         // Dropped, and so aborted, with this connection.
--- a/crates/node/tests/peers/queued_list.rs
+++ b/crates/node/tests/peers/queued_list.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::dice::Dice;
+use super::dice::Rng;
 use super::lists::WATCH;
 use super::{answer, line};
 
@@ -68,7 +68,7 @@
     calls: usize,
     failed: usize,
     waits: Vec<Duration>,
-    rng: Dice,
+    rng: Rng,
 }
 
 /// The service; it listens on a separate address for each node.
@@ -98,7 +98,7 @@
             calls: 0,
             failed: 0,
             waits: Vec::new(),
-            rng: Dice(seed),
+            rng: Rng(seed),
         };
         let endpoint = NodeEndpoint {
             state: Arc::new(Mutex::new(state)),
--- a/crates/node/tests/peers/strays.rs
+++ b/crates/node/tests/peers/strays.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::answer;
-use super::dice::Dice;
+use super::dice::Rng;
 
 /// A fault of an exchange. Delays are in milliseconds; `share` is the probability in thousandths.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,17 +29,17 @@
 }
 
 /// Draws whether a fault of this probability, in thousandths, occurs.
-fn occurs(rng: &mut Dice, share: u64) -> bool {
+fn occurs(rng: &mut Rng, share: u64) -> bool {
     rng.below(1_000) < share
 }
 
 /// Draws a delay from a range in milliseconds.
-fn draw(rng: &mut Dice, delay_ms: &Range<u64>) -> Duration {
+fn draw(rng: &mut Rng, delay_ms: &Range<u64>) -> Duration {
     Duration::from_micros(delay_ms.start * 1_000 + rng.below((delay_ms.end - delay_ms.start) * 1_000))
 }
 
 /// A response that no request asked for: 200, a rejection (503) or 500.
-pub fn unsolicited_response(rng: &mut Dice) -> Vec<u8> {
+pub fn unsolicited_response(rng: &mut Rng) -> Vec<u8> {
     match rng.below(3) {
         0 => answer(200, "", "unasked"),
         1 => answer(503, "X-Turned-Away: 1\r\n", ""),
@@ -66,7 +66,7 @@
 
 impl ResponseFaults {
     /// After which delay a response that no request asked for is sent on a new connection, if one is.
-    pub fn unsolicited_on_connect(&self, rng: &mut Dice) -> Option<Duration> {
+    pub fn unsolicited_on_connect(&self, rng: &mut Rng) -> Option<Duration> {
         self.0.iter().find_map(|fault| match fault {
             ResponseFault::OnConnect { share, delay_ms } => occurs(rng, *share).then(|| draw(rng, delay_ms)),
             _ => None,
@@ -74,12 +74,12 @@
     }
 
     /// Whether the next request is rejected.
-    pub fn rejects_request(&self, rng: &mut Dice) -> bool {
+    pub fn rejects_request(&self, rng: &mut Rng) -> bool {
         self.0.iter().any(|fault| matches!(fault, ResponseFault::Rejection { share } if occurs(rng, *share)))
     }
 
     /// How the next response is sent.
-    pub fn delivery(&self, rng: &mut Dice) -> Delivery {
+    pub fn delivery(&self, rng: &mut Rng) -> Delivery {
         let mut delivery = Delivery::default();
         for fault in &self.0 {
             match fault {
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::many::{Ending, Lateness, ManyServers};
 use peers::queued_list::QueuedLists;
 use peers::record::*;
@@ -94,7 +94,7 @@
 
     /// Removes servers, again and again; each comes back as another process after a while.
     fn remove_and_restart(&self, how: Ending, ends: Instant, seed: u64) {
-        let mut dice = Dice(seed);
+        let mut dice = Rng(seed);
         let mut up: Vec<usize> = (0..SERVERS).collect();
         let mut back: Vec<(Instant, usize)> = Vec::new();
         let mut next = Instant::now() + dice.between(300, 1_000);
@@ -122,7 +122,7 @@
     fn ask(&self, number: usize, clients: u64, pause: Duration) {
         let node_number = number / clients as usize;
         let node = &self.nodes[node_number];
-        let mut dice = Dice(number as u64);
+        let mut dice = Rng(number as u64);
         let mut client = Client::to(node);
         for count in 0.. {
             std::thread::sleep(pause.mul_f64(0.5 + dice.below(1_000) as f64 / 1_000.0));
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
 use peers::many::{Ending, Lateness, ManyServers};
 use peers::record::*;
@@ -110,7 +110,7 @@
     }
 
     /// One that its clients' front takes for running.
-    fn any(&self, dice: &mut Dice) -> Arc<Process> {
+    fn any(&self, dice: &mut Rng) -> Arc<Process> {
         let processes = self.processes.read().expect("no panic");
         let running: Vec<_> = processes.iter().filter(|p| !p.stops.load(Ordering::SeqCst)).collect();
         running[dice.below(running.len() as u64) as usize].clone()
@@ -177,7 +177,7 @@
 
 /// A client that asks again and again; it keeps its connection for as long as that stands, also while its node stops.
 fn ask_on(world: &World, number: usize, seed: u64) {
-    let mut dice = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut dice = Rng(seed ^ (number as u64 + 1) << 32);
     let mut count = 0;
     while !world.ends.load(Ordering::SeqCst) {
         let process = world.any(&mut dice);
@@ -193,7 +193,7 @@
 }
 
 /// Asks once; says whether the connection is of further use.
-fn ask(world: &World, process: &Process, client: &mut Client, id: String, dice: &mut Dice) -> bool {
+fn ask(world: &World, process: &Process, client: &mut Client, id: String, dice: &mut Rng) -> bool {
     let class = ["look", "pay", "slip"][dice.below(3) as usize];
     let remaining = dice.between(600, 2500);
     let words = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
@@ -235,12 +235,12 @@
 }
 
 /// What goes wrong in a run, and when, in order.
-fn drawn(dice: &mut Dice, nodes: usize) -> Vec<(Duration, Fault)> {
+fn drawn(dice: &mut Rng, nodes: usize) -> Vec<(Duration, Fault)> {
     let mut faults = Vec::new();
-    let mut at = |dice: &mut Dice, fault| {
+    let mut at = |dice: &mut Rng, fault| {
         faults.push((dice.between(300, TROUBLE.as_millis() as u64), fault));
     };
-    let node = |dice: &mut Dice| dice.below(nodes as u64) as usize;
+    let node = |dice: &mut Rng| dice.below(nodes as u64) as usize;
     (0..CHANGES).for_each(|_| at(dice, Fault::Change));
     match dice.below(3) {
         0 => {
@@ -268,7 +268,7 @@
 }
 
 /// What servers send out of turn in a run, from its start on; nothing in every other run.
-fn drawn_strays(dice: &mut Dice) -> ResponseFaults {
+fn drawn_strays(dice: &mut Rng) -> ResponseFaults {
     if dice.one_in(2) {
         return ResponseFaults::default();
     }
@@ -284,7 +284,7 @@
 }
 
 /// Plays the faults of a run.
-fn trouble(world: &World, faults: &[(Duration, Fault)], dice: &mut Dice) {
+fn trouble(world: &World, faults: &[(Duration, Fault)], dice: &mut Rng) {
     let began = Instant::now();
     let mut order: Vec<usize> = (0..world.servers.count()).collect();
     order.sort_by_cached_key(|_| dice.next());
@@ -355,7 +355,7 @@
 
 /// Plays a seed; gives what broke, with timelines.
 fn play(seed: u64, nodes: usize) -> Vec<String> {
-    let mut dice = Dice(seed);
+    let mut dice = Rng(seed);
     let servers = SERVERS[(seed % SERVERS.len() as u64) as usize];
     let fleet = FLEETS[dice.below(FLEETS.len() as u64) as usize];
     let faults = drawn(&mut dice, nodes);
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
 use peers::many::{Ending, Lateness, ManyServers};
 use peers::record::*;
@@ -81,7 +81,7 @@
         let nodes: Vec<Node> = (0..NODES).map(node).collect();
         until("each has its watch", || service.counts().0 >= NODES);
         let mut order: Vec<usize> = (0..case.servers).collect();
-        let mut dice = Dice(case.seed);
+        let mut dice = Rng(case.seed);
         order.sort_by_cached_key(|_| dice.next());
         Self { record, servers, service, nodes, order }
     }
@@ -147,7 +147,7 @@
 
 /// A client that asks again and again over one connection to a node.
 fn ask_on(world: &World, number: usize, seed: u64, ends: &AtomicBool) {
-    let mut dice = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut dice = Rng(seed ^ (number as u64 + 1) << 32);
     let node = &world.nodes[number % NODES];
     let mut client = Client::to(node);
     for count in 0.. {
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
 use peers::many::{Lateness, ManyServers};
 use peers::record::*;
@@ -82,7 +82,7 @@
 
     /// A client that asks one node after another again and again.
     fn ask(&self, number: u64, seed: u64) {
-        let mut dice = Dice(seed ^ ((number + 1) << 32));
+        let mut dice = Rng(seed ^ ((number + 1) << 32));
         let node = &self.nodes[number as usize % self.nodes.len()];
         let mut client = Client::to(node);
         while !self.ends.load(Ordering::SeqCst) {
