--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -161,7 +161,7 @@
 fn served_after_ending(fleet: u64, ending: Ending, tells: Tells, within: Duration) -> Vec<Duration> {
     let told = Arc::new(AtomicBool::new(false));
     let says = if tells == Tells::Server { told.clone() } else { Arc::default() };
-    let (draining, other) = (Peer::good_until("draining", &says), Peer::good("other"));
+    let (draining, other) = (Peer::healthy_until("draining", &says), Peer::healthy("other"));
     let hosts = |health| [entry("s0", &draining, health), entry("s1", &other, "active")];
     let before = line(1, true, &hosts("active")) + "\n";
     let news = line(2, true, &hosts("leaving")) + "\n";
@@ -192,7 +192,7 @@
 #[test]
 fn a_silent_watch_and_calls_that_are_not_answered_do_not_hide_a_drain() {
     let told = Arc::new(AtomicBool::new(false));
-    let (draining, other) = (Peer::good_until("draining", &told), Peer::good("other"));
+    let (draining, other) = (Peer::healthy_until("draining", &told), Peer::healthy("other"));
     let before = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
     let drains = told.clone();
     let lists = Lists::new(move |_, _, to| {
@@ -237,7 +237,7 @@
     Peer::new(move |message| {
         let is_draining = drains.load(Ordering::SeqCst);
         let status = if message.path() == "/health" && is_draining { 503 } else { 200 };
-        Say::This(answer(status, "", &format!("{name}{}", if is_draining { DRAINS } else { "" })))
+        Reply::Now(answer(status, "", &format!("{name}{}", if is_draining { DRAINS } else { "" })))
     })
 }
 
@@ -323,7 +323,7 @@
 /// watch, and asks the servers no more.
 #[test]
 fn a_sign_of_life_answers_the_call_for_a_watch() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let whole = answer(200, "", &line(1, true, &[entry("s0", &server, "active")]));
     let end = Arc::new(AtomicBool::new(false));
     let ends = end.clone();
@@ -373,7 +373,7 @@
 /// Plays that once; false where the request's connection came up before a check had told.
 fn goes_elsewhere_once_told(protocol: &str) -> bool {
     let shut = Shut::new();
-    let other = Peer::good("other");
+    let other = Peer::healthy("other");
     let mut late = host("s0", shut.address, "active", 1);
     if protocol == "msgpack-rpc" {
         late["dial"] = json!(format!("msgpack-rpc://{}", shut.address));
@@ -436,7 +436,7 @@
             shut.open(move |message| {
                 let is_check = message.path() == "/health";
                 note(is_check);
-                Say::This(answer(if is_check { 503 } else { 200 }, "", "draining"))
+                Reply::Now(answer(if is_check { 503 } else { 200 }, "", "draining"))
             });
         } else {
             calls::serve(shut.into_listener(), move |call| {
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -59,7 +59,7 @@
 /// Gives the ids of all that came.
 fn all_that_comes(node: &Node, shut: Shut) -> Vec<String> {
     let address = shut.address;
-    let server = shut.open(|_| Say::This(answer(200, "", "served")));
+    let server = shut.open(|_| Reply::Now(answer(200, "", "served")));
     until("nobody waits for it", || sockets(None, Some(address)) == 0 || !server.seen().is_empty());
     assert_eq!(Client::to(node).ask(&request("look", "last", 30_000)).status(), 200);
     server.seen().iter().map(|m| m.header("x-txn").unwrap_or_default().to_string()).collect()
@@ -163,7 +163,7 @@
             if message.header("x-txn") == Some("first") {
                 until("the gate opens", || opened.load(Ordering::SeqCst));
             }
-            Say::This(answer(200, "", "served"))
+            Reply::Now(answer(200, "", "served"))
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready(&patient(registry.address, cancel));
@@ -214,7 +214,7 @@
 /// accepted and answered.
 #[test]
 fn what_stands_in_the_backlog_at_sigterm_is_answered() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     node.stand_still();
@@ -240,8 +240,8 @@
 fn each_request_has_one_answer_at_sigterm_whatever_its_state() {
     let shut = Shut::new();
     let server = Peer::new(|message| match message.header("x-txn") {
-        Some("sent") => Say::Nothing,
-        _ => Say::This(answer(200, "", "served")),
+        Some("sent") => Reply::Nothing,
+        _ => Reply::Now(answer(200, "", "served")),
     });
     let (s0, s1) = (host("s0", server.address, "active", 1), host("s1", shut.address, "active", 1));
     let registry = Registry::new(std::slice::from_ref(&s0));
@@ -296,7 +296,7 @@
 /// before SIGKILL may come.
 #[test]
 fn a_stopping_node_that_was_held_up_answers_what_is_open() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&patient(registry.address, false));
     let mut clients: Vec<Client> = ["look", "pay", "slip"]
@@ -330,7 +330,7 @@
 /// once, which tells its client that it may try elsewhere, and reaches no server.
 #[test]
 fn what_comes_when_a_stopping_node_fails_the_rest_is_refused() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut open = Client::to(&node);
@@ -355,7 +355,7 @@
 /// byte. The request never ran there, and is served by another.
 #[test]
 fn an_answer_ahead_of_its_request_is_not_passed_on() {
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let hasty = listener.local_addr().expect("bound");
     let came = Arc::new(AtomicBool::new(false));
@@ -404,7 +404,7 @@
 /// The answer to a call for the whole list comes byte by byte and never ends: the call is due as a whole.
 #[test]
 fn a_whole_list_that_trickles_is_asked_for_anew() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let list = line(1, true, &[host("s0", server.address, "active", 1)]);
     let lists = Lists::new(move |path, before, to| {
         if path.contains("watch") {
@@ -432,7 +432,7 @@
 #[test]
 fn a_watch_that_trickles_is_opened_anew() {
     for (first, piece) in [(false, " "), (true, " "), (true, "[")] {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let list = line(1, true, &[host("s0", server.address, "active", 1)]);
         let last: Arc<Mutex<Option<Instant>>> = Arc::default();
         let said = last.clone();
@@ -460,7 +460,7 @@
 /// A list may be indented, in a whole answer and on a watch, and then one object goes over many lines.
 #[test]
 fn an_indented_list_is_read() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let entry = |name: &str, peer: &Peer, health: &str| host(name, peer.address, health, 1);
     let whole = pretty(&line(1, true, &[entry("a", &a, "active")]));
     let news = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
@@ -489,7 +489,7 @@
 #[test]
 fn a_call_that_is_out_does_not_hold_up_a_move_of_discovery() {
     for mode in ["subscribe", "automatic"] {
-        let (a, b) = (Peer::good("a"), Peer::good("b"));
+        let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
         let [at_a, at_b] = [&a, &b].map(|peer| host("s0", peer.address, "active", 1));
         let old = Lists::new(|_, _, to| trickle(to, |_| Ok(())));
         let new = Registry::new(&[at_b]);
@@ -512,8 +512,8 @@
 #[test]
 fn a_repeat_that_waits_for_its_connection_is_not_written_once_its_key_is_forgotten() {
     let first = Peer::new(|message| match message.path() {
-        "/health" => Say::This(answer(200, "", "")),
-        _ => Say::Last(Vec::new()),
+        "/health" => Reply::Now(answer(200, "", "")),
+        _ => Reply::ThenClose(Vec::new()),
     });
     let shut = Shut::new();
     let hosts = [host("s0", first.address, "active", 1), host("s1", shut.address, "active", 1)];
@@ -532,7 +532,7 @@
     std::thread::sleep(forgotten.saturating_duration_since(Instant::now()));
     let ran: Vec<String> =
         first.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
-    let late = shut.open(|_| Say::This(answer(200, "", "late")));
+    let late = shut.open(|_| Reply::Now(answer(200, "", "late")));
     clients.iter_mut().for_each(|client| drop(client.hear()));
     let again: Vec<String> =
         late.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -23,7 +23,7 @@
 fn accept_that_fails_for_a_moment_loses_no_first_request() {
     for seed in 1..=3 {
         // No connection to it is ever idle, and could be closed in place of a client's.
-        let server = Peer::new(|_| Say::Last(answer(200, "Connection: close\r\n", "served")));
+        let server = Peer::new(|_| Reply::ThenClose(answer(200, "Connection: close\r\n", "served")));
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let plan = Plan::new(seed).fails(Call::Accept, OFTEN, &ACCEPT);
         let node = Node::ready_with_faults(&config(registry.address), &plan);
@@ -52,7 +52,7 @@
 #[test]
 fn accept_that_fails_does_not_end_the_emptying_of_the_backlog() {
     for seed in 1..=5 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready_with_faults(
             &config(registry.address),
@@ -77,7 +77,7 @@
 #[test]
 fn a_node_starts_though_socket_fails_for_a_moment() {
     for seed in 1..=5 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let plan = Plan::new(seed).fails(Call::Socket, OFTEN, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
         let began = Instant::now();
@@ -97,7 +97,7 @@
 #[test]
 fn a_signal_is_taken_though_reading_is_interrupted() {
     for seed in 1..=3 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
         let plan = Plan::new(seed).fails(Call::Recv, OFTEN, &[EINTR]).fails(Call::Send, OFTEN, &[EINTR]);
@@ -141,7 +141,7 @@
 #[test]
 fn a_wall_clock_that_is_off_makes_no_cold_server_warm_and_none_cold_for_ever() {
     for off_by_s in [0, 3_600, -3_600, 5, -5] {
-        let (warm, cold) = (Peer::good("warm"), Peer::good("cold"));
+        let (warm, cold) = (Peer::healthy("warm"), Peer::healthy("cold"));
         let mut started = host("s1", cold.address, "active", 1);
         started["born_ms"] = json!(born(0.0));
         let registry = Registry::new(&[host("s0", warm.address, "active", 1), started]);
@@ -160,7 +160,7 @@
 #[test]
 fn a_server_that_comes_is_cold_whatever_its_wall_clock_says() {
     for off_by_ms in [0.0, -3_600_000.0, 3_600_000.0, -60_000.0] {
-        let (warm, cold) = (Peer::good("warm"), Peer::good("cold"));
+        let (warm, cold) = (Peer::healthy("warm"), Peer::healthy("cold"));
         let before = host("s0", warm.address, "active", 1);
         let registry = Registry::new(std::slice::from_ref(&before));
         let mut config = config(registry.address);
--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -91,7 +91,7 @@
         let at = Instant::now();
         let drains_for = since.lock().expect("no panic").map(|told| at.saturating_duration_since(told));
         if message.path() == "/health" {
-            return Say::This(answer(if drains_for.is_some() { 503 } else { 200 }, "", ""));
+            return Reply::Now(answer(if drains_for.is_some() { 503 } else { 200 }, "", ""));
         }
         let number_in = |name| message.header(name).and_then(|value| value.parse().ok());
         let id = message.header("x-txn").unwrap_or_default().to_string();
@@ -115,9 +115,9 @@
         if breaks {
             // Long after its client may have left: a further attempt would be one for nobody.
             std::thread::sleep(takes);
-            return Say::Last(Vec::new());
+            return Reply::ThenClose(Vec::new());
         }
-        Say::Later(takes, answer(200, "", &id))
+        Reply::After(takes, answer(200, "", &id))
     });
     let address = links.to_server(number, peer.address);
     Server { _peer: peer, address, drains, born_ms: Mutex::new(0.0) }
--- a/crates/node/tests/large.rs
+++ b/crates/node/tests/large.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use peers::{answer, config, host, request, until, Client, Message, Node, Peer, Registry, Say, PATIENCE};
+use peers::{answer, config, host, request, until, Client, Message, Node, Peer, Registry, Reply, PATIENCE};
 
 /// A body that no two places of are alike.
 fn body(length: usize) -> Vec<u8> {
@@ -84,7 +84,9 @@
     {
         let closes = n == 3;
         let peer =
-            Peer::new(move |_| if closes { Say::Last(bytes.clone()) } else { Say::This(bytes.clone()) });
+            Peer::new(
+                move |_| if closes { Reply::ThenClose(bytes.clone()) } else { Reply::Now(bytes.clone()) },
+            );
         let (node, _registry) = ready(&[&peer]);
         for round in 0..3 {
             let all = ask_raw(&node, &request("look", &format!("t{round}"), 10_000));
@@ -95,7 +97,7 @@
 
 #[test]
 fn a_kept_connection_serves_after_a_long_answer() {
-    let peer = Peer::new(|_| Say::This(with_length(300_000)));
+    let peer = Peer::new(|_| Reply::Now(with_length(300_000)));
     let (node, _registry) = ready(&[&peer]);
     let mut client = Client::to(&node);
     for n in 0..5 {
@@ -113,7 +115,7 @@
     for part in [1, 2, 3] {
         let broken = move |bytes: Vec<u8>| {
             let cut = bytes.len() * part / 4;
-            Say::Last(bytes[..cut].to_vec())
+            Reply::ThenClose(bytes[..cut].to_vec())
         };
         let peers = [
             Peer::new(move |_| broken(with_length(1_000_000))),
@@ -141,7 +143,7 @@
         [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec(), body(1000)]
             .concat(),
     ] {
-        let peer = Peer::new(move |_| Say::Last(bytes.clone()));
+        let peer = Peer::new(move |_| Reply::ThenClose(bytes.clone()));
         let (node, _registry) = ready(&[&peer]);
         let all = ask_raw(&node, &request("slip", "t", 10_000));
         assert_eq!(whole(&all).map(|a| a.0), Some(502));
@@ -152,8 +154,8 @@
 fn a_client_that_leaves_in_the_middle_frees_its_server() {
     let long = with_length(30_000_000);
     let peer = Peer::new(move |message: &Message| match message.header("x-org") {
-        Some("long") => Say::This(long.clone()),
-        _ => Say::This(answer(200, "", "short")),
+        Some("long") => Reply::Now(long.clone()),
+        _ => Reply::Now(answer(200, "", "short")),
     });
     let registry = Registry::new(&[host("s0", peer.address, "active", 0)]);
     let node = Node::ready(&config(registry.address));
@@ -165,13 +167,13 @@
         let mut some = vec![0; 100_000];
         stream.read_exact(&mut some).expect("it begins");
     }
-    until("their connections end", || peer.open() <= 1);
+    until("their connections end", || peer.open_connections() <= 1);
     assert_eq!(Client::to(&node).ask(&request("look", "b", 10_000)).body, b"short");
 }
 
 #[test]
 fn forty_clients_that_stop_reading_long_answers_stay_within_the_memory() {
-    let peers: Vec<Peer> = (0..3).map(|_| Peer::new(|_| Say::This(with_length(32 << 20)))).collect();
+    let peers: Vec<Peer> = (0..3).map(|_| Peer::new(|_| Reply::Now(with_length(32 << 20)))).collect();
     let (node, _registry) = ready(&[&peers[0], &peers[1], &peers[2]]);
     let stuck: Vec<TcpStream> = (0..40)
         .filter_map(|n| {
@@ -192,8 +194,8 @@
     // The first server to be asked has no room.
     let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let script = move |_: &Message| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
-        true => Say::This(answer(503, "X-Turned-Away: 1\r\n", "")),
-        false => Say::This(answer(200, "", "served")),
+        true => Reply::Now(answer(503, "X-Turned-Away: 1\r\n", "")),
+        false => Reply::Now(answer(200, "", "served")),
     };
     let script = std::sync::Arc::new(script);
     let again = script.clone();
@@ -214,7 +216,7 @@
 
 #[test]
 fn a_slow_body_has_its_time_from_its_last_byte() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = ready(&[&peer]);
     let mut client = Client::to(&node);
     let words = request("slip", "t", 1000).replace("Content-Length: 4", "Content-Length: 100000");
@@ -232,7 +234,7 @@
 
 #[test]
 fn a_body_that_stops_coming_is_given_up_soon() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = ready(&[&peer]);
     for words in [
         request("slip", "t", 20_000).replace("Content-Length: 4", "Content-Length: 100000"),
@@ -253,7 +255,7 @@
 
 #[test]
 fn a_body_without_end_is_answered_or_closed_on_and_goes_nowhere() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = ready(&[&peer]);
     let head = request("slip", "t", 10_000)
         .replace("Content-Length: 4\r\n\r\nwork", "Transfer-Encoding: chunked\r\n\r\n");
@@ -273,7 +275,7 @@
 
 #[test]
 fn a_slow_head_behind_a_request_in_chunks_has_its_whole_time() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = ready(&[&peer]);
     for end in ["0\r\n\r\n", "0;last=1\r\n\r\n", "0\r\nX-Sum: 1\r\n\r\n"] {
         let mut client = Client::to(&node);
@@ -311,7 +313,7 @@
 
 #[test]
 fn a_body_too_long_to_be_kept_goes_on_while_it_comes() {
-    let peer = Peer::new(|m| Say::This(answer(200, "", &m.body.len().to_string())));
+    let peer = Peer::new(|m| Reply::Now(answer(200, "", &m.body.len().to_string())));
     let (node, _registry) = ready_small(&peer);
     let long = String::from_utf8(body(20_000_000).iter().map(|b| b'a' + b % 26).collect()).expect("text");
     let whole = post("a", 10_000, "Content-Length: 20000000") + &long;
@@ -326,7 +328,7 @@
 
 #[test]
 fn one_that_goes_on_while_it_comes_has_its_time_from_its_last_byte() {
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(700), answer(200, "", "")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(700), answer(200, "", "")));
     let (node, _registry) = ready_small(&peer);
     let mut client = Client::to(&node);
     client.send(&(post("a", 1000, "Content-Length: 2100000") + &"x".repeat(2_000_000)));
@@ -416,7 +418,7 @@
 /// A server of long answers that says how long the bodies are that it gets.
 fn long_both_ways() -> Peer {
     Peer::new(|m| {
-        Say::This(match m.path().starts_with("/look") {
+        Reply::Now(match m.path().starts_with("/look") {
             true => with_length(32_000_000),
             false => answer(200, "", &m.body.len().to_string()),
         })
@@ -457,7 +459,7 @@
 
 #[test]
 fn a_drain_in_the_middle_of_32_mb_lets_both_end_and_sends_nothing_new() {
-    let (peer, other) = (long_both_ways(), Peer::good("s1"));
+    let (peer, other) = (long_both_ways(), Peer::healthy("s1"));
     let (up, leaves) = (host("s0", peer.address, "active", 0), host("s0", peer.address, "leaving", 0));
     let next = host("s1", other.address, "active", 0);
     let registry = Registry::new(&[up]);
@@ -486,7 +488,7 @@
 #[test]
 fn beside_another_a_process_keeps_half_of_the_bodies_that_a_node_may() {
     let folder = folder("bodies");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = Registry::new(&[host("s0", peer.address, "active", 0)]);
     let mut told = config(registry.address);
     // 24 MB of bodies for a node.
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 /// Servers that answer the first attempt of every request in one way, and serve further ones.
-fn twice(first: impl Fn() -> Say + Send + Sync + Clone + 'static) -> [Peer; 2] {
+fn twice(first: impl Fn() -> Reply + Send + Sync + Clone + 'static) -> [Peer; 2] {
     let tried = std::sync::Arc::new(Mutex::new(BTreeSet::new()));
     [(); 2].map(|()| {
         let (tried, first) = (tried.clone(), first.clone());
@@ -20,7 +20,7 @@
             if m.path() != "/health" && tried.lock().expect("no panic").insert(txn) {
                 first()
             } else {
-                Say::This(answer(200, "", "served"))
+                Reply::Now(answer(200, "", "served"))
             }
         })
     })
@@ -30,9 +30,9 @@
 fn outcome(
     class: &str,
     cells: [u64; 2],
-    first: impl Fn() -> Say + Send + Sync + Clone + 'static,
+    first: impl Fn() -> Reply + Send + Sync + Clone + 'static,
 ) -> (u16, usize) {
-    let first_never_ran = matches!(first(), Say::This(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
+    let first_never_ran = matches!(first(), Reply::Now(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
         && !bytes.starts_with(b"HTTP/1.1 404"));
     let servers = twice(first);
     let hosts: Vec<Value> =
@@ -55,22 +55,22 @@
 #[test]
 fn outcomes_that_may_have_run_are_repeated_only_where_that_is_harmless() {
     let away = "X-Turned-Away: 1\r\n";
-    let may_have_run: [fn() -> Say; 9] = [
-        || Say::This(answer(500, "", "")),
-        || Say::This(answer(503, "", "")),
-        || Say::This(answer(404, "X-Turned-Away: 1\r\n", "")),
-        || Say::Last(Vec::new()),
-        || Say::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
-        || Say::Last(b"HTP/banana\r\n\r\n".to_vec()),
+    let may_have_run: [fn() -> Reply; 9] = [
+        || Reply::Now(answer(500, "", "")),
+        || Reply::Now(answer(503, "", "")),
+        || Reply::Now(answer(404, "X-Turned-Away: 1\r\n", "")),
+        || Reply::ThenClose(Vec::new()),
+        || Reply::ThenClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
+        || Reply::ThenClose(b"HTP/banana\r\n\r\n".to_vec()),
         // Ended by the close alone: nobody can tell whether it is whole.
-        || Say::Last(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
+        || Reply::ThenClose(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
         || {
-            Say::This(
+            Reply::Now(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 6\r\n\r\n6\r\nspoilt\r\n0\r\n\r\n"
                 .to_vec(),
         )
         },
-        || Say::This(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_vec()),
+        || Reply::Now(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_vec()),
     ];
     for (n, first) in may_have_run.into_iter().enumerate() {
         assert_eq!(outcome("look", [1, 1], first), (200, 2), "safe, case {n}");
@@ -81,7 +81,7 @@
     }
     for status in [503, 504] {
         for class in ["look", "pay", "slip"] {
-            let first = move || Say::This(answer(status, away, ""));
+            let first = move || Reply::Now(answer(status, away, ""));
             assert_eq!(outcome(class, [1, 2], first), (200, 2), "{class} turned away with {status}");
         }
     }
@@ -91,7 +91,7 @@
 #[test]
 fn a_refused_connection_costs_no_request() {
     let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let registry = Registry::new(&[host("s0", dead, "active", 1), host("s1", good.address, "active", 2)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
@@ -106,7 +106,7 @@
 fn an_answer_over_the_limit_is_not_passed_on() {
     // Said to be longer than any may be, with a part of it behind.
     let long = || {
-        Say::This(format!("HTTP/1.1 200 X\r\nContent-Length: 34000000\r\n\r\n{}", "x".repeat(9999)).into())
+        Reply::Now(format!("HTTP/1.1 200 X\r\nContent-Length: 34000000\r\n\r\n{}", "x".repeat(9999)).into())
     };
     assert_eq!(outcome("slip", [1, 1], long), (502, 1));
 }
@@ -115,7 +115,7 @@
 #[test]
 fn bytes_pass_unchanged_and_each_request_has_one_answer() {
     let server =
-        Peer::new(|m| Say::This(answer(200, "", &format!("for {}", m.header("x-txn").unwrap_or("?")))));
+        Peer::new(|m| Reply::Now(answer(200, "", &format!("for {}", m.header("x-txn").unwrap_or("?")))));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
@@ -140,7 +140,7 @@
 /// A server that never answers: the client has its answer when its time is up, and it is no refusal.
 #[test]
 fn a_silent_server_does_not_hold_the_answer_past_the_deadline() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let asked = Instant::now();
@@ -148,7 +148,7 @@
     assert!(asked.elapsed() < Duration::from_millis(4000), "{:?}", asked.elapsed());
     assert_eq!(heard.status(), 502);
     assert_eq!(server.seen().len(), 1);
-    until("the attempt's connection is closed", || server.open() == 0);
+    until("the attempt's connection is closed", || server.open_connections() == 0);
 }
 
 /// A refusal comes at once and says when to come back.
@@ -165,7 +165,7 @@
 /// From the line that tells of it, a server that drains or is gone gets nothing new.
 #[test]
 fn a_drain_holds_from_the_line_that_tells_it() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let (at_a, at_b) = (a.address, b.address);
     let both = [host("s0", at_a, "active", 1), host("s1", at_b, "active", 1)];
     for health in ["leaving", "left"] {
@@ -201,12 +201,12 @@
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 60_000));
     std::thread::sleep(Duration::from_millis(300));
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let hosts = [host("s1", good.address, "active", 1)];
     registry.tell(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
     // Known once others are served by the new one.
     until("the list is known", || Client::to(&node).ask(&request("look", "t2", 500)).status() == 200);
-    let late = shut.open(|_| Say::This(answer(200, "", "late")));
+    let late = shut.open(|_| Reply::Now(answer(200, "", "late")));
     assert_eq!(client.hear().expect("an answer").body, b"good");
     assert!(late.seen().is_empty(), "{:?}", late.seen());
 }
@@ -214,7 +214,7 @@
 /// Discovery goes down: the list is kept, calls back off; back up, its news count.
 #[test]
 fn discovery_lost_and_back() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     registry.down(true);
@@ -238,7 +238,7 @@
 /// A line that can't be read is dropped, and the whole list asked for.
 #[test]
 fn a_bad_line_makes_the_node_ask_for_the_whole_list() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     registry.tell(2, &[host("s1", b.address, "active", 1)], &[]);
@@ -251,16 +251,16 @@
 /// A client that leaves has its attempts called off.
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 20_000));
     until("the attempt is out", || server.seen().len() == 1);
-    assert_eq!(server.open(), 1);
+    assert_eq!(server.open_connections(), 1);
     let left = Instant::now();
     drop(client);
-    until("the attempt is called off", || server.open() == 0);
+    until("the attempt is called off", || server.open_connections() == 0);
     assert!(left.elapsed() < Duration::from_secs(15), "that was the deadline, not the close");
 }
 
@@ -268,13 +268,13 @@
 /// would fail for nothing.
 #[test]
 fn a_stale_kept_connection_fails_nobody() {
-    let server = Peer::new(|_| Say::Last(answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::ThenClose(answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     for n in 0..10 {
         let heard = Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000));
         assert_eq!(heard.status(), 200, "request {n}");
-        until("the server has closed", || server.open() == 0);
+        until("the server has closed", || server.open_connections() == 0);
     }
     assert_eq!(server.seen().len(), 10);
 }
@@ -282,14 +282,14 @@
 /// Idle connections are closed well before their server would.
 #[test]
 fn idle_connections_end_before_the_servers_keep_alive() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["Keepalive"] = json!(1500.0);
     let node = Node::ready(&config);
     assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
-    assert_eq!(server.open(), 1);
-    until("the node closes it", || server.open() == 0);
+    assert_eq!(server.open_connections(), 1);
+    until("the node closes it", || server.open_connections() == 0);
 }
 
 /// SIGTERM: what was taken is served, connections still come for a while, then the node ends with 0.
@@ -297,7 +297,7 @@
 fn sigterm_finishes_what_was_taken() {
     let server = Peer::new(|m| {
         let long = m.header("x-txn") == Some("slow");
-        Say::Later(Duration::from_millis(if long { 1500 } else { 0 }), answer(200, "", "served"))
+        Reply::After(Duration::from_millis(if long { 1500 } else { 0 }), answer(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
@@ -320,7 +320,7 @@
 /// yet. It is served until the end is near, on the connection that it has and on new ones, and told before they close.
 #[test]
 fn sigterm_leaves_clients_their_node_until_the_end_is_near() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut kept = Client::to(&node);
@@ -355,7 +355,7 @@
     let servers = [(); 6].map(|()| {
         Peer::new(|m| {
             let slow = m.header("x-txn").is_some_and(|txn| txn.starts_with("slow"));
-            Say::Later(Duration::from_millis(if slow { 1000 } else { 0 }), answer(200, "", "served"))
+            Reply::After(Duration::from_millis(if slow { 1000 } else { 0 }), answer(200, "", "served"))
         })
     });
     let hosts: Vec<Value> = (0..6).map(|n| host(&format!("s{n}"), servers[n].address, "active", 1)).collect();
@@ -387,7 +387,7 @@
 /// Where all deadlines are short SIGKILL comes soon: what can't be finished is answered before that.
 #[test]
 fn sigterm_ends_sooner_where_deadlines_are_short() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -407,7 +407,7 @@
 /// More connections than descriptors: idle ones make room, and the node goes on serving.
 #[test]
 fn descriptors_that_run_out_do_not_stop_the_node() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     // The kernel's limit is lower than the told one: accepting fails, too.
     for (told, real) in [(64, 256), (256, 48)] {
@@ -442,7 +442,7 @@
             } else {
                 String::from_utf8(answer(200, "", txn)).expect("text")
             };
-            Say::This(one.repeat(2).into_bytes())
+            Reply::Now(one.repeat(2).into_bytes())
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready(&config(registry.address));
@@ -458,7 +458,7 @@
 /// A request whose deadline lies beyond the end has its answer all the same.
 #[test]
 fn sigterm_answers_what_can_not_be_finished() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
@@ -472,7 +472,7 @@
 /// A watch that stays open and says nothing is a dead link: the node calls again.
 #[test]
 fn a_silent_watch_is_given_up() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     until("the watch stands", || registry.watches() == 1);
@@ -484,7 +484,7 @@
 /// What can't be used is answered at once, without an attempt, and the connection stays of use.
 #[test]
 fn bad_requests_are_answered_at_once() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("slip", "t1", 15_000);
@@ -524,7 +524,7 @@
 #[test]
 fn a_restart_with_an_old_list_serves_without_discovery() {
     let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let good = Peer::good("a");
+    let good = Peer::healthy("a");
     let registry = Registry::new(&[]);
     registry.down(true);
     let mut config = config(registry.address);
@@ -540,7 +540,7 @@
 /// Every node sorts the servers alike, whatever the order in which it hears of them.
 #[test]
 fn turns_do_not_depend_on_the_order_of_the_list() {
-    let servers = ["a", "b", "c", "d"].map(Peer::good);
+    let servers = ["a", "b", "c", "d"].map(Peer::healthy);
     let mut hosts: Vec<Value> =
         servers.iter().enumerate().map(|(n, s)| host(&format!("s{n}"), s.address, "active", 1)).collect();
     let turns = |hosts: &[Value]| -> Vec<Vec<u8>> {
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -8,7 +8,7 @@
 
 use glenwood_trace::{Doing, Record};
 use peers::{
-    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Say, PATIENCE,
+    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Reply, PATIENCE,
 };
 use serde_json::{json, Value};
 
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_door_knows_two_calls_and_turns_down_the_rest() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let node = Node::ready(&with_door(config(registry.address)));
     let door = door(&node);
@@ -93,7 +93,7 @@
 
 #[test]
 fn callers_who_hold_half_a_call_keep_nobody_out() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     // Fewer descriptors than callers: they must not take those of others either.
     let mut config = with_door(config(registry.address));
@@ -114,7 +114,7 @@
 
 #[test]
 fn one_who_never_reads_keeps_nobody_out() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let mut config = with_door(config(registry.address));
     config["limits"]["sockets"] = json!(96);
@@ -147,10 +147,10 @@
 fn figures_are_what_peers_saw() {
     // The path says what the server is to do.
     let peer = Peer::new(|message: &Message| match message.header("x-org") {
-        Some("fail") => Say::This(answer(500, "", "")),
-        Some("away") => Say::This(answer(503, "X-Turned-Away: 1\r\n", "")),
-        Some("none") => Say::Nothing,
-        _ => Say::This(answer(200, "", "served")),
+        Some("fail") => Reply::Now(answer(500, "", "")),
+        Some("away") => Reply::Now(answer(503, "X-Turned-Away: 1\r\n", "")),
+        Some("none") => Reply::Nothing,
+        _ => Reply::Now(answer(200, "", "served")),
     });
     let registry = one_server(&peer);
     let mut told = with_door(config(registry.address));
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_server_that_is_down_shows_as_avoided() {
-    let (good, gone) = (Peer::good("s0"), TcpListener::bind("127.0.0.1:0").expect("a port"));
+    let (good, gone) = (Peer::healthy("s0"), TcpListener::bind("127.0.0.1:0").expect("a port"));
     let at = gone.local_addr().expect("bound");
     drop(gone);
     let registry = Registry::new(&[host("s0", good.address, "active", 0), host("s1", at, "active", 0)]);
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_second_process_takes_over_without_a_request_lost() {
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(5), answer(200, "", "served")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(5), answer(200, "", "served")));
     let registry = one_server(&peer);
     let mut told = with_door(config(registry.address));
     told["settings"]["Classes"][0]["Deadline"] = json!(1500.0);
@@ -274,7 +274,7 @@
 
 #[test]
 fn a_second_process_that_cannot_serve_takes_no_connection() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let first = Node::ready(&with_door(config(registry.address)));
     let mut told = with_door(config(registry.address));
@@ -306,7 +306,7 @@
 
 #[test]
 fn classes_come_and_go_at_sighup_and_a_broken_file_changes_nothing() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let told = with_door(config(registry.address));
     let node = Node::ready(&told);
@@ -358,8 +358,8 @@
             let _ = wait.lock().expect("no panic").recv();
         }
         match message.header("x-org") {
-            Some("fail") => Say::This(answer(500, "", "")),
-            _ => Say::This(answer(200, "", "served")),
+            Some("fail") => Reply::Now(answer(500, "", "")),
+            _ => Reply::Now(answer(200, "", "served")),
         }
     });
     let registry = one_server(&peer);
@@ -415,7 +415,7 @@
 #[test]
 fn a_successor_takes_the_same_backlog_and_the_old_one_refuses_nobody() {
     let folder = folder("backlog");
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(20), answer(200, "", "served")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(20), answer(200, "", "served")));
     let registry = one_server(&peer);
     let mut told = with_door(config(registry.address));
     for n in 0..3 {
@@ -466,7 +466,7 @@
 #[test]
 fn a_successor_that_dies_leaves_the_old_one_as_it_was_and_a_third_is_turned_away() {
     let folder = folder("dies");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let mut told = with_door(config(registry.address));
     let old = Node::started_in(&folder, &told).wait_listening();
@@ -498,7 +498,7 @@
 #[test]
 fn a_place_that_a_dead_process_left_is_in_nobodys_way() {
     let folder = folder("dead");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let told = with_door(config(registry.address));
     let mut first = Node::started_in(&folder, &told).wait_listening();
@@ -520,7 +520,7 @@
 fn two_processes_hold_no_more_descriptors_than_one_node_may() {
     let folder = folder("descriptors");
     let peers: Vec<Peer> = (0..4)
-        .map(|_| Peer::new(|_| Say::Later(Duration::from_millis(300), answer(200, "", "served"))))
+        .map(|_| Peer::new(|_| Reply::After(Duration::from_millis(300), answer(200, "", "served"))))
         .collect();
     let hosts: Vec<Value> =
         peers.iter().enumerate().map(|(n, p)| host(&format!("s{n}"), p.address, "active", 0)).collect();
@@ -569,7 +569,7 @@
         if message.path().starts_with("/slip") {
             let _ = wait.lock().expect("no panic").recv();
         }
-        Say::This(answer(200, "", "served"))
+        Reply::Now(answer(200, "", "served"))
     });
     let registry = one_server(&peer);
     let told = with_door(config(registry.address));
@@ -630,7 +630,7 @@
 
 #[test]
 fn the_door_answers_within_a_second_while_the_thread_that_serves_is_saturated() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = one_server(&peer);
     let node = Node::ready(&with_door(config(registry.address)));
     let door = door(&node);
@@ -661,7 +661,7 @@
 /// As JSON, each line is a record of its own, with what clients send in it escaped.
 #[test]
 fn the_trace_is_json_on_demand() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let operator = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("json-trace.toml");
     std::fs::write(&operator, "[trace]\non = true\njson = true\n").expect("a file");
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -95,13 +95,13 @@
 // ---- Servers ----
 
 /// How a scripted server handles a request.
-pub enum Say {
+pub enum Reply {
     /// Responds at once.
-    This(Vec<u8>),
+    Now(Vec<u8>),
     /// Writes these bytes and closes the connection.
-    Last(Vec<u8>),
+    ThenClose(Vec<u8>),
     /// Responds after a delay.
-    Later(Duration, Vec<u8>),
+    After(Duration, Vec<u8>),
     /// Sends no response and keeps the connection open.
     Nothing,
 }
@@ -115,12 +115,15 @@
 
 impl Peer {
     /// Starts a server on a free port.
-    pub fn new(script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("failed to bind"), script)
+    pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+        Self::with_listener(TcpListener::bind("127.0.0.1:0").expect("failed to bind"), script)
     }
 
     /// Starts a server on a listener.
-    pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
+    pub fn with_listener(
+        listener: TcpListener,
+        script: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Self {
         let address = listener.local_addr().expect("no local address");
         let (received, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let peer = Self { address, received: received.clone(), open: open.clone() };
@@ -140,16 +143,16 @@
     }
 
     /// A server that answers every request with 200 and its name as the body.
-    pub fn good(name: &'static str) -> Self {
-        Self::new(move |_| Say::This(answer(200, "", name)))
+    pub fn healthy(name: &'static str) -> Self {
+        Self::new(move |_| Reply::Now(answer(200, "", name)))
     }
 
     /// The same, but its health check answers 503 once `drains` is set; other requests are still served.
-    pub fn good_until(name: &'static str, drains: &Arc<AtomicBool>) -> Self {
+    pub fn healthy_until(name: &'static str, drains: &Arc<AtomicBool>) -> Self {
         let drains = drains.clone();
         Self::new(move |message| {
             let is_draining = message.path() == "/health" && drains.load(Ordering::SeqCst);
-            Say::This(answer(if is_draining { 503 } else { 200 }, "", name))
+            Reply::Now(answer(if is_draining { 503 } else { 200 }, "", name))
         })
     }
 
@@ -160,12 +163,12 @@
     }
 
     /// Number of health checks received.
-    pub fn probes(&self) -> usize {
+    pub fn probe_count(&self) -> usize {
         self.received.lock().expect("mutex poisoned").len() - self.seen().len()
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
@@ -174,20 +177,20 @@
     stream: TcpStream,
     conn: usize,
     received: &Mutex<Vec<Message>>,
-    script: &dyn Fn(&Message) -> Say,
+    script: &dyn Fn(&Message) -> Reply,
 ) {
     let Ok(mut writer) = stream.try_clone() else { return };
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader, conn) {
         received.lock().expect("mutex poisoned").push(message.clone());
         let (bytes, closes) = match script(&message) {
-            Say::This(bytes) => (bytes, false),
-            Say::Last(bytes) => (bytes, true),
-            Say::Later(delay, bytes) => {
+            Reply::Now(bytes) => (bytes, false),
+            Reply::ThenClose(bytes) => (bytes, true),
+            Reply::After(delay, bytes) => {
                 std::thread::sleep(delay);
                 (bytes, false)
             }
-            Say::Nothing => (Vec::new(), false),
+            Reply::Nothing => (Vec::new(), false),
         };
         if writer.write_all(&bytes).is_err() || closes {
             break;
@@ -708,8 +711,8 @@
     }
 
     /// Starts to accept, as a scripted server.
-    pub fn open(self, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Peer {
-        Peer::on(self.into_listener(), script)
+    pub fn open(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Peer {
+        Peer::with_listener(self.into_listener(), script)
     }
 
     /// Frees the backlog and returns the listener, for the caller to accept on.
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -14,7 +14,7 @@
 /// do not count any more. Also several times in quick succession, and while the node stops.
 #[test]
 fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let [at_a, at_b] = [a.address, b.address].map(|at| [host("s0", at, "active", 1)]);
     let (old, new) = (Registry::new(&at_a), Registry::new(&at_b));
     let told = config(old.address);
@@ -60,7 +60,7 @@
 /// addresses now.
 #[test]
 fn a_list_that_is_pushed_is_followed_by_a_watch_at_the_agent() {
-    let [a, b, c] = ["a", "b", "c"].map(Peer::good);
+    let [a, b, c] = ["a", "b", "c"].map(Peer::healthy);
     let [at_a, at_b, at_c] = [&a, &b, &c].map(|p| [host("s0", p.address, "active", 1)]);
     let (agent, other) = (Registry::new(&at_a), Registry::new(&at_c));
     let mut told = config(agent.address);
@@ -93,9 +93,9 @@
 fn a_clients_repeat_has_only_the_time_that_is_left_of_its_first_asking() {
     let server = Peer::new(|m| {
         if m.header("x-txn") == Some("t1") {
-            Say::Nothing
+            Reply::Nothing
         } else {
-            Say::This(answer(200, "", "a"))
+            Reply::Now(answer(200, "", "a"))
         }
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
@@ -111,7 +111,7 @@
     until("it is out", || server.seen().len() == 1);
     until("a while has passed", || asked.elapsed() > Duration::from_millis(500));
     drop(first);
-    until("it is given up", || server.open() == 0);
+    until("it is given up", || server.open_connections() == 0);
     assert_eq!(Client::to(&node).ask(&request("look", "t2", 100_000)).status(), 200);
     assert_eq!(Client::to(&node).ask(&request("look", "t3", 100_000)).status(), 200);
     let left =
@@ -123,8 +123,8 @@
 /// A connection that was busy while its server moved does not come back into use: it leads to the old place.
 #[test]
 fn a_connection_that_was_busy_while_its_server_moved_is_not_kept() {
-    let a = Peer::new(|_| Say::Later(Duration::from_millis(700), answer(200, "", "old")));
-    let b = Peer::good("new");
+    let a = Peer::new(|_| Reply::After(Duration::from_millis(700), answer(200, "", "old")));
+    let b = Peer::healthy("new");
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut slow = Client::to(&node);
@@ -148,12 +148,12 @@
     let flaky = Peer::new(move |m| {
         let breaks = m.path() != "/health" && count.fetch_add(1, Ordering::SeqCst) % 8 == 3;
         if breaks {
-            Say::Last(Vec::new())
+            Reply::ThenClose(Vec::new())
         } else {
-            Say::This(answer(200, "", "flaky"))
+            Reply::Now(answer(200, "", "flaky"))
         }
     });
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let registry =
         Registry::new(&[host("s0", flaky.address, "active", 1), host("s1", good.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -169,7 +169,7 @@
 /// first, and nothing more is read from the connection.
 #[test]
 fn a_request_with_two_framings_hides_no_other() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let hidden = request("slip", "hidden", 15_000);
@@ -209,7 +209,7 @@
 /// served. Afterwards the id may come again.
 #[test]
 fn the_id_of_an_open_request_is_turned_down() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(1500), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(1500), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let (mut first, mut second) = (Client::to(&node), Client::to(&node));
@@ -226,7 +226,7 @@
 /// Connections that say nothing, bring half a request, or half a one behind another, are closed in time.
 #[test]
 fn connections_that_bring_no_whole_request_are_closed() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(200), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(200), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("slip", "t1", 15_000);
@@ -254,7 +254,7 @@
     let servers = [(); 2].map(|()| {
         Peer::new(|m| {
             let bad = m.header("x-txn").is_some_and(|t| t.starts_with("bad"));
-            Say::This(answer(if bad { 400 } else { 200 }, "", ""))
+            Reply::Now(answer(if bad { 400 } else { 200 }, "", ""))
         })
     });
     let registry = Registry::new(&[
@@ -277,7 +277,7 @@
 /// More slow requests at once than there are places under a low limit: all are served, and the limit is kept.
 #[test]
 fn slow_requests_beyond_the_descriptors_wait_and_are_served() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(400), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(400), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["limits"]["sockets"] = json!(40);
@@ -305,9 +305,9 @@
     let silent = Arc::new(AtomicBool::new(false));
     let flag = silent.clone();
     let server = Peer::new(move |m| match flag.load(Ordering::SeqCst) {
-        true if m.conn <= 5 => Say::Nothing,
-        true => Say::This(answer(200, "", "served")),
-        false => Say::Later(Duration::from_millis(500), answer(200, "", "served")),
+        true if m.conn <= 5 => Reply::Nothing,
+        true => Reply::Now(answer(200, "", "served")),
+        false => Reply::After(Duration::from_millis(500), answer(200, "", "served")),
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -320,7 +320,7 @@
     for client in &mut clients {
         assert_eq!(client.hear().expect("an answer").status(), 200);
     }
-    assert_eq!(server.open(), 5);
+    assert_eq!(server.open_connections(), 5);
     silent.store(true, Ordering::SeqCst);
     let mut ask = |n: usize| clients[0].ask(&request("slip", &format!("n{n}"), 2_000)).status();
     let served = (0..6).filter(|n| ask(*n) == 200).count();
@@ -334,8 +334,8 @@
     let silent = Arc::new(AtomicBool::new(false));
     let flag = silent.clone();
     let server = Peer::new(move |m| match flag.load(Ordering::SeqCst) {
-        true if m.conn <= 8 => Say::Nothing,
-        _ => Say::Later(Duration::from_millis(500), answer(200, "", "served")),
+        true if m.conn <= 8 => Reply::Nothing,
+        _ => Reply::After(Duration::from_millis(500), answer(200, "", "served")),
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -377,7 +377,7 @@
 /// brought a single request is let go after a while.
 #[test]
 fn connections_that_are_used_once_are_not_collected() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut used = Client::to(&node);
