--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -95,13 +95,13 @@
         }
         let number_in = |name| message.header(name).and_then(|value| value.parse().ok());
         let id = message.header("x-txn").unwrap_or_default().to_string();
-        record.sent(Sent {
+        record.add_attempt(ServerAttempt {
             id: id.clone(),
             server: number,
             cell: number as u64 / 2,
             at,
-            told: Duration::from_millis(number_in("x-remaining-ms").unwrap_or(u64::MAX / 2)),
-            runs: true,
+            time_given: Duration::from_millis(number_in("x-remaining-ms").unwrap_or(u64::MAX / 2)),
+            is_executed: true,
             drains_for,
         });
         let mut dice = dice.lock().expect("no panic");
@@ -207,7 +207,7 @@
         SlowStart {
             server: number,
             at,
-            multiple: of("FallMultiple"),
+            max_multiple: of("FallMultiple"),
             window: millis("Fall"),
             cold_share: of("ColdShare"),
             warm_within: millis("WarmWithin"),
@@ -289,19 +289,20 @@
     let words = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
     let (node, at) = (process.node.address, Instant::now());
     let stops = || process.stops.load(Ordering::SeqCst);
-    let record = |end| world.record.asked(Asked { id: id.clone(), class, at, remaining, node, end });
+    let record =
+        |end| world.record.add_request(ClientRequest { id: id.clone(), class, at, remaining, node, end });
     if client.try_send(&words).is_err() {
-        record(End::Closed { at: Instant::now(), node_stops: stops() });
+        record(Outcome::Closed { at: Instant::now(), node_stops: stops() });
         return false;
     }
     if dice.one_in(8) {
         std::thread::sleep(dice.between(0, 120));
         client.leave();
-        record(End::Left { at: Instant::now() });
+        record(Outcome::Left { at: Instant::now() });
         return false;
     }
     let answer = client.hear();
-    record(End::by(answer.as_ref(), &id, stops()));
+    record(Outcome::from_response(answer.as_ref(), &id, stops()));
     answer.is_some_and(|answer| answer.header("connection") != Some("close"))
 }
 
@@ -329,9 +330,9 @@
     at(3300 + dice.below(300));
     let (held, from) = (world.process(STANDS_STILL), Instant::now());
     held.node.stand_still();
-    std::thread::sleep(HELD_UP);
+    std::thread::sleep(MAX_PAUSE);
     held.node.go_on();
-    world.record.held(Held { node: held.node.address, from, until: Instant::now() });
+    world.record.add_pause(Pause { node: held.node.address, from, until: Instant::now() });
     at(4000 + dice.below(200));
     world.registry.down(false);
     world.drain(second, TOLD_AT_RETURN);
@@ -362,12 +363,12 @@
     });
     let (asked, served) = world.record.counts();
     println!("seed {seed}: {served} of {asked} requests served");
-    let breaches = world.record.breaches(|node, id| world.has_taken(node, id));
+    let breaches = world.record.violations(|node, id| world.has_taken(node, id));
     let mut broken: Vec<String> = breaches
         .iter()
         .map(|breach| format!("seed {seed}: {breach}\n  {}", world.timeline(breach.node, &breach.id)))
         .collect();
-    broken.extend(world.record.overload(cold, SERVERS).map(|words| format!("seed {seed}: {words}")));
+    broken.extend(world.record.find_overload(cold, SERVERS).map(|words| format!("seed {seed}: {words}")));
     if (served as f64) < SERVED * asked as f64 {
         broken.push(format!("seed {seed}: {served} of {asked} requests served"));
     }
--- a/crates/node/tests/peers/many.rs
+++ b/crates/node/tests/peers/many.rs
@@ -17,7 +17,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::dice::Rng;
-use super::record::{Record, Sent};
+use super::record::{Record, ServerAttempt};
 use super::strays::{unsolicited_response, Delivery, ResponseFaults};
 use super::{answer, host};
 
@@ -256,13 +256,13 @@
             let remaining_ms = message.header("x-remaining-ms").and_then(|value| value.parse().ok());
             let id = message.header("x-txn").unwrap_or_default().to_string();
             let is_rejected = self.faults.lock().expect("mutex poisoned").rejects_request(&mut rng);
-            self.record.sent(Sent {
+            self.record.add_attempt(ServerAttempt {
                 id: id.clone(),
                 server: self.number,
                 cell: self.number as u64 / 2,
                 at,
-                told: Duration::from_millis(remaining_ms.unwrap_or(u64::MAX / 2)),
-                runs: !is_rejected,
+                time_given: Duration::from_millis(remaining_ms.unwrap_or(u64::MAX / 2)),
+                is_executed: !is_rejected,
                 drains_for: withdrawn.and_then(|withdrawn| at.checked_duration_since(withdrawn.known_at)),
             });
             if is_rejected {
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -133,8 +133,15 @@
             let (at, remaining) = (Instant::now(), dice.between(600, 2_500));
             client.send(&request("look", &id, remaining.as_millis() as u64));
             let answer = client.hear();
-            let end = End::by(answer.as_ref(), &id, false);
-            self.record.asked(Asked { id, class: "look", at, remaining, node: node.address, end });
+            let end = Outcome::from_response(answer.as_ref(), &id, false);
+            self.record.add_request(ClientRequest {
+                id,
+                class: "look",
+                at,
+                remaining,
+                node: node.address,
+                end,
+            });
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
                 client = Client::to(node);
             }
@@ -142,7 +149,7 @@
     }
 
     /// What a node has said of its list, and of the server that it sent to.
-    fn timeline(&self, node: usize, sent: &Sent) -> String {
+    fn timeline(&self, node: usize, sent: &ServerAttempt) -> String {
         let server = format!("s{:05}", sent.server);
         let of_list = [" call", " asking", " answering", " watch-ended", " version"];
         let about = |line: &str| line.contains(&server) || of_list.iter().any(|word| line.contains(word));
@@ -154,13 +161,13 @@
 
     /// The sends to servers of which their nodes count as told that they take nothing new, and to how many of these that were back.
     fn late_sends(&self) -> (Vec<String>, usize) {
-        let (late, mut to_restarted) = (self.record.lateness(), 0);
+        let (late, mut to_restarted) = (self.record.test_delay(), 0);
         let mut broken = Vec::new();
-        for sent in self.record.sends() {
+        for sent in self.record.all_attempts() {
             let node = sent.id[1..].split('-').next().and_then(|word| word.parse().ok());
             let node: usize = node.expect("an id that names its node");
             let told_for = self.lists.told_for(node, sent.server, sent.at);
-            if let Some(span) = told_for.filter(|span| *span > GRACE + late) {
+            if let Some(span) = told_for.filter(|span| *span > DRAIN_GRACE + late) {
                 let is_back = self.lists.is_back(sent.server, sent.at);
                 to_restarted += usize::from(is_back);
                 let words =
@@ -187,11 +194,11 @@
         world.remove_and_restart(how, ends, seed);
         world.ends.store(true, Ordering::SeqCst);
     });
-    world.record.is_late_by(late.longest());
+    world.record.set_test_delay(late.longest());
     let (asked, served) = world.record.counts();
     let (mut broken, to_restarted) = world.late_sends();
     let drains = broken.len();
-    let others = world.record.breaches(|_, _| true);
+    let others = world.record.violations(|_, _| true);
     broken.extend(others.iter().map(ToString::to_string));
     let (calls, failed, longest) = world.lists.calls();
     println!(
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -199,19 +199,20 @@
     let words = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
     let (node, at) = (process.node.address, Instant::now());
     let stops = || process.stops.load(Ordering::SeqCst);
-    let record = |end| world.record.asked(Asked { id: id.clone(), class, at, remaining, node, end });
+    let record =
+        |end| world.record.add_request(ClientRequest { id: id.clone(), class, at, remaining, node, end });
     if client.try_send(&words).is_err() {
-        record(End::Closed { at: Instant::now(), node_stops: stops() });
+        record(Outcome::Closed { at: Instant::now(), node_stops: stops() });
         return false;
     }
     if dice.one_in(20) {
         std::thread::sleep(dice.between(0, 60));
         client.leave();
-        record(End::Left { at: Instant::now() });
+        record(Outcome::Left { at: Instant::now() });
         return false;
     }
     let answer = client.hear();
-    record(End::by(answer.as_ref(), &id, stops()));
+    record(Outcome::from_response(answer.as_ref(), &id, stops()));
     answer.is_some_and(|answer| answer.header("connection") != Some("close"))
 }
 
@@ -337,9 +338,9 @@
                 }
                 let from = Instant::now();
                 of.node.stand_still();
-                std::thread::sleep(HELD_UP);
+                std::thread::sleep(MAX_PAUSE);
                 of.node.go_on();
-                world.record.held(Held { node: of.node.address, from, until: Instant::now() });
+                world.record.add_pause(Pause { node: of.node.address, from, until: Instant::now() });
             }
             Fault::Crowd => {
                 for _ in 0..4 {
@@ -374,12 +375,12 @@
         trouble(&world, &faults, &mut dice);
         world.ends.store(true, Ordering::SeqCst);
     });
-    world.record.is_late_by(late.longest());
+    world.record.set_test_delay(late.longest());
     let (asked, served) = world.record.counts();
     let what = format!("seed {seed}: {servers} servers, fleet told as {fleet}, {nodes} processes");
     println!("{what}: {served} of {asked} served, driver late by {:.0?}", late.longest());
-    let breaches = world.record.breaches(|node, id| world.has_taken(node, id));
-    let told = |breach: &Breach| {
+    let breaches = world.record.violations(|node, id| world.has_taken(node, id));
+    let told = |breach: &Violation| {
         format!("{what}: {breach}\n  {}\n{faults:?}\n{strays:?}", world.timeline(breach.node, &breach.id))
     };
     let mut broken: Vec<String> = breaches.iter().map(told).collect();
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -159,8 +159,8 @@
         let at = Instant::now();
         client.send(&request(class, &id, remaining.as_millis() as u64).replace("k1", &id));
         let answer = client.hear();
-        let end = End::by(answer.as_ref(), &id, false);
-        world.record.asked(Asked { id, class, at, remaining, node: node.address, end });
+        let end = Outcome::from_response(answer.as_ref(), &id, false);
+        world.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
         if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
             client = Client::to(node);
         }
@@ -205,8 +205,8 @@
     if std::env::var("GLENWOOD_LOGS").is_ok() {
         world.nodes.iter().for_each(|node| println!("{:#?}", node.log_of(|_| true)));
     }
-    world.record.is_late_by(late);
-    let breaches = world.record.breaches(|_, _| true);
+    world.record.set_test_delay(late);
+    let breaches = world.record.violations(|_, _| true);
     let broken_by = |rule: Rule| breaches.iter().filter(|breach| breach.rule == rule).count();
     let rules = [Rule::Drain, Rule::Lost, Rule::Deadline, Rule::Duplicate];
     let counts: Vec<String> = rules.iter().map(|rule| format!("{rule:?} {}", broken_by(*rule))).collect();
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -93,8 +93,8 @@
             let at = Instant::now();
             client.send(&words);
             let answer = client.hear();
-            let end = End::by(answer.as_ref(), &id, false);
-            self.record.asked(Asked { id, class, at, remaining, node: node.address, end });
+            let end = Outcome::from_response(answer.as_ref(), &id, false);
+            self.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
                 client = Client::to(node);
             }
@@ -103,7 +103,7 @@
     }
 
     /// What a node has said of a request, and of answers out of turn until then.
-    fn timeline(&self, breach: &Breach) -> String {
+    fn timeline(&self, breach: &Violation) -> String {
         let Some(node) = self.nodes.iter().find(|node| node.address == breach.node) else {
             return String::new();
         };
@@ -138,9 +138,9 @@
         std::thread::sleep(Duration::from_secs(number_in("GLENWOOD_SECONDS", SECONDS)));
         world.ends.store(true, Ordering::SeqCst);
     });
-    world.record.is_late_by(late.longest());
+    world.record.set_test_delay(late.longest());
     let (asked, served) = world.record.counts();
-    let breaches = world.record.breaches(|_, _| true);
+    let breaches = world.record.violations(|_, _| true);
     let count = |rule| breaches.iter().filter(|breach| breach.rule == rule).count();
     println!(
         "{what}, seed {seed}: {} foreign, {} duplicate, {} refused, {} lost, {} others; {served} of {asked} served; {} connections; \
@@ -153,7 +153,7 @@
         world.servers.connections(),
         late.longest()
     );
-    let told = |breach: &Breach| format!("{what}, seed {seed}: {breach}\n  {}", world.timeline(breach));
+    let told = |breach: &Violation| format!("{what}, seed {seed}: {breach}\n  {}", world.timeline(breach));
     let mut broken: Vec<String> = breaches.iter().map(told).collect();
     if (served as f64) < SERVED * asked as f64 {
         broken.push(format!("{what}, seed {seed}: {served} of {asked} requests served"));
