--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -15,7 +15,7 @@
 use glenwood_testkit::rig::{very_many, Plan, Rig, MEMBERS};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::{runtime, until};
-use peers::sockets;
+use peers::count_sockets;
 use serde_json::json;
 
 /// What a node logs before the address of the socket by which it asks keepers.
@@ -134,7 +134,7 @@
         let first = ask(&rig, 0, make("w", &left, false));
         until("it is at the gate", || rig.figure(0, "custody_guarded") == Some(guarded + 1));
         first.abort();
-        until("its node sees that it left", || sockets(Some(rig.address(0)), None) == 0);
+        until("its node sees that it left", || count_sockets(Some(rig.address(0)), None) == 0);
         rig.net.heal();
         let again = answer(ask(&rig, 1, make("w", &next, true)));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
@@ -165,9 +165,9 @@
         let waits = ask(&rig, 0, longer(make("w", &left, false)));
         until("its node has it", || rig.figure(0, "custody_mine") == Some(1));
         waits.abort();
-        until("its node sees that it left", || sockets(Some(rig.address(0)), None) == 1);
+        until("its node sees that it left", || count_sockets(Some(rig.address(0)), None) == 1);
         full.abort();
-        until("there is a place", || sockets(Some(rig.address(0)), None) == 0);
+        until("there is a place", || count_sockets(Some(rig.address(0)), None) == 0);
         let again = answer(ask(&rig, 1, longer(make("w", &next, true))));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
         assert_eq!((rig.ledger.of(&left).attempts, rig.ledger.runs_of_path(kind, "/w")), (0, 1), "{kind}");
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -372,7 +372,7 @@
 
 /// Plays that once; false where the request's connection came up before a check had told.
 fn goes_elsewhere_once_told(protocol: &str) -> bool {
-    let shut = Shut::new();
+    let shut = FullBacklogServer::new();
     let other = Peer::healthy("other");
     let mut late = host("s0", shut.address, "active", 1);
     if protocol == "msgpack-rpc" {
@@ -400,11 +400,11 @@
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("{protocol}-{}", clients.len()), 15_000));
         clients.push(client);
-        shut.waiting() > 0
+        shut.pending_connections() > 0
     });
     end.store(true, Ordering::SeqCst);
     let opened = Opened::by(protocol, shut);
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.hear().map(|a| a.body)).collect();
+    let answers: Vec<_> = clients.iter_mut().map(|client| client.receive().map(|a| a.body)).collect();
     if !opened.told_in_time() {
         return false;
     }
@@ -425,7 +425,7 @@
 struct Opened(Arc<Mutex<Vec<Came>>>);
 
 impl Opened {
-    fn by(protocol: &str, shut: Shut) -> Self {
+    fn by(protocol: &str, shut: FullBacklogServer) -> Self {
         let came: Arc<Mutex<Vec<Came>>> = Arc::default();
         let all = came.clone();
         let note = move |is_check: bool| {
@@ -433,7 +433,7 @@
             all.lock().expect("no panic").push(if is_check { Came::Check(now) } else { Came::Request(now) });
         };
         if protocol == "http" {
-            shut.open(move |message| {
+            shut.accept_with(move |message| {
                 let is_check = message.path() == "/health";
                 note(is_check);
                 Reply::Now(answer(if is_check { 503 } else { 200 }, "", "draining"))
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -52,15 +52,15 @@
 
 /// The node has no connection to that client any more.
 fn dropped(node: SocketAddr, client: SocketAddr) {
-    until("the node sees that its client left", || sockets(Some(node), Some(client)) == 0);
+    until("the node sees that its client left", || count_sockets(Some(node), Some(client)) == 0);
 }
 
 /// Opens the server, waits until no connection of the node's is on its way there, and has it serve one more request.
 /// Gives the ids of all that came.
-fn all_that_comes(node: &Node, shut: Shut) -> Vec<String> {
+fn all_that_comes(node: &Node, shut: FullBacklogServer) -> Vec<String> {
     let address = shut.address;
-    let server = shut.open(|_| Reply::Now(answer(200, "", "served")));
-    until("nobody waits for it", || sockets(None, Some(address)) == 0 || !server.seen().is_empty());
+    let server = shut.accept_with(|_| Reply::Now(answer(200, "", "served")));
+    until("nobody waits for it", || count_sockets(None, Some(address)) == 0 || !server.seen().is_empty());
     assert_eq!(Client::to(node).ask(&request("look", "last", 30_000)).status(), 200);
     server.seen().iter().map(|m| m.header("x-txn").unwrap_or_default().to_string()).collect()
 }
@@ -70,8 +70,8 @@
 /// be cancelled: what was never sent can be.
 #[test]
 fn whoever_left_while_it_waited_is_not_sent_on() {
-    for (how, cancel) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let shut = Shut::new();
+    for (how, cancel) in Disconnect::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+        let shut = FullBacklogServer::new();
         let registry = Registry::new(&[host("s0", shut.address, "active", 1)]);
         let node = traced("left", &patient(registry.address, cancel), "");
         let classes = ["look", "pay", "slip"].into_iter().cycle();
@@ -85,9 +85,9 @@
             })
             .collect();
         taken(&node, 34);
-        until("some have their turn", || shut.waiting() > 3);
+        until("some have their turn", || shut.pending_connections() > 3);
         let addresses: Vec<SocketAddr> = clients.iter().map(Client::address).collect();
-        let _kept: Vec<_> = clients.into_iter().map(|client| how.by(client.stream())).collect();
+        let _kept: Vec<_> = clients.into_iter().map(|client| how.apply(client.into_stream())).collect();
         addresses.into_iter().for_each(|client| dropped(node.address, client));
         assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}, attempts may be cancelled: {cancel}");
     }
@@ -96,8 +96,8 @@
 /// The same over MessagePack-RPC, with 36 calls on one connection each time, to servers of either protocol.
 #[test]
 fn whoever_left_while_it_waited_is_not_sent_on_over_msgpack_rpc() {
-    for (how, marked) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let shut = Shut::new();
+    for (how, marked) in Disconnect::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+        let shut = FullBacklogServer::new();
         let mut listed = host("s0", shut.address, "active", 1);
         if marked {
             listed["dial"] = json!(format!("msgpack-rpc://{}", shut.address));
@@ -110,8 +110,8 @@
         let client = stream.local_addr().expect("bound");
         stream.write_all(&written_calls(36)).expect("the node reads");
         taken(&node, 36);
-        until("some have their turn", || shut.waiting() > 0);
-        let _kept = how.by(stream);
+        until("some have their turn", || shut.pending_connections() > 0);
+        let _kept = how.apply(stream);
         dropped(at, client);
         if marked {
             // A connection stays on its way there, with no call on it: what comes first is none of theirs.
@@ -119,7 +119,7 @@
             let server = peer_of_calls(shut);
             assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
             assert_eq!(*server.lock().expect("no panic"), ["last"], "{how:?}");
-            until("one connection is enough", || sockets(None, Some(address)) <= 1);
+            until("one connection is enough", || count_sockets(None, Some(address)) <= 1);
         } else {
             assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}");
         }
@@ -144,7 +144,7 @@
 }
 
 /// A server of MessagePack-RPC that serves all, and says whom.
-fn peer_of_calls(shut: Shut) -> Arc<Mutex<Vec<String>>> {
+fn peer_of_calls(shut: FullBacklogServer) -> Arc<Mutex<Vec<String>>> {
     calls::serve(shut.into_listener(), |_| Ok(bytes::Bytes::from_static(b"served")))
 }
 
@@ -152,7 +152,7 @@
 /// is seen while the first is out, and the second is never sent.
 #[test]
 fn a_request_behind_another_does_not_hide_that_its_client_left() {
-    for (how, cancel, whole) in Leaving::ALL
+    for (how, cancel, whole) in Disconnect::ALL
         .into_iter()
         .flat_map(|how| [(how, false), (how, true)])
         .flat_map(|(how, cancel)| [(how, cancel, false), (how, cancel, true)])
@@ -173,7 +173,7 @@
         client.send(&format!("{}{behind}", request("look", "first", 40_000)));
         until("the first is out", || server.seen().len() == 1);
         let address = client.address();
-        let _kept = how.by(client.stream());
+        let _kept = how.apply(client.into_stream());
         dropped(node.address, address);
         gate.store(true, Ordering::SeqCst);
         assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
@@ -187,8 +187,8 @@
 /// and the rest stands unread in front of the end.
 #[test]
 fn a_body_that_waits_half_read_does_not_hide_that_its_client_left() {
-    for how in Leaving::ALL {
-        let shut = Shut::new();
+    for how in Disconnect::ALL {
+        let shut = FullBacklogServer::new();
         let registry = Registry::new(&[host("s0", shut.address, "active", 1)]);
         let mut config = patient(registry.address, false);
         // A quarter of it may be taken by bodies.
@@ -196,15 +196,15 @@
         let node = traced("body", &config, "");
         let client = Client::to(&node);
         let address = client.address();
-        let mut stream = client.stream();
+        let mut stream = client.into_stream();
         let head = request("slip", "long", 40_000).replace("Content-Length: 4", "Content-Length: 6000000");
         stream.write_all(head.as_bytes()).expect("the node reads");
         // More than is read before anybody wants it, and less than the kernel holds: what it can't hold would keep the end
         // of it at the client.
         stream.write_all(&[b'x'; 60_000]).expect("the node reads");
         taken(&node, 1);
-        until("it has its turn", || shut.waiting() == 1);
-        let _kept = how.by(stream);
+        until("it has its turn", || shut.pending_connections() == 1);
+        let _kept = how.apply(stream);
         dropped(node.address, address);
         assert_eq!(all_that_comes(&node, shut), ["last"], "{how:?}");
     }
@@ -226,7 +226,7 @@
     node.terminate();
     node.go_on();
     for client in &mut clients {
-        assert_eq!(client.hear().map(|answer| answer.status()), Some(200));
+        assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     }
     drop(clients);
     assert_eq!(node.exit_code(), Some(0));
@@ -238,7 +238,7 @@
 /// is not sent.
 #[test]
 fn each_request_has_one_answer_at_sigterm_whatever_its_state() {
-    let shut = Shut::new();
+    let shut = FullBacklogServer::new();
     let server = Peer::new(|message| match message.header("x-txn") {
         Some("sent") => Reply::Nothing,
         _ => Reply::Now(answer(200, "", "served")),
@@ -257,7 +257,7 @@
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("w{}", waits.len()), 40_000));
         waits.push(client);
-        shut.waiting() > 0
+        shut.pending_connections() > 0
     });
     // A new connection may say nothing for 1.8 s, and a body may pause for 2.2 s: what else is made ready first is not
     // counted.
@@ -273,7 +273,7 @@
     node.terminate();
     node.reload(&config.to_string());
     for (request, client) in [("sent", &mut sent), ("half", &mut half)] {
-        let status = client.hear().map(|answer| answer.status());
+        let status = client.receive().map(|answer| answer.status());
         assert!(
             [Some(502), Some(503)].contains(&status),
             "{request}: {status:?}, its body paused for {paused:?}, {}",
@@ -281,13 +281,13 @@
         );
     }
     for client in &mut waits {
-        let answer = client.hear().expect("an answer");
+        let answer = client.receive().expect("an answer");
         // The first of them may have gone to the other server, before the node was told that it left.
         assert!([200, 502, 503].contains(&answer.status()), "{}", answer.head);
     }
     assert_eq!(node.exit_code(), Some(0));
     // Nothing is left on its way to the one that let nobody in.
-    assert_eq!(shut.waiting(), 0);
+    assert_eq!(shut.pending_connections(), 0);
     let unsafe_sends = server.seen().iter().filter(|m| m.header("x-txn") == Some("sent")).count();
     assert_eq!(unsafe_sends, 1);
 }
@@ -320,7 +320,7 @@
     // How late this test is by now is not the node's affair.
     let went_on = Instant::now();
     for client in &mut clients {
-        assert_eq!(client.hear().map(|answer| answer.status()), Some(502));
+        assert_eq!(client.receive().map(|answer| answer.status()), Some(502));
     }
     assert_eq!(node.exit_code(), Some(0));
     assert!(went_on.elapsed() < Duration::from_millis(3700) - held_until, "{:?}", went_on.elapsed());
@@ -344,7 +344,7 @@
     let words = request("slip", "late", 25_000);
     let (first, rest) = words.split_at(words.len() - 1);
     late.send(first);
-    assert_eq!(open.hear().expect("an answer").status(), 502);
+    assert_eq!(open.receive().expect("an answer").status(), 502);
     let refused = late.ask(rest);
     assert_eq!((refused.status(), refused.header("connection")), (503, Some("close")));
     assert_eq!(node.exit_code(), Some(0));
@@ -515,7 +515,7 @@
         "/health" => Reply::Now(answer(200, "", "")),
         _ => Reply::ThenClose(Vec::new()),
     });
-    let shut = Shut::new();
+    let shut = FullBacklogServer::new();
     let hosts = [host("s0", first.address, "active", 1), host("s1", shut.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let mut config = config(registry.address);
@@ -527,13 +527,13 @@
         client.send(&request("pay", &format!("t{number}"), 15_000).replace("k1", &format!("k{number}")));
     }
     // One that began at the server that lets nobody in yet may be written there.
-    until("a repeat waits", || !first.seen().is_empty() && shut.waiting() > 0);
+    until("a repeat waits", || !first.seen().is_empty() && shut.pending_connections() > 0);
     let forgotten = Instant::now() + Duration::from_millis(700);
     std::thread::sleep(forgotten.saturating_duration_since(Instant::now()));
     let ran: Vec<String> =
         first.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
-    let late = shut.open(|_| Reply::Now(answer(200, "", "late")));
-    clients.iter_mut().for_each(|client| drop(client.hear()));
+    let late = shut.accept_with(|_| Reply::Now(answer(200, "", "late")));
+    clients.iter_mut().for_each(|client| drop(client.receive()));
     let again: Vec<String> =
         late.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
     assert!(ran.iter().all(|id| !again.contains(id)), "at the first {ran:?}, then {again:?}");
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -43,7 +43,7 @@
         let mut connection = Client::to(node);
         std::thread::sleep(PAUSE);
         connection.try_send(&request("look", &format!("{client}-{number}"), 9000)).is_err()
-            || connection.hear().map(|answer| answer.status()) != Some(200)
+            || connection.receive().map(|answer| answer.status()) != Some(200)
     };
     (0..REQUESTS).filter(is_lost).count()
 }
@@ -65,7 +65,7 @@
         }
         node.terminate();
         node.go_on();
-        let answers = clients.iter_mut().filter_map(Client::hear).filter(|answer| answer.status() == 200);
+        let answers = clients.iter_mut().filter_map(Client::receive).filter(|answer| answer.status() == 200);
         assert_eq!(answers.count(), 20, "seed {seed}");
     }
 }
--- a/crates/node/tests/large.rs
+++ b/crates/node/tests/large.rs
@@ -6,7 +6,9 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use peers::{answer, config, host, request, until, Client, Message, Node, Peer, Registry, Reply, PATIENCE};
+use peers::{
+    answer, config, host, request, until, Client, Message, Node, Peer, Registry, Reply, WAIT_TIMEOUT,
+};
 
 /// A body that no two places of are alike.
 fn body(length: usize) -> Vec<u8> {
@@ -40,7 +42,7 @@
 /// Asks on a connection of its own that ends with the answer; all that comes back.
 fn ask_raw(node: &Node, words: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(node.address).expect("the node listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let words = words.replacen("\r\n", "\r\nConnection: close\r\n", 1);
     stream.write_all(words.as_bytes()).expect("the node reads");
     let mut all = Vec::new();
@@ -178,7 +180,7 @@
     let stuck: Vec<TcpStream> = (0..40)
         .filter_map(|n| {
             let mut stream = TcpStream::connect(node.address).expect("the node listens");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
             stream.write_all(request("look", &format!("t{n}"), 20_000).as_bytes()).expect("the node reads");
             let mut some = vec![0; 1 << 20];
             stream.read_exact(&mut some).is_ok_and(|()| some.starts_with(b"HTTP/1.1 200")).then_some(stream)
@@ -229,7 +231,7 @@
     }
     assert!(began.elapsed() > Duration::from_millis(2900));
     client.send(&"x".repeat(100_000 - 4 - 35 * 2800));
-    assert_eq!(client.hear().map(|m| m.status()), Some(200));
+    assert_eq!(client.receive().map(|m| m.status()), Some(200));
 }
 
 #[test]
@@ -246,7 +248,7 @@
         let mut client = Client::to(&node);
         let began = Instant::now();
         client.send(&words);
-        assert!(client.ended_or_reset());
+        assert!(client.is_closed_or_reset());
         // What has come at once buys no time: by the pace alone the second would have six seconds.
         assert!(began.elapsed() < Duration::from_millis(4500), "{:?}", began.elapsed());
     }
@@ -264,7 +266,7 @@
     stream.write_all(head.as_bytes()).expect("the node reads");
     // Twice what a body may have at the most.
     let _ = (0..1200).try_for_each(|_| stream.write_all(chunk.as_bytes()));
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let mut all = Vec::new();
     let ended = stream.read_to_end(&mut all).map_err(|e| e.kind());
     assert!(matches!(ended, Ok(_) | Err(std::io::ErrorKind::ConnectionReset)), "{ended:?}");
@@ -291,7 +293,7 @@
             std::thread::sleep(Duration::from_millis(200));
             client.send(std::str::from_utf8(part).expect("text"));
         }
-        assert_eq!(client.hear().map(|m| m.status()), Some(200), "{end:?}");
+        assert_eq!(client.receive().map(|m| m.status()), Some(200), "{end:?}");
     }
 }
 
@@ -338,7 +340,7 @@
         client.send(&"x".repeat(5000));
     }
     assert!(began.elapsed() > Duration::from_millis(1900), "longer than the time that is left");
-    assert_eq!(client.hear().map(|m| m.status()), Some(200));
+    assert_eq!(client.receive().map(|m| m.status()), Some(200));
     assert_eq!(peer.seen().len(), 1);
 }
 
@@ -353,7 +355,7 @@
     told["settings"]["Limits"]["Probes"] = serde_json::json!(false);
     let node = Node::ready(&told);
     let mut stream = TcpStream::connect(node.address).expect("the node listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let mut out = stream.try_clone().expect("a socket");
     let writes = std::thread::spawn(move || {
         let _ = out.write_all(post("a", 10_000, "Content-Length: 30000000").as_bytes());
@@ -384,7 +386,7 @@
 impl Midway {
     fn reading(at: std::net::SocketAddr, txn: &str) -> Self {
         let mut stream = TcpStream::connect(at).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         stream.write_all(request("look", txn, 15_000).as_bytes()).expect("the node reads");
         let mut came = vec![0; 1 << 20];
         stream.read_exact(&mut came).expect("the first of it");
@@ -395,7 +397,7 @@
         // Made before it connects: who says nothing for long is closed, and so is a body that pauses for long.
         let all = body(32_000_000);
         let mut stream = TcpStream::connect(at).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         stream.write_all(post(txn, 15_000, "Content-Length: 32000000").as_bytes()).expect("the node reads");
         stream.write_all(&all[..16_000_000]).expect("the node reads");
         Self { stream, came: Vec::new(), owed: all[16_000_000..].to_vec() }
@@ -515,7 +517,7 @@
         until("the bodies are held", || old.peak_memory() - base > least);
         for client in &mut clients {
             client.send("x");
-            assert_eq!(client.hear().map(|m| m.status()), Some(200));
+            assert_eq!(client.receive().map(|m| m.status()), Some(200));
         }
         old.peak_memory() - base
     };
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -189,7 +189,7 @@
 /// A send that waits for its connection is not written to a server that drains meanwhile.
 #[test]
 fn a_drain_reaches_sends_that_wait_for_a_connection() {
-    let shut = Shut::new();
+    let shut = FullBacklogServer::new();
     let at_full = shut.address;
     let registry = Registry::new(&[host("s0", at_full, "active", 1)]);
     let mut config = config(registry.address);
@@ -206,8 +206,8 @@
     registry.tell(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
     // Known once others are served by the new one.
     until("the list is known", || Client::to(&node).ask(&request("look", "t2", 500)).status() == 200);
-    let late = shut.open(|_| Reply::Now(answer(200, "", "late")));
-    assert_eq!(client.hear().expect("an answer").body, b"good");
+    let late = shut.accept_with(|_| Reply::Now(answer(200, "", "late")));
+    assert_eq!(client.receive().expect("an answer").body, b"good");
     assert!(late.seen().is_empty(), "{:?}", late.seen());
 }
 
@@ -311,8 +311,8 @@
         Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
     });
     assert_eq!(Client::to(&node).ask(&request("slip", "after", 15_000)).status(), 200);
-    assert_eq!(slow.hear().expect("what was taken is answered").status(), 200);
-    assert!(kept.ended(), "idle connections are closed");
+    assert_eq!(slow.receive().expect("what was taken is answered").status(), 200);
+    assert!(kept.is_closed(), "idle connections are closed");
     assert_eq!(node.exit_code(), Some(0));
 }
 
@@ -379,7 +379,7 @@
         heard.status() == 503 && heard.header("retry-after") == Some("0.750")
     });
     for client in clients.iter_mut().take(6) {
-        assert_eq!(client.hear().expect("what was taken is answered").status(), 200);
+        assert_eq!(client.receive().expect("what was taken is answered").status(), 200);
     }
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -399,7 +399,7 @@
     until("the attempt is out", || server.seen().len() == 1);
     let told = Instant::now();
     node.terminate();
-    assert_eq!(client.hear().expect("an answer").status(), 502);
+    assert_eq!(client.receive().expect("an answer").status(), 502);
     assert!(told.elapsed() < Duration::from_millis(2500), "{:?}", told.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -465,7 +465,7 @@
     client.send(&request("slip", "t1", 25_000));
     until("the attempt is out", || server.seen().len() == 1);
     node.terminate();
-    assert_eq!(client.hear().expect("an answer").status(), 502);
+    assert_eq!(client.receive().expect("an answer").status(), 502);
     assert_eq!(node.exit_code(), Some(0));
 }
 
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -8,7 +8,7 @@
 
 use glenwood_trace::{Doing, Record};
 use peers::{
-    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Reply, PATIENCE,
+    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Reply, WAIT_TIMEOUT,
 };
 use serde_json::{json, Value};
 
@@ -25,7 +25,7 @@
 /// One call at a door; `None` where the connection ends without an answer.
 fn call_at(door: SocketAddr, head: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(door).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     stream.write_all(head.as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
@@ -382,18 +382,18 @@
     );
     until("the new settings count", || figure(door, "node_conf_loaded") == 1);
     half.send("work");
-    assert_eq!(half.hear().map(|m| m.status()), Some(200));
+    assert_eq!(half.receive().map(|m| m.status()), Some(200));
     assert_eq!(Client::to(&node).ask(&request("look", "c", 5000).replace("look", "other")).status(), 200);
     unsafe_half.send("work");
     // Both of its class wait there.
     (0..2).for_each(|_| go.send(()).expect("the server waits"));
     assert_eq!(
-        unsafe_half.hear().map(|m| m.status()),
+        unsafe_half.receive().map(|m| m.status()),
         Some(502),
         "never again, though the classes now are all safe"
     );
     assert_eq!(peer.seen().iter().filter(|m| m.header("x-txn") == Some("u")).count(), 1);
-    assert_eq!(under_way.hear().map(|m| (m.status(), m.body)), Some((200, b"served".to_vec())));
+    assert_eq!(under_way.receive().map(|m| (m.status(), m.body)), Some((200, b"served".to_vec())));
     assert_eq!((transactions(door, "slip", "answered"), transactions(door, "pay", "answered")), (1, 1));
     assert_eq!(transactions(door, "other", "answered"), 1);
 }
@@ -445,7 +445,7 @@
             client.send(&request("look", &format!("b{round}-{n}"), 5000));
         }
         for client in &mut kept {
-            let heard = client.hear().expect("an answer");
+            let heard = client.receive().expect("an answer");
             assert_eq!(heard.status(), 200);
             assert_eq!(heard.header("connection"), Some("close"), "it is sent to the new process");
         }
@@ -608,7 +608,7 @@
     }
     assert_eq!(registry.calls().len(), 2, "the list is not asked for anew");
     go.send(()).expect("the server waits");
-    assert_eq!(under_way.hear().map(|m| m.status()), Some(200), "its class is gone, it is not");
+    assert_eq!(under_way.receive().map(|m| m.status()), Some(200), "its class is gone, it is not");
     assert_eq!(old.exit_code(), Some(0));
     assert_eq!(peer.seen().len(), 9, "each was carried out once");
     let _ = std::fs::remove_dir_all(folder);
@@ -642,7 +642,7 @@
         let mut client = Client::to(&node);
         move || {
             client.send(&request("look", "t", 20_000));
-            client.hear().map(|_| asked.elapsed())
+            client.receive().map(|_| asked.elapsed())
         }
     });
     let (mut longest, mut calls) = (Duration::ZERO, 0);
@@ -693,7 +693,7 @@
     // The log is read on a thread of its own.
     until("it says why", || node.logged(" NoServer"));
     let address = refused.address();
-    refused.leave();
+    refused.disconnect();
     for (client, reason) in [(address, "Over"), (silent.address(), "Silent")] {
         until(reason, || node.logged(&format!("close {client} {reason}")));
     }
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -22,13 +22,13 @@
 pub mod strays;
 
 /// Timeout of every wait for an expected event; far longer than any of them takes, even on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Polls a condition until it holds; panics after [`PATIENCE`].
+/// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "timed out waiting for: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -631,28 +631,28 @@
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
+pub enum Disconnect {
     /// Closes the connection.
-    Closes,
+    Close,
     /// Shuts down its sending side (FIN) and keeps the socket open.
-    SaysEnd,
+    HalfClose,
     /// Resets the connection (RST).
-    Resets,
+    Reset,
 }
 
-impl Leaving {
-    pub const ALL: [Self; 3] = [Self::Closes, Self::SaysEnd, Self::Resets];
+impl Disconnect {
+    pub const ALL: [Self; 3] = [Self::Close, Self::HalfClose, Self::Reset];
 
     /// Disconnects. Keep the returned stream for as long as the node is to see this state: dropping it
     /// closes a half-closed connection.
-    pub fn by(self, stream: TcpStream) -> Option<TcpStream> {
+    pub fn apply(self, stream: TcpStream) -> Option<TcpStream> {
         match self {
-            Self::Closes => None,
-            Self::SaysEnd => {
+            Self::Close => None,
+            Self::HalfClose => {
                 stream.shutdown(std::net::Shutdown::Write).expect("failed to shut down");
                 Some(stream)
             }
-            Self::Resets => {
+            Self::Reset => {
                 socket2::SockRef::from(&stream)
                     .set_linger(Some(Duration::ZERO))
                     .expect("failed to set linger");
@@ -664,7 +664,7 @@
 
 /// Counts the sockets of this machine with these local and remote addresses, where given, that are connected
 /// or connecting. One whose own side has closed does not count; one that only the remote side closed does.
-pub fn sockets(local: Option<SocketAddr>, remote: Option<SocketAddr>) -> usize {
+pub fn count_sockets(local: Option<SocketAddr>, remote: Option<SocketAddr>) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read the socket table");
     let address = |text: &str| {
         let (ip, port) = text.split_once(':').expect("invalid address");
@@ -684,14 +684,14 @@
 }
 
 /// A server that accepts no connections yet: its backlog is full, so connecting to it completes only after
-/// [`Shut::open`] or [`Shut::into_listener`].
-pub struct Shut {
+/// [`FullBacklogServer::accept_with`] or [`FullBacklogServer::into_listener`].
+pub struct FullBacklogServer {
     listener: TcpListener,
     pub address: SocketAddr,
     backlog_fillers: Vec<TcpStream>,
 }
 
-impl Shut {
+impl FullBacklogServer {
     pub fn new() -> Self {
         // While the backlog is full, the kernel completes no further connection until one is accepted.
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
@@ -706,12 +706,12 @@
     }
 
     /// Number of connections in progress, without those that fill the backlog.
-    pub fn waiting(&self) -> usize {
-        sockets(None, Some(self.address)) - self.backlog_fillers.len()
+    pub fn pending_connections(&self) -> usize {
+        count_sockets(None, Some(self.address)) - self.backlog_fillers.len()
     }
 
     /// Starts to accept, as a scripted server.
-    pub fn open(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Peer {
+    pub fn accept_with(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Peer {
         Peer::with_listener(self.into_listener(), script)
     }
 
@@ -740,7 +740,7 @@
     /// Connects; returns an error if the node accepts no connection.
     pub fn try_at(address: SocketAddr) -> std::io::Result<Self> {
         let writer = TcpStream::connect(address)?;
-        writer.set_read_timeout(Some(PATIENCE)).expect("failed to set a timeout");
+        writer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("failed to set a timeout");
         let reader = BufReader::new(writer.try_clone().expect("failed to clone the socket"));
         Ok(Self { writer, reader })
     }
@@ -760,29 +760,29 @@
     }
 
     /// The underlying stream.
-    pub fn stream(self) -> TcpStream {
+    pub fn into_stream(self) -> TcpStream {
         self.writer
     }
 
     /// Closes the connection in both directions.
-    pub fn leave(&self) {
+    pub fn disconnect(&self) {
         // Fails if the connection has ended already.
         let _ = self.writer.shutdown(std::net::Shutdown::Both);
     }
 
     /// Reads the next response; `None` if the connection ends first.
-    pub fn hear(&mut self) -> Option<Message> {
+    pub fn receive(&mut self) -> Option<Message> {
         read_message(&mut self.reader, 0)
     }
 
     /// Sends a request and reads its response.
     pub fn ask(&mut self, data: &str) -> Message {
         self.send(data);
-        self.hear().expect("no response")
+        self.receive().expect("no response")
     }
 
     /// Waits for the end of the connection; whether the node closed it, or reset it because of unread data.
-    pub fn ended_or_reset(&mut self) -> bool {
+    pub fn is_closed_or_reset(&mut self) -> bool {
         match self.reader.read(&mut [0; 64]) {
             Ok(n) => n == 0,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
@@ -790,7 +790,7 @@
     }
 
     /// Waits for the end of the connection; whether the node closed it cleanly.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
 }
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -132,7 +132,7 @@
             let id = format!("n{node_number}-{number}-{count}");
             let (at, remaining) = (Instant::now(), dice.between(600, 2_500));
             client.send(&request("look", &id, remaining.as_millis() as u64));
-            let answer = client.hear();
+            let answer = client.receive();
             let end = Outcome::from_response(answer.as_ref(), &id, false);
             self.record.add_request(ClientRequest {
                 id,
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -133,7 +133,7 @@
     let moved = [host("s0", b.address, "active", 1)];
     registry.tell(2, &moved, &moved);
     until("the move is known", || Client::to(&node).ask(&request("look", "t2", 15_000)).body == b"new");
-    assert_eq!(slow.hear().expect("an answer").body, b"old");
+    assert_eq!(slow.receive().expect("an answer").body, b"old");
     for n in 0..4 {
         let heard = Client::to(&node).ask(&request("slip", &format!("n{n}"), 15_000));
         assert_eq!(heard.body, b"new", "request {n}");
@@ -185,15 +185,15 @@
     ] {
         let mut client = Client::to(&node);
         client.send(&format!("{start}{framing}\r\n0\r\n\r\n{hidden}"));
-        assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
-        assert!(client.hear().is_none(), "{framing}: nothing more is answered");
+        assert_eq!(client.receive().expect("an answer").status(), 400, "{framing}");
+        assert!(client.receive().is_none(), "{framing}: nothing more is answered");
         // The same behind a good request, in one write.
         let mut client = Client::to(&node);
         let good = request("look", "good", 15_000);
         client.send(&format!("{good}{start}{framing}\r\n0\r\n\r\n{hidden}"));
-        assert_eq!(client.hear().expect("an answer").status(), 200, "{framing}");
-        assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
-        assert!(client.hear().is_none(), "{framing}: nothing more is answered");
+        assert_eq!(client.receive().expect("an answer").status(), 200, "{framing}");
+        assert_eq!(client.receive().expect("an answer").status(), 400, "{framing}");
+        assert!(client.receive().is_none(), "{framing}: nothing more is answered");
     }
     assert!(server.seen().iter().all(|m| m.header("x-txn") == Some("good")), "{:?}", server.seen());
     // Chunks alone are as good as a length.
@@ -216,7 +216,7 @@
     first.send(&request("slip", "t1", 15_000));
     until("the first is out", || server.seen().len() == 1);
     assert_eq!(second.ask(&request("slip", "t1", 15_000)).status(), 409);
-    assert_eq!(first.hear().expect("an answer").status(), 200);
+    assert_eq!(first.receive().expect("an answer").status(), 200);
     assert_eq!(server.seen().len(), 1);
     assert_eq!(second.ask(&request("look", "t1", 15_000)).status(), 200);
     let body = request("look", "t2", 15_000).replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nwork");
@@ -240,9 +240,9 @@
         let start = Instant::now();
         client.send(&words);
         if served {
-            assert_eq!(client.hear().expect("an answer").status(), 200);
+            assert_eq!(client.receive().expect("an answer").status(), 200);
         }
-        assert!(client.ended_or_reset(), "{words}");
+        assert!(client.is_closed_or_reset(), "{words}");
         assert!(start.elapsed() < Duration::from_secs(8), "{words}: {:?}", start.elapsed());
     }
 }
@@ -293,7 +293,7 @@
     let mut most = 0;
     for (n, mut client) in clients.into_iter().enumerate() {
         most = most.max(node.descriptors());
-        assert_eq!(client.hear().expect("an answer").status(), 200, "request {n}");
+        assert_eq!(client.receive().expect("an answer").status(), 200, "request {n}");
     }
     assert!(most <= 40, "{most} of 40");
 }
@@ -318,7 +318,7 @@
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     for client in &mut clients {
-        assert_eq!(client.hear().expect("an answer").status(), 200);
+        assert_eq!(client.receive().expect("an answer").status(), 200);
     }
     assert_eq!(server.open_connections(), 5);
     silent.store(true, Ordering::SeqCst);
@@ -346,7 +346,7 @@
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     for client in &mut clients {
-        assert_eq!(client.hear().expect("an answer").status(), 200);
+        assert_eq!(client.receive().expect("an answer").status(), 200);
     }
     silent.store(true, Ordering::SeqCst);
     let began = Instant::now();
@@ -362,13 +362,13 @@
     });
     assert!(began.elapsed() < Duration::from_millis(6500), "{:?}", began.elapsed());
     for client in &mut clients {
-        assert_ne!(client.hear().expect("an answer").status(), 200);
+        assert_ne!(client.receive().expect("an answer").status(), 200);
     }
     for (n, client) in clients.iter_mut().enumerate().take(6) {
         client.send(&request("slip", &format!("later{n}"), 15_000));
     }
     for client in clients.iter_mut().take(6) {
-        assert_eq!(client.hear().expect("an answer").status(), 200, "its limit has not fallen");
+        assert_eq!(client.receive().expect("an answer").status(), 200, "its limit has not fallen");
     }
 }
 
@@ -397,7 +397,7 @@
     assert!((30..60).contains(&closed), "{closed} of 60 were closed");
     let heard = used.ask(&request("look", "again", 15_000));
     assert_eq!((heard.status(), heard.header("connection")), (200, None), "one that is used stays");
-    assert!(once[0].ended(), "one that is not used again is let go");
+    assert!(once[0].is_closed(), "one that is not used again is let go");
     let heard = used.ask(&request("look", "later", 15_000));
     assert_eq!((heard.status(), heard.header("connection")), (200, None), "one that was used twice stays");
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -207,11 +207,11 @@
     }
     if dice.one_in(20) {
         std::thread::sleep(dice.between(0, 60));
-        client.leave();
+        client.disconnect();
         record(Outcome::Left { at: Instant::now() });
         return false;
     }
-    let answer = client.hear();
+    let answer = client.receive();
     record(Outcome::from_response(answer.as_ref(), &id, stops()));
     answer.is_some_and(|answer| answer.header("connection") != Some("close"))
 }
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -158,7 +158,7 @@
         let (id, remaining) = (format!("c{number}-{count}"), dice.between(600, 2500));
         let at = Instant::now();
         client.send(&request(class, &id, remaining.as_millis() as u64).replace("k1", &id));
-        let answer = client.hear();
+        let answer = client.receive();
         let end = Outcome::from_response(answer.as_ref(), &id, false);
         world.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
         if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -92,7 +92,7 @@
             let words = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
             let at = Instant::now();
             client.send(&words);
-            let answer = client.hear();
+            let answer = client.receive();
             let end = Outcome::from_response(answer.as_ref(), &id, false);
             self.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
