--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -51,7 +51,7 @@
     let words = [" call", " asking", " answering", " version", " watch-ended", "list ", " probe"];
     let of_requests = [" send ", " end ", " explain ", " entry "];
     let about = |line: &str| words.iter().chain(&of_requests).any(|word| line.contains(word));
-    let lines = node.log_of(about);
+    let lines = node.grep_log(about);
     lines[lines.len().saturating_sub(TIMELINE)..].join("\n")
 }
 
@@ -347,7 +347,7 @@
     until("the watch stands", || lists.watches() == 1);
     end.store(true, Ordering::SeqCst);
     until("it is opened anew", || lists.watches() == 2);
-    let probes = || node.log_lines(" probe ");
+    let probes = || node.count_log_lines(" probe ");
     let before = probes();
     let began = Instant::now();
     let _ = last_served_by(b"served", &node, began + Duration::from_millis(3500));
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -47,7 +47,7 @@
 }
 
 fn taken(node: &Node, count: usize) {
-    until("all are taken", || node.log_lines(" ask ") == count);
+    until("all are taken", || node.count_log_lines(" ask ") == count);
 }
 
 /// The node has no connection to that client any more.
@@ -105,7 +105,7 @@
         let registry = Registry::new(&[listed]);
         let rpc = "[msgpack]\nlisten = '127.0.0.1:0'\nopen_calls = 36\n";
         let node = traced("left-rpc", &patient(registry.address, false), rpc);
-        let at: SocketAddr = node.said("takes MessagePack-RPC at ").parse().expect("an address");
+        let at: SocketAddr = node.log_text_after("takes MessagePack-RPC at ").parse().expect("an address");
         let mut stream = TcpStream::connect(at).expect("the node listens");
         let client = stream.local_addr().expect("bound");
         stream.write_all(&written_calls(36)).expect("the node reads");
@@ -217,14 +217,14 @@
     let server = Peer::healthy("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
-    node.stand_still();
+    node.suspend();
     let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     node.terminate();
     node.terminate();
-    node.go_on();
+    node.resume();
     for client in &mut clients {
         assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     }
@@ -267,7 +267,7 @@
     half.send(first);
     let began = Instant::now();
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     half.send(rest);
     let paused = began.elapsed();
     node.terminate();
@@ -277,7 +277,7 @@
         assert!(
             [Some(502), Some(503)].contains(&status),
             "{request}: {status:?}, its body paused for {paused:?}, {}",
-            node.log_of(|_| true).join("\n")
+            node.grep_log(|_| true).join("\n")
         );
     }
     for client in &mut waits {
@@ -309,14 +309,14 @@
         .collect();
     until("they are sent", || server.seen().len() == 3);
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     let told = Instant::now();
     // What is open is failed 3.2 s after it was told to stop, the process ends after 3.5 s, and SIGKILL may come after 3.7 s.
     std::thread::sleep(Duration::from_millis(3100));
-    node.stand_still();
+    node.suspend();
     let held_until = Duration::from_millis(3510);
     std::thread::sleep(held_until.saturating_sub(told.elapsed()));
-    node.go_on();
+    node.resume();
     // How late this test is by now is not the node's affair.
     let went_on = Instant::now();
     for client in &mut clients {
@@ -337,7 +337,7 @@
     open.send(&request("slip", "open", 25_000));
     until("the attempt is out", || server.seen().len() == 1);
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     // It has its time to come whole, which begins after the node was told to stop.
     std::thread::sleep(Duration::from_millis(1500));
     let mut late = Client::to(&node);
@@ -481,7 +481,7 @@
     });
     let node = Node::ready(&config(lists.address));
     until("the news count", || Client::to(&node).ask(&request("look", "t1", 9000)).body == b"b");
-    assert_eq!((lists.watches(), node.log_lines("is not taken")), (2, 1));
+    assert_eq!((lists.watches(), node.count_log_lines("is not taken")), (2, 1));
 }
 
 /// Discovery moves while a call to the old address is out that is never answered, whether the list is asked for or pushed: what
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -58,13 +58,13 @@
             &config(registry.address),
             &Plan::new(seed).fails(Call::Accept, OFTEN, &ACCEPT),
         );
-        node.stand_still();
+        node.suspend();
         let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send(&request("slip", &format!("t{n}"), 15_000));
         }
         node.terminate();
-        node.go_on();
+        node.resume();
         let answers = clients.iter_mut().filter_map(Client::receive).filter(|answer| answer.status() == 200);
         assert_eq!(answers.count(), 20, "seed {seed}");
     }
@@ -104,7 +104,7 @@
         let mut node = Node::ready_with_faults(&config, &plan);
         for reload in 1..=5 {
             node.reload(&config.to_string());
-            until("the configuration is taken", || node.log_lines("reload: discovery is") == reload);
+            until("the configuration is taken", || node.count_log_lines("reload: discovery is") == reload);
             let id = format!("t{reload}");
             assert_eq!(Client::to(&node).ask(&request("look", &id, 9000)).status(), 200, "seed {seed}");
         }
--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -242,7 +242,7 @@
             return String::new();
         };
         let ends = format!(" {id}");
-        let taken = process.node.log_of(|line| line.contains(" id ") && line.ends_with(&ends));
+        let taken = process.node.grep_log(|line| line.contains(" id ") && line.ends_with(&ends));
         let number = taken.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let about = |line: &str| {
             let of_request = [" ask ", " send ", " end ", " answer ", " id "];
@@ -252,7 +252,7 @@
                     .iter()
                     .any(|word| line.contains(word))
         };
-        process.node.log_of(about).join("\n  ")
+        process.node.grep_log(about).join("\n  ")
     }
 
     /// Has the node at that address taken a request of that id?
@@ -260,7 +260,7 @@
         let processes = self.processes.read().expect("no panic");
         let ends = format!(" {id}");
         let of = processes.iter().find(|p| p.node.address == address);
-        of.is_some_and(|p| !p.node.log_of(|line| line.contains(" id ") && line.ends_with(&ends)).is_empty())
+        of.is_some_and(|p| !p.node.grep_log(|line| line.contains(" id ") && line.ends_with(&ends)).is_empty())
     }
 }
 
@@ -329,9 +329,9 @@
     world.registry.down(true);
     at(3300 + dice.below(300));
     let (held, from) = (world.process(STANDS_STILL), Instant::now());
-    held.node.stand_still();
+    held.node.suspend();
     std::thread::sleep(MAX_PAUSE);
-    held.node.go_on();
+    held.node.resume();
     world.record.add_pause(Pause { node: held.node.address, from, until: Instant::now() });
     at(4000 + dice.below(200));
     world.registry.down(false);
--- a/crates/node/tests/large.rs
+++ b/crates/node/tests/large.rs
@@ -436,7 +436,7 @@
         let told = config(registry.address);
         let old = Node::started_in(&folder, &told).wait_listening();
         old.wait_ready();
-        old.wait_said("can hand its listening sockets on");
+        old.wait_for_log("can hand its listening sockets on");
         let mut beside = told.clone();
         beside["listen"] = serde_json::json!(old.address.to_string());
         // They are the old one's, as no other is there yet.
@@ -444,7 +444,7 @@
         let new = Node::started_in(&folder, &beside).wait_listening();
         new.wait_ready();
         old.terminate();
-        old.wait_said("stops: it was told to");
+        old.wait_for_log("stops: it was told to");
         assert_eq!(midway.1.whole(), Some((200, b"32000000".to_vec())));
         assert_eq!(
             midway.0.whole().map(|(status, got)| (status, got == body(32_000_000))),
@@ -497,7 +497,7 @@
     told["limits"]["memory_mb"] = serde_json::json!(96);
     let old = Node::started_in(&folder, &told).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     // Opened before there is another to take them.
     let open = || (0..6).map(|_| Client::at(old.address)).collect::<Vec<_>>();
     let mut kept = open();
@@ -506,7 +506,7 @@
     }
     told["listen"] = serde_json::json!(old.address.to_string());
     let mut new = Node::started_in(&folder, &told).wait_listening();
-    until("they have met", || old.logged("another process has the listening sockets too"));
+    until("they have met", || old.log_contains("another process has the listening sockets too"));
     // The last bytes come once so much more is held: what the kernel has of a body the node does not hold yet.
     let round = |name: &str, mut clients: Vec<Client>, least: usize| {
         let base = old.peak_memory();
@@ -524,7 +524,7 @@
     let beside = round("b", kept, 6 << 20);
     assert!(beside < 16 << 20, "{beside} bytes of {}", 24 << 20);
     new.kill();
-    until("it is missed", || old.logged("the other process is gone"));
+    until("it is missed", || old.log_contains("the other process is gone"));
     // It is alone again.
     round("c", open(), 3 << 20);
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -245,7 +245,7 @@
     registry.say("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
     until("the whole list is asked for", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
     until("it counts", || Client::to(&node).ask(&request("look", "t1", 15_000)).body == b"b");
-    assert!(node.logged("unreadable"));
+    assert!(node.log_contains("unreadable"));
 }
 
 /// A client that leaves has its attempts called off.
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -19,7 +19,7 @@
 
 /// Where operators ask this node.
 fn door(node: &Node) -> SocketAddr {
-    node.said(" answers operators at ").parse().expect("an address")
+    node.log_text_after(" answers operators at ").parse().expect("an address")
 }
 
 /// One call at a door; `None` where the connection ends without an answer.
@@ -222,7 +222,7 @@
     let folder = folder("takes-over");
     let mut old = Node::started_in(&folder, &told).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     told["listen"] = json!(old.address.to_string());
     let asked = std::sync::atomic::AtomicUsize::new(0);
     let over = std::sync::atomic::AtomicBool::new(false);
@@ -281,8 +281,8 @@
     told["listen"] = json!(first.address.to_string());
     registry.down(true);
     let second = Node::started(&told);
-    until("it is up", || second.logged("another process listens at"));
-    let door = second.wait_said(" answers operators at ").parse().expect("an address");
+    until("it is up", || second.log_contains("another process listens at"));
+    let door = second.wait_for_log(" answers operators at ").parse().expect("an address");
     assert_eq!(get(door, "/ready").0, 503);
     for n in 0..40 {
         assert_eq!(Client::to(&first).ask(&request("look", &format!("t{n}"), 5000)).status(), 200);
@@ -342,7 +342,7 @@
     }
     assert_eq!(figure(door, "node_conf_loaded"), 1);
     assert_eq!(registry.calls().len(), calls, "the list is not asked for anew");
-    assert!(node.logged("Slo") && node.logged("the old configuration stays"));
+    assert!(node.log_contains("Slo") && node.log_contains("the old configuration stays"));
     // Its counts run from the process's start, though its name is no class any more.
     assert_eq!(transactions(door, "slip", "answered"), 1);
     assert_eq!(transactions(door, "look-next", "answered"), 1);
@@ -423,7 +423,7 @@
     }
     let mut old = Node::started_in(&folder, &told).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     let told = beside(&told, &old);
     for round in 0..2 {
         // More than the old one would keep free: left to itself it refuses some of them.
@@ -434,7 +434,7 @@
         let new = Node::started_in(&folder, &told).wait_listening();
         let door = door(&new);
         until("the new process says yes", || get(door, "/ready").0 == 200);
-        assert!(old.logged("another process has the listening sockets too"));
+        assert!(old.log_contains("another process has the listening sockets too"));
         old.terminate();
         until("it stops", || {
             call_at(self::door(&old), "GET /ready HTTP/1.1\r\n\r\n").is_none_or(|a| a.0 == 503)
@@ -475,15 +475,15 @@
     // It can't serve, and so never listens.
     registry.down(true);
     let mut second = Node::started_in(&folder, &told);
-    until("the second has met it", || old.logged("another process has the listening sockets too"));
+    until("the second has met it", || old.log_contains("another process has the listening sockets too"));
     let third = Node::started_in(&folder, &told);
-    third.wait_said("another process listens at");
-    assert_eq!(old.log_lines("another process has"), 1, "one at a time");
+    third.wait_for_log("another process listens at");
+    assert_eq!(old.count_log_lines("another process has"), 1, "one at a time");
     for n in 0..40 {
         assert_eq!(Client::to(&old).ask(&request("look", &format!("a{n}"), 5000)).status(), 200);
     }
     second.kill();
-    until("it is missed", || old.logged("the other process is gone"));
+    until("it is missed", || old.log_contains("the other process is gone"));
     drop(third);
     for n in 0..40 {
         assert_eq!(Client::to(&old).ask(&request("look", &format!("b{n}"), 5000)).status(), 200);
@@ -491,7 +491,7 @@
     registry.down(false);
     let fourth = Node::started_in(&folder, &told).wait_listening();
     until("the fourth says yes", || get(door(&fourth), "/ready").0 == 200);
-    assert_eq!(old.log_lines("another process has"), 2);
+    assert_eq!(old.count_log_lines("another process has"), 2);
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -502,7 +502,7 @@
     let registry = one_server(&peer);
     let told = with_door(config(registry.address));
     let mut first = Node::started_in(&folder, &told).wait_listening();
-    first.wait_said("can hand its listening sockets on");
+    first.wait_for_log("can hand its listening sockets on");
     let told = beside(&told, &first);
     first.kill();
     let left: Vec<_> = std::fs::read_dir(&folder).expect("a folder").flatten().collect();
@@ -511,7 +511,7 @@
     assert_eq!(mode & 0o777, 0o600, "who may connect is given the clients' sockets");
     let second = Node::started_in(&folder, &told).wait_listening();
     second.wait_ready();
-    second.wait_said("can hand its listening sockets on");
+    second.wait_for_log("can hand its listening sockets on");
     assert_eq!(Client::to(&second).ask(&request("look", "a", 5000)).status(), 200);
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -575,7 +575,7 @@
     let told = with_door(config(registry.address));
     let mut old = Node::started_in(&folder, &told).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     let (told, door_of_old) = (beside(&told, &old), door(&old));
     // One that the old process has taken stays its own to the end.
     let mut under_way = Client::to(&old);
@@ -591,11 +591,11 @@
         let text = with_classes(&told, &[(class, "pure"), ("look", "pure")]).to_string();
         if signal == 2 {
             old.terminate();
-            old.wait_said("stops: it was told to");
+            old.wait_for_log("stops: it was told to");
         }
         for node in [&old, &new] {
             node.reload(&text);
-            node.wait_said("reload: discovery is");
+            node.wait_for_log("reload: discovery is");
         }
         until("both count it", || {
             [door_of_old, door(&new)].iter().all(|at| figure(*at, "node_conf_loaded") == signal)
@@ -670,13 +670,13 @@
     let odd = "a-\"quoted\"-{id}";
     assert_eq!(Client::to(&node).ask(&request("look", odd, 9000)).status(), 200);
     let records = || -> Vec<Record> {
-        node.log_of(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
+        node.grep_log(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
     };
     until("it is answered", || records().iter().any(|r| matches!(r.doing, Doing::Answer { .. })));
     let named = |r: &Record| matches!(&r.doing, Doing::Id { id, .. } if id == odd);
     assert!(records().iter().any(named), "{:?}", records());
     assert!(records().iter().any(|r| matches!(&r.doing, Doing::Send { server, .. } if server == "s0")));
-    assert!(!node.logged("trace "), "no other form beside it");
+    assert!(!node.log_contains("trace "), "no other form beside it");
 }
 
 /// The trace says why a request is refused, and why a client's connection ends.
@@ -691,10 +691,10 @@
     let mut refused = Client::to(&node);
     assert_eq!(refused.ask(&request("look", "refused", 9000)).status(), 503);
     // The log is read on a thread of its own.
-    until("it says why", || node.logged(" NoServer"));
+    until("it says why", || node.log_contains(" NoServer"));
     let address = refused.address();
     refused.disconnect();
     for (client, reason) in [(address, "Over"), (silent.address(), "Silent")] {
-        until(reason, || node.logged(&format!("close {client} {reason}")));
+        until(reason, || node.log_contains(&format!("close {client} {reason}")));
     }
 }
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -452,7 +452,7 @@
 
     fn start(prepared: (Command, String)) -> Self {
         let mut node = Self::spawn_child(prepared);
-        node.address = node.wait_said(" listens at ").parse().expect("invalid address");
+        node.address = node.wait_for_log(" listens at ").parse().expect("invalid address");
         node
     }
 
@@ -465,7 +465,7 @@
 
     /// Waits until the node listens.
     pub fn wait_listening(mut self) -> Self {
-        self.address = self.wait_said(" listens at ").parse().expect("invalid address");
+        self.address = self.wait_for_log(" listens at ").parse().expect("invalid address");
         self
     }
 
@@ -494,13 +494,13 @@
     }
 
     /// Waits until a line of the log contains the pattern; returns the rest of the line after it.
-    pub fn wait_said(&self, pattern: &str) -> String {
-        until(pattern, || self.logged(pattern));
-        self.said(pattern)
+    pub fn wait_for_log(&self, pattern: &str) -> String {
+        until(pattern, || self.log_contains(pattern));
+        self.log_text_after(pattern)
     }
 
     /// The rest of the first line of the log that contains the pattern, after the pattern.
-    pub fn said(&self, pattern: &str) -> String {
+    pub fn log_text_after(&self, pattern: &str) -> String {
         let lines = self.log.lock().expect("mutex poisoned");
         let line = lines.iter().find_map(|l| Some(l.split_once(pattern)?.1.to_string()));
         line.expect("no such line in the log")
@@ -520,18 +520,18 @@
     }
 
     /// Whether a line of the log contains the pattern.
-    pub fn logged(&self, pattern: &str) -> bool {
+    pub fn log_contains(&self, pattern: &str) -> bool {
         self.log.lock().expect("mutex poisoned").iter().any(|l| l.contains(pattern))
     }
 
     /// The lines of the log that the predicate selects.
-    pub fn log_of(&self, is_selected: impl Fn(&str) -> bool) -> Vec<String> {
+    pub fn grep_log(&self, is_selected: impl Fn(&str) -> bool) -> Vec<String> {
         let log = self.log.lock().expect("mutex poisoned");
         log.iter().filter(|line| is_selected(line)).cloned().collect()
     }
 
     /// Number of lines of the log that contain the pattern.
-    pub fn log_lines(&self, pattern: &str) -> usize {
+    pub fn count_log_lines(&self, pattern: &str) -> usize {
         self.log.lock().expect("mutex poisoned").iter().filter(|l| l.contains(pattern)).count()
     }
 
@@ -548,13 +548,13 @@
         self.signal("-HUP");
     }
 
-    /// Stops the process (SIGSTOP) until [`Node::go_on`].
-    pub fn stand_still(&self) {
+    /// Stops the process (SIGSTOP) until [`Node::resume`].
+    pub fn suspend(&self) {
         self.signal("-STOP");
     }
 
     /// Continues a stopped process (SIGCONT).
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -154,7 +154,7 @@
         let of_list = [" call", " asking", " answering", " watch-ended", " version"];
         let about = |line: &str| line.contains(&server) || of_list.iter().any(|word| line.contains(word));
         let ends = format!(" {}", sent.id);
-        let lines = self.nodes[node].log_of(|line| about(line) || line.ends_with(&ends));
+        let lines = self.nodes[node].grep_log(|line| about(line) || line.ends_with(&ends));
         let until = lines.iter().position(|line| line.ends_with(&ends)).unwrap_or(lines.len());
         lines[until.saturating_sub(TIMELINE)..(until + 2).min(lines.len())].join("\n  ")
     }
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -29,7 +29,7 @@
     for bad in ["{", "{}", &moved(new.address).replace("127.0.0.1:", "nowhere:")] {
         node.reload(bad);
     }
-    until("the bad file is logged", || node.logged("the old configuration stays"));
+    until("the bad file is logged", || node.log_contains("the old configuration stays"));
     assert_eq!(ask(&node).body, b"a");
     // The new address is down at first: the old list serves.
     new.down(true);
@@ -75,7 +75,7 @@
     let calls = agent.calls().len();
     until("it is asked again while it is down", || agent.calls().len() >= calls + 4);
     assert_eq!(ask(&node), b"b", "the last list serves");
-    assert!(node.log_lines("discovery:") <= 2, "hours of this must not flood the log");
+    assert!(node.count_log_lines("discovery:") <= 2, "hours of this must not flood the log");
     agent.tell(3, &at_a, &at_a);
     agent.down(false);
     until("what changed meanwhile counts", || ask(&node) == b"a");
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -149,7 +149,7 @@
             return String::new();
         };
         let ends = format!(" {id}");
-        let taken = process.node.log_of(|line| line.contains(" id ") && line.ends_with(&ends));
+        let taken = process.node.grep_log(|line| line.contains(" id ") && line.ends_with(&ends));
         let number = taken.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let about = |line: &str| {
             let of_request = [" ask ", " send ", " end ", " answer ", " id ", " doubted "];
@@ -158,14 +158,14 @@
                     .iter()
                     .any(|word| line.contains(word))
         };
-        process.node.log_of(about).join("\n  ")
+        process.node.grep_log(about).join("\n  ")
     }
 
     fn has_taken(&self, address: SocketAddr, id: &str) -> bool {
         let processes = self.processes.read().expect("no panic");
         let ends = format!(" {id}");
         let of = processes.iter().find(|p| p.node.address == address);
-        of.is_some_and(|p| !p.node.log_of(|line| line.contains(" id ") && line.ends_with(&ends)).is_empty())
+        of.is_some_and(|p| !p.node.grep_log(|line| line.contains(" id ") && line.ends_with(&ends)).is_empty())
     }
 }
 
@@ -337,9 +337,9 @@
                     continue;
                 }
                 let from = Instant::now();
-                of.node.stand_still();
+                of.node.suspend();
                 std::thread::sleep(MAX_PAUSE);
-                of.node.go_on();
+                of.node.resume();
                 world.record.add_pause(Pause { node: of.node.address, from, until: Instant::now() });
             }
             Fault::Crowd => {
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -171,9 +171,9 @@
 /// Lets nodes run for a part of the time.
 fn share_cores(world: &World, ends: &AtomicBool) {
     while !ends.load(Ordering::SeqCst) {
-        world.nodes.iter().for_each(Node::stand_still);
+        world.nodes.iter().for_each(Node::suspend);
         std::thread::sleep(STANDS);
-        world.nodes.iter().for_each(Node::go_on);
+        world.nodes.iter().for_each(Node::resume);
         std::thread::sleep(RUNS);
     }
 }
@@ -203,7 +203,7 @@
     let connections = world.servers.connections();
     let (checks, (watches, calls)) = (world.servers.checks(), world.service.counts());
     if std::env::var("GLENWOOD_LOGS").is_ok() {
-        world.nodes.iter().for_each(|node| println!("{:#?}", node.log_of(|_| true)));
+        world.nodes.iter().for_each(|node| println!("{:#?}", node.grep_log(|_| true)));
     }
     world.record.set_test_delay(late);
     let breaches = world.record.violations(|_, _| true);
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -108,13 +108,13 @@
             return String::new();
         };
         let ends = format!(" {}", breach.id);
-        let taken = node.log_of(|line| line.contains(" id ") && line.ends_with(&ends));
+        let taken = node.grep_log(|line| line.contains(" id ") && line.ends_with(&ends));
         let number = taken.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let about = |line: &str| {
             (line.starts_with("trace ") && line.split(' ').nth(3) == Some(&number))
                 || line.contains("out-of-turn")
         };
-        let lines = node.log_of(about);
+        let lines = node.grep_log(about);
         let last = lines.iter().rposition(|line| line.contains(" answer ")).map_or(lines.len(), |at| at + 1);
         lines[last.saturating_sub(TIMELINE)..last].join("\n  ")
     }
