--- a/crates/node/tests/peers/many.rs
+++ b/crates/node/tests/peers/many.rs
@@ -26,33 +26,33 @@
 
 /// How a server leaves service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Deactivation {
     /// It drains, and its health check answers 503.
-    Drains,
+    Draining,
     /// It is removed from the list, but its health check still answers 200.
-    IsRemoved,
+    Removed,
     /// It is removed from the list and its process ends: its connections are reset and new ones refused.
-    Dies,
+    Crashed,
 }
 
 /// How a server left service, and when nodes must know.
 #[derive(Clone, Copy, Debug)]
-struct WithdrawnServer {
-    how: Ending,
+struct InactiveServer {
+    how: Deactivation,
     /// The moment from which every node must know of it.
     known_at: Instant,
 }
 
 #[derive(Default)]
 struct ServerState {
-    withdrawn: Mutex<Option<WithdrawnServer>>,
+    inactive: Mutex<Option<InactiveServer>>,
     /// Start of its process in Unix time, in milliseconds; 0 means long ago.
     started_ms: Mutex<f64>,
 }
 
 /// Servers that answer every request, even after they left service, so that requests sent too late are
 /// recorded.
-pub struct ManyServers {
+pub struct ServerPool {
     addresses: Vec<SocketAddr>,
     servers: Arc<Vec<ServerState>>,
     record: Arc<Record>,
@@ -63,7 +63,7 @@
     accept_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-impl Drop for ManyServers {
+impl Drop for ServerPool {
     fn drop(&mut self) {
         self.accept_tasks.lock().expect("mutex poisoned").iter().for_each(JoinHandle::abort);
     }
@@ -81,14 +81,14 @@
     Ipv4Addr::new(127, 1, (number >> 8) as u8, number as u8)
 }
 
-impl ManyServers {
+impl ServerPool {
     /// Starts `count` servers that write the requests they receive to the record.
     pub fn start(count: usize, record: &Arc<Record>) -> Self {
-        Self::start_that_take(count, record, DEFAULT_WORK_MS)
+        Self::start_with_work_time(count, record, DEFAULT_WORK_MS)
     }
 
     /// The same, with the range of times that a server takes for a request, in milliseconds.
-    pub fn start_that_take(count: usize, record: &Arc<Record>, work_ms: Range<u64>) -> Self {
+    pub fn start_with_work_time(count: usize, record: &Arc<Record>, work_ms: Range<u64>) -> Self {
         raise_descriptor_limit();
         let servers: Arc<Vec<ServerState>> = Arc::new((0..count).map(|_| ServerState::default()).collect());
         let (checks, connections) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
@@ -124,7 +124,7 @@
     }
 
     /// Injects these faults into all exchanges from now on.
-    pub fn send_strays(&self, faults: ResponseFaults) {
+    pub fn set_response_faults(&self, faults: ResponseFaults) {
         *self.faults.lock().expect("mutex poisoned") = faults;
     }
 
@@ -134,20 +134,20 @@
     }
 
     /// Number of health checks answered so far.
-    pub fn checks(&self) -> usize {
+    pub fn health_check_count(&self) -> usize {
         self.checks.load(Ordering::SeqCst)
     }
 
     /// Number of connections accepted so far.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
     /// Takes a server out of service; every node must know of it from `known_at` on.
-    pub fn end(&self, number: usize, how: Ending, known_at: Instant) {
-        *self.servers[number].withdrawn.lock().expect("mutex poisoned") =
-            Some(WithdrawnServer { how, known_at });
-        if how == Ending::Dies {
+    pub fn deactivate(&self, number: usize, how: Deactivation, known_at: Instant) {
+        *self.servers[number].inactive.lock().expect("mutex poisoned") =
+            Some(InactiveServer { how, known_at });
+        if how == Deactivation::Crashed {
             self.accept_tasks.lock().expect("mutex poisoned")[number].abort();
         }
     }
@@ -157,7 +157,7 @@
         let server = &self.servers[number];
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is before 1970");
         *server.started_ms.lock().expect("mutex poisoned") = since_epoch.as_millis() as f64;
-        *server.withdrawn.lock().expect("mutex poisoned") = None;
+        *server.inactive.lock().expect("mutex poisoned") = None;
         let (address, server_process) = (self.addresses[number], self.server_process(number));
         let mut accept_tasks = self.accept_tasks.lock().expect("mutex poisoned");
         accept_tasks[number].abort();
@@ -175,12 +175,12 @@
 
     /// The entry of a server in the list, or in the update that reports that it left service.
     pub fn entry(&self, number: usize) -> Value {
-        let withdrawn =
-            self.servers[number].withdrawn.lock().expect("mutex poisoned").map(|withdrawn| withdrawn.how);
-        let health = match withdrawn {
+        let inactive =
+            self.servers[number].inactive.lock().expect("mutex poisoned").map(|inactive| inactive.how);
+        let health = match inactive {
             None => "active",
-            Some(Ending::Drains) => "leaving",
-            Some(Ending::IsRemoved | Ending::Dies) => "left",
+            Some(Deactivation::Draining) => "leaving",
+            Some(Deactivation::Removed | Deactivation::Crashed) => "left",
         };
         let mut entry = host(&format!("s{number:05}"), self.addresses[number], health, number as u64 / 2);
         entry["born_ms"] = json!(*self.servers[number].started_ms.lock().expect("mutex poisoned"));
@@ -246,10 +246,10 @@
         }
         while let Some(message) = http::read(&mut reader).await? {
             let at = Instant::now();
-            let withdrawn = *self.states[self.number].withdrawn.lock().expect("mutex poisoned");
+            let inactive = *self.states[self.number].inactive.lock().expect("mutex poisoned");
             if message.target() == "/health" {
                 self.checks.fetch_add(1, Ordering::SeqCst);
-                let drains = withdrawn.is_some_and(|withdrawn| withdrawn.how == Ending::Drains);
+                let drains = inactive.is_some_and(|inactive| inactive.how == Deactivation::Draining);
                 write(&writer, &answer(if drains { 503 } else { 200 }, "", "")).await?;
                 continue;
             }
@@ -263,7 +263,7 @@
                 at,
                 time_given: Duration::from_millis(remaining_ms.unwrap_or(u64::MAX / 2)),
                 is_executed: !is_rejected,
-                drains_for: withdrawn.and_then(|withdrawn| at.checked_duration_since(withdrawn.known_at)),
+                drains_for: inactive.and_then(|inactive| at.checked_duration_since(inactive.known_at)),
             });
             if is_rejected {
                 write(&writer, &answer(503, "X-Turned-Away: 1\r\n", "")).await?;
@@ -308,7 +308,7 @@
 
 /// Measures the scheduling delay of this process: the longest time by which a sleeping thread or task woke
 /// late.
-pub struct Lateness {
+pub struct SchedulingDelay {
     stopped: Arc<AtomicBool>,
     longest: Arc<Mutex<Duration>>,
 }
@@ -316,7 +316,7 @@
 /// Interval of the measurements.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Lateness {
+impl SchedulingDelay {
     /// Starts a thread and a task that measure until this is dropped.
     pub fn measure() -> Self {
         let (stopped, longest) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Duration>>::default());
@@ -349,7 +349,7 @@
     }
 }
 
-impl Drop for Lateness {
+impl Drop for SchedulingDelay {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use peers::dice::Rng;
-use peers::many::{Ending, Lateness, ManyServers};
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
 use peers::queued_list::QueuedLists;
 use peers::record::*;
 use peers::*;
@@ -39,7 +39,7 @@
 
 struct World {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     lists: QueuedLists,
     nodes: Vec<Node>,
     ends: AtomicBool,
@@ -63,15 +63,15 @@
 }
 
 impl World {
-    fn start(how: Ending, seed: u64) -> Self {
+    fn start(how: Deactivation, seed: u64) -> Self {
         let nodes = number_in("GLENWOOD_NODES", NODES);
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(SERVERS, &record);
+        let servers = ServerPool::start(SERVERS, &record);
         let round = Duration::from_millis(number_in("GLENWOOD_ROUND_MS", ROUND_MS));
         let entries: Vec<Value> = (0..SERVERS).map(|number| servers.entry(number)).collect();
         // What a server that still answers hides is known by the list alone: there the service is as fast for the processes that run
         // as it is for the fleet. Else the few keep it as busy as the whole fleet would.
-        let sharing = if how == Ending::IsRemoved { FLEET } else { nodes };
+        let sharing = if how == Deactivation::Removed { FLEET } else { nodes };
         let lists = QueuedLists::start(&entries, nodes as usize, round / sharing as u32, seed);
         let operator =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("restarts-{}.toml", std::process::id()));
@@ -93,7 +93,7 @@
     }
 
     /// Removes servers, again and again; each comes back as another process after a while.
-    fn remove_and_restart(&self, how: Ending, ends: Instant, seed: u64) {
+    fn remove_and_restart(&self, how: Deactivation, ends: Instant, seed: u64) {
         let mut dice = Rng(seed);
         let mut up: Vec<usize> = (0..SERVERS).collect();
         let mut back: Vec<(Instant, usize)> = Vec::new();
@@ -110,7 +110,9 @@
             if now >= next {
                 let removed: Vec<usize> =
                     (0..PART).map(|_| up.swap_remove(dice.below(up.len() as u64) as usize)).collect();
-                removed.iter().for_each(|number| self.servers.end(*number, how, now + NOT_TOLD_BY_SERVERS));
+                removed
+                    .iter()
+                    .for_each(|number| self.servers.deactivate(*number, how, now + NOT_TOLD_BY_SERVERS));
                 self.tell(&removed, false);
                 back.extend(removed.into_iter().map(|number| (now + dice.between(1_400, 2_600), number)));
                 next = now + dice.between(300, 1_000);
@@ -180,9 +182,9 @@
 }
 
 /// Plays a seed; gives what broke.
-fn play(how: Ending, seed: u64) -> Vec<String> {
+fn play(how: Deactivation, seed: u64) -> Vec<String> {
     let world = World::start(how, seed);
-    let (late, clients) = (Lateness::measure(), number_in("GLENWOOD_CLIENTS", CLIENTS_EACH));
+    let (late, clients) = (SchedulingDelay::measure(), number_in("GLENWOOD_CLIENTS", CLIENTS_EACH));
     let a_second = number_in("GLENWOOD_REQUESTS", REQUESTS_A_SECOND);
     let pause = Duration::from_secs_f64(clients as f64 / a_second as f64);
     std::thread::scope(|scope| {
@@ -206,8 +208,8 @@
          served; {calls} calls, {failed} failed, longest wait {longest:.1?}; {} checks; {} connections; driver late by {:.0?}",
         world.nodes.len(),
         others.len(),
-        world.servers.checks(),
-        world.servers.connections(),
+        world.servers.health_check_count(),
+        world.servers.connection_count(),
         late.longest()
     );
     if (served as f64) < SERVED * asked as f64 {
@@ -219,7 +221,7 @@
 /// One play at a time: each is hundreds of sockets.
 static ALONE: Mutex<()> = Mutex::new(());
 
-fn hold_the_rules(how: Ending) {
+fn hold_the_rules(how: Deactivation) {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
     let first = number_in("GLENWOOD_FIRST", 7);
     let broken: Vec<String> =
@@ -235,17 +237,17 @@
 /// Guards against requests to a server that was removed and came back as another process, which its node has not been told.
 #[test]
 fn a_restarted_server_is_no_server_of_the_list_that_was_lost() {
-    hold_the_rules(Ending::Dies);
+    hold_the_rules(Deactivation::Crashed);
 }
 
 /// Guards against the same where the old process drains until the new one takes its place.
 #[test]
 fn a_server_that_drained_and_restarted_is_no_server_of_the_list_that_was_lost() {
-    hold_the_rules(Ending::Drains);
+    hold_the_rules(Deactivation::Draining);
 }
 
 /// Guards against requests to a removed server that answers as before, where a large fleet asks again too late.
 #[test]
 fn a_removed_server_that_still_answers_gets_nothing_once_it_counts_as_told() {
-    hold_the_rules(Ending::IsRemoved);
+    hold_the_rules(Deactivation::Removed);
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -13,7 +13,7 @@
 
 use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Ending, Lateness, ManyServers};
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
 use peers::record::*;
 use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
@@ -67,7 +67,7 @@
 /// What there is in one run.
 struct World {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     /// By the number of the node; those that ended are kept for what they have said.
     processes: RwLock<Vec<Arc<Process>>>,
@@ -81,7 +81,7 @@
 impl World {
     fn new(servers: usize, fleet: usize, nodes: usize) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(servers, &record);
+        let servers = ServerPool::start(servers, &record);
         let entries: Vec<Value> = (0..servers.count()).map(|number| servers.entry(number)).collect();
         let service = ListService::start(&entries);
         let mut config = config(service.address);
@@ -133,8 +133,8 @@
         for (place, number) in numbers.iter().enumerate() {
             // A server that is removed and answers as before is known by the list alone, which calls without an answer do not bring.
             let silent = matches!(*self.lists.lock().expect("no panic"), Lists::SilentSince(_));
-            let how = if place % 3 == 0 && !silent { Ending::IsRemoved } else { Ending::Drains };
-            self.servers.end(*number, how, told);
+            let how = if place % 3 == 0 && !silent { Deactivation::Removed } else { Deactivation::Draining };
+            self.servers.deactivate(*number, how, told);
         }
         let all = (0..self.servers.count()).map(|number| self.servers.entry(number));
         let hosts: Vec<Value> = all.filter(|host| host["health"] != "left").collect();
@@ -362,11 +362,11 @@
     let faults = drawn(&mut dice, nodes);
     let strays = drawn_strays(&mut dice);
     let world = World::new(servers, fleet, nodes);
-    world.servers.send_strays(strays.clone());
+    world.servers.set_response_faults(strays.clone());
     let all: Vec<Arc<Process>> = (0..nodes).map(|number| world.start(number, dice.next())).collect();
     all.iter().for_each(|process| process.node.wait_ready());
     *world.processes.write().expect("no panic") = all;
-    let late = Lateness::measure();
+    let late = SchedulingDelay::measure();
     std::thread::scope(|scope| {
         for number in 0..nodes * CLIENTS_EACH {
             let world = &world;
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -10,7 +10,7 @@
 
 use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Ending, Lateness, ManyServers};
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
 use peers::record::*;
 use peers::*;
 use serde_json::{json, Value};
@@ -65,7 +65,7 @@
 
 struct World {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     nodes: Vec<Node>,
     /// Servers in the order in which they end.
@@ -75,7 +75,7 @@
 impl World {
     fn start(case: Case) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(case.servers, &record);
+        let servers = ServerPool::start(case.servers, &record);
         let service = ListService::start(&entries(&servers, 0..case.servers));
         let node = |number: usize| Node::ready(&node_config(&service, case, number));
         let nodes: Vec<Node> = (0..NODES).map(node).collect();
@@ -92,8 +92,8 @@
         let part = (count / PART).max(1);
         let ending = &self.order[change * part..(change + 1) * part];
         for (place, number) in ending.iter().enumerate() {
-            let how = if removed && place % 3 == 0 { Ending::IsRemoved } else { Ending::Drains };
-            self.servers.end(*number, how, told);
+            let how = if removed && place % 3 == 0 { Deactivation::Removed } else { Deactivation::Draining };
+            self.servers.deactivate(*number, how, told);
         }
         let mut hosts = entries(&self.servers, 0..count);
         hosts.retain(|host| host["health"] != "left");
@@ -128,7 +128,7 @@
     }
 }
 
-fn entries(servers: &ManyServers, numbers: impl IntoIterator<Item = usize>) -> Vec<Value> {
+fn entries(servers: &ServerPool, numbers: impl IntoIterator<Item = usize>) -> Vec<Value> {
     numbers.into_iter().map(|number| servers.entry(number)).collect()
 }
 
@@ -181,7 +181,7 @@
 /// Plays a case; gives what broke.
 fn play(case: Case) -> Vec<String> {
     let world = World::start(case);
-    let (late, ends) = (Lateness::measure(), AtomicBool::new(false));
+    let (late, ends) = (SchedulingDelay::measure(), AtomicBool::new(false));
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let (world, ends) = (&world, &ends);
@@ -200,8 +200,8 @@
     let cpu: Vec<Duration> = world.nodes.iter().map(Node::processor_time).collect();
     let descriptors: Vec<usize> = world.nodes.iter().map(Node::descriptors).collect();
     let memory: Vec<usize> = world.nodes.iter().map(|node| node.peak_memory() >> 20).collect();
-    let connections = world.servers.connections();
-    let (checks, (watches, calls)) = (world.servers.checks(), world.service.counts());
+    let connections = world.servers.connection_count();
+    let (checks, (watches, calls)) = (world.servers.health_check_count(), world.service.counts());
     if std::env::var("GLENWOOD_LOGS").is_ok() {
         world.nodes.iter().for_each(|node| println!("{:#?}", node.grep_log(|_| true)));
     }
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -11,7 +11,7 @@
 
 use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Lateness, ManyServers};
+use peers::many::{SchedulingDelay, ServerPool};
 use peers::record::*;
 use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
@@ -39,7 +39,7 @@
 
 struct World {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     nodes: Vec<Node>,
     ends: AtomicBool,
@@ -49,12 +49,12 @@
 impl World {
     fn start(seed: u64, strays: &ResponseFaults) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start_that_take(
+        let servers = ServerPool::start_with_work_time(
             number_in("GLENWOOD_SERVERS", SERVERS as u64) as usize,
             &record,
             WORK,
         );
-        servers.send_strays(strays.clone());
+        servers.set_response_faults(strays.clone());
         let entries: Vec<Value> = (0..servers.count()).map(|number| servers.entry(number)).collect();
         let service = ListService::start(&entries);
         let operator =
@@ -129,7 +129,7 @@
 /// Plays a seed; gives what broke, and how many connections there were.
 fn play(what: &str, strays: &ResponseFaults, seed: u64) -> (Vec<String>, usize) {
     let world = World::start(seed, strays);
-    let late = Lateness::measure();
+    let late = SchedulingDelay::measure();
     std::thread::scope(|scope| {
         for number in 0..number_in("GLENWOOD_CLIENTS", CLIENTS) {
             let world = &world;
@@ -150,7 +150,7 @@
         count(Rule::Refused),
         count(Rule::Lost),
         count(Rule::Drain) + count(Rule::Deadline) + count(Rule::Left),
-        world.servers.connections(),
+        world.servers.connection_count(),
         late.longest()
     );
     let told = |breach: &Violation| format!("{what}, seed {seed}: {breach}\n  {}", world.timeline(breach));
@@ -158,7 +158,7 @@
     if (served as f64) < SERVED * asked as f64 {
         broken.push(format!("{what}, seed {seed}: {served} of {asked} requests served"));
     }
-    (broken, world.servers.connections())
+    (broken, world.servers.connection_count())
 }
 
 /// One play at a time: each keeps the machine busy.
