--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -166,22 +166,22 @@
     let before = line(1, true, &hosts("active")) + "\n";
     let news = line(2, true, &hosts("leaving")) + "\n";
     let drains = told.clone();
-    let lists = Lists::new(move |_, _, to| {
+    let lists = ScriptedListService::new(move |_, _, to| {
         let newest = drains.load(Ordering::SeqCst);
         if newest && tells == Tells::Server {
             // Busy with the calls of all others.
-            return trickle(to, |_| Ok(()));
+            return write_repeatedly(to, |_| Ok(()));
         }
-        to.write_all(WATCH)?;
-        chunk(to, if newest { &news } else { &before })?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, if newest { &news } else { &before })?;
         if newest {
-            return stand(to);
+            return keep_alive(to);
         }
         wait_for(&drains);
         ending.end(to, &news)
     });
     let nodes: Vec<Node> = (0..PROCESSES).map(|number| one_of_many(lists.address, number, fleet)).collect();
-    until("each has its watch", || lists.watches() as u64 >= PROCESSES);
+    until("each has its watch", || lists.watch_count() as u64 >= PROCESSES);
     let since = Instant::now();
     told.store(true, Ordering::SeqCst);
     served_after("draining", &nodes, since, within + GRACE)
@@ -195,19 +195,19 @@
     let (draining, other) = (Peer::healthy_until("draining", &told), Peer::healthy("other"));
     let before = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
     let drains = told.clone();
-    let lists = Lists::new(move |_, _, to| {
+    let lists = ScriptedListService::new(move |_, _, to| {
         if !drains.load(Ordering::SeqCst) {
-            to.write_all(WATCH)?;
-            chunk(to, &before)?;
+            to.write_all(WATCH_HEAD)?;
+            write_chunk(to, &before)?;
             while !drains.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(100));
-                chunk(to, "\n")?;
+                write_chunk(to, "\n")?;
             }
         }
-        trickle(to, |_| Ok(()))
+        write_repeatedly(to, |_| Ok(()))
     });
     let nodes: Vec<Node> = (0..PROCESSES).map(|number| one_of_many(lists.address, number, 44)).collect();
-    until("each has its watch", || lists.watches() as u64 >= PROCESSES);
+    until("each has its watch", || lists.watch_count() as u64 >= PROCESSES);
     let since = Instant::now();
     told.store(true, Ordering::SeqCst);
     let within = SILENT + GRACE;
@@ -218,7 +218,8 @@
 /// How many processes a crowd is; what each call costs the service is such that all of them together take 3.5 s, which is longer
 /// than there is.
 const CROWD: u64 = 44;
-const CROWDED: Crowd = Crowd { each: Duration::from_millis(80), most: Duration::from_millis(3000) };
+const CROWDED: ServiceLoad =
+    ServiceLoad { time_per_call: Duration::from_millis(80), max_wait: Duration::from_millis(3000) };
 /// How often the list changes, and how many times.
 const CHANGES: (Duration, usize) = (Duration::from_millis(1200), 8);
 /// For how many changes each server drains.
@@ -259,7 +260,7 @@
         let health = |n: usize| if flags[n].load(Ordering::SeqCst) { "leaving" } else { "active" };
         (0..SERVERS.len()).map(|n| entry(SERVERS[n], &peers[n], health(n))).collect()
     };
-    let lists = CrowdedLists::new(&list(), CROWDED);
+    let lists = OverloadedListService::new(&list(), CROWDED);
     let nodes: Vec<Node> = (0..CROWD).map(|number| one_of_many(lists.address, number, CROWD)).collect();
     let ends = Instant::now() + CHANGES.0 * CHANGES.1 as u32;
     let drains = Drains::default();
@@ -327,31 +328,31 @@
     let whole = answer(200, "", &line(1, true, &[entry("s0", &server, "active")]));
     let end = Arc::new(AtomicBool::new(false));
     let ends = end.clone();
-    let lists = Lists::new(move |path, before, to| match (path.contains("watch"), before) {
+    let lists = ScriptedListService::new(move |path, before, to| match (path.contains("watch"), before) {
         (false, _) => to.write_all(&whole),
         (true, 0) => {
-            to.write_all(WATCH)?;
-            chunk(to, "\n")?;
+            to.write_all(WATCH_HEAD)?;
+            write_chunk(to, "\n")?;
             wait_for(&ends);
             Ok(())
         }
         (true, _) => {
-            to.write_all(WATCH)?;
-            stand(to)
+            to.write_all(WATCH_HEAD)?;
+            keep_alive(to)
         }
     });
     let mut config = config(lists.address);
     config["settings"]["Contract"]["AskWithin"] = json!(1500.0);
     let node = Node::started_with_operator(&config, &traced()).wait_listening();
     node.wait_ready();
-    until("the watch stands", || lists.watches() == 1);
+    until("the watch stands", || lists.watch_count() == 1);
     end.store(true, Ordering::SeqCst);
-    until("it is opened anew", || lists.watches() == 2);
+    until("it is opened anew", || lists.watch_count() == 2);
     let probes = || node.count_log_lines(" probe ");
     let before = probes();
     let began = Instant::now();
     let _ = last_served_by(b"served", &node, began + Duration::from_millis(3500));
-    assert_eq!(lists.watches(), 2, "{}", timeline(&node));
+    assert_eq!(lists.watch_count(), 2, "{}", timeline(&node));
     assert!(probes() <= before + 1, "{}", timeline(&node));
 }
 
@@ -381,13 +382,13 @@
     let list = line(1, true, &[late, entry("s1", &other, "active")]) + "\n";
     let end = Arc::new(AtomicBool::new(false));
     let ends = end.clone();
-    let lists = Lists::new(move |_, before, to| {
+    let lists = ScriptedListService::new(move |_, before, to| {
         if before > 0 {
             // Busy with the calls of all others.
-            return trickle(to, |_| Ok(()));
+            return write_repeatedly(to, |_| Ok(()));
         }
-        to.write_all(WATCH)?;
-        chunk(to, &list)?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, &list)?;
         wait_for(&ends);
         Ok(())
     });
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -389,11 +389,11 @@
 
 /// The first one brings what can't be read, so that the whole list is asked for; later ones stand.
 fn watch_that_begins_spoilt(to: &mut TcpStream, before: usize) -> std::io::Result<()> {
-    to.write_all(WATCH)?;
+    to.write_all(WATCH_HEAD)?;
     if before == 0 {
-        return chunk(to, "spoilt\n");
+        return write_chunk(to, "spoilt\n");
     }
-    stand(to)
+    keep_alive(to)
 }
 
 fn pretty(line: &str) -> String {
@@ -406,7 +406,7 @@
 fn a_whole_list_that_trickles_is_asked_for_anew() {
     let server = Peer::healthy("served");
     let list = line(1, true, &[host("s0", server.address, "active", 1)]);
-    let lists = Lists::new(move |path, before, to| {
+    let lists = ScriptedListService::new(move |path, before, to| {
         if path.contains("watch") {
             return watch_that_begins_spoilt(to, before);
         }
@@ -414,7 +414,7 @@
             return to.write_all(&answer(200, "", &list));
         }
         to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")?;
-        trickle(to, |to| to.write_all(b" "))
+        write_repeatedly(to, |to| to.write_all(b" "))
     });
     let mut config = config(lists.address);
     // The module would ask anew by then whatever a call does.
@@ -422,7 +422,7 @@
     let node = Node::ready(&config);
     until("the list has come", || Client::to(&node).ask(&request("look", "t1", 9000)).status() == 200);
     assert_eq!(
-        lists.calls.lock().expect("no panic").iter().filter(|path| !path.contains("watch")).count(),
+        lists.request_paths.lock().expect("no panic").iter().filter(|path| !path.contains("watch")).count(),
         2
     );
 }
@@ -436,22 +436,22 @@
         let list = line(1, true, &[host("s0", server.address, "active", 1)]);
         let last: Arc<Mutex<Option<Instant>>> = Arc::default();
         let said = last.clone();
-        let lists = Lists::new(move |path, before, to| {
+        let lists = ScriptedListService::new(move |path, before, to| {
             if !path.contains("watch") {
                 return to.write_all(&answer(200, "", &list));
             }
-            to.write_all(WATCH)?;
+            to.write_all(WATCH_HEAD)?;
             if before > 0 {
-                return stand(to);
+                return keep_alive(to);
             }
             if first {
-                chunk(to, "\n")?;
+                write_chunk(to, "\n")?;
             }
             *said.lock().expect("no panic") = Some(Instant::now());
-            trickle(to, |to| chunk(to, piece))
+            write_repeatedly(to, |to| write_chunk(to, piece))
         });
         let _node = Node::ready(&config(lists.address));
-        until("the watch is opened anew", || lists.watches() > 1);
+        until("the watch is opened anew", || lists.watch_count() > 1);
         let since = last.lock().expect("no panic").expect("a watch").elapsed();
         assert!(since < Duration::from_secs(6), "after {since:?}");
     }
@@ -464,24 +464,24 @@
     let entry = |name: &str, peer: &Peer, health: &str| host(name, peer.address, health, 1);
     let whole = pretty(&line(1, true, &[entry("a", &a, "active")]));
     let news = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
-    let lists = Lists::new(move |path, before, to| {
+    let lists = ScriptedListService::new(move |path, before, to| {
         if !path.contains("watch") {
             return to.write_all(&answer(200, "", &whole));
         }
         if before == 0 {
             return watch_that_begins_spoilt(to, before);
         }
-        to.write_all(WATCH)?;
-        chunk(to, &format!("{whole}\n"))?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, &format!("{whole}\n"))?;
         // In two pieces, cut behind a line.
         let (first, rest) = news.split_at(news.find('\n').expect("lines") + 1);
-        chunk(to, first)?;
-        chunk(to, &format!("{rest}\n"))?;
-        stand(to)
+        write_chunk(to, first)?;
+        write_chunk(to, &format!("{rest}\n"))?;
+        keep_alive(to)
     });
     let node = Node::ready(&config(lists.address));
     until("the news count", || Client::to(&node).ask(&request("look", "t1", 9000)).body == b"b");
-    assert_eq!((lists.watches(), node.count_log_lines("is not taken")), (2, 1));
+    assert_eq!((lists.watch_count(), node.count_log_lines("is not taken")), (2, 1));
 }
 
 /// Discovery moves while a call to the old address is out that is never answered, whether the list is asked for or pushed: what
@@ -491,7 +491,7 @@
     for mode in ["subscribe", "automatic"] {
         let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
         let [at_a, at_b] = [&a, &b].map(|peer| host("s0", peer.address, "active", 1));
-        let old = Lists::new(|_, _, to| trickle(to, |_| Ok(())));
+        let old = ScriptedListService::new(|_, _, to| write_repeatedly(to, |_| Ok(())));
         let new = Registry::new(&[at_b]);
         let mut config = config(old.address);
         config["settings"]["Discovery"] = json!(mode);
@@ -499,7 +499,7 @@
         let node = Node::ready(&config);
         let ask = || Client::to(&node).ask(&request("look", "t1", 9000)).body;
         assert_eq!(ask(), b"a", "{mode}");
-        until("the call is out", || !old.calls.lock().expect("no panic").is_empty());
+        until("the call is out", || !old.request_paths.lock().expect("no panic").is_empty());
         config["discovery"] = json!(new.address.to_string());
         let moved = Instant::now();
         node.reload(&config.to_string());
--- a/crates/node/tests/peers/list_service.rs
+++ b/crates/node/tests/peers/list_service.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::lists::WATCH;
+use super::lists::WATCH_HEAD;
 use super::{answer, line};
 
 /// Interval of the empty lines that keep an idle watch alive.
@@ -56,7 +56,7 @@
 
 impl ListService {
     /// Stops the service; all connections to it end.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.accept_task
             .lock()
             .expect("mutex poisoned")
@@ -108,7 +108,7 @@
     }
 
     /// Replaces the list by `hosts`, and sends `updates` to all watches.
-    pub fn tell(&self, hosts: &[Value], updates: &[Value]) {
+    pub fn publish(&self, hosts: &[Value], updates: &[Value]) {
         let version = self.with_state(|state| {
             state.version += 1;
             state.full_list = line(state.version, true, hosts);
@@ -119,12 +119,12 @@
     }
 
     /// All open watches stop sending but stay open, and the next `unanswered` calls get no response.
-    pub fn fall_silent(&self, unanswered: usize) {
+    pub fn silence_watches(&self, unanswered: usize) {
         self.set_fault(WatchBehavior::Silent, unanswered);
     }
 
     /// Every other open watch ends at the next change instead of sending it.
-    pub fn end_half_untold(&self) {
+    pub fn end_half_of_watches(&self) {
         self.set_fault(WatchBehavior::HalfEndUnsent, 0);
     }
 
@@ -164,7 +164,7 @@
             state.opened += 1;
             (state.opened - 1, state.version, state.full_list.clone())
         });
-        stream.get_mut().write_all(WATCH).await?;
+        stream.get_mut().write_all(WATCH_HEAD).await?;
         write_line(&mut stream, &full_list).await?;
         loop {
             let _ = tokio::time::timeout(KEEPALIVE_INTERVAL, changed.changed()).await;
--- a/crates/node/tests/peers/lists.rs
+++ b/crates/node/tests/peers/lists.rs
@@ -11,21 +11,22 @@
 
 /// A list service with a handler written by the test.
 #[derive(Clone)]
-pub struct Lists {
+pub struct ScriptedListService {
     pub address: SocketAddr,
     /// The paths of all requests so far.
-    pub calls: Arc<Mutex<Vec<String>>>,
+    pub request_paths: Arc<Mutex<Vec<String>>>,
 }
 
-impl Lists {
+impl ScriptedListService {
     /// Starts a service. `handler` gets the path, the number of earlier requests of the same kind (watches,
     /// or all others), and the connection.
     pub fn new(
         handler: impl Fn(&str, usize, &mut TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-        let lists = Self { address: listener.local_addr().expect("no local address"), calls: Arc::default() };
-        let (paths, handler) = (lists.calls.clone(), Arc::new(handler));
+        let lists =
+            Self { address: listener.local_addr().expect("no local address"), request_paths: Arc::default() };
+        let (paths, handler) = (lists.request_paths.clone(), Arc::new(handler));
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let (paths, handler) = (paths.clone(), handler.clone());
@@ -47,21 +48,26 @@
     }
 
     /// Number of watches opened so far.
-    pub fn watches(&self) -> usize {
-        self.calls.lock().expect("mutex poisoned").iter().filter(|path| path.contains("watch")).count()
+    pub fn watch_count(&self) -> usize {
+        self.request_paths
+            .lock()
+            .expect("mutex poisoned")
+            .iter()
+            .filter(|path| path.contains("watch"))
+            .count()
     }
 }
 
 /// The head of the response to a watch.
-pub const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Writes one chunk of a chunked body.
-pub fn chunk(connection: &mut TcpStream, data: &str) -> std::io::Result<()> {
+pub fn write_chunk(connection: &mut TcpStream, data: &str) -> std::io::Result<()> {
     write!(connection, "{:x}\r\n{data}\r\n", data.len())
 }
 
 /// Writes a piece every 100 ms until the node closes the connection.
-pub fn trickle(
+pub fn write_repeatedly(
     connection: &mut TcpStream,
     write_piece: impl Fn(&mut TcpStream) -> std::io::Result<()>,
 ) -> std::io::Result<()> {
@@ -72,8 +78,8 @@
 }
 
 /// Keeps a watch alive without changes until the node closes the connection.
-pub fn stand(connection: &mut TcpStream) -> std::io::Result<()> {
-    trickle(connection, |connection| chunk(connection, "\n"))
+pub fn keep_alive(connection: &mut TcpStream) -> std::io::Result<()> {
+    write_repeatedly(connection, |connection| write_chunk(connection, "\n"))
 }
 
 /// An overloaded list service ends its watches at most this long after a change.
@@ -81,22 +87,22 @@
 
 /// The load of an overloaded list service.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowd {
+pub struct ServiceLoad {
     /// Time that each call takes; calls are handled one after another.
-    pub each: Duration,
+    pub time_per_call: Duration,
     /// A call that would wait longer than this is rejected at once.
-    pub most: Duration,
+    pub max_wait: Duration,
 }
 
 /// A list service that handles calls one after another, and ends its watches instead of sending changes.
 #[derive(Clone)]
-pub struct CrowdedLists {
+pub struct OverloadedListService {
     pub address: SocketAddr,
     state: Arc<Mutex<ServiceState>>,
 }
 
 struct ServiceState {
-    crowd: Crowd,
+    load: ServiceLoad,
     version: u64,
     hosts: Vec<Value>,
     /// When all accepted calls are handled.
@@ -105,11 +111,11 @@
     rejected: usize,
 }
 
-impl CrowdedLists {
-    pub fn new(hosts: &[Value], crowd: Crowd) -> Self {
+impl OverloadedListService {
+    pub fn new(hosts: &[Value], load: ServiceLoad) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
         let state = ServiceState {
-            crowd,
+            load,
             version: 1,
             hosts: hosts.to_vec(),
             idle_at: Instant::now(),
@@ -153,7 +159,7 @@
         self.with_state(|state| {
             let now = Instant::now();
             let start = state.idle_at.max(now);
-            if start - now > state.crowd.most {
+            if start - now > state.load.max_wait {
                 return None;
             }
             state.idle_at = start + cost;
@@ -165,7 +171,7 @@
         read_head(&mut stream);
         let call_cost = self.with_state(|state| {
             state.calls += 1;
-            state.crowd.each
+            state.load.time_per_call
         });
         let Some(done_at) = self.enqueue(call_cost) else {
             self.with_state(|state| state.rejected += 1);
@@ -173,12 +179,12 @@
         };
         std::thread::sleep(done_at.saturating_duration_since(Instant::now()));
         let (version, hosts) = self.with_state(|state| (state.version, state.hosts.clone()));
-        stream.write_all(WATCH)?;
-        chunk(&mut stream, &(line(version, true, &hosts) + "\n"))?;
+        stream.write_all(WATCH_HEAD)?;
+        write_chunk(&mut stream, &(line(version, true, &hosts) + "\n"))?;
         let mut last_write = Instant::now();
         while self.with_state(|state| state.version) == version {
             if last_write.elapsed() > Duration::from_secs(2) {
-                chunk(&mut stream, "\n")?;
+                write_chunk(&mut stream, "\n")?;
                 last_write = Instant::now();
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/node/tests/peers/queued_list.rs
+++ b/crates/node/tests/peers/queued_list.rs
@@ -14,14 +14,14 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::dice::Rng;
-use super::lists::WATCH;
+use super::lists::WATCH_HEAD;
 use super::{answer, line};
 
 /// Interval of the empty lines that keep an idle watch alive.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(2_000);
 /// A call that would wait longer than this is answered with 503 after this time; it still takes its full
 /// share of the queue.
-pub const FAILED_AFTER: Duration = Duration::from_secs(2);
+pub const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
 /// How long after a watch ended instead of sending a change its node must know the change.
 const KNOWN_AFTER_WATCH_END: Duration = Duration::from_secs(2);
 /// How long after any change every node must know it, whether or not it was sent.
@@ -72,19 +72,19 @@
 }
 
 /// The service; it listens on a separate address for each node.
-pub struct QueuedLists {
+pub struct QueuedListService {
     addresses: Vec<SocketAddr>,
     endpoint: NodeEndpoint,
     accept_tasks: Vec<JoinHandle<()>>,
 }
 
-impl Drop for QueuedLists {
+impl Drop for QueuedListService {
     fn drop(&mut self) {
         self.accept_tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
-impl QueuedLists {
+impl QueuedListService {
     /// Starts a service with a list for so many nodes; it handles a call in `time_per_call`.
     pub fn start(hosts: &[Value], nodes: usize, time_per_call: Duration, seed: u64) -> Self {
         let state = State {
@@ -150,7 +150,7 @@
 
     /// How long, at that time, the node has had to know that the server takes no new requests; `None` if it
     /// need not know.
-    pub fn told_for(&self, node: usize, server: usize, at: Instant) -> Option<Duration> {
+    pub fn known_for(&self, node: usize, server: usize, at: Instant) -> Option<Duration> {
         self.endpoint.with_state(|state| {
             let known_versions = &state.known_versions[node];
             let is_written = |version: u64| {
@@ -184,7 +184,7 @@
     }
 
     /// Whether the server is up at that time after it was removed.
-    pub fn is_back(&self, server: usize, at: Instant) -> bool {
+    pub fn is_up_again(&self, server: usize, at: Instant) -> bool {
         let earlier =
             |server_change: &&ServerChange| server_change.server == server && server_change.changed_at <= at;
         self.endpoint
@@ -246,15 +246,15 @@
             state.idle_at = state.idle_at.max(now) + state.time_per_call;
             let wait = state.idle_at - now;
             state.calls += 1;
-            if wait > FAILED_AFTER {
+            if wait > MAX_QUEUE_WAIT {
                 state.failed += 1;
             } else {
                 state.waits.push(wait);
             }
             wait
         });
-        tokio::time::sleep(wait.min(FAILED_AFTER)).await;
-        wait <= FAILED_AFTER
+        tokio::time::sleep(wait.min(MAX_QUEUE_WAIT)).await;
+        wait <= MAX_QUEUE_WAIT
     }
 
     /// The full list with its version, which the node must know from now on.
@@ -268,7 +268,7 @@
 
     async fn watch(&self, mut stream: BufReader<TcpStream>) -> std::io::Result<()> {
         let mut changed = self.changed.subscribe();
-        stream.get_mut().write_all(WATCH).await?;
+        stream.get_mut().write_all(WATCH_HEAD).await?;
         let (mut version, full_list) = self.read_full_list();
         write_line(&mut stream, &full_list).await?;
         loop {
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -11,7 +11,7 @@
 
 use peers::dice::Rng;
 use peers::many::{Deactivation, SchedulingDelay, ServerPool};
-use peers::queued_list::QueuedLists;
+use peers::queued_list::QueuedListService;
 use peers::record::*;
 use peers::*;
 use serde_json::{json, Value};
@@ -40,7 +40,7 @@
 struct World {
     record: Arc<Record>,
     servers: ServerPool,
-    lists: QueuedLists,
+    lists: QueuedListService,
     nodes: Vec<Node>,
     ends: AtomicBool,
 }
@@ -49,7 +49,7 @@
     std::env::var(variable).ok().and_then(|words| words.parse().ok()).unwrap_or(otherwise)
 }
 
-fn node_config(lists: &QueuedLists, number: usize, nodes: u64, seed: u64) -> Value {
+fn node_config(lists: &QueuedListService, number: usize, nodes: u64, seed: u64) -> Value {
     let mut config = config(lists.address(number));
     config["seed"] = json!(format!("{:x}", seed * 1_000 + number as u64 + 1));
     config["settings"]["PeersTotal"] = json!(FLEET);
@@ -72,7 +72,7 @@
         // What a server that still answers hides is known by the list alone: there the service is as fast for the processes that run
         // as it is for the fleet. Else the few keep it as busy as the whole fleet would.
         let sharing = if how == Deactivation::Removed { FLEET } else { nodes };
-        let lists = QueuedLists::start(&entries, nodes as usize, round / sharing as u32, seed);
+        let lists = QueuedListService::start(&entries, nodes as usize, round / sharing as u32, seed);
         let operator =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("restarts-{}.toml", std::process::id()));
         std::fs::write(&operator, "[trace]\non = true\n").expect("a file");
@@ -168,9 +168,9 @@
         for sent in self.record.all_attempts() {
             let node = sent.id[1..].split('-').next().and_then(|word| word.parse().ok());
             let node: usize = node.expect("an id that names its node");
-            let told_for = self.lists.told_for(node, sent.server, sent.at);
+            let told_for = self.lists.known_for(node, sent.server, sent.at);
             if let Some(span) = told_for.filter(|span| *span > DRAIN_GRACE + late) {
-                let is_back = self.lists.is_back(sent.server, sent.at);
+                let is_back = self.lists.is_up_again(sent.server, sent.at);
                 to_restarted += usize::from(is_back);
                 let words =
                     format!("{} to s{:05} {span:.2?} after told, is back: {is_back}", sent.id, sent.server);
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -139,7 +139,7 @@
         let all = (0..self.servers.count()).map(|number| self.servers.entry(number));
         let hosts: Vec<Value> = all.filter(|host| host["health"] != "left").collect();
         let news: Vec<Value> = numbers.iter().map(|number| self.servers.entry(*number)).collect();
-        self.service.tell(&hosts, &news);
+        self.service.publish(&hosts, &news);
     }
 
     /// What the node at that address has said of a request.
@@ -171,7 +171,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
@@ -307,11 +307,11 @@
         match *fault {
             Fault::Change => left.next().into_iter().for_each(|numbers| world.end_some(numbers)),
             Fault::Silent(unanswered) => {
-                world.service.fall_silent(unanswered * world.nodes);
+                world.service.silence_watches(unanswered * world.nodes);
                 *world.lists.lock().expect("no panic") = Lists::SilentSince(Instant::now());
             }
             Fault::EndUntold => {
-                world.service.end_half_untold();
+                world.service.end_half_of_watches();
                 *world.lists.lock().expect("no panic") = Lists::EndUntold;
             }
             Fault::Restart(number) => {
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -38,7 +38,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
@@ -97,7 +97,7 @@
         }
         let mut hosts = entries(&self.servers, 0..count);
         hosts.retain(|host| host["health"] != "left");
-        self.service.tell(&hosts, &entries(&self.servers, ending.iter().copied()));
+        self.service.publish(&hosts, &entries(&self.servers, ending.iter().copied()));
     }
 
     /// Plays the trouble.
@@ -106,7 +106,7 @@
         let at = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(since.elapsed()));
         match trouble {
             Trouble::Silent => {
-                self.service.fall_silent(2 * NODES);
+                self.service.silence_watches(2 * NODES);
                 for change in 0..MISSED_CHANGES {
                     at(100 + 800 * change as u64);
                     self.end_some(change, since + TOLD_AFTER_SILENCE, false);
@@ -119,7 +119,7 @@
             }
             Trouble::Ends => {
                 for change in 0..3 {
-                    self.service.end_half_untold();
+                    self.service.end_half_of_watches();
                     self.end_some(change, Instant::now() + TOLD_AFTER_END, true);
                     at(4_000 * (change as u64 + 1));
                 }
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -122,7 +122,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
