--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -163,8 +163,8 @@
     let says = if tells == Tells::Server { told.clone() } else { Arc::default() };
     let (draining, other) = (Peer::healthy_until("draining", &says), Peer::healthy("other"));
     let hosts = |health| [entry("s0", &draining, health), entry("s1", &other, "active")];
-    let before = line(1, true, &hosts("active")) + "\n";
-    let news = line(2, true, &hosts("leaving")) + "\n";
+    let before = list_line(1, true, &hosts("active")) + "\n";
+    let news = list_line(2, true, &hosts("leaving")) + "\n";
     let drains = told.clone();
     let lists = ScriptedListService::new(move |_, _, to| {
         let newest = drains.load(Ordering::SeqCst);
@@ -193,7 +193,8 @@
 fn a_silent_watch_and_calls_that_are_not_answered_do_not_hide_a_drain() {
     let told = Arc::new(AtomicBool::new(false));
     let (draining, other) = (Peer::healthy_until("draining", &told), Peer::healthy("other"));
-    let before = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
+    let before =
+        list_line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
     let drains = told.clone();
     let lists = ScriptedListService::new(move |_, _, to| {
         if !drains.load(Ordering::SeqCst) {
@@ -325,7 +326,7 @@
 #[test]
 fn a_sign_of_life_answers_the_call_for_a_watch() {
     let server = Peer::healthy("served");
-    let whole = answer(200, "", &line(1, true, &[entry("s0", &server, "active")]));
+    let whole = answer(200, "", &list_line(1, true, &[entry("s0", &server, "active")]));
     let end = Arc::new(AtomicBool::new(false));
     let ends = end.clone();
     let lists = ScriptedListService::new(move |path, before, to| match (path.contains("watch"), before) {
@@ -379,7 +380,7 @@
     if protocol == "msgpack-rpc" {
         late["dial"] = json!(format!("msgpack-rpc://{}", shut.address));
     }
-    let list = line(1, true, &[late, entry("s1", &other, "active")]) + "\n";
+    let list = list_line(1, true, &[late, entry("s1", &other, "active")]) + "\n";
     let end = Arc::new(AtomicBool::new(false));
     let ends = end.clone();
     let lists = ScriptedListService::new(move |_, before, to| {
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -251,7 +251,7 @@
     sent.send(&request("slip", "sent", 40_000));
     until("it is sent", || server.seen().len() == 1);
     // From now on all goes to the one that lets nobody in.
-    registry.tell(2, std::slice::from_ref(&s1), &[host("s0", server.address, "left", 1), s1.clone()]);
+    registry.publish(2, std::slice::from_ref(&s1), &[host("s0", server.address, "left", 1), s1.clone()]);
     let mut waits: Vec<Client> = Vec::new();
     until("some wait for their connection", || {
         let mut client = Client::to(&node);
@@ -405,7 +405,7 @@
 #[test]
 fn a_whole_list_that_trickles_is_asked_for_anew() {
     let server = Peer::healthy("served");
-    let list = line(1, true, &[host("s0", server.address, "active", 1)]);
+    let list = list_line(1, true, &[host("s0", server.address, "active", 1)]);
     let lists = ScriptedListService::new(move |path, before, to| {
         if path.contains("watch") {
             return watch_that_begins_spoilt(to, before);
@@ -433,7 +433,7 @@
 fn a_watch_that_trickles_is_opened_anew() {
     for (first, piece) in [(false, " "), (true, " "), (true, "[")] {
         let server = Peer::healthy("served");
-        let list = line(1, true, &[host("s0", server.address, "active", 1)]);
+        let list = list_line(1, true, &[host("s0", server.address, "active", 1)]);
         let last: Arc<Mutex<Option<Instant>>> = Arc::default();
         let said = last.clone();
         let lists = ScriptedListService::new(move |path, before, to| {
@@ -462,8 +462,8 @@
 fn an_indented_list_is_read() {
     let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let entry = |name: &str, peer: &Peer, health: &str| host(name, peer.address, health, 1);
-    let whole = pretty(&line(1, true, &[entry("a", &a, "active")]));
-    let news = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
+    let whole = pretty(&list_line(1, true, &[entry("a", &a, "active")]));
+    let news = pretty(&list_line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
     let lists = ScriptedListService::new(move |path, before, to| {
         if !path.contains("watch") {
             return to.write_all(&answer(200, "", &whole));
@@ -495,7 +495,7 @@
         let new = Registry::new(&[at_b]);
         let mut config = config(old.address);
         config["settings"]["Discovery"] = json!(mode);
-        config["known"] = serde_json::from_str(&line(1, true, &[at_a])).expect("a list");
+        config["known"] = serde_json::from_str(&list_line(1, true, &[at_a])).expect("a list");
         let node = Node::ready(&config);
         let ask = || Client::to(&node).ask(&request("look", "t1", 9000)).body;
         assert_eq!(ask(), b"a", "{mode}");
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -168,7 +168,7 @@
         let node = Node::ready(&config);
         let mut comes = host("s1", cold.address, "active", 1);
         comes["born_ms"] = json!(born(off_by_ms));
-        registry.tell(2, &[before, comes.clone()], &[comes]);
+        registry.publish(2, &[before, comes.clone()], &[comes]);
         until("it is known", || {
             Client::to(&node).ask(&request("look", &format!("k{}", cold.seen().len()), 9000));
             !cold.seen().is_empty()
--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -182,7 +182,7 @@
         *version += 1;
         let all: Vec<Value> = (0..SERVERS).map(|number| self.entry(number)).collect();
         let news: Vec<Value> = news.iter().map(|number| self.entry(*number)).collect();
-        self.registry.tell(*version, &all, &news);
+        self.registry.publish(*version, &all, &news);
     }
 
     fn drain(&self, number: usize, told_within: Duration) {
@@ -326,7 +326,7 @@
     let killed = Instant::now() + KILLED_AFTER;
     world.start(0, dice);
     at(2700 + dice.below(400));
-    world.registry.down(true);
+    world.registry.set_down(true);
     at(3300 + dice.below(300));
     let (held, from) = (world.process(STANDS_STILL), Instant::now());
     held.node.suspend();
@@ -334,7 +334,7 @@
     held.node.resume();
     world.record.add_pause(Pause { node: held.node.address, from, until: Instant::now() });
     at(4000 + dice.below(200));
-    world.registry.down(false);
+    world.registry.set_down(false);
     world.drain(second, TOLD_AT_RETURN);
     at(5000 + dice.below(300));
     world.back(first);
--- a/crates/node/tests/large.rs
+++ b/crates/node/tests/large.rs
@@ -470,7 +470,7 @@
     told["limits"]["memory_mb"] = serde_json::json!(8);
     let node = Node::ready(&told);
     let (reads, writes) = (Midway::reading(node.address, "a"), Midway::writing(node.address, "b"));
-    registry.tell(2, &[leaves.clone(), next.clone()], &[leaves, next]);
+    registry.publish(2, &[leaves.clone(), next.clone()], &[leaves, next]);
     let mut asked = 0;
     until("the other one is there", || {
         asked += 1;
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -179,7 +179,7 @@
         };
         let first: BTreeSet<Vec<u8>> = (0..4).map(&mut ask).collect();
         assert_eq!(first.len(), 2, "both have turns");
-        registry.tell(2, &both[1..], &[host("s0", at_a, health, 1)]);
+        registry.publish(2, &both[1..], &[host("s0", at_a, health, 1)]);
         // The line is read when the turns stop going to both.
         until("the drain is known", || ask(0) == b"b" && ask(0) == b"b");
         assert!((0..10).all(|n| ask(n) == b"b"));
@@ -203,7 +203,7 @@
     std::thread::sleep(Duration::from_millis(300));
     let good = Peer::healthy("good");
     let hosts = [host("s1", good.address, "active", 1)];
-    registry.tell(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
+    registry.publish(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
     // Known once others are served by the new one.
     until("the list is known", || Client::to(&node).ask(&request("look", "t2", 500)).status() == 200);
     let late = shut.accept_with(|_| Reply::Now(answer(200, "", "late")));
@@ -217,18 +217,18 @@
     let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    registry.down(true);
-    until("the node calls again", || registry.calls().len() >= 2);
-    let (calls, start) = (registry.calls().len(), Instant::now());
+    registry.set_down(true);
+    until("the node calls again", || registry.paths().len() >= 2);
+    let (calls, start) = (registry.paths().len(), Instant::now());
     while start.elapsed() < Duration::from_secs(3) {
         assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).body, b"a");
         std::thread::sleep(Duration::from_millis(50));
     }
-    let storm = registry.calls().len() - calls;
+    let storm = registry.paths().len() - calls;
     assert!(storm <= 8, "{storm} calls in 3 s");
     let hosts = [host("s1", b.address, "active", 1)];
-    registry.tell(9, &hosts, &[]);
-    registry.down(false);
+    registry.publish(9, &hosts, &[]);
+    registry.set_down(false);
     until("the new list counts", || {
         let heard = Client::to(&node).ask(&request("look", "t2", 15_000));
         heard.body == b"b"
@@ -241,9 +241,9 @@
     let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    registry.tell(2, &[host("s1", b.address, "active", 1)], &[]);
-    registry.say("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
-    until("the whole list is asked for", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
+    registry.publish(2, &[host("s1", b.address, "active", 1)], &[]);
+    registry.send_line("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
+    until("the whole list is asked for", || registry.paths().iter().any(|c| c == "/v1/endpoints"));
     until("it counts", || Client::to(&node).ask(&request("look", "t1", 15_000)).body == b"b");
     assert!(node.log_contains("unreadable"));
 }
@@ -475,9 +475,9 @@
     let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    until("the watch stands", || registry.watches() == 1);
-    registry.silent();
-    until("the node calls again", || registry.watches() >= 2);
+    until("the watch stands", || registry.watch_count() == 1);
+    registry.go_silent();
+    until("the node calls again", || registry.watch_count() >= 2);
     assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
 }
 
@@ -526,7 +526,7 @@
     let dead = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let good = Peer::healthy("a");
     let registry = Registry::new(&[]);
-    registry.down(true);
+    registry.set_down(true);
     let mut config = config(registry.address);
     let hosts = [host("s0", dead, "active", 1), host("s1", good.address, "active", 1)];
     config["known"] = json!({"seq": 41, "whole": true, "hosts": hosts});
@@ -534,7 +534,7 @@
     for n in 0..4 {
         assert_eq!(Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000)).body, b"a");
     }
-    until("it watches from the saved version", || registry.calls().iter().any(|c| c.contains("from=41")));
+    until("it watches from the saved version", || registry.paths().iter().any(|c| c.contains("from=41")));
 }
 
 /// Every node sorts the servers alike, whatever the order in which it hears of them.
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_node_without_servers_says_at_the_door_that_it_is_not_ready() {
     let registry = Registry::new(&[]);
-    registry.down(true);
+    registry.set_down(true);
     let node = Node::listening(&with_door(config(registry.address)), None);
     assert_eq!(get(door(&node), "/ready").0, 503);
 }
@@ -279,7 +279,7 @@
     let first = Node::ready(&with_door(config(registry.address)));
     let mut told = with_door(config(registry.address));
     told["listen"] = json!(first.address.to_string());
-    registry.down(true);
+    registry.set_down(true);
     let second = Node::started(&told);
     until("it is up", || second.log_contains("another process listens at"));
     let door = second.wait_for_log(" answers operators at ").parse().expect("an address");
@@ -287,7 +287,7 @@
     for n in 0..40 {
         assert_eq!(Client::to(&first).ask(&request("look", &format!("t{n}"), 5000)).status(), 200);
     }
-    registry.down(false);
+    registry.set_down(false);
     until("it can serve", || get(door, "/ready").0 == 200);
 }
 
@@ -334,14 +334,14 @@
         none.to_string(),
         short.to_string(),
     ];
-    let calls = registry.calls().len();
+    let calls = registry.paths().len();
     for (n, words) in (1..).zip(&broken) {
         node.reload(words);
         until("it is turned down", || figure(door, "node_conf_invalid") == n);
         assert_eq!((ask("look", &format!("f{n}")), ask("pay", &format!("g{n}"))), (200, 404));
     }
     assert_eq!(figure(door, "node_conf_loaded"), 1);
-    assert_eq!(registry.calls().len(), calls, "the list is not asked for anew");
+    assert_eq!(registry.paths().len(), calls, "the list is not asked for anew");
     assert!(node.log_contains("Slo") && node.log_contains("the old configuration stays"));
     // Its counts run from the process's start, though its name is no class any more.
     assert_eq!(transactions(door, "slip", "answered"), 1);
@@ -473,7 +473,7 @@
     old.wait_ready();
     told = beside(&told, &old);
     // It can't serve, and so never listens.
-    registry.down(true);
+    registry.set_down(true);
     let mut second = Node::started_in(&folder, &told);
     until("the second has met it", || old.log_contains("another process has the listening sockets too"));
     let third = Node::started_in(&folder, &told);
@@ -488,7 +488,7 @@
     for n in 0..40 {
         assert_eq!(Client::to(&old).ask(&request("look", &format!("b{n}"), 5000)).status(), 200);
     }
-    registry.down(false);
+    registry.set_down(false);
     let fourth = Node::started_in(&folder, &told).wait_listening();
     until("the fourth says yes", || get(door(&fourth), "/ready").0 == 200);
     assert_eq!(old.count_log_lines("another process has"), 2);
@@ -606,7 +606,7 @@
             assert_eq!(ask(n, class, &format!("{class}{n}")), 200, "{class} {n}");
         }
     }
-    assert_eq!(registry.calls().len(), 2, "the list is not asked for anew");
+    assert_eq!(registry.paths().len(), 2, "the list is not asked for anew");
     go.send(()).expect("the server waits");
     assert_eq!(under_way.receive().map(|m| m.status()), Some(200), "its class is gone, it is not");
     assert_eq!(old.exit_code(), Some(0));
@@ -635,7 +635,7 @@
     let node = Node::ready(&with_door(config(registry.address)));
     let door = door(&node);
     let lists: Vec<String> = (2..14).map(long_list).collect();
-    lists.iter().for_each(|list| registry.say(list));
+    lists.iter().for_each(|list| registry.send_line(list));
     until("it is at it", || figure(door, "node_cluster_size") > 1);
     let asked = Instant::now();
     let served = std::thread::spawn({
--- a/crates/node/tests/peers/list_service.rs
+++ b/crates/node/tests/peers/list_service.rs
@@ -13,7 +13,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::lists::WATCH_HEAD;
-use super::{answer, line};
+use super::{answer, list_line};
 
 /// Interval of the empty lines that keep an idle watch alive.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
@@ -71,7 +71,7 @@
             glenwood_testkit::wait("a listener", TcpListener::bind("127.0.0.1:0")).expect("failed to bind");
         let state = State {
             version: 1,
-            full_list: line(1, true, hosts),
+            full_list: list_line(1, true, hosts),
             updates: Vec::new(),
             watches: WatchBehavior::Open,
             affected_below: 0,
@@ -111,8 +111,8 @@
     pub fn publish(&self, hosts: &[Value], updates: &[Value]) {
         let version = self.with_state(|state| {
             state.version += 1;
-            state.full_list = line(state.version, true, hosts);
-            state.updates.push((state.version, line(state.version, false, updates)));
+            state.full_list = list_line(state.version, true, hosts);
+            state.updates.push((state.version, list_line(state.version, false, updates)));
             state.version
         });
         self.changed.send_replace(version);
--- a/crates/node/tests/peers/lists.rs
+++ b/crates/node/tests/peers/lists.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-use super::{answer, line};
+use super::{answer, list_line};
 
 /// A list service with a handler written by the test.
 #[derive(Clone)]
@@ -180,7 +180,7 @@
         std::thread::sleep(done_at.saturating_duration_since(Instant::now()));
         let (version, hosts) = self.with_state(|state| (state.version, state.hosts.clone()));
         stream.write_all(WATCH_HEAD)?;
-        write_chunk(&mut stream, &(line(version, true, &hosts) + "\n"))?;
+        write_chunk(&mut stream, &(list_line(version, true, &hosts) + "\n"))?;
         let mut last_write = Instant::now();
         while self.with_state(|state| state.version) == version {
             if last_write.elapsed() > Duration::from_secs(2) {
--- a/crates/node/tests/peers/mod.rs
+++ b/crates/node/tests/peers/mod.rs
@@ -208,7 +208,7 @@
 }
 
 /// One line of discovery's stream: the full list, or the entries that changed.
-pub fn line(seq: u64, is_full: bool, hosts: &[Value]) -> String {
+pub fn list_line(seq: u64, is_full: bool, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": is_full, "hosts": hosts}).to_string()
 }
 
@@ -224,8 +224,8 @@
     /// Incremented to end all watches.
     generation: usize,
     /// Paths of all requests.
-    calls: Vec<String>,
-    watches: usize,
+    paths: Vec<String>,
+    watch_count: usize,
 }
 
 /// A discovery service: it sends the full list first, then changes.
@@ -239,7 +239,7 @@
     pub fn new(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
         let state = Arc::new(Mutex::new(RegistryState {
-            full_list: line(1, true, hosts),
+            full_list: list_line(1, true, hosts),
             ..RegistryState::default()
         }));
         let registry = Self { address: listener.local_addr().expect("no local address"), state };
@@ -261,7 +261,7 @@
         let mut writer = stream.try_clone().ok()?;
         let request = read_message(&mut BufReader::new(stream), 0)?;
         let (full_list, down, generation, mut next_update) = self.with_state(|inner| {
-            inner.calls.push(request.path().to_string());
+            inner.paths.push(request.path().to_string());
             (inner.full_list.clone(), inner.down, inner.generation, inner.updates.len())
         });
         if down {
@@ -273,7 +273,7 @@
         writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         let mut write_line = |line: &str| write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1);
         write_line(&full_list).ok()?;
-        self.with_state(|inner| inner.watches += 1);
+        self.with_state(|inner| inner.watch_count += 1);
         let mut last_write = Instant::now();
         loop {
             if self.with_state(|inner| inner.silent) {
@@ -298,38 +298,38 @@
     }
 
     /// Replaces the list by `hosts` and sends `changes` to all watches.
-    pub fn tell(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
+    pub fn publish(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
         self.with_state(|inner| {
-            inner.full_list = line(seq, true, hosts);
-            inner.updates.push(line(seq, false, changes));
+            inner.full_list = list_line(seq, true, hosts);
+            inner.updates.push(list_line(seq, false, changes));
         });
     }
 
     /// Sends an arbitrary line to all watches.
-    pub fn say(&self, data: &str) {
+    pub fn send_line(&self, data: &str) {
         self.with_state(|inner| inner.updates.push(data.to_string()));
     }
 
     /// Takes the service down or up; either ends all watches.
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.with_state(|inner| {
             (inner.down, inner.generation) = (down, inner.generation + 1);
         });
     }
 
     /// Stops sending on all watches but leaves them open, as a link does that fails unnoticed.
-    pub fn silent(&self) {
+    pub fn go_silent(&self) {
         self.with_state(|inner| inner.silent = true);
     }
 
     /// The paths of all requests so far.
-    pub fn calls(&self) -> Vec<String> {
-        self.with_state(|inner| inner.calls.clone())
+    pub fn paths(&self) -> Vec<String> {
+        self.with_state(|inner| inner.paths.clone())
     }
 
     /// Number of watches opened so far.
-    pub fn watches(&self) -> usize {
-        self.with_state(|inner| inner.watches)
+    pub fn watch_count(&self) -> usize {
+        self.with_state(|inner| inner.watch_count)
     }
 }
 
--- a/crates/node/tests/peers/queued_list.rs
+++ b/crates/node/tests/peers/queued_list.rs
@@ -15,7 +15,7 @@
 
 use super::dice::Rng;
 use super::lists::WATCH_HEAD;
-use super::{answer, line};
+use super::{answer, list_line};
 
 /// Interval of the empty lines that keep an idle watch alive.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(2_000);
@@ -89,7 +89,7 @@
     pub fn start(hosts: &[Value], nodes: usize, time_per_call: Duration, seed: u64) -> Self {
         let state = State {
             version: 1,
-            full_list: line(1, true, hosts),
+            full_list: list_line(1, true, hosts),
             changes: Vec::new(),
             server_changes: Vec::new(),
             known_versions: vec![Vec::new(); nodes],
@@ -134,8 +134,8 @@
         let version = self.endpoint.with_state(|state| {
             state.version += 1;
             let (version, changed_at) = (state.version, Instant::now());
-            state.full_list = line(version, true, hosts);
-            let line = line(version, false, updates);
+            state.full_list = list_line(version, true, hosts);
+            let line = list_line(version, false, updates);
             state.changes.push(Change { version, changed_at, line, ends_watches });
             state.server_changes.extend(servers.iter().map(|server| ServerChange {
                 server: *server,
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -32,20 +32,20 @@
     until("the bad file is logged", || node.log_contains("the old configuration stays"));
     assert_eq!(ask(&node).body, b"a");
     // The new address is down at first: the old list serves.
-    new.down(true);
+    new.set_down(true);
     node.reload(&moved(new.address));
-    until("the new address is asked", || !new.calls().is_empty());
+    until("the new address is asked", || !new.paths().is_empty());
     assert_eq!(ask(&node).body, b"a");
-    new.down(false);
+    new.set_down(false);
     until("the new list counts", || ask(&node).body == b"b");
-    assert!(new.calls().iter().any(|c| c == "/v1/endpoints"), "the whole list is asked for");
-    old.tell(9, &at_a, &at_a);
-    let after = old.calls().len();
+    assert!(new.paths().iter().any(|c| c == "/v1/endpoints"), "the whole list is asked for");
+    old.publish(9, &at_a, &at_a);
+    let after = old.paths().len();
     for _ in 0..20 {
         assert_eq!(ask(&node).body, b"b");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(old.calls().len(), after, "the old address is not asked again");
+    assert_eq!(old.paths().len(), after, "the old address is not asked again");
     for to in [&old, &new, &old, &new, &old] {
         node.reload(&moved(to.address));
     }
@@ -65,23 +65,23 @@
     let (agent, other) = (Registry::new(&at_a), Registry::new(&at_c));
     let mut told = config(agent.address);
     told["settings"]["Discovery"] = json!("automatic");
-    told["known"] = serde_json::from_str(&line(1, true, &at_b)).expect("a list");
+    told["known"] = serde_json::from_str(&list_line(1, true, &at_b)).expect("a list");
     let node = Node::ready(&told);
     let ask = |node: &Node| Client::to(node).ask(&request("look", "t1", 15_000)).body;
     until("the agent's list counts, not the saved one", || ask(&node) == b"a");
-    agent.tell(2, &at_b, &at_b);
+    agent.publish(2, &at_b, &at_b);
     until("a change counts", || ask(&node) == b"b");
-    agent.down(true);
-    let calls = agent.calls().len();
-    until("it is asked again while it is down", || agent.calls().len() >= calls + 4);
+    agent.set_down(true);
+    let calls = agent.paths().len();
+    until("it is asked again while it is down", || agent.paths().len() >= calls + 4);
     assert_eq!(ask(&node), b"b", "the last list serves");
     assert!(node.count_log_lines("discovery:") <= 2, "hours of this must not flood the log");
-    agent.tell(3, &at_a, &at_a);
-    agent.down(false);
+    agent.publish(3, &at_a, &at_a);
+    agent.set_down(false);
     until("what changed meanwhile counts", || ask(&node) == b"a");
-    agent.silent();
-    let watches = agent.watches();
-    until("a silent watch is given up for another", || agent.watches() > watches);
+    agent.go_silent();
+    let watches = agent.watch_count();
+    until("a silent watch is given up for another", || agent.watch_count() > watches);
     told["discovery"] = json!(other.address.to_string());
     node.reload(&told.to_string());
     until("the agent has moved", || ask(&node) == b"c");
@@ -131,7 +131,7 @@
     slow.send(&request("slip", "t1", 15_000));
     until("the slow one is out", || a.seen().len() == 1);
     let moved = [host("s0", b.address, "active", 1)];
-    registry.tell(2, &moved, &moved);
+    registry.publish(2, &moved, &moved);
     until("the move is known", || Client::to(&node).ask(&request("look", "t2", 15_000)).body == b"new");
     assert_eq!(slow.receive().expect("an answer").body, b"old");
     for n in 0..4 {
