--- a/crates/node/tests/custody.rs
+++ b/crates/node/tests/custody.rs
@@ -16,7 +16,7 @@
 use glenwood_testkit::rig::{large_process_count, Plan, Rig, MEMBERS_LOG_PREFIX};
 use glenwood_testkit::script::{Script, Step};
 use glenwood_testkit::{runtime, until};
-use peers::sockets;
+use peers::count_sockets;
 use serde_json::json;
 
 /// What a node logs before the address of the socket from which it queries keepers.
@@ -143,7 +143,7 @@
         let first = send_request(&rig, 0, make_request("w", &left_txn, false));
         until("its node asks the keepers", || rig.metric(0, "custody_guarded") == Some(guarded + 1));
         first.abort();
-        until("its node sees that the client left", || sockets(Some(rig.address(0)), None) == 0);
+        until("its node sees that the client left", || count_sockets(Some(rig.address(0)), None) == 0);
         rig.net.heal();
         let again = wait_answer(send_request(&rig, 1, make_request("w", &next_txn, true)));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
@@ -180,9 +180,9 @@
         let waiting = send_request(&rig, 0, longer(make_request("w", &left_txn, false)));
         until("its node holds the work", || rig.metric(0, "custody_mine") == Some(1));
         waiting.abort();
-        until("its node sees that the client left", || sockets(Some(rig.address(0)), None) == 1);
+        until("its node sees that the client left", || count_sockets(Some(rig.address(0)), None) == 1);
         full.abort();
-        until("the server has room", || sockets(Some(rig.address(0)), None) == 0);
+        until("the server has room", || count_sockets(Some(rig.address(0)), None) == 0);
         let again = wait_answer(send_request(&rig, 1, longer(make_request("w", &next_txn, true))));
         assert!(matches!(again, Answer::Served(_)), "{kind}: {again:?}");
         assert_eq!(
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -55,7 +55,7 @@
     let request_events = [" send ", " end ", " explain ", " entry "];
     let is_relevant =
         |line: &str| list_events.iter().chain(&request_events).any(|event| line.contains(event));
-    let lines = node.log_of(is_relevant);
+    let lines = node.grep_log(is_relevant);
     lines[lines.len().saturating_sub(TIMELINE_LINES)..].join("\n")
 }
 
@@ -179,28 +179,28 @@
     let drain_started = Arc::new(AtomicBool::new(false));
     let health_flag =
         if drain_source == DrainSource::Server { drain_started.clone() } else { Arc::default() };
-    let (draining, other) = (Peer::good_until("draining", &health_flag), Peer::good("other"));
+    let (draining, other) = (Peer::healthy_until("draining", &health_flag), Peer::healthy("other"));
     let hosts = |health| [entry("s0", &draining, health), entry("s1", &other, "active")];
-    let first_list = line(1, true, &hosts("active")) + "\n";
-    let changed_list = line(2, true, &hosts("leaving")) + "\n";
+    let first_list = list_line(1, true, &hosts("active")) + "\n";
+    let changed_list = list_line(2, true, &hosts("leaving")) + "\n";
     let list_flag = drain_started.clone();
-    let lists = Lists::new(move |_, _, to| {
+    let lists = ScriptedListService::new(move |_, _, to| {
         let has_changed = list_flag.load(Ordering::SeqCst);
         if has_changed && drain_source == DrainSource::Server {
             // Does not answer, as if it were busy with the calls of all other nodes.
-            return trickle(to, |_| Ok(()));
+            return write_repeatedly(to, |_| Ok(()));
         }
-        to.write_all(WATCH)?;
-        chunk(to, if has_changed { &changed_list } else { &first_list })?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, if has_changed { &changed_list } else { &first_list })?;
         if has_changed {
-            return stand(to);
+            return keep_alive(to);
         }
         wait_for(&list_flag);
         ending.end(to, &changed_list)
     });
     let nodes: Vec<Node> =
         (0..PROCESSES).map(|number| start_fleet_member(lists.address, number, fleet_size)).collect();
-    until("each node has its watch", || lists.watches() as u64 >= PROCESSES);
+    until("each node has its watch", || lists.watch_count() as u64 >= PROCESSES);
     let since = Instant::now();
     drain_started.store(true, Ordering::SeqCst);
     served_after("draining", &nodes, since, limit + GRACE)
@@ -211,23 +211,24 @@
 #[test]
 fn a_silent_watch_and_calls_that_are_not_answered_do_not_hide_a_drain() {
     let drain_started = Arc::new(AtomicBool::new(false));
-    let (draining, other) = (Peer::good_until("draining", &drain_started), Peer::good("other"));
-    let first_list = line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
+    let (draining, other) = (Peer::healthy_until("draining", &drain_started), Peer::healthy("other"));
+    let first_list =
+        list_line(1, true, &[entry("s0", &draining, "active"), entry("s1", &other, "active")]) + "\n";
     let list_flag = drain_started.clone();
-    let lists = Lists::new(move |_, _, to| {
+    let lists = ScriptedListService::new(move |_, _, to| {
         if !list_flag.load(Ordering::SeqCst) {
-            to.write_all(WATCH)?;
-            chunk(to, &first_list)?;
+            to.write_all(WATCH_HEAD)?;
+            write_chunk(to, &first_list)?;
             while !list_flag.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(100));
-                chunk(to, "\n")?;
+                write_chunk(to, "\n")?;
             }
         }
-        trickle(to, |_| Ok(()))
+        write_repeatedly(to, |_| Ok(()))
     });
     let nodes: Vec<Node> =
         (0..PROCESSES).map(|number| start_fleet_member(lists.address, number, 44)).collect();
-    until("each node has its watch", || lists.watches() as u64 >= PROCESSES);
+    until("each node has its watch", || lists.watch_count() as u64 >= PROCESSES);
     let since = Instant::now();
     drain_started.store(true, Ordering::SeqCst);
     let limit = TOLD_AFTER_SILENCE + GRACE;
@@ -241,7 +242,8 @@
 /// How many processes call the crowded service, and its time for each call: all of them together take 3.5 s,
 /// which is longer than a node has.
 const CROWD_SIZE: u64 = 44;
-const SERVICE_LOAD: Crowd = Crowd { each: Duration::from_millis(80), most: Duration::from_millis(3000) };
+const SERVICE_LOAD: ServiceLoad =
+    ServiceLoad { time_per_call: Duration::from_millis(80), max_wait: Duration::from_millis(3000) };
 /// The interval between changes of the list, and the number of changes.
 const CHANGES: (Duration, usize) = (Duration::from_millis(1200), 8);
 /// For how many changes of the list each server stays draining.
@@ -260,7 +262,7 @@
     Peer::new(move |message| {
         let is_draining = drain_flag.load(Ordering::SeqCst);
         let status = if message.path() == "/health" && is_draining { 503 } else { 200 };
-        Say::This(answer(status, "", &format!("{name}{}", if is_draining { DRAINING_SUFFIX } else { "" })))
+        Reply::Now(answer(status, "", &format!("{name}{}", if is_draining { DRAINING_SUFFIX } else { "" })))
     })
 }
 
@@ -286,7 +288,7 @@
         let health = |n: usize| if flags[n].load(Ordering::SeqCst) { "leaving" } else { "active" };
         (0..SERVERS.len()).map(|n| entry(SERVERS[n], &peers[n], health(n))).collect()
     };
-    let lists = CrowdedLists::new(&list(), SERVICE_LOAD);
+    let lists = OverloadedListService::new(&list(), SERVICE_LOAD);
     let nodes: Vec<Node> =
         (0..CROWD_SIZE).map(|number| start_fleet_member(lists.address, number, CROWD_SIZE)).collect();
     let ends_at = Instant::now() + CHANGES.0 * CHANGES.1 as u32;
@@ -355,35 +357,37 @@
 /// answers the call: the node opens no further watch and probes the servers no more.
 #[test]
 fn a_heartbeat_answers_the_call_for_a_watch() {
-    let server = Peer::good("served");
-    let whole = answer(200, "", &line(1, true, &[entry("s0", &server, "active")]));
+    let server = Peer::healthy("served");
+    let whole = answer(200, "", &list_line(1, true, &[entry("s0", &server, "active")]));
     let end_watch = Arc::new(AtomicBool::new(false));
     let end_requested = end_watch.clone();
-    let lists = Lists::new(move |path, earlier_calls, to| match (path.contains("watch"), earlier_calls) {
-        (false, _) => to.write_all(&whole),
-        (true, 0) => {
-            to.write_all(WATCH)?;
-            chunk(to, "\n")?;
-            wait_for(&end_requested);
-            Ok(())
-        }
-        (true, _) => {
-            to.write_all(WATCH)?;
-            stand(to)
+    let lists = ScriptedListService::new(move |path, earlier_calls, to| {
+        match (path.contains("watch"), earlier_calls) {
+            (false, _) => to.write_all(&whole),
+            (true, 0) => {
+                to.write_all(WATCH_HEAD)?;
+                write_chunk(to, "\n")?;
+                wait_for(&end_requested);
+                Ok(())
+            }
+            (true, _) => {
+                to.write_all(WATCH_HEAD)?;
+                keep_alive(to)
+            }
         }
     });
     let mut config = config(lists.address);
     config["settings"]["Contract"]["AskWithin"] = json!(1500.0);
     let node = Node::started_with_operator(&config, &trace_operator_file()).wait_listening();
     node.wait_ready();
-    until("the watch is open", || lists.watches() == 1);
+    until("the watch is open", || lists.watch_count() == 1);
     end_watch.store(true, Ordering::SeqCst);
-    until("the watch is reopened", || lists.watches() == 2);
-    let probes = || node.log_lines(" probe ");
+    until("the watch is reopened", || lists.watch_count() == 2);
+    let probes = || node.count_log_lines(" probe ");
     let probes_before = probes();
     let began = Instant::now();
     let _ = last_served_by(b"served", &node, began + Duration::from_millis(3500));
-    assert_eq!(lists.watches(), 2, "{}", timeline(&node));
+    assert_eq!(lists.watch_count(), 2, "{}", timeline(&node));
     assert!(probes() <= probes_before + 1, "{}", timeline(&node));
 }
 
@@ -410,22 +414,22 @@
 /// Runs that once; false if the connection of the request came up before a health check had reported the
 /// drain.
 fn is_rerouted_after_drain(protocol: &str) -> bool {
-    let blocked = Shut::new();
-    let other = Peer::good("other");
+    let blocked = FullBacklogServer::new();
+    let other = Peer::healthy("other");
     let mut blocked_entry = host("s0", blocked.address, "active", 1);
     if protocol == "msgpack-rpc" {
         blocked_entry["dial"] = json!(format!("msgpack-rpc://{}", blocked.address));
     }
-    let list = line(1, true, &[blocked_entry, entry("s1", &other, "active")]) + "\n";
+    let list = list_line(1, true, &[blocked_entry, entry("s1", &other, "active")]) + "\n";
     let end_watch = Arc::new(AtomicBool::new(false));
     let end_requested = end_watch.clone();
-    let lists = Lists::new(move |_, earlier_calls, to| {
+    let lists = ScriptedListService::new(move |_, earlier_calls, to| {
         if earlier_calls > 0 {
             // Does not answer, as if it were busy with the calls of all other nodes.
-            return trickle(to, |_| Ok(()));
+            return write_repeatedly(to, |_| Ok(()));
         }
-        to.write_all(WATCH)?;
-        chunk(to, &list)?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, &list)?;
         wait_for(&end_requested);
         Ok(())
     });
@@ -438,11 +442,11 @@
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("{protocol}-{}", clients.len()), 15_000));
         clients.push(client);
-        blocked.waiting() > 0
+        blocked.pending_connections() > 0
     });
     end_watch.store(true, Ordering::SeqCst);
     let opened = OpenedServer::start(protocol, blocked);
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.hear().map(|a| a.body)).collect();
+    let answers: Vec<_> = clients.iter_mut().map(|client| client.receive().map(|a| a.body)).collect();
     if !opened.drain_known_in_time() {
         return false;
     }
@@ -463,7 +467,7 @@
 struct OpenedServer(Arc<Mutex<Vec<Arrival>>>);
 
 impl OpenedServer {
-    fn start(protocol: &str, blocked: Shut) -> Self {
+    fn start(protocol: &str, blocked: FullBacklogServer) -> Self {
         let arrivals: Arc<Mutex<Vec<Arrival>>> = Arc::default();
         let recorded = arrivals.clone();
         let record_arrival = move |is_check: bool| {
@@ -475,10 +479,10 @@
             });
         };
         if protocol == "http" {
-            blocked.open(move |message| {
+            blocked.accept_with(move |message| {
                 let is_check = message.path() == "/health";
                 record_arrival(is_check);
-                Say::This(answer(if is_check { 503 } else { 200 }, "", "draining"))
+                Reply::Now(answer(if is_check { 503 } else { 200 }, "", "draining"))
             });
         } else {
             calls::serve(blocked.into_listener(), move |call| {
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -50,20 +50,22 @@
 }
 
 fn wait_accepted(node: &Node, count: usize) {
-    until("all requests are accepted", || node.log_lines(" ask ") == count);
+    until("all requests are accepted", || node.count_log_lines(" ask ") == count);
 }
 
 /// Waits until the node has no connection to that client any more.
 fn wait_disconnected(node: SocketAddr, client: SocketAddr) {
-    until("the node sees that its client left", || sockets(Some(node), Some(client)) == 0);
+    until("the node sees that its client left", || count_sockets(Some(node), Some(client)) == 0);
 }
 
 /// Opens the blocked server, waits until the node has no pending connection to it, and sends one more request
 /// through the node. Returns the ids of all requests that the server received.
-fn open_and_collect_ids(node: &Node, blocked: Shut) -> Vec<String> {
+fn open_and_collect_ids(node: &Node, blocked: FullBacklogServer) -> Vec<String> {
     let address = blocked.address;
-    let server = blocked.open(|_| Say::This(answer(200, "", "served")));
-    until("no connection is pending", || sockets(None, Some(address)) == 0 || !server.seen().is_empty());
+    let server = blocked.accept_with(|_| Reply::Now(answer(200, "", "served")));
+    until("no connection is pending", || {
+        count_sockets(None, Some(address)) == 0 || !server.seen().is_empty()
+    });
     assert_eq!(Client::to(node).ask(&request("look", "last", 30_000)).status(), 200);
     server.seen().iter().map(|m| m.header("x-txn").unwrap_or_default().to_string()).collect()
 }
@@ -73,8 +75,8 @@
 /// may be cancelled, as a request that was never sent can always be dropped.
 #[test]
 fn a_waiting_request_is_not_sent_once_its_client_has_left() {
-    for (how, cancel) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let blocked = Shut::new();
+    for (how, cancel) in Disconnect::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+        let blocked = FullBacklogServer::new();
         let registry = Registry::new(&[host("s0", blocked.address, "active", 1)]);
         let node = start_traced("left", &long_timeout_config(registry.address, cancel), "");
         let classes = ["look", "pay", "slip"].into_iter().cycle();
@@ -88,9 +90,9 @@
             })
             .collect();
         wait_accepted(&node, 34);
-        until("some wait for a connection", || blocked.waiting() > 3);
+        until("some wait for a connection", || blocked.pending_connections() > 3);
         let addresses: Vec<SocketAddr> = clients.iter().map(Client::address).collect();
-        let _still_open: Vec<_> = clients.into_iter().map(|client| how.by(client.stream())).collect();
+        let _still_open: Vec<_> = clients.into_iter().map(|client| how.apply(client.into_stream())).collect();
         addresses.into_iter().for_each(|client| wait_disconnected(node.address, client));
         assert_eq!(
             open_and_collect_ids(&node, blocked),
@@ -104,8 +106,8 @@
 /// protocol.
 #[test]
 fn a_waiting_request_is_not_sent_once_its_client_has_left_over_msgpack_rpc() {
-    for (how, server_speaks_rpc) in Leaving::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
-        let blocked = Shut::new();
+    for (how, server_speaks_rpc) in Disconnect::ALL.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+        let blocked = FullBacklogServer::new();
         let mut server_entry = host("s0", blocked.address, "active", 1);
         if server_speaks_rpc {
             server_entry["dial"] = json!(format!("msgpack-rpc://{}", blocked.address));
@@ -113,13 +115,14 @@
         let registry = Registry::new(&[server_entry]);
         let rpc_settings = "[msgpack]\nlisten = '127.0.0.1:0'\nopen_calls = 36\n";
         let node = start_traced("left-rpc", &long_timeout_config(registry.address, false), rpc_settings);
-        let rpc_address: SocketAddr = node.said("takes MessagePack-RPC at ").parse().expect("an address");
+        let rpc_address: SocketAddr =
+            node.log_text_after("takes MessagePack-RPC at ").parse().expect("an address");
         let mut stream = TcpStream::connect(rpc_address).expect("the node listens");
         let client = stream.local_addr().expect("bound");
         stream.write_all(&encode_calls(36)).expect("the node reads");
         wait_accepted(&node, 36);
-        until("some wait for a connection", || blocked.waiting() > 0);
-        let _still_open = how.by(stream);
+        until("some wait for a connection", || blocked.pending_connections() > 0);
+        let _still_open = how.apply(stream);
         wait_disconnected(rpc_address, client);
         if server_speaks_rpc {
             // One connection stays pending without a call on it. The first call that arrives is none of the
@@ -128,7 +131,7 @@
             let server = serve_rpc(blocked);
             assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
             assert_eq!(*server.lock().expect("no panic"), ["last"], "{how:?}");
-            until("at most one connection remains", || sockets(None, Some(address)) <= 1);
+            until("at most one connection remains", || count_sockets(None, Some(address)) <= 1);
         } else {
             assert_eq!(open_and_collect_ids(&node, blocked), ["last"], "{how:?}");
         }
@@ -153,7 +156,7 @@
 }
 
 /// Starts a MessagePack-RPC server that serves every call, and returns the ids of the calls it receives.
-fn serve_rpc(blocked: Shut) -> Arc<Mutex<Vec<String>>> {
+fn serve_rpc(blocked: FullBacklogServer) -> Arc<Mutex<Vec<String>>> {
     calls::serve(blocked.into_listener(), |_| Ok(bytes::Bytes::from_static(b"served")))
 }
 
@@ -161,7 +164,7 @@
 /// the node notices it while the first request is pending, and never sends the second.
 #[test]
 fn a_request_behind_another_does_not_hide_that_its_client_left() {
-    for (how, cancel, whole) in Leaving::ALL
+    for (how, cancel, whole) in Disconnect::ALL
         .into_iter()
         .flat_map(|how| [(how, false), (how, true)])
         .flat_map(|(how, cancel)| [(how, cancel, false), (how, cancel, true)])
@@ -172,7 +175,7 @@
             if message.header("x-txn") == Some("first") {
                 until("the first request may end", || released.load(Ordering::SeqCst));
             }
-            Say::This(answer(200, "", "served"))
+            Reply::Now(answer(200, "", "served"))
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready(&long_timeout_config(registry.address, cancel));
@@ -182,7 +185,7 @@
         client.send(&format!("{}{pipelined}", request("look", "first", 40_000)));
         until("the first request is sent", || server.seen().len() == 1);
         let address = client.address();
-        let _still_open = how.by(client.stream());
+        let _still_open = how.apply(client.into_stream());
         wait_disconnected(node.address, address);
         first_may_end.store(true, Ordering::SeqCst);
         assert_eq!(Client::to(&node).ask(&request("look", "last", 30_000)).status(), 200);
@@ -196,8 +199,8 @@
 /// arrived waits for a connection and the rest is still unread, ahead of the end of the stream.
 #[test]
 fn a_body_that_waits_half_read_does_not_hide_that_its_client_left() {
-    for how in Leaving::ALL {
-        let blocked = Shut::new();
+    for how in Disconnect::ALL {
+        let blocked = FullBacklogServer::new();
         let registry = Registry::new(&[host("s0", blocked.address, "active", 1)]);
         let mut config = long_timeout_config(registry.address, false);
         // Bodies may take a quarter of this.
@@ -205,15 +208,15 @@
         let node = start_traced("body", &config, "");
         let client = Client::to(&node);
         let address = client.address();
-        let mut stream = client.stream();
+        let mut stream = client.into_stream();
         let head = request("slip", "long", 40_000).replace("Content-Length: 4", "Content-Length: 6000000");
         stream.write_all(head.as_bytes()).expect("the node reads");
         // More than the node reads ahead, and less than the kernel buffers: otherwise the end of the stream
         // would not leave the client.
         stream.write_all(&[b'x'; 60_000]).expect("the node reads");
         wait_accepted(&node, 1);
-        until("it waits for a connection", || blocked.waiting() == 1);
-        let _still_open = how.by(stream);
+        until("it waits for a connection", || blocked.pending_connections() == 1);
+        let _still_open = how.apply(stream);
         wait_disconnected(node.address, address);
         assert_eq!(open_and_collect_ids(&node, blocked), ["last"], "{how:?}");
     }
@@ -223,19 +226,19 @@
 /// them are accepted and answered.
 #[test]
 fn what_stands_in_the_backlog_at_sigterm_is_answered() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
-    node.stand_still();
+    node.suspend();
     let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     node.terminate();
     node.terminate();
-    node.go_on();
+    node.resume();
     for client in &mut clients {
-        assert_eq!(client.hear().map(|answer| answer.status()), Some(200));
+        assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     }
     drop(clients);
     assert_eq!(node.exit_code(), Some(0));
@@ -247,10 +250,10 @@
 /// a request that had not been sent is not sent.
 #[test]
 fn each_request_has_one_answer_at_sigterm_whatever_its_state() {
-    let blocked = Shut::new();
+    let blocked = FullBacklogServer::new();
     let server = Peer::new(|message| match message.header("x-txn") {
-        Some("sent") => Say::Nothing,
-        _ => Say::This(answer(200, "", "served")),
+        Some("sent") => Reply::Nothing,
+        _ => Reply::Now(answer(200, "", "served")),
     });
     let (s0, s1) = (host("s0", server.address, "active", 1), host("s1", blocked.address, "active", 1));
     let registry = Registry::new(std::slice::from_ref(&s0));
@@ -260,13 +263,13 @@
     sent.send(&request("slip", "sent", 40_000));
     until("it is sent", || server.seen().len() == 1);
     // From now on all requests go to the server that accepts no connection.
-    registry.tell(2, std::slice::from_ref(&s1), &[host("s0", server.address, "left", 1), s1.clone()]);
+    registry.publish(2, std::slice::from_ref(&s1), &[host("s0", server.address, "left", 1), s1.clone()]);
     let mut waiting_clients: Vec<Client> = Vec::new();
     until("some wait for their connection", || {
         let mut client = Client::to(&node);
         client.send(&request("slip", &format!("w{}", waiting_clients.len()), 40_000));
         waiting_clients.push(client);
-        blocked.waiting() > 0
+        blocked.pending_connections() > 0
     });
     // Created last, as a new connection may stay silent for 1.8 s only, and a body may pause for 2.2 s.
     let mut half = Client::to(&node);
@@ -275,27 +278,27 @@
     half.send(first);
     let began = Instant::now();
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     half.send(rest);
     let paused = began.elapsed();
     node.terminate();
     node.reload(&config.to_string());
     for (request, client) in [("sent", &mut sent), ("half", &mut half)] {
-        let status = client.hear().map(|answer| answer.status());
+        let status = client.receive().map(|answer| answer.status());
         assert!(
             [Some(502), Some(503)].contains(&status),
             "{request}: {status:?}, its body paused for {paused:?}, {}",
-            node.log_of(|_| true).join("\n")
+            node.grep_log(|_| true).join("\n")
         );
     }
     for client in &mut waiting_clients {
-        let answer = client.hear().expect("an answer");
+        let answer = client.receive().expect("an answer");
         // The first ones may have gone to the other server before the node learned that it had left.
         assert!([200, 502, 503].contains(&answer.status()), "{}", answer.head);
     }
     assert_eq!(node.exit_code(), Some(0));
     // No connection to the server that accepts none is still pending.
-    assert_eq!(blocked.waiting(), 0);
+    assert_eq!(blocked.pending_connections(), 0);
     let unsafe_sends = server.seen().iter().filter(|m| m.header("x-txn") == Some("sent")).count();
     assert_eq!(unsafe_sends, 1);
 }
@@ -304,7 +307,7 @@
 /// same, and before SIGKILL may come.
 #[test]
 fn a_stopping_node_that_was_held_up_answers_what_is_open() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&long_timeout_config(registry.address, false));
     let mut clients: Vec<Client> = ["look", "pay", "slip"]
@@ -317,19 +320,19 @@
         .collect();
     until("the requests are sent", || server.seen().len() == 3);
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     let stopping_since = Instant::now();
     // Open requests are failed 3.2 s after SIGTERM, the process exits after 3.5 s, and SIGKILL may come after
     // 3.7 s.
     std::thread::sleep(Duration::from_millis(3100));
-    node.stand_still();
+    node.suspend();
     let suspended_until = Duration::from_millis(3510);
     std::thread::sleep(suspended_until.saturating_sub(stopping_since.elapsed()));
-    node.go_on();
+    node.resume();
     // Measured from here, so that a delay of this test so far does not count against the node.
     let resumed_at = Instant::now();
     for client in &mut clients {
-        assert_eq!(client.hear().map(|answer| answer.status()), Some(502));
+        assert_eq!(client.receive().map(|answer| answer.status()), Some(502));
     }
     assert_eq!(node.exit_code(), Some(0));
     assert!(
@@ -343,14 +346,14 @@
 /// refused at once, which tells its client that it may try elsewhere, and reaches no server.
 #[test]
 fn a_request_that_arrives_while_a_stopping_node_fails_the_rest_is_refused() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut open = Client::to(&node);
     open.send(&request("slip", "open", 25_000));
     until("the attempt is sent", || server.seen().len() == 1);
     node.terminate();
-    node.wait_said("stops");
+    node.wait_for_log("stops");
     // The time that the next request has to arrive in full begins well after SIGTERM, so it does not run out
     // first.
     std::thread::sleep(Duration::from_millis(1500));
@@ -358,7 +361,7 @@
     let request_text = request("slip", "late", 25_000);
     let (first, rest) = request_text.split_at(request_text.len() - 1);
     late.send(first);
-    assert_eq!(open.hear().expect("an answer").status(), 502);
+    assert_eq!(open.receive().expect("an answer").status(), 502);
     let refused = late.ask(rest);
     assert_eq!((refused.status(), refused.header("connection")), (503, Some("close")));
     assert_eq!(node.exit_code(), Some(0));
@@ -369,7 +372,7 @@
 /// starts work only with the last byte. The request never ran there, and another server serves it.
 #[test]
 fn an_answer_ahead_of_its_request_is_not_passed_on() {
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let early_server = listener.local_addr().expect("bound");
     let was_tried = Arc::new(AtomicBool::new(false));
@@ -404,11 +407,11 @@
 /// The first watch sends a line that cannot be parsed, so that the node asks for the whole list; later
 /// watches stay open and send heartbeats.
 fn watch_with_invalid_start(to: &mut TcpStream, earlier_calls: usize) -> std::io::Result<()> {
-    to.write_all(WATCH)?;
+    to.write_all(WATCH_HEAD)?;
     if earlier_calls == 0 {
-        return chunk(to, "broken\n");
+        return write_chunk(to, "broken\n");
     }
-    stand(to)
+    keep_alive(to)
 }
 
 fn pretty(line: &str) -> String {
@@ -420,9 +423,9 @@
 /// as a whole.
 #[test]
 fn a_whole_list_that_trickles_is_requested_again() {
-    let server = Peer::good("served");
-    let list = line(1, true, &[host("s0", server.address, "active", 1)]);
-    let lists = Lists::new(move |path, earlier_calls, to| {
+    let server = Peer::healthy("served");
+    let list = list_line(1, true, &[host("s0", server.address, "active", 1)]);
+    let lists = ScriptedListService::new(move |path, earlier_calls, to| {
         if path.contains("watch") {
             return watch_with_invalid_start(to, earlier_calls);
         }
@@ -430,7 +433,7 @@
             return to.write_all(&answer(200, "", &list));
         }
         to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")?;
-        trickle(to, |to| to.write_all(b" "))
+        write_repeatedly(to, |to| to.write_all(b" "))
     });
     let mut config = config(lists.address);
     // After this time the node would ask again whatever became of the call; it is longer than the test takes.
@@ -438,7 +441,7 @@
     let node = Node::ready(&config);
     until("the list has arrived", || Client::to(&node).ask(&request("look", "t1", 9000)).status() == 200);
     assert_eq!(
-        lists.calls.lock().expect("no panic").iter().filter(|path| !path.contains("watch")).count(),
+        lists.request_paths.lock().expect("no panic").iter().filter(|path| !path.contains("watch")).count(),
         2
     );
 }
@@ -449,26 +452,26 @@
 #[test]
 fn a_watch_that_trickles_is_reopened() {
     for (heartbeat_first, piece) in [(false, " "), (true, " "), (true, "[")] {
-        let server = Peer::good("served");
-        let list = line(1, true, &[host("s0", server.address, "active", 1)]);
+        let server = Peer::healthy("served");
+        let list = list_line(1, true, &[host("s0", server.address, "active", 1)]);
         let trickles_since: Arc<Mutex<Option<Instant>>> = Arc::default();
         let noted_at = trickles_since.clone();
-        let lists = Lists::new(move |path, earlier_calls, to| {
+        let lists = ScriptedListService::new(move |path, earlier_calls, to| {
             if !path.contains("watch") {
                 return to.write_all(&answer(200, "", &list));
             }
-            to.write_all(WATCH)?;
+            to.write_all(WATCH_HEAD)?;
             if earlier_calls > 0 {
-                return stand(to);
+                return keep_alive(to);
             }
             if heartbeat_first {
-                chunk(to, "\n")?;
+                write_chunk(to, "\n")?;
             }
             *noted_at.lock().expect("no panic") = Some(Instant::now());
-            trickle(to, |to| chunk(to, piece))
+            write_repeatedly(to, |to| write_chunk(to, piece))
         });
         let _node = Node::ready(&config(lists.address));
-        until("the watch is reopened", || lists.watches() > 1);
+        until("the watch is reopened", || lists.watch_count() > 1);
         let reopened_after = trickles_since.lock().expect("no panic").expect("a watch").elapsed();
         assert!(reopened_after < Duration::from_secs(6), "reopened after {reopened_after:?}");
     }
@@ -477,28 +480,28 @@
 /// A list may be indented, in a whole answer as well as on a watch, so that one object spans many lines.
 #[test]
 fn an_indented_list_is_read() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let entry = |name: &str, peer: &Peer, health: &str| host(name, peer.address, health, 1);
-    let whole = pretty(&line(1, true, &[entry("a", &a, "active")]));
-    let update = pretty(&line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
-    let lists = Lists::new(move |path, earlier_calls, to| {
+    let whole = pretty(&list_line(1, true, &[entry("a", &a, "active")]));
+    let update = pretty(&list_line(2, false, &[entry("a", &a, "leaving"), entry("b", &b, "active")]));
+    let lists = ScriptedListService::new(move |path, earlier_calls, to| {
         if !path.contains("watch") {
             return to.write_all(&answer(200, "", &whole));
         }
         if earlier_calls == 0 {
             return watch_with_invalid_start(to, earlier_calls);
         }
-        to.write_all(WATCH)?;
-        chunk(to, &format!("{whole}\n"))?;
+        to.write_all(WATCH_HEAD)?;
+        write_chunk(to, &format!("{whole}\n"))?;
         // In two chunks, split at the end of a line.
         let (first, rest) = update.split_at(update.find('\n').expect("lines") + 1);
-        chunk(to, first)?;
-        chunk(to, &format!("{rest}\n"))?;
-        stand(to)
+        write_chunk(to, first)?;
+        write_chunk(to, &format!("{rest}\n"))?;
+        keep_alive(to)
     });
     let node = Node::ready(&config(lists.address));
     until("the update is applied", || Client::to(&node).ask(&request("look", "t1", 9000)).body == b"b");
-    assert_eq!((lists.watches(), node.log_lines("is not taken")), (2, 1));
+    assert_eq!((lists.watch_count(), node.count_log_lines("is not taken")), (2, 1));
 }
 
 /// Discovery moves to another address while a call to the old one is pending and never answered, in both
@@ -506,17 +509,17 @@
 #[test]
 fn a_pending_call_does_not_delay_a_move_of_discovery() {
     for mode in ["subscribe", "automatic"] {
-        let (a, b) = (Peer::good("a"), Peer::good("b"));
+        let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
         let [at_a, at_b] = [&a, &b].map(|peer| host("s0", peer.address, "active", 1));
-        let old = Lists::new(|_, _, to| trickle(to, |_| Ok(())));
+        let old = ScriptedListService::new(|_, _, to| write_repeatedly(to, |_| Ok(())));
         let new = Registry::new(&[at_b]);
         let mut config = config(old.address);
         config["settings"]["Discovery"] = json!(mode);
-        config["known"] = serde_json::from_str(&line(1, true, &[at_a])).expect("a list");
+        config["known"] = serde_json::from_str(&list_line(1, true, &[at_a])).expect("a list");
         let node = Node::ready(&config);
         let ask = || Client::to(&node).ask(&request("look", "t1", 9000)).body;
         assert_eq!(ask(), b"a", "{mode}");
-        until("the call is pending", || !old.calls.lock().expect("no panic").is_empty());
+        until("the call is pending", || !old.request_paths.lock().expect("no panic").is_empty());
         config["discovery"] = json!(new.address.to_string());
         let moved_at = Instant::now();
         node.reload(&config.to_string());
@@ -530,10 +533,10 @@
 #[test]
 fn a_repeat_that_waits_for_its_connection_is_not_written_once_its_key_is_forgotten() {
     let first = Peer::new(|message| match message.path() {
-        "/health" => Say::This(answer(200, "", "")),
-        _ => Say::Last(Vec::new()),
+        "/health" => Reply::Now(answer(200, "", "")),
+        _ => Reply::ThenClose(Vec::new()),
     });
-    let blocked = Shut::new();
+    let blocked = FullBacklogServer::new();
     let hosts = [host("s0", first.address, "active", 1), host("s1", blocked.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let mut config = config(registry.address);
@@ -545,13 +548,15 @@
         client.send(&request("pay", &format!("t{number}"), 15_000).replace("k1", &format!("k{number}")));
     }
     // A request whose first attempt is at the blocked server may still be sent there.
-    until("a second attempt waits for its connection", || !first.seen().is_empty() && blocked.waiting() > 0);
+    until("a second attempt waits for its connection", || {
+        !first.seen().is_empty() && blocked.pending_connections() > 0
+    });
     let forgotten_at = Instant::now() + Duration::from_millis(700);
     std::thread::sleep(forgotten_at.saturating_duration_since(Instant::now()));
     let ran: Vec<String> =
         first.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
-    let late = blocked.open(|_| Say::This(answer(200, "", "late")));
-    clients.iter_mut().for_each(|client| drop(client.hear()));
+    let late = blocked.accept_with(|_| Reply::Now(answer(200, "", "late")));
+    clients.iter_mut().for_each(|client| drop(client.receive()));
     let again: Vec<String> =
         late.seen().iter().map(|m| m.header("x-txn").unwrap_or("?").to_string()).collect();
     assert!(
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -26,7 +26,7 @@
     for seed in 1..=3 {
         // Closes after each answer, so that no idle server connection exists that the node could close
         // instead of a client's.
-        let server = Peer::new(|_| Say::Last(answer(200, "Connection: close\r\n", "served")));
+        let server = Peer::new(|_| Reply::ThenClose(answer(200, "Connection: close\r\n", "served")));
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let plan = Plan::new(seed).with_fault(Fault::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS);
         let node = Node::ready_with_faults(&config(registry.address), &plan);
@@ -47,7 +47,7 @@
         let mut connection = Client::to(node);
         std::thread::sleep(FIRST_REQUEST_DELAY);
         connection.try_send(&request("look", &format!("{client}-{number}"), 9000)).is_err()
-            || connection.hear().map(|answer| answer.status()) != Some(200)
+            || connection.receive().map(|answer| answer.status()) != Some(200)
     };
     (0..REQUESTS).filter(is_lost).count()
 }
@@ -57,20 +57,20 @@
 #[test]
 fn accept_that_fails_does_not_end_the_emptying_of_the_backlog() {
     for seed in 1..=5 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready_with_faults(
             &config(registry.address),
             &Plan::new(seed).with_fault(Fault::Accept, FAILURES_PER_MILLE, &ACCEPT_ERRORS),
         );
-        node.stand_still();
+        node.suspend();
         let mut clients: Vec<Client> = (0..20).map(|_| Client::to(&node)).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send(&request("slip", &format!("t{n}"), 15_000));
         }
         node.terminate();
-        node.go_on();
-        let answers = clients.iter_mut().filter_map(Client::hear).filter(|answer| answer.status() == 200);
+        node.resume();
+        let answers = clients.iter_mut().filter_map(Client::receive).filter(|answer| answer.status() == 200);
         assert_eq!(answers.count(), 20, "seed {seed}");
     }
 }
@@ -82,7 +82,7 @@
 #[test]
 fn a_node_starts_though_socket_fails_for_a_moment() {
     for seed in 1..=5 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let plan =
             Plan::new(seed).with_fault(Fault::Socket, FAILURES_PER_MILLE, &[ENFILE, ENOBUFS, ENOMEM, EMFILE]);
@@ -103,7 +103,7 @@
 #[test]
 fn a_signal_is_taken_though_reading_is_interrupted() {
     for seed in 1..=3 {
-        let server = Peer::good("served");
+        let server = Peer::healthy("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
         let plan = Plan::new(seed).with_fault(Fault::Recv, FAILURES_PER_MILLE, &[EINTR]).with_fault(
@@ -114,7 +114,7 @@
         let mut node = Node::ready_with_faults(&config, &plan);
         for reload in 1..=5 {
             node.reload(&config.to_string());
-            until("the configuration is loaded", || node.log_lines("reload: discovery is") == reload);
+            until("the configuration is loaded", || node.count_log_lines("reload: discovery is") == reload);
             let id = format!("t{reload}");
             assert_eq!(Client::to(&node).ask(&request("look", &id, 9000)).status(), 200, "seed {seed}");
         }
@@ -153,7 +153,7 @@
 #[test]
 fn a_wall_clock_that_is_off_makes_no_cold_server_warm_and_none_cold_for_ever() {
     for off_by_s in [0, 3_600, -3_600, 5, -5] {
-        let (warm, cold) = (Peer::good("warm"), Peer::good("cold"));
+        let (warm, cold) = (Peer::healthy("warm"), Peer::healthy("cold"));
         let mut started = host("s1", cold.address, "active", 1);
         started["born_ms"] = json!(unix_ms(0.0));
         let registry = Registry::new(&[host("s0", warm.address, "active", 1), started]);
@@ -172,7 +172,7 @@
 #[test]
 fn a_server_that_joins_is_cold_whatever_its_wall_clock_says() {
     for off_by_ms in [0.0, -3_600_000.0, 3_600_000.0, -60_000.0] {
-        let (warm, cold) = (Peer::good("warm"), Peer::good("cold"));
+        let (warm, cold) = (Peer::healthy("warm"), Peer::healthy("cold"));
         let before = host("s0", warm.address, "active", 1);
         let registry = Registry::new(std::slice::from_ref(&before));
         let mut config = config(registry.address);
@@ -180,7 +180,7 @@
         let node = Node::ready(&config);
         let mut joining = host("s1", cold.address, "active", 1);
         joining["born_ms"] = json!(unix_ms(off_by_ms));
-        registry.tell(2, &[before, joining.clone()], &[joining]);
+        registry.publish(2, &[before, joining.clone()], &[joining]);
         until("the node knows the server", || {
             Client::to(&node).ask(&request("look", &format!("k{}", cold.seen().len()), 9000));
             !cold.seen().is_empty()
--- a/crates/node/tests/faults_together.rs
+++ b/crates/node/tests/faults_together.rs
@@ -18,7 +18,7 @@
     EADDRNOTAVAIL, ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, EPROTO,
     ETIMEDOUT,
 };
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::links::Links;
 use peers::record::*;
 use peers::*;
@@ -53,13 +53,13 @@
 /// each of two steps.
 type ClockOffsets = [i64; 3];
 
-fn clock_offsets(rng: &mut Dice) -> ClockOffsets {
+fn clock_offsets(rng: &mut Rng) -> ClockOffsets {
     [(); 3].map(|()| [5, -5, 3_600, -3_600][rng.below(4) as usize])
 }
 
 /// The faults of one process. A process may be held up for 0.15 s at most, so the one that is suspended as a
 /// whole is not delayed before its writes as well: both together would make 0.3 s.
-fn fault_plan(number: usize, rng: &mut Dice, clock_offsets: ClockOffsets) -> Plan {
+fn fault_plan(number: usize, rng: &mut Rng, clock_offsets: ClockOffsets) -> Plan {
     let [first, second, third] = clock_offsets;
     let hold_per_mille = if number == SUSPENDED_NODE { 0 } else { 2 };
     Plan::new(rng.next())
@@ -91,22 +91,22 @@
 fn server(number: usize, record: &Arc<Record>, links: &Links) -> Server {
     let drain_known_at: Arc<Mutex<Option<Instant>>> = Arc::default();
     let (known_at, record) = (drain_known_at.clone(), record.clone());
-    let rng = Mutex::new(Dice(number as u64));
+    let rng = Mutex::new(Rng(number as u64));
     let peer = Peer::new(move |message| {
         let at = Instant::now();
         let drains_for = known_at.lock().expect("no panic").map(|told| at.saturating_duration_since(told));
         if message.path() == "/health" {
-            return Say::This(answer(if drains_for.is_some() { 503 } else { 200 }, "", ""));
+            return Reply::Now(answer(if drains_for.is_some() { 503 } else { 200 }, "", ""));
         }
         let header_number = |name| message.header(name).and_then(|value| value.parse().ok());
         let id = message.header("x-txn").unwrap_or_default().to_string();
-        record.sent(Sent {
+        record.add_attempt(ServerAttempt {
             id: id.clone(),
             server: number,
             cell: number as u64 / 2,
             at,
-            told: Duration::from_millis(header_number("x-remaining-ms").unwrap_or(u64::MAX / 2)),
-            runs: true,
+            time_given: Duration::from_millis(header_number("x-remaining-ms").unwrap_or(u64::MAX / 2)),
+            is_executed: true,
             drains_for,
         });
         let mut rng = rng.lock().expect("no panic");
@@ -120,9 +120,9 @@
         if closes {
             // Closes long after the client may have left, when nobody waits for a further attempt.
             std::thread::sleep(answer_delay);
-            return Say::Last(Vec::new());
+            return Reply::ThenClose(Vec::new());
         }
-        Say::Later(answer_delay, answer(200, "", &id))
+        Reply::After(answer_delay, answer(200, "", &id))
     });
     let address = links.to_server(number, peer.address);
     Server { _peer: peer, address, drain_known_at, started_at_ms: Mutex::new(0.0) }
@@ -188,7 +188,7 @@
         *version += 1;
         let all: Vec<Value> = (0..SERVERS).map(|number| self.entry(number)).collect();
         let changed: Vec<Value> = changed.iter().map(|number| self.entry(*number)).collect();
-        self.registry.tell(*version, &all, &changed);
+        self.registry.publish(*version, &all, &changed);
     }
 
     fn drain(&self, number: usize, told_after: Duration) {
@@ -213,14 +213,14 @@
         SlowStart {
             server: number,
             at,
-            multiple: number_of("FallMultiple"),
+            max_multiple: number_of("FallMultiple"),
             window: millis("Fall"),
             cold_share: number_of("ColdShare"),
             warm_within: millis("WarmWithin"),
         }
     }
 
-    fn start_node(&self, number: usize, rng: &mut Dice) {
+    fn start_node(&self, number: usize, rng: &mut Rng) {
         let mut config = self.config.clone();
         config["seed"] = json!(format!("{:x}", rng.next()));
         config["settings"]["Me"] = json!(number);
@@ -240,7 +240,7 @@
 
     /// Picks a running process at random, as the clients' front does: it drops a process soon after that was
     /// told to stop.
-    fn pick_node(&self, rng: &mut Dice) -> Arc<Process> {
+    fn pick_node(&self, rng: &mut Rng) -> Arc<Process> {
         let processes = self.processes.read().expect("no panic");
         let running: Vec<_> = processes.iter().filter(|p| !p.is_stopping.load(Ordering::SeqCst)).collect();
         running[rng.below(running.len() as u64) as usize].clone()
@@ -253,7 +253,7 @@
             return String::new();
         };
         let suffix = format!(" {id}");
-        let accepted = process.node.log_of(|line| line.contains(" id ") && line.ends_with(&suffix));
+        let accepted = process.node.grep_log(|line| line.contains(" id ") && line.ends_with(&suffix));
         let number = accepted.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let is_relevant = |line: &str| {
             let request_events = [" ask ", " send ", " end ", " answer ", " id "];
@@ -263,7 +263,7 @@
                     .iter()
                     .any(|event| line.contains(event))
         };
-        process.node.log_of(is_relevant).join("\n  ")
+        process.node.grep_log(is_relevant).join("\n  ")
     }
 
     /// Whether the node at that address has accepted a request with that id.
@@ -271,14 +271,15 @@
         let processes = self.processes.read().expect("no panic");
         let tail = format!(" {id}");
         let found = processes.iter().find(|p| p.node.address == address);
-        found
-            .is_some_and(|p| !p.node.log_of(|line| line.contains(" id ") && line.ends_with(&tail)).is_empty())
+        found.is_some_and(|p| {
+            !p.node.grep_log(|line| line.contains(" id ") && line.ends_with(&tail)).is_empty()
+        })
     }
 }
 
 /// A client that sends requests in a loop, over new and reused connections.
 fn run_client(cluster: &TestCluster, number: usize, seed: u64, until: Instant) {
-    let mut rng = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut rng = Rng(seed ^ (number as u64 + 1) << 32);
     let mut count = 0;
     while Instant::now() < until {
         let process = cluster.pick_node(&mut rng);
@@ -300,31 +301,32 @@
     process: &Process,
     client: &mut Client,
     id: String,
-    rng: &mut Dice,
+    rng: &mut Rng,
 ) -> bool {
     let class = ["look", "pay", "slip"][rng.below(3) as usize];
     let remaining = rng.between(400, 2500);
     let request_text = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
     let (node, at) = (process.node.address, Instant::now());
     let is_stopping = || process.is_stopping.load(Ordering::SeqCst);
-    let record = |end| cluster.record.asked(Asked { id: id.clone(), class, at, remaining, node, end });
+    let record =
+        |end| cluster.record.add_request(ClientRequest { id: id.clone(), class, at, remaining, node, end });
     if client.try_send(&request_text).is_err() {
-        record(End::Closed { at: Instant::now(), node_stops: is_stopping() });
+        record(Outcome::Closed { at: Instant::now(), node_stops: is_stopping() });
         return false;
     }
     if rng.one_in(8) {
         std::thread::sleep(rng.between(0, 120));
-        client.leave();
-        record(End::Left { at: Instant::now() });
+        client.disconnect();
+        record(Outcome::Left { at: Instant::now() });
         return false;
     }
-    let answer = client.hear();
-    record(End::by(answer.as_ref(), &id, is_stopping()));
+    let answer = client.receive();
+    record(Outcome::from_response(answer.as_ref(), &id, is_stopping()));
     answer.is_some_and(|answer| answer.header("connection") != Some("close"))
 }
 
 /// Injects the faults while the clients run.
-fn inject_faults(cluster: &TestCluster, rng: &mut Dice) -> SlowStart {
+fn inject_faults(cluster: &TestCluster, rng: &mut Rng) -> SlowStart {
     let began = Instant::now();
     let wait_until = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
     let (first, second) = (rng.below(4) as usize, 4 + rng.below(3) as usize);
@@ -343,15 +345,15 @@
     let kill_at = Instant::now() + KILL_DELAY;
     cluster.start_node(0, rng);
     wait_until(2700 + rng.below(400));
-    cluster.registry.down(true);
+    cluster.registry.set_down(true);
     wait_until(3300 + rng.below(300));
     let (suspended, from) = (cluster.process(SUSPENDED_NODE), Instant::now());
-    suspended.node.stand_still();
-    std::thread::sleep(HELD_UP);
-    suspended.node.go_on();
-    cluster.record.held(Held { node: suspended.node.address, from, until: Instant::now() });
+    suspended.node.suspend();
+    std::thread::sleep(MAX_PAUSE);
+    suspended.node.resume();
+    cluster.record.add_pause(Pause { node: suspended.node.address, from, until: Instant::now() });
     wait_until(4000 + rng.below(200));
-    cluster.registry.down(false);
+    cluster.registry.set_down(false);
     cluster.drain(second, TOLD_AFTER_RETURN);
     wait_until(5000 + rng.below(300));
     cluster.end_drain(first);
@@ -362,7 +364,7 @@
 
 /// Runs one seed; returns the violations, with timelines.
 fn run_seed(seed: u64) -> Vec<String> {
-    let mut rng = Dice(seed);
+    let mut rng = Rng(seed);
     let cluster = TestCluster::new(seed, clock_offsets(&mut rng));
     (0..NODES).for_each(|number| cluster.start_node(number, &mut rng));
     for number in 0..NODES {
@@ -375,18 +377,18 @@
             scope.spawn(move || run_client(cluster, number, seed, until));
         }
         let links = &cluster.links;
-        scope.spawn(move || links.trouble(SERVERS, NODES, &mut Dice(seed ^ LINKS_SEED_MASK)));
+        scope.spawn(move || links.inject_faults(SERVERS, NODES, &mut Rng(seed ^ LINKS_SEED_MASK)));
         inject_faults(&cluster, &mut rng)
     });
     let (asked, served) = cluster.record.counts();
     println!("seed {seed}: {served} of {asked} requests served");
-    let breaches = cluster.record.breaches(|node, id| cluster.has_accepted(node, id));
+    let breaches = cluster.record.violations(|node, id| cluster.has_accepted(node, id));
     let mut violations: Vec<String> = breaches
         .iter()
         .map(|breach| format!("seed {seed}: {breach}\n  {}", cluster.timeline(breach.node, &breach.id)))
         .collect();
     violations
-        .extend(cluster.record.overload(slow_start, SERVERS).map(|text| format!("seed {seed}: {text}")));
+        .extend(cluster.record.find_overload(slow_start, SERVERS).map(|text| format!("seed {seed}: {text}")));
     if (served as f64) < MIN_SERVED_SHARE * asked as f64 {
         violations.push(format!("seed {seed}: {served} of {asked} requests served"));
     }
--- a/crates/node/tests/large.rs
+++ b/crates/node/tests/large.rs
@@ -6,7 +6,9 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use peers::{answer, config, host, request, until, Client, Message, Node, Peer, Registry, Say, PATIENCE};
+use peers::{
+    answer, config, host, request, until, Client, Message, Node, Peer, Registry, Reply, WAIT_TIMEOUT,
+};
 
 /// A body of pseudorandom bytes, so that a part that is missing or moved changes it.
 fn body(length: usize) -> Vec<u8> {
@@ -40,7 +42,7 @@
 /// Sends a request with `Connection: close` on a new connection; returns all bytes that come back.
 fn ask_raw(node: &Node, text: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(node.address).expect("the node listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let text = text.replacen("\r\n", "\r\nConnection: close\r\n", 1);
     stream.write_all(text.as_bytes()).expect("the node reads");
     let mut raw = Vec::new();
@@ -84,7 +86,9 @@
     {
         let closes = n == 3;
         let peer =
-            Peer::new(move |_| if closes { Say::Last(bytes.clone()) } else { Say::This(bytes.clone()) });
+            Peer::new(
+                move |_| if closes { Reply::ThenClose(bytes.clone()) } else { Reply::Now(bytes.clone()) },
+            );
         let (node, _registry) = start_node(&[&peer]);
         for round in 0..3 {
             let raw = ask_raw(&node, &request("look", &format!("t{round}"), 10_000));
@@ -95,7 +99,7 @@
 
 #[test]
 fn a_kept_connection_serves_after_a_long_answer() {
-    let peer = Peer::new(|_| Say::This(response_with_length(300_000)));
+    let peer = Peer::new(|_| Reply::Now(response_with_length(300_000)));
     let (node, _registry) = start_node(&[&peer]);
     let mut client = Client::to(&node);
     for n in 0..5 {
@@ -113,7 +117,7 @@
     for part in [1, 2, 3] {
         let broken = move |bytes: Vec<u8>| {
             let cut = bytes.len() * part / 4;
-            Say::Last(bytes[..cut].to_vec())
+            Reply::ThenClose(bytes[..cut].to_vec())
         };
         let peers = [
             Peer::new(move |_| broken(response_with_length(1_000_000))),
@@ -141,7 +145,7 @@
         [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec(), body(1000)]
             .concat(),
     ] {
-        let peer = Peer::new(move |_| Say::Last(bytes.clone()));
+        let peer = Peer::new(move |_| Reply::ThenClose(bytes.clone()));
         let (node, _registry) = start_node(&[&peer]);
         let raw = ask_raw(&node, &request("slip", "t", 10_000));
         assert_eq!(complete_response(&raw).map(|a| a.0), Some(502));
@@ -152,8 +156,8 @@
 fn a_client_that_disconnects_within_an_answer_frees_its_server() {
     let long = response_with_length(30_000_000);
     let peer = Peer::new(move |message: &Message| match message.header("x-org") {
-        Some("long") => Say::This(long.clone()),
-        _ => Say::This(answer(200, "", "short")),
+        Some("long") => Reply::Now(long.clone()),
+        _ => Reply::Now(answer(200, "", "short")),
     });
     let registry = Registry::new(&[host("s0", peer.address, "active", 0)]);
     let node = Node::ready(&config(registry.address));
@@ -165,18 +169,19 @@
         let mut buffer = vec![0; 100_000];
         stream.read_exact(&mut buffer).expect("the answer begins");
     }
-    until("the server's connections are closed", || peer.open() <= 1);
+    until("the server's connections are closed", || peer.open_connections() <= 1);
     assert_eq!(Client::to(&node).ask(&request("look", "b", 10_000)).body, b"short");
 }
 
 #[test]
 fn forty_clients_that_stop_reading_long_answers_stay_within_the_memory() {
-    let peers: Vec<Peer> = (0..3).map(|_| Peer::new(|_| Say::This(response_with_length(32 << 20)))).collect();
+    let peers: Vec<Peer> =
+        (0..3).map(|_| Peer::new(|_| Reply::Now(response_with_length(32 << 20)))).collect();
     let (node, _registry) = start_node(&[&peers[0], &peers[1], &peers[2]]);
     let stuck: Vec<TcpStream> = (0..40)
         .filter_map(|n| {
             let mut stream = TcpStream::connect(node.address).expect("the node listens");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
             stream.write_all(request("look", &format!("t{n}"), 20_000).as_bytes()).expect("the node reads");
             let mut buffer = vec![0; 1 << 20];
             stream
@@ -195,8 +200,8 @@
     // The first server that gets the request turns it away as overloaded.
     let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let script = move |_: &Message| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
-        true => Say::This(answer(503, "X-Turned-Away: 1\r\n", "")),
-        false => Say::This(answer(200, "", "served")),
+        true => Reply::Now(answer(503, "X-Turned-Away: 1\r\n", "")),
+        false => Reply::Now(answer(200, "", "served")),
     };
     let script = std::sync::Arc::new(script);
     let script_b = script.clone();
@@ -217,7 +222,7 @@
 
 #[test]
 fn the_deadline_of_a_slow_body_counts_from_its_last_byte() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = start_node(&[&peer]);
     let mut client = Client::to(&node);
     let text = request("slip", "t", 1000).replace("Content-Length: 4", "Content-Length: 100000");
@@ -230,12 +235,12 @@
     }
     assert!(started.elapsed() > Duration::from_millis(2900));
     client.send(&"x".repeat(100_000 - 4 - 35 * 2800));
-    assert_eq!(client.hear().map(|m| m.status()), Some(200));
+    assert_eq!(client.receive().map(|m| m.status()), Some(200));
 }
 
 #[test]
 fn a_stalled_body_is_given_up_soon() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = start_node(&[&peer]);
     for text in [
         request("slip", "t", 20_000).replace("Content-Length: 4", "Content-Length: 100000"),
@@ -247,7 +252,7 @@
         let mut client = Client::to(&node);
         let started = Instant::now();
         client.send(&text);
-        assert!(client.ended_or_reset());
+        assert!(client.is_closed_or_reset());
         // Bytes that arrived at once do not extend the time: by the minimum rate alone the second body would
         // have six seconds.
         assert!(started.elapsed() < Duration::from_millis(4500), "{:?}", started.elapsed());
@@ -257,7 +262,7 @@
 
 #[test]
 fn an_endless_body_is_rejected_and_not_forwarded() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = start_node(&[&peer]);
     let head = request("slip", "t", 10_000)
         .replace("Content-Length: 4\r\n\r\nwork", "Transfer-Encoding: chunked\r\n\r\n");
@@ -266,7 +271,7 @@
     stream.write_all(head.as_bytes()).expect("the node reads");
     // Twice the longest body that is accepted.
     let _ = (0..1200).try_for_each(|_| stream.write_all(chunk.as_bytes()));
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let mut raw = Vec::new();
     let ended = stream.read_to_end(&mut raw).map_err(|e| e.kind());
     assert!(matches!(ended, Ok(_) | Err(std::io::ErrorKind::ConnectionReset)), "{ended:?}");
@@ -277,7 +282,7 @@
 
 #[test]
 fn a_slow_head_after_a_chunked_request_has_its_full_time() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let (node, _registry) = start_node(&[&peer]);
     for end in ["0\r\n\r\n", "0;last=1\r\n\r\n", "0\r\nX-Sum: 1\r\n\r\n"] {
         let mut client = Client::to(&node);
@@ -293,7 +298,7 @@
             std::thread::sleep(Duration::from_millis(200));
             client.send(std::str::from_utf8(part).expect("text"));
         }
-        assert_eq!(client.hear().map(|m| m.status()), Some(200), "{end:?}");
+        assert_eq!(client.receive().map(|m| m.status()), Some(200), "{end:?}");
     }
 }
 
@@ -315,7 +320,7 @@
 
 #[test]
 fn a_body_too_long_to_buffer_is_streamed() {
-    let peer = Peer::new(|m| Say::This(answer(200, "", &m.body.len().to_string())));
+    let peer = Peer::new(|m| Reply::Now(answer(200, "", &m.body.len().to_string())));
     let (node, _registry) = start_node_with_little_memory(&peer);
     let long = String::from_utf8(body(20_000_000).iter().map(|b| b'a' + b % 26).collect()).expect("text");
     let with_content_length = post("a", 10_000, "Content-Length: 20000000") + &long;
@@ -333,7 +338,7 @@
 
 #[test]
 fn the_deadline_of_a_streamed_body_counts_from_its_last_byte() {
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(700), answer(200, "", "")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(700), answer(200, "", "")));
     let (node, _registry) = start_node_with_little_memory(&peer);
     let mut client = Client::to(&node);
     client.send(&(post("a", 1000, "Content-Length: 2100000") + &"x".repeat(2_000_000)));
@@ -343,7 +348,7 @@
         client.send(&"x".repeat(5000));
     }
     assert!(started.elapsed() > Duration::from_millis(1900), "longer than the remaining time");
-    assert_eq!(client.hear().map(|m| m.status()), Some(200));
+    assert_eq!(client.receive().map(|m| m.status()), Some(200));
     assert_eq!(peer.seen().len(), 1);
 }
 
@@ -358,7 +363,7 @@
     node_config["settings"]["Limits"]["Probes"] = serde_json::json!(false);
     let node = Node::ready(&node_config);
     let mut stream = TcpStream::connect(node.address).expect("the node listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     let mut out = stream.try_clone().expect("a socket");
     let writer = std::thread::spawn(move || {
         let _ = out.write_all(post("a", 10_000, "Content-Length: 30000000").as_bytes());
@@ -389,7 +394,7 @@
 impl HalfwayClient {
     fn reading(target: std::net::SocketAddr, txn: &str) -> Self {
         let mut stream = TcpStream::connect(target).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         stream.write_all(request("look", txn, 15_000).as_bytes()).expect("the node reads");
         let mut received = vec![0; 1 << 20];
         stream.read_exact(&mut received).expect("the start of the answer");
@@ -401,7 +406,7 @@
         // body, for too long.
         let whole_body = body(32_000_000);
         let mut stream = TcpStream::connect(target).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         stream.write_all(post(txn, 15_000, "Content-Length: 32000000").as_bytes()).expect("the node reads");
         stream.write_all(&whole_body[..16_000_000]).expect("the node reads");
         Self { stream, received: Vec::new(), unsent: whole_body[16_000_000..].to_vec() }
@@ -424,7 +429,7 @@
 /// A server that answers GET with 32 MB and POST with the length of the body that it received.
 fn server_with_long_answers() -> Peer {
     Peer::new(|m| {
-        Say::This(match m.path().starts_with("/look") {
+        Reply::Now(match m.path().starts_with("/look") {
             true => response_with_length(32_000_000),
             false => answer(200, "", &m.body.len().to_string()),
         })
@@ -440,7 +445,7 @@
         let node_config = config(registry.address);
         let old = Node::started_in(&shared_dir, &node_config).wait_listening();
         old.wait_ready();
-        old.wait_said("can hand its listening sockets on");
+        old.wait_for_log("can hand its listening sockets on");
         let mut successor_config = node_config.clone();
         successor_config["listen"] = serde_json::json!(old.address.to_string());
         // Both belong to the old process, as the new one does not run yet.
@@ -448,7 +453,7 @@
         let new = Node::started_in(&shared_dir, &successor_config).wait_listening();
         new.wait_ready();
         old.terminate();
-        old.wait_said("stops: it was told to");
+        old.wait_for_log("stops: it was told to");
         assert_eq!(halfway.1.finish(), Some((200, b"32000000".to_vec())));
         assert_eq!(
             halfway.0.finish().map(|(status, actual)| (status, actual == body(32_000_000))),
@@ -465,7 +470,7 @@
 
 #[test]
 fn a_drain_during_32_mb_transfers_lets_both_finish_and_sends_nothing_new() {
-    let (peer, other) = (server_with_long_answers(), Peer::good("s1"));
+    let (peer, other) = (server_with_long_answers(), Peer::healthy("s1"));
     let (active, draining) = (host("s0", peer.address, "active", 0), host("s0", peer.address, "leaving", 0));
     let replacement = host("s1", other.address, "active", 0);
     let registry = Registry::new(&[active]);
@@ -475,7 +480,7 @@
     let node = Node::ready(&node_config);
     let (reader, writer) =
         (HalfwayClient::reading(node.address, "a"), HalfwayClient::writing(node.address, "b"));
-    registry.tell(2, &[draining.clone(), replacement.clone()], &[draining, replacement]);
+    registry.publish(2, &[draining.clone(), replacement.clone()], &[draining, replacement]);
     let mut attempts = 0;
     until("the other server is in rotation", || {
         attempts += 1;
@@ -498,14 +503,14 @@
 #[test]
 fn two_processes_of_an_upgrade_share_the_memory_for_bodies() {
     let shared_dir = shared_dir("bodies");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = Registry::new(&[host("s0", peer.address, "active", 0)]);
     let mut node_config = config(registry.address);
     // This leaves a node 24 MB for bodies.
     node_config["limits"]["memory_mb"] = serde_json::json!(96);
     let old = Node::started_in(&shared_dir, &node_config).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     // Opened before a second process could accept them.
     let open = || (0..6).map(|_| Client::at(old.address)).collect::<Vec<_>>();
     let mut kept = open();
@@ -514,7 +519,9 @@
     }
     node_config["listen"] = serde_json::json!(old.address.to_string());
     let mut new = Node::started_in(&shared_dir, &node_config).wait_listening();
-    until("the two processes are in contact", || old.logged("another process has the listening sockets too"));
+    until("the two processes are in contact", || {
+        old.log_contains("another process has the listening sockets too")
+    });
     // The last byte of each body is sent once the node's memory has grown by the minimum: until then part of
     // the bodies is only in kernel buffers.
     let send_bodies = |name: &str, mut clients: Vec<Client>, min_growth: usize| {
@@ -526,14 +533,14 @@
         until("the bodies are buffered", || old.peak_memory() - base > min_growth);
         for client in &mut clients {
             client.send("x");
-            assert_eq!(client.hear().map(|m| m.status()), Some(200));
+            assert_eq!(client.receive().map(|m| m.status()), Some(200));
         }
         old.peak_memory() - base
     };
     let with_successor = send_bodies("b", kept, 6 << 20);
     assert!(with_successor < 16 << 20, "{with_successor} bytes of {}", 24 << 20);
     new.kill();
-    until("the old process notices the end", || old.logged("the other process is gone"));
+    until("the old process notices the end", || old.log_contains("the other process is gone"));
     // The old process is alone again.
     send_bodies("c", open(), 3 << 20);
     let _ = std::fs::remove_dir_all(shared_dir);
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -12,7 +12,7 @@
 
 /// Starts two servers that share their record of requests: the first attempt of each request gets the reply
 /// `first`, later attempts are served.
-fn servers_failing_first(first: impl Fn() -> Say + Send + Sync + Clone + 'static) -> [Peer; 2] {
+fn servers_failing_first(first: impl Fn() -> Reply + Send + Sync + Clone + 'static) -> [Peer; 2] {
     let attempted = std::sync::Arc::new(Mutex::new(BTreeSet::new()));
     [(); 2].map(|()| {
         let (attempted, first) = (attempted.clone(), first.clone());
@@ -21,7 +21,7 @@
             if m.path() != "/health" && attempted.lock().expect("no panic").insert(txn) {
                 first()
             } else {
-                Say::This(answer(200, "", "served"))
+                Reply::Now(answer(200, "", "served"))
             }
         })
     })
@@ -32,9 +32,9 @@
 fn outcome(
     class: &str,
     cells: [u64; 2],
-    first: impl Fn() -> Say + Send + Sync + Clone + 'static,
+    first: impl Fn() -> Reply + Send + Sync + Clone + 'static,
 ) -> (u16, usize) {
-    let first_never_ran = matches!(first(), Say::This(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
+    let first_never_ran = matches!(first(), Reply::Now(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
         && !bytes.starts_with(b"HTTP/1.1 404"));
     let servers = servers_failing_first(first);
     let hosts: Vec<Value> =
@@ -57,22 +57,22 @@
 #[test]
 fn attempts_that_may_have_run_are_retried_only_where_that_is_harmless() {
     let turned_away_header = "X-Turned-Away: 1\r\n";
-    let may_have_run: [fn() -> Say; 9] = [
-        || Say::This(answer(500, "", "")),
-        || Say::This(answer(503, "", "")),
-        || Say::This(answer(404, "X-Turned-Away: 1\r\n", "")),
-        || Say::Last(Vec::new()),
-        || Say::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
-        || Say::Last(b"HTP/banana\r\n\r\n".to_vec()),
+    let may_have_run: [fn() -> Reply; 9] = [
+        || Reply::Now(answer(500, "", "")),
+        || Reply::Now(answer(503, "", "")),
+        || Reply::Now(answer(404, "X-Turned-Away: 1\r\n", "")),
+        || Reply::ThenClose(Vec::new()),
+        || Reply::ThenClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
+        || Reply::ThenClose(b"HTP/banana\r\n\r\n".to_vec()),
         // Neither a length nor chunks: only the close ends it, so a truncated body can't be recognised.
-        || Say::Last(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
+        || Reply::ThenClose(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
         || {
-            Say::This(
+            Reply::Now(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 6\r\n\r\n6\r\nspoilt\r\n0\r\n\r\n"
                 .to_vec(),
         )
         },
-        || Say::This(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_vec()),
+        || Reply::Now(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n".to_vec()),
     ];
     for (n, first) in may_have_run.into_iter().enumerate() {
         assert_eq!(outcome("look", [1, 1], first), (200, 2), "safe, case {n}");
@@ -83,7 +83,7 @@
     }
     for status in [503, 504] {
         for class in ["look", "pay", "slip"] {
-            let first = move || Say::This(answer(status, turned_away_header, ""));
+            let first = move || Reply::Now(answer(status, turned_away_header, ""));
             assert_eq!(outcome(class, [1, 2], first), (200, 2), "{class} turned away with {status}");
         }
     }
@@ -94,7 +94,7 @@
 #[test]
 fn a_refused_connection_costs_no_request() {
     let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let registry =
         Registry::new(&[host("s0", closed_port, "active", 1), host("s1", good.address, "active", 2)]);
     let node = Node::ready(&config(registry.address));
@@ -111,7 +111,7 @@
 fn an_answer_over_the_limit_is_not_passed_on() {
     // The announced length is over the limit; part of the body follows.
     let long = || {
-        Say::This(format!("HTTP/1.1 200 X\r\nContent-Length: 34000000\r\n\r\n{}", "x".repeat(9999)).into())
+        Reply::Now(format!("HTTP/1.1 200 X\r\nContent-Length: 34000000\r\n\r\n{}", "x".repeat(9999)).into())
     };
     assert_eq!(outcome("slip", [1, 1], long), (502, 1));
 }
@@ -120,7 +120,7 @@
 #[test]
 fn bytes_pass_unchanged_and_each_request_has_one_answer() {
     let server =
-        Peer::new(|m| Say::This(answer(200, "", &format!("for {}", m.header("x-txn").unwrap_or("?")))));
+        Peer::new(|m| Reply::Now(answer(200, "", &format!("for {}", m.header("x-txn").unwrap_or("?")))));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
@@ -146,7 +146,7 @@
 /// A server never answers: at its deadline the client gets 502, not a refusal, as the request may have run.
 #[test]
 fn a_silent_server_does_not_hold_the_answer_past_the_deadline() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let started = Instant::now();
@@ -154,7 +154,7 @@
     assert!(started.elapsed() < Duration::from_millis(4000), "{:?}", started.elapsed());
     assert_eq!(response.status(), 502);
     assert_eq!(server.seen().len(), 1);
-    until("the attempt's connection is closed", || server.open() == 0);
+    until("the attempt's connection is closed", || server.open_connections() == 0);
 }
 
 /// A refusal is sent at once and carries a Retry-After header.
@@ -173,7 +173,7 @@
 /// requests.
 #[test]
 fn a_drain_holds_from_the_list_line_that_announces_it() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let (address_a, address_b) = (a.address, b.address);
     let both = [host("s0", address_a, "active", 1), host("s1", address_b, "active", 1)];
     for health in ["leaving", "left"] {
@@ -187,7 +187,7 @@
         };
         let first: BTreeSet<Vec<u8>> = (0..4).map(&mut ask).collect();
         assert_eq!(first.len(), 2, "both servers are in rotation");
-        registry.tell(2, &both[1..], &[host("s0", address_a, health, 1)]);
+        registry.publish(2, &both[1..], &[host("s0", address_a, health, 1)]);
         // The line has been read once two requests in a row go to the other server.
         until("the drain is known", || ask(0) == b"b" && ask(0) == b"b");
         assert!((0..10).all(|n| ask(n) == b"b"));
@@ -197,7 +197,7 @@
 /// A request that waits for a connection is not written if its server starts to drain meanwhile.
 #[test]
 fn a_drain_reaches_sends_that_wait_for_a_connection() {
-    let unaccepting = Shut::new();
+    let unaccepting = FullBacklogServer::new();
     let unaccepting_address = unaccepting.address;
     let registry = Registry::new(&[host("s0", unaccepting_address, "active", 1)]);
     let mut config = config(registry.address);
@@ -209,34 +209,34 @@
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 60_000));
     std::thread::sleep(Duration::from_millis(300));
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let hosts = [host("s1", good.address, "active", 1)];
-    registry.tell(2, &hosts, &[host("s0", unaccepting_address, "left", 1), hosts[0].clone()]);
+    registry.publish(2, &hosts, &[host("s0", unaccepting_address, "left", 1), hosts[0].clone()]);
     // The node has the new list once the new server answers other requests.
     until("the list is known", || Client::to(&node).ask(&request("look", "t2", 500)).status() == 200);
-    let late_server = unaccepting.open(|_| Say::This(answer(200, "", "late")));
-    assert_eq!(client.hear().expect("an answer").body, b"good");
+    let late_server = unaccepting.accept_with(|_| Reply::Now(answer(200, "", "late")));
+    assert_eq!(client.receive().expect("an answer").body, b"good");
     assert!(late_server.seen().is_empty(), "{:?}", late_server.seen());
 }
 
 /// While discovery is down the node keeps its list and calls with backoff; afterwards it takes the new list.
 #[test]
 fn discovery_lost_and_back() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    registry.down(true);
-    until("the node retries", || registry.calls().len() >= 2);
-    let (calls, start) = (registry.calls().len(), Instant::now());
+    registry.set_down(true);
+    until("the node retries", || registry.paths().len() >= 2);
+    let (calls, start) = (registry.paths().len(), Instant::now());
     while start.elapsed() < Duration::from_secs(3) {
         assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).body, b"a");
         std::thread::sleep(Duration::from_millis(50));
     }
-    let retries = registry.calls().len() - calls;
+    let retries = registry.paths().len() - calls;
     assert!(retries <= 8, "{retries} calls in 3 s");
     let hosts = [host("s1", b.address, "active", 1)];
-    registry.tell(9, &hosts, &[]);
-    registry.down(false);
+    registry.publish(9, &hosts, &[]);
+    registry.set_down(false);
     until("the new list is in use", || {
         let response = Client::to(&node).ask(&request("look", "t2", 15_000));
         response.body == b"b"
@@ -246,29 +246,29 @@
 /// A list line that can't be parsed is dropped, and the node requests the whole list.
 #[test]
 fn a_bad_line_makes_the_node_ask_for_the_whole_list() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    registry.tell(2, &[host("s1", b.address, "active", 1)], &[]);
-    registry.say("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
-    until("the whole list is requested", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
+    registry.publish(2, &[host("s1", b.address, "active", 1)], &[]);
+    registry.send_line("{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":7}]}");
+    until("the whole list is requested", || registry.paths().iter().any(|c| c == "/v1/endpoints"));
     until("the whole list is in use", || Client::to(&node).ask(&request("look", "t1", 15_000)).body == b"b");
-    assert!(node.logged("unreadable"));
+    assert!(node.log_contains("unreadable"));
 }
 
 /// When a client disconnects, its attempts are cancelled.
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 20_000));
     until("the attempt is sent", || server.seen().len() == 1);
-    assert_eq!(server.open(), 1);
+    assert_eq!(server.open_connections(), 1);
     let disconnected_at = Instant::now();
     drop(client);
-    until("the attempt is cancelled", || server.open() == 0);
+    until("the attempt is cancelled", || server.open_connections() == 0);
     assert!(
         disconnected_at.elapsed() < Duration::from_secs(15),
         "the deadline ended the attempt, not the disconnect"
@@ -279,13 +279,13 @@
 /// unsafe request would fail without need, as it can't be retried.
 #[test]
 fn a_stale_pooled_connection_fails_no_request() {
-    let server = Peer::new(|_| Say::Last(answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::ThenClose(answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     for n in 0..10 {
         let response = Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000));
         assert_eq!(response.status(), 200, "request {n}");
-        until("the server has closed", || server.open() == 0);
+        until("the server has closed", || server.open_connections() == 0);
     }
     assert_eq!(server.seen().len(), 10);
 }
@@ -293,14 +293,14 @@
 /// The node closes idle connections well before the server's keep-alive time ends.
 #[test]
 fn idle_connections_end_before_the_servers_keep_alive() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["Keepalive"] = json!(1500.0);
     let node = Node::ready(&config);
     assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
-    assert_eq!(server.open(), 1);
-    until("the node closes it", || server.open() == 0);
+    assert_eq!(server.open_connections(), 1);
+    until("the node closes it", || server.open_connections() == 0);
 }
 
 /// After SIGTERM the node finishes the requests that it has accepted, accepts connections for a while longer,
@@ -309,7 +309,7 @@
 fn sigterm_finishes_accepted_requests() {
     let server = Peer::new(|m| {
         let long = m.header("x-txn") == Some("slow");
-        Say::Later(Duration::from_millis(if long { 1500 } else { 0 }), answer(200, "", "served"))
+        Reply::After(Duration::from_millis(if long { 1500 } else { 0 }), answer(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
@@ -323,8 +323,8 @@
         Client::to(&node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
     });
     assert_eq!(Client::to(&node).ask(&request("slip", "after", 15_000)).status(), 200);
-    assert_eq!(slow.hear().expect("an accepted request is answered").status(), 200);
-    assert!(keep_alive.ended(), "idle connections are closed");
+    assert_eq!(slow.receive().expect("an accepted request is answered").status(), 200);
+    assert!(keep_alive.is_closed(), "idle connections are closed");
     assert_eq!(node.exit_code(), Some(0));
 }
 
@@ -333,7 +333,7 @@
 /// gets `Connection: close` before they are closed.
 #[test]
 fn sigterm_serves_clients_until_shortly_before_the_exit() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut keep_alive = Client::to(&node);
@@ -369,7 +369,7 @@
     let servers = [(); 6].map(|()| {
         Peer::new(|m| {
             let slow = m.header("x-txn").is_some_and(|txn| txn.starts_with("slow"));
-            Say::Later(Duration::from_millis(if slow { 1000 } else { 0 }), answer(200, "", "served"))
+            Reply::After(Duration::from_millis(if slow { 1000 } else { 0 }), answer(200, "", "served"))
         })
     });
     let hosts: Vec<Value> = (0..6).map(|n| host(&format!("s{n}"), servers[n].address, "active", 1)).collect();
@@ -393,7 +393,7 @@
         response.status() == 503 && response.header("retry-after") == Some("0.750")
     });
     for client in clients.iter_mut().take(6) {
-        assert_eq!(client.hear().expect("an accepted request is answered").status(), 200);
+        assert_eq!(client.receive().expect("an accepted request is answered").status(), 200);
     }
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -402,7 +402,7 @@
 /// before that.
 #[test]
 fn sigterm_ends_sooner_where_deadlines_are_short() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -414,7 +414,7 @@
     until("the attempt is sent", || server.seen().len() == 1);
     let stop_requested_at = Instant::now();
     node.terminate();
-    assert_eq!(client.hear().expect("an answer").status(), 502);
+    assert_eq!(client.receive().expect("an answer").status(), 502);
     assert!(stop_requested_at.elapsed() < Duration::from_millis(2500), "{:?}", stop_requested_at.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -422,7 +422,7 @@
 /// With more connections than descriptors the node closes idle ones and goes on serving.
 #[test]
 fn descriptors_that_run_out_do_not_stop_the_node() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     // In the second case the kernel's limit is lower than the configured one, so accepting fails as well.
     for (configured, actual) in [(64, 256), (256, 48)] {
@@ -461,7 +461,7 @@
             } else {
                 String::from_utf8(answer(200, "", txn)).expect("text")
             };
-            Say::This(single.repeat(2).into_bytes())
+            Reply::Now(single.repeat(2).into_bytes())
         });
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let node = Node::ready(&config(registry.address));
@@ -477,33 +477,33 @@
 /// A request whose deadline lies after the node's exit is failed before the exit.
 #[test]
 fn sigterm_answers_requests_that_cannot_be_finished() {
-    let server = Peer::new(|_| Say::Nothing);
+    let server = Peer::new(|_| Reply::Nothing);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 25_000));
     until("the attempt is sent", || server.seen().len() == 1);
     node.terminate();
-    assert_eq!(client.hear().expect("an answer").status(), 502);
+    assert_eq!(client.receive().expect("an answer").status(), 502);
     assert_eq!(node.exit_code(), Some(0));
 }
 
 /// A watch that stays open without heartbeats is taken for a dead link: the node opens another.
 #[test]
 fn a_silent_watch_is_given_up() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    until("the watch is open", || registry.watches() == 1);
-    registry.silent();
-    until("the node opens another watch", || registry.watches() >= 2);
+    until("the watch is open", || registry.watch_count() == 1);
+    registry.go_silent();
+    until("the node opens another watch", || registry.watch_count() >= 2);
     assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
 }
 
 /// An invalid request is answered at once without an attempt, and its connection stays usable.
 #[test]
 fn bad_requests_are_answered_at_once() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("slip", "t1", 15_000);
@@ -543,9 +543,9 @@
 #[test]
 fn a_restart_with_an_old_list_serves_without_discovery() {
     let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let good = Peer::good("a");
+    let good = Peer::healthy("a");
     let registry = Registry::new(&[]);
-    registry.down(true);
+    registry.set_down(true);
     let mut config = config(registry.address);
     let hosts = [host("s0", closed_port, "active", 1), host("s1", good.address, "active", 1)];
     config["known"] = json!({"seq": 41, "whole": true, "hosts": hosts});
@@ -553,13 +553,13 @@
     for n in 0..4 {
         assert_eq!(Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000)).body, b"a");
     }
-    until("it resumes from the saved version", || registry.calls().iter().any(|c| c.contains("from=41")));
+    until("it resumes from the saved version", || registry.paths().iter().any(|c| c.contains("from=41")));
 }
 
 /// Every node orders the servers in the same way, whatever their order in the list.
 #[test]
 fn round_robin_order_does_not_depend_on_the_order_of_the_list() {
-    let servers = ["a", "b", "c", "d"].map(Peer::good);
+    let servers = ["a", "b", "c", "d"].map(Peer::healthy);
     let mut hosts: Vec<Value> =
         servers.iter().enumerate().map(|(n, s)| host(&format!("s{n}"), s.address, "active", 1)).collect();
     let server_order = |hosts: &[Value]| -> Vec<Vec<u8>> {
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -9,7 +9,7 @@
 
 use glenwood_trace::{Doing, Record};
 use peers::{
-    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Say, PATIENCE,
+    answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Reply, WAIT_TIMEOUT,
 };
 use serde_json::{json, Value};
 
@@ -20,13 +20,13 @@
 
 /// The address of the node's admin endpoint.
 fn admin_address(node: &Node) -> SocketAddr {
-    node.said(" answers operators at ").parse().expect("an address")
+    node.log_text_after(" answers operators at ").parse().expect("an address")
 }
 
 /// Sends one HTTP request; `None` if the connection ends without an answer.
 fn http_call(admin_address: SocketAddr, head: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(admin_address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     stream.write_all(head.as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_admin_endpoint_serves_two_paths_and_rejects_others() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let node = Node::ready(&with_admin_endpoint(config(registry.address)));
     let admin_address = admin_address(&node);
@@ -77,7 +77,7 @@
 #[test]
 fn a_node_without_servers_reports_at_the_admin_endpoint_that_it_is_not_ready() {
     let registry = Registry::new(&[]);
-    registry.down(true);
+    registry.set_down(true);
     let node = Node::listening(&with_admin_endpoint(config(registry.address)), None);
     assert_eq!(get(admin_address(&node), "/ready").0, 503);
 }
@@ -94,7 +94,7 @@
 
 #[test]
 fn incomplete_calls_do_not_block_the_admin_endpoint() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     // Fewer descriptors than connections: these must not use up the descriptors of other clients either.
     let mut config = with_admin_endpoint(config(registry.address));
@@ -115,7 +115,7 @@
 
 #[test]
 fn clients_that_never_read_do_not_block_the_admin_endpoint() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let mut config = with_admin_endpoint(config(registry.address));
     config["limits"]["sockets"] = json!(96);
@@ -148,10 +148,10 @@
 fn metrics_match_what_the_peers_saw() {
     // The X-Org header selects the server's reply.
     let peer = Peer::new(|message: &Message| match message.header("x-org") {
-        Some("fail") => Say::This(answer(500, "", "")),
-        Some("away") => Say::This(answer(503, "X-Turned-Away: 1\r\n", "")),
-        Some("none") => Say::Nothing,
-        _ => Say::This(answer(200, "", "served")),
+        Some("fail") => Reply::Now(answer(500, "", "")),
+        Some("away") => Reply::Now(answer(503, "X-Turned-Away: 1\r\n", "")),
+        Some("none") => Reply::Nothing,
+        _ => Reply::Now(answer(200, "", "served")),
     });
     let registry = registry_with_server(&peer);
     let mut node_config = with_admin_endpoint(config(registry.address));
@@ -196,7 +196,7 @@
 
 #[test]
 fn a_server_that_is_down_is_counted_as_unhealthy() {
-    let (good, closed) = (Peer::good("s0"), TcpListener::bind("127.0.0.1:0").expect("a port"));
+    let (good, closed) = (Peer::healthy("s0"), TcpListener::bind("127.0.0.1:0").expect("a port"));
     let closed_address = closed.local_addr().expect("bound");
     drop(closed);
     let registry =
@@ -218,7 +218,7 @@
 
 #[test]
 fn a_second_process_takes_over_without_a_request_lost() {
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(5), answer(200, "", "served")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(5), answer(200, "", "served")));
     let registry = registry_with_server(&peer);
     let mut node_config = with_admin_endpoint(config(registry.address));
     node_config["settings"]["Classes"][0]["Deadline"] = json!(1500.0);
@@ -229,7 +229,7 @@
     let shared_dir = shared_dir("takes-over");
     let mut old = Node::started_in(&shared_dir, &node_config).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     node_config["listen"] = json!(old.address.to_string());
     let request_count = std::sync::atomic::AtomicUsize::new(0);
     let stopped = std::sync::atomic::AtomicBool::new(false);
@@ -283,20 +283,20 @@
 
 #[test]
 fn a_second_process_that_cannot_serve_takes_no_connection() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let first = Node::ready(&with_admin_endpoint(config(registry.address)));
     let mut node_config = with_admin_endpoint(config(registry.address));
     node_config["listen"] = json!(first.address.to_string());
-    registry.down(true);
+    registry.set_down(true);
     let second = Node::started(&node_config);
-    until("the second process is up", || second.logged("another process listens at"));
-    let admin_address = second.wait_said(" answers operators at ").parse().expect("an address");
+    until("the second process is up", || second.log_contains("another process listens at"));
+    let admin_address = second.wait_for_log(" answers operators at ").parse().expect("an address");
     assert_eq!(get(admin_address, "/ready").0, 503);
     for n in 0..40 {
         assert_eq!(Client::to(&first).ask(&request("look", &format!("t{n}"), 5000)).status(), 200);
     }
-    registry.down(false);
+    registry.set_down(false);
     until("the second process can serve", || get(admin_address, "/ready").0 == 200);
 }
 
@@ -315,7 +315,7 @@
 
 #[test]
 fn classes_come_and_go_at_sighup_and_a_broken_file_changes_nothing() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let node_config = with_admin_endpoint(config(registry.address));
     let node = Node::ready(&node_config);
@@ -347,15 +347,15 @@
         no_attempts.to_string(),
         missing_slo.to_string(),
     ];
-    let calls = registry.calls().len();
+    let calls = registry.paths().len();
     for (n, content) in (1..).zip(&broken) {
         node.reload(content);
         until("the file is rejected", || metric(admin_address, "node_conf_invalid") == n);
         assert_eq!((ask("look", &format!("f{n}")), ask("pay", &format!("g{n}"))), (200, 404));
     }
     assert_eq!(metric(admin_address, "node_conf_loaded"), 1);
-    assert_eq!(registry.calls().len(), calls, "the list is not requested again");
-    assert!(node.logged("Slo") && node.logged("the old configuration stays"));
+    assert_eq!(registry.paths().len(), calls, "the list is not requested again");
+    assert!(node.log_contains("Slo") && node.log_contains("the old configuration stays"));
     // Counters run from the start of the process, even for a class that no longer exists.
     assert_eq!(transactions(admin_address, "slip", "answered"), 1);
     assert_eq!(transactions(admin_address, "look-next", "answered"), 1);
@@ -371,8 +371,8 @@
             let _ = release_receiver.lock().expect("no panic").recv();
         }
         match message.header("x-org") {
-            Some("fail") => Say::This(answer(500, "", "")),
-            _ => Say::This(answer(200, "", "served")),
+            Some("fail") => Reply::Now(answer(500, "", "")),
+            _ => Reply::Now(answer(200, "", "served")),
         }
     });
     let registry = registry_with_server(&peer);
@@ -395,18 +395,18 @@
     );
     until("the new settings are in use", || metric(admin_address, "node_conf_loaded") == 1);
     half.send("work");
-    assert_eq!(half.hear().map(|m| m.status()), Some(200));
+    assert_eq!(half.receive().map(|m| m.status()), Some(200));
     assert_eq!(Client::to(&node).ask(&request("look", "c", 5000).replace("look", "other")).status(), 200);
     unsafe_half.send("work");
     // Both unsafe requests wait at the server.
     (0..2).for_each(|_| release.send(()).expect("the server waits"));
     assert_eq!(
-        unsafe_half.hear().map(|m| m.status()),
+        unsafe_half.receive().map(|m| m.status()),
         Some(502),
         "not retried, although all classes are now safe"
     );
     assert_eq!(peer.seen().iter().filter(|m| m.header("x-txn") == Some("u")).count(), 1);
-    assert_eq!(in_flight.hear().map(|m| (m.status(), m.body)), Some((200, b"served".to_vec())));
+    assert_eq!(in_flight.receive().map(|m| (m.status(), m.body)), Some((200, b"served".to_vec())));
     assert_eq!(
         (transactions(admin_address, "slip", "answered"), transactions(admin_address, "pay", "answered")),
         (1, 1)
@@ -431,7 +431,7 @@
 #[test]
 fn a_successor_shares_the_backlog_and_the_old_process_refuses_no_request() {
     let shared_dir = shared_dir("backlog");
-    let peer = Peer::new(|_| Say::Later(Duration::from_millis(20), answer(200, "", "served")));
+    let peer = Peer::new(|_| Reply::After(Duration::from_millis(20), answer(200, "", "served")));
     let registry = registry_with_server(&peer);
     let mut node_config = with_admin_endpoint(config(registry.address));
     for n in 0..3 {
@@ -439,7 +439,7 @@
     }
     let mut old = Node::started_in(&shared_dir, &node_config).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     let node_config = successor_config(&node_config, &old);
     for round in 0..2 {
         // So many that a stopping node without a successor would refuse some of their requests.
@@ -450,7 +450,7 @@
         let new = Node::started_in(&shared_dir, &node_config).wait_listening();
         let admin_address = admin_address(&new);
         until("the new process is ready", || get(admin_address, "/ready").0 == 200);
-        assert!(old.logged("another process has the listening sockets too"));
+        assert!(old.log_contains("another process has the listening sockets too"));
         old.terminate();
         until("the old process stops", || {
             http_call(self::admin_address(&old), "GET /ready HTTP/1.1\r\n\r\n").is_none_or(|a| a.0 == 503)
@@ -462,7 +462,7 @@
             client.send(&request("look", &format!("b{round}-{n}"), 5000));
         }
         for client in &mut keep_alive {
-            let response = client.hear().expect("an answer");
+            let response = client.receive().expect("an answer");
             assert_eq!(response.status(), 200);
             assert_eq!(response.header("connection"), Some("close"), "the client is sent to the new process");
         }
@@ -486,43 +486,45 @@
 #[test]
 fn a_successor_that_dies_leaves_the_old_one_as_it_was_and_a_third_is_turned_away() {
     let shared_dir = shared_dir("dies");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let mut node_config = with_admin_endpoint(config(registry.address));
     let old = Node::started_in(&shared_dir, &node_config).wait_listening();
     old.wait_ready();
     node_config = successor_config(&node_config, &old);
     // Without discovery the second process can't serve, so it never listens.
-    registry.down(true);
+    registry.set_down(true);
     let mut second = Node::started_in(&shared_dir, &node_config);
-    until("the second process is in contact", || old.logged("another process has the listening sockets too"));
+    until("the second process is in contact", || {
+        old.log_contains("another process has the listening sockets too")
+    });
     let third = Node::started_in(&shared_dir, &node_config);
-    third.wait_said("another process listens at");
-    assert_eq!(old.log_lines("another process has"), 1, "one successor at a time");
+    third.wait_for_log("another process listens at");
+    assert_eq!(old.count_log_lines("another process has"), 1, "one successor at a time");
     for n in 0..40 {
         assert_eq!(Client::to(&old).ask(&request("look", &format!("a{n}"), 5000)).status(), 200);
     }
     second.kill();
-    until("the old process notices the end", || old.logged("the other process is gone"));
+    until("the old process notices the end", || old.log_contains("the other process is gone"));
     drop(third);
     for n in 0..40 {
         assert_eq!(Client::to(&old).ask(&request("look", &format!("b{n}"), 5000)).status(), 200);
     }
-    registry.down(false);
+    registry.set_down(false);
     let fourth = Node::started_in(&shared_dir, &node_config).wait_listening();
     until("the fourth process is ready", || get(admin_address(&fourth), "/ready").0 == 200);
-    assert_eq!(old.log_lines("another process has"), 2);
+    assert_eq!(old.count_log_lines("another process has"), 2);
     let _ = std::fs::remove_dir_all(shared_dir);
 }
 
 #[test]
 fn a_stale_upgrade_socket_does_not_block_the_next_process() {
     let shared_dir = shared_dir("dead");
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let node_config = with_admin_endpoint(config(registry.address));
     let mut first = Node::started_in(&shared_dir, &node_config).wait_listening();
-    first.wait_said("can hand its listening sockets on");
+    first.wait_for_log("can hand its listening sockets on");
     let node_config = successor_config(&node_config, &first);
     first.kill();
     let remaining_files: Vec<_> = std::fs::read_dir(&shared_dir).expect("a folder").flatten().collect();
@@ -533,7 +535,7 @@
     assert_eq!(mode & 0o777, 0o600, "whoever may connect gets the listening sockets");
     let second = Node::started_in(&shared_dir, &node_config).wait_listening();
     second.wait_ready();
-    second.wait_said("can hand its listening sockets on");
+    second.wait_for_log("can hand its listening sockets on");
     assert_eq!(Client::to(&second).ask(&request("look", "a", 5000)).status(), 200);
     let _ = std::fs::remove_dir_all(shared_dir);
 }
@@ -542,7 +544,7 @@
 fn two_processes_hold_no_more_descriptors_than_one_node_may() {
     let shared_dir = shared_dir("descriptors");
     let peers: Vec<Peer> = (0..4)
-        .map(|_| Peer::new(|_| Say::Later(Duration::from_millis(300), answer(200, "", "served"))))
+        .map(|_| Peer::new(|_| Reply::After(Duration::from_millis(300), answer(200, "", "served"))))
         .collect();
     let hosts: Vec<Value> =
         peers.iter().enumerate().map(|(n, p)| host(&format!("s{n}"), p.address, "active", 0)).collect();
@@ -591,13 +593,13 @@
         if message.path().starts_with("/slip") {
             let _ = release_receiver.lock().expect("no panic").recv();
         }
-        Say::This(answer(200, "", "served"))
+        Reply::Now(answer(200, "", "served"))
     });
     let registry = registry_with_server(&peer);
     let node_config = with_admin_endpoint(config(registry.address));
     let mut old = Node::started_in(&shared_dir, &node_config).wait_listening();
     old.wait_ready();
-    old.wait_said("can hand its listening sockets on");
+    old.wait_for_log("can hand its listening sockets on");
     let (node_config, old_admin_address) = (successor_config(&node_config, &old), admin_address(&old));
     // A request that the old process has accepted is finished by that process.
     let mut in_flight = Client::to(&old);
@@ -613,11 +615,11 @@
         let text = with_classes(&node_config, &[(class, "pure"), ("look", "pure")]).to_string();
         if signal == 2 {
             old.terminate();
-            old.wait_said("stops: it was told to");
+            old.wait_for_log("stops: it was told to");
         }
         for node in [&old, &new] {
             node.reload(&text);
-            node.wait_said("reload: discovery is");
+            node.wait_for_log("reload: discovery is");
         }
         until("both processes use the file", || {
             [old_admin_address, admin_address(&new)]
@@ -631,9 +633,9 @@
             assert_eq!(ask(n, class, &format!("{class}{n}")), 200, "{class} {n}");
         }
     }
-    assert_eq!(registry.calls().len(), 2, "the list is not requested again");
+    assert_eq!(registry.paths().len(), 2, "the list is not requested again");
     release.send(()).expect("the server waits");
-    assert_eq!(in_flight.hear().map(|m| m.status()), Some(200), "the request outlives its class");
+    assert_eq!(in_flight.receive().map(|m| m.status()), Some(200), "the request outlives its class");
     assert_eq!(old.exit_code(), Some(0));
     assert_eq!(peer.seen().len(), 9, "each was executed once");
     let _ = std::fs::remove_dir_all(shared_dir);
@@ -655,19 +657,19 @@
 
 #[test]
 fn the_admin_endpoint_answers_within_a_second_while_the_serving_thread_is_saturated() {
-    let peer = Peer::good("s0");
+    let peer = Peer::healthy("s0");
     let registry = registry_with_server(&peer);
     let node = Node::ready(&with_admin_endpoint(config(registry.address)));
     let admin_address = admin_address(&node);
     let lists: Vec<String> = (2..14).map(long_list).collect();
-    lists.iter().for_each(|list| registry.say(list));
+    lists.iter().for_each(|list| registry.send_line(list));
     until("the node is reading the lists", || metric(admin_address, "node_cluster_size") > 1);
     let sent_at = Instant::now();
     let served = std::thread::spawn({
         let mut client = Client::to(&node);
         move || {
             client.send(&request("look", "t", 20_000));
-            client.hear().map(|_| sent_at.elapsed())
+            client.receive().map(|_| sent_at.elapsed())
         }
     });
     let (mut longest, mut calls) = (Duration::ZERO, 0);
@@ -686,7 +688,7 @@
 /// In JSON form each line of the trace is one record, and text from clients is escaped.
 #[test]
 fn the_trace_is_json_on_demand() {
-    let server = Peer::good("served");
+    let server = Peer::healthy("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let operator = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("json-trace.toml");
     std::fs::write(&operator, "[trace]\non = true\njson = true\n").expect("a file");
@@ -695,13 +697,13 @@
     let odd = "a-\"quoted\"-{id}";
     assert_eq!(Client::to(&node).ask(&request("look", odd, 9000)).status(), 200);
     let records = || -> Vec<Record> {
-        node.log_of(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
+        node.grep_log(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
     };
     until("the request is answered", || records().iter().any(|r| matches!(r.doing, Doing::Answer { .. })));
     let named = |r: &Record| matches!(&r.doing, Doing::Id { id, .. } if id == odd);
     assert!(records().iter().any(named), "{:?}", records());
     assert!(records().iter().any(|r| matches!(&r.doing, Doing::Send { server, .. } if server == "s0")));
-    assert!(!node.logged("trace "), "no lines in the other form");
+    assert!(!node.log_contains("trace "), "no lines in the other form");
 }
 
 /// The trace gives the reason for a refusal, and the reason why a client's connection ends.
@@ -716,10 +718,10 @@
     let mut refused = Client::to(&node);
     assert_eq!(refused.ask(&request("look", "refused", 9000)).status(), 503);
     // Another thread reads the log, so the line may appear later.
-    until("the reason is logged", || node.logged(" NoServer"));
+    until("the reason is logged", || node.log_contains(" NoServer"));
     let address = refused.address();
-    refused.leave();
+    refused.disconnect();
     for (client, reason) in [(address, "Over"), (silent.address(), "Silent")] {
-        until(reason, || node.logged(&format!("close {client} {reason}")));
+        until(reason, || node.log_contains(&format!("close {client} {reason}")));
     }
 }
--- a/crates/node/tests/peers/strays.rs
+++ b/crates/node/tests/peers/strays.rs
@@ -1,97 +1,99 @@
-//! What servers, or links to them, send that is not the answer to the request before it.
+//! Faulty responses of servers, or of the links to them: responses that no request asked for, and broken
+//! framing.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use super::answer;
-use super::dice::Dice;
+use super::dice::Rng;
 
-/// How an exchange goes wrong. Spans are in milliseconds, shares in thousandths.
+/// A fault of an exchange. Delays are in milliseconds; `share` is the probability in thousandths.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Stray {
-    /// Behind an answer comes a second one, so much later.
-    BehindAnswer { share: u64, after: Range<u64> },
-    /// An answer comes on a new connection, so long after it came up.
-    OnNewConnection { share: u64, after: Range<u64> },
-    /// The bytes of an answer come twice.
-    Repeated { share: u64 },
-    /// The connection ends within an answer.
-    Cut { share: u64 },
-    /// The connection ends right after an answer that does not say so.
-    EndsAfterAnswer { share: u64 },
-    /// An interim answer comes ahead of each answer.
-    Interim,
-    /// The answer comes in pieces.
-    InPieces { share: u64 },
-    /// The server turns a request away unseen.
-    TurnsAway { share: u64 },
+pub enum ResponseFault {
+    /// A second response follows a response after a delay.
+    ExtraResponse { share: u64, delay_ms: Range<u64> },
+    /// A response that no request asked for comes on a new connection, a delay after the connection opens.
+    OnConnect { share: u64, delay_ms: Range<u64> },
+    /// A response is sent twice.
+    RepeatedResponse { share: u64 },
+    /// The connection ends in the middle of a response.
+    TruncatedResponse { share: u64 },
+    /// The connection ends after a response that does not announce it.
+    CloseAfterResponse { share: u64 },
+    /// An interim response (103) precedes each response.
+    InterimResponse,
+    /// A response is written in small pieces.
+    SplitResponse { share: u64 },
+    /// The server rejects a request without executing it.
+    Rejection { share: u64 },
 }
 
-/// One answer in so many thousandths.
-fn happens(dice: &mut Dice, share: u64) -> bool {
-    dice.below(1_000) < share
+/// Draws whether a fault of this probability, in thousandths, occurs.
+fn occurs(rng: &mut Rng, share: u64) -> bool {
+    rng.below(1_000) < share
 }
 
-fn drawn(dice: &mut Dice, after: &Range<u64>) -> Duration {
-    Duration::from_micros(after.start * 1_000 + dice.below((after.end - after.start) * 1_000))
+/// Draws a delay from a range in milliseconds.
+fn draw(rng: &mut Rng, delay_ms: &Range<u64>) -> Duration {
+    Duration::from_micros(delay_ms.start * 1_000 + rng.below((delay_ms.end - delay_ms.start) * 1_000))
 }
 
-/// An answer to nothing: served, turned away or failed.
-pub fn unasked(dice: &mut Dice) -> Vec<u8> {
-    match dice.below(3) {
+/// A response that no request asked for: 200, a rejection (503) or 500.
+pub fn unsolicited_response(rng: &mut Rng) -> Vec<u8> {
+    match rng.below(3) {
         0 => answer(200, "", "unasked"),
         1 => answer(503, "X-Turned-Away: 1\r\n", ""),
         _ => answer(500, "", ""),
     }
 }
 
-/// How one answer goes out.
+/// How one response is sent.
 #[derive(Clone, Debug, Default)]
 pub struct Delivery {
-    /// Unasked answers, by how long after the answer they come.
-    pub unasked_after: Vec<Duration>,
-    /// Ahead of it comes an interim answer.
-    pub interim: bool,
-    pub twice: bool,
-    pub is_cut: bool,
-    pub ends: bool,
-    pub in_pieces: bool,
+    /// Delays, after the response, of further responses that no request asked for.
+    pub unsolicited_delays: Vec<Duration>,
+    /// An interim response precedes it.
+    pub has_interim: bool,
+    pub is_repeated: bool,
+    pub is_truncated: bool,
+    pub closes: bool,
+    pub is_split: bool,
 }
 
-/// All that goes wrong at the servers of a run.
+/// The faults of all servers of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Strays(pub Vec<Stray>);
+pub struct ResponseFaults(pub Vec<ResponseFault>);
 
-impl Strays {
-    /// When an unasked answer comes on a connection that has just come up.
-    pub fn on_new(&self, dice: &mut Dice) -> Option<Duration> {
-        self.0.iter().find_map(|stray| match stray {
-            Stray::OnNewConnection { share, after } => happens(dice, *share).then(|| drawn(dice, after)),
+impl ResponseFaults {
+    /// After which delay a response that no request asked for is sent on a new connection, if one is.
+    pub fn unsolicited_on_connect(&self, rng: &mut Rng) -> Option<Duration> {
+        self.0.iter().find_map(|fault| match fault {
+            ResponseFault::OnConnect { share, delay_ms } => occurs(rng, *share).then(|| draw(rng, delay_ms)),
             _ => None,
         })
     }
 
-    /// Is a request turned away?
-    pub fn turns_away(&self, dice: &mut Dice) -> bool {
-        self.0.iter().any(|stray| matches!(stray, Stray::TurnsAway { share } if happens(dice, *share)))
+    /// Whether the next request is rejected.
+    pub fn rejects_request(&self, rng: &mut Rng) -> bool {
+        self.0.iter().any(|fault| matches!(fault, ResponseFault::Rejection { share } if occurs(rng, *share)))
     }
 
-    /// How the next answer goes out.
-    pub fn delivery(&self, dice: &mut Dice) -> Delivery {
+    /// How the next response is sent.
+    pub fn delivery(&self, rng: &mut Rng) -> Delivery {
         let mut delivery = Delivery::default();
-        for stray in &self.0 {
-            match stray {
-                Stray::BehindAnswer { share, after } => {
-                    if happens(dice, *share) {
-                        delivery.unasked_after.push(drawn(dice, after));
+        for fault in &self.0 {
+            match fault {
+                ResponseFault::ExtraResponse { share, delay_ms } => {
+                    if occurs(rng, *share) {
+                        delivery.unsolicited_delays.push(draw(rng, delay_ms));
                     }
                 }
-                Stray::Repeated { share } => delivery.twice |= happens(dice, *share),
-                Stray::Cut { share } => delivery.is_cut |= happens(dice, *share),
-                Stray::EndsAfterAnswer { share } => delivery.ends |= happens(dice, *share),
-                Stray::InPieces { share } => delivery.in_pieces |= happens(dice, *share),
-                Stray::Interim => delivery.interim = true,
-                Stray::OnNewConnection { .. } | Stray::TurnsAway { .. } => {}
+                ResponseFault::RepeatedResponse { share } => delivery.is_repeated |= occurs(rng, *share),
+                ResponseFault::TruncatedResponse { share } => delivery.is_truncated |= occurs(rng, *share),
+                ResponseFault::CloseAfterResponse { share } => delivery.closes |= occurs(rng, *share),
+                ResponseFault::SplitResponse { share } => delivery.is_split |= occurs(rng, *share),
+                ResponseFault::InterimResponse => delivery.has_interim = true,
+                ResponseFault::OnConnect { .. } | ResponseFault::Rejection { .. } => {}
             }
         }
         delivery
--- a/crates/node/tests/restarts.rs
+++ b/crates/node/tests/restarts.rs
@@ -13,9 +13,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
-use peers::many::{Ending, Lateness, ManyServers};
-use peers::queued_list::QueuedLists;
+use peers::dice::Rng;
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
+use peers::queued_list::QueuedListService;
 use peers::record::*;
 use peers::*;
 use serde_json::{json, Value};
@@ -44,8 +44,8 @@
 
 struct TestCluster {
     record: Arc<Record>,
-    servers: ManyServers,
-    lists: QueuedLists,
+    servers: ServerPool,
+    lists: QueuedListService,
     nodes: Vec<Node>,
     is_over: AtomicBool,
 }
@@ -54,7 +54,7 @@
     std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(fallback)
 }
 
-fn node_config(lists: &QueuedLists, number: usize, nodes: u64, seed: u64) -> Value {
+fn node_config(lists: &QueuedListService, number: usize, nodes: u64, seed: u64) -> Value {
     let mut config = config(lists.address(number));
     config["seed"] = json!(format!("{:x}", seed * 1_000 + number as u64 + 1));
     config["settings"]["PeersTotal"] = json!(FLEET_SIZE);
@@ -68,17 +68,17 @@
 }
 
 impl TestCluster {
-    fn start(how: Ending, seed: u64) -> Self {
+    fn start(how: Deactivation, seed: u64) -> Self {
         let nodes = env_number("GLENWOOD_NODES", NODES);
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(SERVERS, &record);
+        let servers = ServerPool::start(SERVERS, &record);
         let round = Duration::from_millis(env_number("GLENWOOD_ROUND_MS", ROUND_MS));
         let entries: Vec<Value> = (0..SERVERS).map(|number| servers.entry(number)).collect();
         // Only the list tells that a server was removed which still answers: then the service is as fast for
         // the processes that run as it is for a whole fleet. Otherwise the few processes keep it as busy as
         // the whole fleet would.
-        let sharing = if how == Ending::IsRemoved { FLEET_SIZE } else { nodes };
-        let lists = QueuedLists::start(&entries, nodes as usize, round / sharing as u32, seed);
+        let sharing = if how == Deactivation::Removed { FLEET_SIZE } else { nodes };
+        let lists = QueuedListService::start(&entries, nodes as usize, round / sharing as u32, seed);
         let operator =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("restarts-{}.toml", std::process::id()));
         std::fs::write(&operator, "[trace]\non = true\n").expect("a file");
@@ -99,8 +99,8 @@
     }
 
     /// Removes servers repeatedly; each returns as another process after 1.4 to 2.6 s.
-    fn remove_and_restart(&self, how: Ending, ends_at: Instant, seed: u64) {
-        let mut rng = Dice(seed);
+    fn remove_and_restart(&self, how: Deactivation, ends_at: Instant, seed: u64) {
+        let mut rng = Rng(seed);
         let mut up: Vec<usize> = (0..SERVERS).collect();
         let mut returns: Vec<(Instant, usize)> = Vec::new();
         let mut next_removal = Instant::now() + rng.between(300, 1_000);
@@ -118,7 +118,9 @@
                 let removed: Vec<usize> = (0..SERVERS_PER_CHANGE)
                     .map(|_| up.swap_remove(rng.below(up.len() as u64) as usize))
                     .collect();
-                removed.iter().for_each(|number| self.servers.end(*number, how, now + NOT_TOLD_BY_SERVERS));
+                removed
+                    .iter()
+                    .for_each(|number| self.servers.deactivate(*number, how, now + NOT_TOLD_BY_SERVERS));
                 self.publish(&removed, false);
                 returns.extend(removed.into_iter().map(|number| (now + rng.between(1_400, 2_600), number)));
                 next_removal = now + rng.between(300, 1_000);
@@ -130,7 +132,7 @@
     fn run_client(&self, number: usize, clients: u64, pause: Duration) {
         let node_number = number / clients as usize;
         let node = &self.nodes[node_number];
-        let mut rng = Dice(number as u64);
+        let mut rng = Rng(number as u64);
         let mut client = Client::to(node);
         for count in 0.. {
             std::thread::sleep(pause.mul_f64(0.5 + rng.below(1_000) as f64 / 1_000.0));
@@ -140,9 +142,16 @@
             let id = format!("n{node_number}-{number}-{count}");
             let (at, remaining) = (Instant::now(), rng.between(600, 2_500));
             client.send(&request("look", &id, remaining.as_millis() as u64));
-            let answer = client.hear();
-            let end = End::by(answer.as_ref(), &id, false);
-            self.record.asked(Asked { id, class: "look", at, remaining, node: node.address, end });
+            let answer = client.receive();
+            let end = Outcome::from_response(answer.as_ref(), &id, false);
+            self.record.add_request(ClientRequest {
+                id,
+                class: "look",
+                at,
+                remaining,
+                node: node.address,
+                end,
+            });
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
                 client = Client::to(node);
             }
@@ -150,13 +159,13 @@
     }
 
     /// What a node has logged about its list, and about the server that it sent a request to.
-    fn timeline(&self, node: usize, sent: &Sent) -> String {
+    fn timeline(&self, node: usize, sent: &ServerAttempt) -> String {
         let server = format!("s{:05}", sent.server);
         let list_events = [" call", " asking", " answering", " watch-ended", " version"];
         let is_relevant =
             |line: &str| line.contains(&server) || list_events.iter().any(|event| line.contains(event));
         let suffix = format!(" {}", sent.id);
-        let lines = self.nodes[node].log_of(|line| is_relevant(line) || line.ends_with(&suffix));
+        let lines = self.nodes[node].grep_log(|line| is_relevant(line) || line.ends_with(&suffix));
         let until = lines.iter().position(|line| line.ends_with(&suffix)).unwrap_or(lines.len());
         lines[until.saturating_sub(TIMELINE_LINES)..(until + 2).min(lines.len())].join("\n  ")
     }
@@ -164,14 +173,14 @@
     /// The requests sent to a server after it counted as told that the server takes nothing new, and how many
     /// of them went to servers that had returned.
     fn late_sends(&self) -> (Vec<String>, usize) {
-        let (driver_delay, mut to_restarted) = (self.record.lateness(), 0);
+        let (driver_delay, mut to_restarted) = (self.record.test_delay(), 0);
         let mut violations = Vec::new();
-        for sent in self.record.sends() {
+        for sent in self.record.all_attempts() {
             let node = sent.id[1..].split('-').next().and_then(|word| word.parse().ok());
             let node: usize = node.expect("an id that names its node");
-            let known_for = self.lists.told_for(node, sent.server, sent.at);
-            if let Some(span) = known_for.filter(|span| *span > GRACE + driver_delay) {
-                let is_back = self.lists.is_back(sent.server, sent.at);
+            let known_for = self.lists.known_for(node, sent.server, sent.at);
+            if let Some(span) = known_for.filter(|span| *span > DRAIN_GRACE + driver_delay) {
+                let is_back = self.lists.is_up_again(sent.server, sent.at);
                 to_restarted += usize::from(is_back);
                 let text = format!(
                     "{} to s{:05} {span:.2?} after its end counted as told, has returned: {is_back}",
@@ -185,9 +194,10 @@
 }
 
 /// Runs one seed; returns the violations.
-fn run_seed(how: Ending, seed: u64) -> Vec<String> {
+fn run_seed(how: Deactivation, seed: u64) -> Vec<String> {
     let cluster = TestCluster::start(how, seed);
-    let (driver_delay, clients) = (Lateness::measure(), env_number("GLENWOOD_CLIENTS", CLIENTS_PER_NODE));
+    let (driver_delay, clients) =
+        (SchedulingDelay::measure(), env_number("GLENWOOD_CLIENTS", CLIENTS_PER_NODE));
     let per_second = env_number("GLENWOOD_REQUESTS", REQUESTS_PER_SECOND);
     let pause = Duration::from_secs_f64(clients as f64 / per_second as f64);
     std::thread::scope(|scope| {
@@ -199,11 +209,11 @@
         cluster.remove_and_restart(how, ends_at, seed);
         cluster.is_over.store(true, Ordering::SeqCst);
     });
-    cluster.record.is_late_by(driver_delay.longest());
+    cluster.record.set_test_delay(driver_delay.longest());
     let (asked, served) = cluster.record.counts();
     let (mut violations, to_restarted) = cluster.late_sends();
     let late_count = violations.len();
-    let others = cluster.record.breaches(|_, _| true);
+    let others = cluster.record.violations(|_, _| true);
     violations.extend(others.iter().map(ToString::to_string));
     let (calls, failed, longest) = cluster.lists.calls();
     println!(
@@ -213,8 +223,8 @@
          {} health checks; {} connections; driver late by {:.0?}",
         cluster.nodes.len(),
         others.len(),
-        cluster.servers.checks(),
-        cluster.servers.connections(),
+        cluster.servers.health_check_count(),
+        cluster.servers.connection_count(),
         driver_delay.longest()
     );
     if (served as f64) < MIN_SERVED_SHARE * asked as f64 {
@@ -226,7 +236,7 @@
 /// One run at a time, as each opens hundreds of sockets.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn assert_rules_hold(how: Ending) {
+fn assert_rules_hold(how: Deactivation) {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let first = env_number("GLENWOOD_FIRST", 7);
     let violations: Vec<String> =
@@ -243,18 +253,18 @@
 /// was not told.
 #[test]
 fn a_restarted_server_is_no_server_of_the_list_that_was_lost() {
-    assert_rules_hold(Ending::Dies);
+    assert_rules_hold(Deactivation::Crashed);
 }
 
 /// Guards against the same if the old process drains until the new one takes its place.
 #[test]
 fn a_server_that_drained_and_restarted_is_no_server_of_the_list_that_was_lost() {
-    assert_rules_hold(Ending::Drains);
+    assert_rules_hold(Deactivation::Draining);
 }
 
 /// Guards against requests to a removed server that still answers, where a large fleet asks for the list
 /// again too late.
 #[test]
 fn a_removed_server_that_still_answers_gets_nothing_once_it_counts_as_told() {
-    assert_rules_hold(Ending::IsRemoved);
+    assert_rules_hold(Deactivation::Removed);
 }
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -16,7 +16,7 @@
 /// the node stops.
 #[test]
 fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (Peer::healthy("a"), Peer::healthy("b"));
     let [list_a, list_b] = [a.address, b.address].map(|at| [host("s0", at, "active", 1)]);
     let (old, new) = (Registry::new(&list_a), Registry::new(&list_b));
     let node_config = config(old.address);
@@ -31,23 +31,23 @@
     for bad in ["{", "{}", &config_with_discovery(new.address).replace("127.0.0.1:", "nowhere:")] {
         node.reload(bad);
     }
-    until("the invalid file is logged", || node.logged("the old configuration stays"));
+    until("the invalid file is logged", || node.log_contains("the old configuration stays"));
     assert_eq!(ask(&node).body, b"a");
     // The new address is down at first, so the old list stays in use.
-    new.down(true);
+    new.set_down(true);
     node.reload(&config_with_discovery(new.address));
-    until("the new address is called", || !new.calls().is_empty());
+    until("the new address is called", || !new.paths().is_empty());
     assert_eq!(ask(&node).body, b"a");
-    new.down(false);
+    new.set_down(false);
     until("the new list is in use", || ask(&node).body == b"b");
-    assert!(new.calls().iter().any(|c| c == "/v1/endpoints"), "the whole list is requested");
-    old.tell(9, &list_a, &list_a);
-    let calls_after_move = old.calls().len();
+    assert!(new.paths().iter().any(|c| c == "/v1/endpoints"), "the whole list is requested");
+    old.publish(9, &list_a, &list_a);
+    let calls_after_move = old.paths().len();
     for _ in 0..20 {
         assert_eq!(ask(&node).body, b"b");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(old.calls().len(), calls_after_move, "the old address is not called again");
+    assert_eq!(old.paths().len(), calls_after_move, "the old address is not called again");
     for to in [&old, &new, &old, &new, &old] {
         node.reload(&config_with_discovery(to.address));
     }
@@ -62,28 +62,28 @@
 /// are gone, or to whatever now uses their addresses.
 #[test]
 fn a_list_that_is_pushed_is_followed_by_a_watch_at_the_agent() {
-    let [a, b, c] = ["a", "b", "c"].map(Peer::good);
+    let [a, b, c] = ["a", "b", "c"].map(Peer::healthy);
     let [list_a, list_b, list_c] = [&a, &b, &c].map(|p| [host("s0", p.address, "active", 1)]);
     let (agent, other) = (Registry::new(&list_a), Registry::new(&list_c));
     let mut node_config = config(agent.address);
     node_config["settings"]["Discovery"] = json!("automatic");
-    node_config["known"] = serde_json::from_str(&line(1, true, &list_b)).expect("a list");
+    node_config["known"] = serde_json::from_str(&list_line(1, true, &list_b)).expect("a list");
     let node = Node::ready(&node_config);
     let ask = |node: &Node| Client::to(node).ask(&request("look", "t1", 15_000)).body;
     until("the agent's list replaces the saved one", || ask(&node) == b"a");
-    agent.tell(2, &list_b, &list_b);
+    agent.publish(2, &list_b, &list_b);
     until("a change is in use", || ask(&node) == b"b");
-    agent.down(true);
-    let calls = agent.calls().len();
-    until("the node retries while the agent is down", || agent.calls().len() >= calls + 4);
+    agent.set_down(true);
+    let calls = agent.paths().len();
+    until("the node retries while the agent is down", || agent.paths().len() >= calls + 4);
     assert_eq!(ask(&node), b"b", "the last list stays in use");
-    assert!(node.log_lines("discovery:") <= 2, "a long outage must not flood the log");
-    agent.tell(3, &list_a, &list_a);
-    agent.down(false);
+    assert!(node.count_log_lines("discovery:") <= 2, "a long outage must not flood the log");
+    agent.publish(3, &list_a, &list_a);
+    agent.set_down(false);
     until("the change made meanwhile is in use", || ask(&node) == b"a");
-    agent.silent();
-    let watches = agent.watches();
-    until("a silent watch is replaced", || agent.watches() > watches);
+    agent.go_silent();
+    let watches = agent.watch_count();
+    until("a silent watch is replaced", || agent.watch_count() > watches);
     node_config["discovery"] = json!(other.address.to_string());
     node.reload(&node_config.to_string());
     until("the new address of the agent is in use", || ask(&node) == b"c");
@@ -95,9 +95,9 @@
 fn a_clients_repeat_has_only_the_time_left_of_its_first_request() {
     let server = Peer::new(|m| {
         if m.header("x-txn") == Some("t1") {
-            Say::Nothing
+            Reply::Nothing
         } else {
-            Say::This(answer(200, "", "a"))
+            Reply::Now(answer(200, "", "a"))
         }
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
@@ -113,7 +113,7 @@
     until("the request is sent", || server.seen().len() == 1);
     until("a while has passed", || first_sent_at.elapsed() > Duration::from_millis(500));
     drop(first);
-    until("the attempt is cancelled", || server.open() == 0);
+    until("the attempt is cancelled", || server.open_connections() == 0);
     assert_eq!(Client::to(&node).ask(&request("look", "t2", 100_000)).status(), 200);
     assert_eq!(Client::to(&node).ask(&request("look", "t3", 100_000)).status(), 200);
     let remaining_ms =
@@ -130,17 +130,17 @@
 /// the old address.
 #[test]
 fn a_connection_in_use_while_its_server_moved_is_not_pooled() {
-    let a = Peer::new(|_| Say::Later(Duration::from_millis(700), answer(200, "", "old")));
-    let b = Peer::good("new");
+    let a = Peer::new(|_| Reply::After(Duration::from_millis(700), answer(200, "", "old")));
+    let b = Peer::healthy("new");
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut slow = Client::to(&node);
     slow.send(&request("slip", "t1", 15_000));
     until("the slow request is sent", || a.seen().len() == 1);
     let moved = [host("s0", b.address, "active", 1)];
-    registry.tell(2, &moved, &moved);
+    registry.publish(2, &moved, &moved);
     until("the move is known", || Client::to(&node).ask(&request("look", "t2", 15_000)).body == b"new");
-    assert_eq!(slow.hear().expect("an answer").body, b"old");
+    assert_eq!(slow.receive().expect("an answer").body, b"old");
     for n in 0..4 {
         let response = Client::to(&node).ask(&request("slip", &format!("n{n}"), 15_000));
         assert_eq!(response.body, b"new", "request {n}");
@@ -155,12 +155,12 @@
     let flaky = Peer::new(move |m| {
         let breaks = m.path() != "/health" && count.fetch_add(1, Ordering::SeqCst) % 8 == 3;
         if breaks {
-            Say::Last(Vec::new())
+            Reply::ThenClose(Vec::new())
         } else {
-            Say::This(answer(200, "", "flaky"))
+            Reply::Now(answer(200, "", "flaky"))
         }
     });
-    let good = Peer::good("good");
+    let good = Peer::healthy("good");
     let registry =
         Registry::new(&[host("s0", flaky.address, "active", 1), host("s1", good.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -176,7 +176,7 @@
 /// forwarded, whichever header comes first, and nothing more is read from the connection.
 #[test]
 fn a_request_with_two_framings_smuggles_no_other() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let smuggled = request("slip", "hidden", 15_000);
@@ -192,15 +192,15 @@
     ] {
         let mut client = Client::to(&node);
         client.send(&format!("{head_start}{framing}\r\n0\r\n\r\n{smuggled}"));
-        assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
-        assert!(client.hear().is_none(), "{framing}: nothing more is answered");
+        assert_eq!(client.receive().expect("an answer").status(), 400, "{framing}");
+        assert!(client.receive().is_none(), "{framing}: nothing more is answered");
         // The same after a valid request, in one write.
         let mut client = Client::to(&node);
         let good = request("look", "good", 15_000);
         client.send(&format!("{good}{head_start}{framing}\r\n0\r\n\r\n{smuggled}"));
-        assert_eq!(client.hear().expect("an answer").status(), 200, "{framing}");
-        assert_eq!(client.hear().expect("an answer").status(), 400, "{framing}");
-        assert!(client.hear().is_none(), "{framing}: nothing more is answered");
+        assert_eq!(client.receive().expect("an answer").status(), 200, "{framing}");
+        assert_eq!(client.receive().expect("an answer").status(), 400, "{framing}");
+        assert!(client.receive().is_none(), "{framing}: nothing more is answered");
     }
     assert!(server.seen().iter().all(|m| m.header("x-txn") == Some("good")), "{:?}", server.seen());
     // A chunked body without a length is valid.
@@ -216,14 +216,14 @@
 /// served. Afterwards the id may be used again.
 #[test]
 fn a_request_with_the_id_of_an_open_one_is_rejected() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(1500), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(1500), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let (mut first, mut second) = (Client::to(&node), Client::to(&node));
     first.send(&request("slip", "t1", 15_000));
     until("the first is sent", || server.seen().len() == 1);
     assert_eq!(second.ask(&request("slip", "t1", 15_000)).status(), 409);
-    assert_eq!(first.hear().expect("an answer").status(), 200);
+    assert_eq!(first.receive().expect("an answer").status(), 200);
     assert_eq!(server.seen().len(), 1);
     assert_eq!(second.ask(&request("look", "t1", 15_000)).status(), 200);
     let body = request("look", "t2", 15_000).replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nwork");
@@ -233,7 +233,7 @@
 /// Connections that send nothing, half a request, or half a request after a whole one, are closed in time.
 #[test]
 fn connections_without_a_whole_request_are_closed() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(200), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(200), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("slip", "t1", 15_000);
@@ -247,9 +247,9 @@
         let start = Instant::now();
         client.send(&text);
         if served {
-            assert_eq!(client.hear().expect("an answer").status(), 200);
+            assert_eq!(client.receive().expect("an answer").status(), 200);
         }
-        assert!(client.ended_or_reset(), "{text}");
+        assert!(client.is_closed_or_reset(), "{text}");
         assert!(start.elapsed() < Duration::from_secs(8), "{text}: {:?}", start.elapsed());
     }
 }
@@ -261,7 +261,7 @@
     let servers = [(); 2].map(|()| {
         Peer::new(|m| {
             let bad = m.header("x-txn").is_some_and(|t| t.starts_with("bad"));
-            Say::This(answer(if bad { 400 } else { 200 }, "", ""))
+            Reply::Now(answer(if bad { 400 } else { 200 }, "", ""))
         })
     });
     let registry = Registry::new(&[
@@ -285,7 +285,7 @@
 /// kept.
 #[test]
 fn slow_requests_beyond_the_descriptors_wait_and_are_served() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(400), answer(200, "", "served")));
+    let server = Peer::new(|_| Reply::After(Duration::from_millis(400), answer(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["limits"]["sockets"] = json!(40);
@@ -301,7 +301,7 @@
     let mut max_descriptors = 0;
     for (n, mut client) in clients.into_iter().enumerate() {
         max_descriptors = max_descriptors.max(node.descriptors());
-        assert_eq!(client.hear().expect("an answer").status(), 200, "request {n}");
+        assert_eq!(client.receive().expect("an answer").status(), 200, "request {n}");
     }
     assert!(max_descriptors <= 40, "{max_descriptors} of 40");
 }
@@ -313,9 +313,9 @@
     let silent = Arc::new(AtomicBool::new(false));
     let flag = silent.clone();
     let server = Peer::new(move |m| match flag.load(Ordering::SeqCst) {
-        true if m.conn <= 5 => Say::Nothing,
-        true => Say::This(answer(200, "", "served")),
-        false => Say::Later(Duration::from_millis(500), answer(200, "", "served")),
+        true if m.conn <= 5 => Reply::Nothing,
+        true => Reply::Now(answer(200, "", "served")),
+        false => Reply::After(Duration::from_millis(500), answer(200, "", "served")),
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -326,9 +326,9 @@
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     for client in &mut clients {
-        assert_eq!(client.hear().expect("an answer").status(), 200);
+        assert_eq!(client.receive().expect("an answer").status(), 200);
     }
-    assert_eq!(server.open(), 5);
+    assert_eq!(server.open_connections(), 5);
     silent.store(true, Ordering::SeqCst);
     let mut ask = |n: usize| clients[0].ask(&request("slip", &format!("n{n}"), 2_000)).status();
     let served = (0..6).filter(|n| ask(*n) == 200).count();
@@ -342,8 +342,8 @@
     let silent = Arc::new(AtomicBool::new(false));
     let flag = silent.clone();
     let server = Peer::new(move |m| match flag.load(Ordering::SeqCst) {
-        true if m.conn <= 8 => Say::Nothing,
-        _ => Say::Later(Duration::from_millis(500), answer(200, "", "served")),
+        true if m.conn <= 8 => Reply::Nothing,
+        _ => Reply::After(Duration::from_millis(500), answer(200, "", "served")),
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -354,7 +354,7 @@
         client.send(&request("slip", &format!("t{n}"), 15_000));
     }
     for client in &mut clients {
-        assert_eq!(client.hear().expect("an answer").status(), 200);
+        assert_eq!(client.receive().expect("an answer").status(), 200);
     }
     silent.store(true, Ordering::SeqCst);
     let began = Instant::now();
@@ -371,14 +371,14 @@
     });
     assert!(began.elapsed() < Duration::from_millis(6500), "{:?}", began.elapsed());
     for client in &mut clients {
-        assert_ne!(client.hear().expect("an answer").status(), 200);
+        assert_ne!(client.receive().expect("an answer").status(), 200);
     }
     for (n, client) in clients.iter_mut().enumerate().take(6) {
         client.send(&request("slip", &format!("later{n}"), 15_000));
     }
     for client in clients.iter_mut().take(6) {
         assert_eq!(
-            client.hear().expect("an answer").status(),
+            client.receive().expect("an answer").status(),
             200,
             "the server's concurrency limit has not dropped"
         );
@@ -391,7 +391,7 @@
 /// carried a single request is closed after a while.
 #[test]
 fn connections_that_are_used_once_are_not_kept_open() {
-    let server = Peer::good("a");
+    let server = Peer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let mut used = Client::to(&node);
@@ -415,7 +415,7 @@
         (200, None),
         "a reused connection stays open"
     );
-    assert!(single_use[0].ended(), "a connection that is not reused is closed");
+    assert!(single_use[0].is_closed(), "a connection that is not reused is closed");
     let response = used.ask(&request("look", "later", 15_000));
     assert_eq!(
         (response.status(), response.header("connection")),
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -14,11 +14,11 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Ending, Lateness, ManyServers};
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
 use peers::record::*;
-use peers::strays::{Stray, Strays};
+use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
 use serde_json::{json, Value};
 
@@ -71,7 +71,7 @@
 /// Everything that takes part in one run.
 struct TestCluster {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     /// The first process of each node, by node number, and then their replacements. Ended processes are kept
     /// for their logs.
@@ -86,7 +86,7 @@
 impl TestCluster {
     fn new(servers: usize, fleet: usize, nodes: usize) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(servers, &record);
+        let servers = ServerPool::start(servers, &record);
         let entries: Vec<Value> = (0..servers.count()).map(|number| servers.entry(number)).collect();
         let service = ListService::start(&entries);
         let mut config = config(service.address);
@@ -120,7 +120,7 @@
     }
 
     /// Picks a running process at random, as the clients' front does.
-    fn pick_node(&self, rng: &mut Dice) -> Arc<Process> {
+    fn pick_node(&self, rng: &mut Rng) -> Arc<Process> {
         let processes = self.processes.read().expect("no panic");
         let running: Vec<_> = processes.iter().filter(|p| !p.is_stopping.load(Ordering::SeqCst)).collect();
         running[rng.below(running.len() as u64) as usize].clone()
@@ -144,13 +144,14 @@
             // Only the list tells that a server was removed which still answers, and unanswered calls do not
             // deliver it.
             let is_silent = matches!(*self.list_state.lock().expect("no panic"), ListState::SilentSince(_));
-            let how = if index % 3 == 0 && !is_silent { Ending::IsRemoved } else { Ending::Drains };
-            self.servers.end(*number, how, told_at);
+            let how =
+                if index % 3 == 0 && !is_silent { Deactivation::Removed } else { Deactivation::Draining };
+            self.servers.deactivate(*number, how, told_at);
         }
         let all = (0..self.servers.count()).map(|number| self.servers.entry(number));
         let hosts: Vec<Value> = all.filter(|host| host["health"] != "left").collect();
         let changed: Vec<Value> = numbers.iter().map(|number| self.servers.entry(*number)).collect();
-        self.service.tell(&hosts, &changed);
+        self.service.publish(&hosts, &changed);
     }
 
     /// What the node at that address has logged about a request.
@@ -160,7 +161,7 @@
             return String::new();
         };
         let suffix = format!(" {id}");
-        let accepted = process.node.log_of(|line| line.contains(" id ") && line.ends_with(&suffix));
+        let accepted = process.node.grep_log(|line| line.contains(" id ") && line.ends_with(&suffix));
         let number = accepted.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let is_relevant = |line: &str| {
             let request_events = [" ask ", " send ", " end ", " answer ", " id ", " doubted "];
@@ -170,28 +171,29 @@
                     .iter()
                     .any(|event| line.contains(event))
         };
-        process.node.log_of(is_relevant).join("\n  ")
+        process.node.grep_log(is_relevant).join("\n  ")
     }
 
     fn has_accepted(&self, address: SocketAddr, id: &str) -> bool {
         let processes = self.processes.read().expect("no panic");
         let tail = format!(" {id}");
         let found = processes.iter().find(|p| p.node.address == address);
-        found
-            .is_some_and(|p| !p.node.log_of(|line| line.contains(" id ") && line.ends_with(&tail)).is_empty())
+        found.is_some_and(|p| {
+            !p.node.grep_log(|line| line.contains(" id ") && line.ends_with(&tail)).is_empty()
+        })
     }
 }
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
 /// A client that sends requests in a loop. It keeps its connection for as long as that is open, even while
 /// its node stops.
 fn run_client(cluster: &TestCluster, number: usize, seed: u64) {
-    let mut rng = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut rng = Rng(seed ^ (number as u64 + 1) << 32);
     let mut count = 0;
     while !cluster.is_over.load(Ordering::SeqCst) {
         let process = cluster.pick_node(&mut rng);
@@ -212,26 +214,27 @@
     process: &Process,
     client: &mut Client,
     id: String,
-    rng: &mut Dice,
+    rng: &mut Rng,
 ) -> bool {
     let class = ["look", "pay", "slip"][rng.below(3) as usize];
     let remaining = rng.between(600, 2500);
     let request_text = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
     let (node, at) = (process.node.address, Instant::now());
     let is_stopping = || process.is_stopping.load(Ordering::SeqCst);
-    let record = |end| cluster.record.asked(Asked { id: id.clone(), class, at, remaining, node, end });
+    let record =
+        |end| cluster.record.add_request(ClientRequest { id: id.clone(), class, at, remaining, node, end });
     if client.try_send(&request_text).is_err() {
-        record(End::Closed { at: Instant::now(), node_stops: is_stopping() });
+        record(Outcome::Closed { at: Instant::now(), node_stops: is_stopping() });
         return false;
     }
     if rng.one_in(20) {
         std::thread::sleep(rng.between(0, 60));
-        client.leave();
-        record(End::Left { at: Instant::now() });
+        client.disconnect();
+        record(Outcome::Left { at: Instant::now() });
         return false;
     }
-    let answer = client.hear();
-    record(End::by(answer.as_ref(), &id, is_stopping()));
+    let answer = client.receive();
+    record(Outcome::from_response(answer.as_ref(), &id, is_stopping()));
     answer.is_some_and(|answer| answer.header("connection") != Some("close"))
 }
 
@@ -256,12 +259,12 @@
 }
 
 /// Draws the faults of a run and their times, in order of time.
-fn draw_faults(rng: &mut Dice, nodes: usize) -> Vec<(Duration, Fault)> {
+fn draw_faults(rng: &mut Rng, nodes: usize) -> Vec<(Duration, Fault)> {
     let mut faults = Vec::new();
-    let mut add = |rng: &mut Dice, fault| {
+    let mut add = |rng: &mut Rng, fault| {
         faults.push((rng.between(300, FAULTS_UNTIL.as_millis() as u64), fault));
     };
-    let node = |rng: &mut Dice| rng.below(nodes as u64) as usize;
+    let node = |rng: &mut Rng| rng.below(nodes as u64) as usize;
     (0..CHANGES).for_each(|_| add(rng, Fault::Change));
     match rng.below(3) {
         0 => {
@@ -289,23 +292,23 @@
 }
 
 /// Draws what servers send out of turn from the start of a run on; in half of the runs, that is nothing.
-fn draw_strays(rng: &mut Dice) -> Strays {
+fn draw_strays(rng: &mut Rng) -> ResponseFaults {
     if rng.one_in(2) {
-        return Strays::default();
+        return ResponseFaults::default();
     }
     let max_delay_ms = rng.between(5, 25).as_millis() as u64;
-    Strays(vec![
-        Stray::TurnsAway { share: 10 },
-        Stray::OnNewConnection { share: rng.below(300), after: 0..10 },
-        Stray::BehindAnswer { share: rng.below(60), after: 0..max_delay_ms },
-        Stray::Repeated { share: 5 },
-        Stray::EndsAfterAnswer { share: 10 },
-        Stray::InPieces { share: 20 },
+    ResponseFaults(vec![
+        ResponseFault::Rejection { share: 10 },
+        ResponseFault::OnConnect { share: rng.below(300), delay_ms: 0..10 },
+        ResponseFault::ExtraResponse { share: rng.below(60), delay_ms: 0..max_delay_ms },
+        ResponseFault::RepeatedResponse { share: 5 },
+        ResponseFault::CloseAfterResponse { share: 10 },
+        ResponseFault::SplitResponse { share: 20 },
     ])
 }
 
 /// Injects the faults of a run.
-fn inject_faults(cluster: &TestCluster, faults: &[(Duration, Fault)], rng: &mut Dice) {
+fn inject_faults(cluster: &TestCluster, faults: &[(Duration, Fault)], rng: &mut Rng) {
     let began = Instant::now();
     let mut order: Vec<usize> = (0..cluster.servers.count()).collect();
     order.sort_by_cached_key(|_| rng.next());
@@ -327,11 +330,11 @@
         match *fault {
             Fault::Change => groups.next().into_iter().for_each(|numbers| cluster.end_servers(numbers)),
             Fault::Silent(unanswered) => {
-                cluster.service.fall_silent(unanswered * cluster.nodes);
+                cluster.service.silence_watches(unanswered * cluster.nodes);
                 *cluster.list_state.lock().expect("no panic") = ListState::SilentSince(Instant::now());
             }
             Fault::EndHalfOfWatches => {
-                cluster.service.end_half_untold();
+                cluster.service.end_half_of_watches();
                 *cluster.list_state.lock().expect("no panic") = ListState::WatchEnded;
             }
             Fault::Restart(number) => {
@@ -357,10 +360,10 @@
                     continue;
                 }
                 let from = Instant::now();
-                target.node.stand_still();
-                std::thread::sleep(HELD_UP);
-                target.node.go_on();
-                cluster.record.held(Held { node: target.node.address, from, until: Instant::now() });
+                target.node.suspend();
+                std::thread::sleep(MAX_PAUSE);
+                target.node.resume();
+                cluster.record.add_pause(Pause { node: target.node.address, from, until: Instant::now() });
             }
             Fault::IdleCrowd => {
                 for _ in 0..4 {
@@ -376,17 +379,17 @@
 
 /// Runs one seed; returns the violations, with timelines.
 fn run_seed(seed: u64, nodes: usize) -> Vec<String> {
-    let mut rng = Dice(seed);
+    let mut rng = Rng(seed);
     let servers = SERVERS[(seed % SERVERS.len() as u64) as usize];
     let fleet = FLEETS[rng.below(FLEETS.len() as u64) as usize];
     let faults = draw_faults(&mut rng, nodes);
     let strays = draw_strays(&mut rng);
     let cluster = TestCluster::new(servers, fleet, nodes);
-    cluster.servers.send_strays(strays.clone());
+    cluster.servers.set_response_faults(strays.clone());
     let started: Vec<Arc<Process>> = (0..nodes).map(|number| cluster.start(number, rng.next())).collect();
     started.iter().for_each(|process| process.node.wait_ready());
     *cluster.processes.write().expect("no panic") = started;
-    let driver_delay = Lateness::measure();
+    let driver_delay = SchedulingDelay::measure();
     std::thread::scope(|scope| {
         for number in 0..nodes * CLIENTS_PER_NODE {
             let cluster = &cluster;
@@ -395,13 +398,13 @@
         inject_faults(&cluster, &faults, &mut rng);
         cluster.is_over.store(true, Ordering::SeqCst);
     });
-    cluster.record.is_late_by(driver_delay.longest());
+    cluster.record.set_test_delay(driver_delay.longest());
     let (asked, served) = cluster.record.counts();
     let label =
         format!("seed {seed}: {servers} servers, fleet size {fleet} in the settings, {nodes} processes");
     println!("{label}: {served} of {asked} served, driver late by {:.0?}", driver_delay.longest());
-    let breaches = cluster.record.breaches(|node, id| cluster.has_accepted(node, id));
-    let describe = |breach: &Breach| {
+    let breaches = cluster.record.violations(|node, id| cluster.has_accepted(node, id));
+    let describe = |breach: &Violation| {
         format!("{label}: {breach}\n  {}\n{faults:?}\n{strays:?}", cluster.timeline(breach.node, &breach.id))
     };
     let mut violations: Vec<String> = breaches.iter().map(describe).collect();
--- a/crates/node/tests/thousands.rs
+++ b/crates/node/tests/thousands.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Ending, Lateness, ManyServers};
+use peers::many::{Deactivation, SchedulingDelay, ServerPool};
 use peers::record::*;
 use peers::*;
 use serde_json::{json, Value};
@@ -43,7 +43,7 @@
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
@@ -70,7 +70,7 @@
 
 struct TestCluster {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     nodes: Vec<Node>,
     /// Servers in the order in which they end.
@@ -80,13 +80,13 @@
 impl TestCluster {
     fn start(case: Case) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start(case.servers, &record);
+        let servers = ServerPool::start(case.servers, &record);
         let service = ListService::start(&entries(&servers, 0..case.servers));
         let node = |number: usize| Node::ready(&node_config(&service, case, number));
         let nodes: Vec<Node> = (0..NODES).map(node).collect();
         until("each node has its watch", || service.counts().0 >= NODES);
         let mut order: Vec<usize> = (0..case.servers).collect();
-        let mut rng = Dice(case.seed);
+        let mut rng = Rng(case.seed);
         order.sort_by_cached_key(|_| rng.next());
         Self { record, servers, service, nodes, order }
     }
@@ -97,12 +97,13 @@
         let group_size = (count / CHANGE_DIVISOR).max(1);
         let ending = &self.order[change * group_size..(change + 1) * group_size];
         for (index, number) in ending.iter().enumerate() {
-            let how = if with_removals && index % 3 == 0 { Ending::IsRemoved } else { Ending::Drains };
-            self.servers.end(*number, how, told_at);
+            let how =
+                if with_removals && index % 3 == 0 { Deactivation::Removed } else { Deactivation::Draining };
+            self.servers.deactivate(*number, how, told_at);
         }
         let mut hosts = entries(&self.servers, 0..count);
         hosts.retain(|host| host["health"] != "left");
-        self.service.tell(&hosts, &entries(&self.servers, ending.iter().copied()));
+        self.service.publish(&hosts, &entries(&self.servers, ending.iter().copied()));
     }
 
     /// Makes the nodes lose the list, and changes it meanwhile.
@@ -112,7 +113,7 @@
             |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(since.elapsed()));
         match list_loss {
             ListLoss::Silent => {
-                self.service.fall_silent(2 * NODES);
+                self.service.silence_watches(2 * NODES);
                 for change in 0..MISSED_CHANGES {
                     wait_until(100 + 800 * change as u64);
                     self.end_servers(change, since + TOLD_AFTER_SILENCE, false);
@@ -125,7 +126,7 @@
             }
             ListLoss::WatchesEnd => {
                 for change in 0..3 {
-                    self.service.end_half_untold();
+                    self.service.end_half_of_watches();
                     self.end_servers(change, Instant::now() + TOLD_AFTER_END, true);
                     wait_until(4_000 * (change as u64 + 1));
                 }
@@ -134,7 +135,7 @@
     }
 }
 
-fn entries(servers: &ManyServers, numbers: impl IntoIterator<Item = usize>) -> Vec<Value> {
+fn entries(servers: &ServerPool, numbers: impl IntoIterator<Item = usize>) -> Vec<Value> {
     numbers.into_iter().map(|number| servers.entry(number)).collect()
 }
 
@@ -153,7 +154,7 @@
 
 /// A client that sends requests in a loop over one connection to a node.
 fn run_client(cluster: &TestCluster, number: usize, seed: u64, is_over: &AtomicBool) {
-    let mut rng = Dice(seed ^ (number as u64 + 1) << 32);
+    let mut rng = Rng(seed ^ (number as u64 + 1) << 32);
     let node = &cluster.nodes[number % NODES];
     let mut client = Client::to(node);
     for count in 0.. {
@@ -164,9 +165,9 @@
         let (id, remaining) = (format!("c{number}-{count}"), rng.between(600, 2500));
         let at = Instant::now();
         client.send(&request(class, &id, remaining.as_millis() as u64).replace("k1", &id));
-        let answer = client.hear();
-        let end = End::by(answer.as_ref(), &id, false);
-        cluster.record.asked(Asked { id, class, at, remaining, node: node.address, end });
+        let answer = client.receive();
+        let end = Outcome::from_response(answer.as_ref(), &id, false);
+        cluster.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
         if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
             client = Client::to(node);
         }
@@ -177,9 +178,9 @@
 /// Suspends all nodes periodically, so that they run for a part of the time only.
 fn throttle_nodes(cluster: &TestCluster, is_over: &AtomicBool) {
     while !is_over.load(Ordering::SeqCst) {
-        cluster.nodes.iter().for_each(Node::stand_still);
+        cluster.nodes.iter().for_each(Node::suspend);
         std::thread::sleep(SUSPEND_SLICE);
-        cluster.nodes.iter().for_each(Node::go_on);
+        cluster.nodes.iter().for_each(Node::resume);
         std::thread::sleep(RUN_SLICE);
     }
 }
@@ -187,7 +188,7 @@
 /// Runs one case; returns the violations.
 fn run_case(case: Case) -> Vec<String> {
     let cluster = TestCluster::start(case);
-    let (driver_delay, is_over) = (Lateness::measure(), AtomicBool::new(false));
+    let (driver_delay, is_over) = (SchedulingDelay::measure(), AtomicBool::new(false));
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let (cluster, is_over) = (&cluster, &is_over);
@@ -206,13 +207,13 @@
     let cpu: Vec<Duration> = cluster.nodes.iter().map(Node::processor_time).collect();
     let descriptors: Vec<usize> = cluster.nodes.iter().map(Node::descriptors).collect();
     let memory: Vec<usize> = cluster.nodes.iter().map(|node| node.peak_memory() >> 20).collect();
-    let connections = cluster.servers.connections();
-    let (checks, (watches, calls)) = (cluster.servers.checks(), cluster.service.counts());
+    let connections = cluster.servers.connection_count();
+    let (checks, (watches, calls)) = (cluster.servers.health_check_count(), cluster.service.counts());
     if std::env::var("GLENWOOD_LOGS").is_ok() {
-        cluster.nodes.iter().for_each(|node| println!("{:#?}", node.log_of(|_| true)));
+        cluster.nodes.iter().for_each(|node| println!("{:#?}", node.grep_log(|_| true)));
     }
-    cluster.record.is_late_by(driver_delay);
-    let breaches = cluster.record.breaches(|_, _| true);
+    cluster.record.set_test_delay(driver_delay);
+    let breaches = cluster.record.violations(|_, _| true);
     let count_of = |rule: Rule| breaches.iter().filter(|breach| breach.rule == rule).count();
     let rules = [Rule::Drain, Rule::Lost, Rule::Deadline, Rule::Duplicate];
     let counts: Vec<String> = rules.iter().map(|rule| format!("{rule:?} {}", count_of(*rule))).collect();
--- a/crates/node/tests/whose_answer.rs
+++ b/crates/node/tests/whose_answer.rs
@@ -12,11 +12,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use peers::dice::Dice;
+use peers::dice::Rng;
 use peers::list_service::ListService;
-use peers::many::{Lateness, ManyServers};
+use peers::many::{SchedulingDelay, ServerPool};
 use peers::record::*;
-use peers::strays::{Stray, Strays};
+use peers::strays::{ResponseFault, ResponseFaults};
 use peers::*;
 use serde_json::{json, Value};
 
@@ -42,7 +42,7 @@
 
 struct TestCluster {
     record: Arc<Record>,
-    servers: ManyServers,
+    servers: ServerPool,
     service: ListService,
     nodes: Vec<Node>,
     is_over: AtomicBool,
@@ -50,14 +50,14 @@
 }
 
 impl TestCluster {
-    fn start(seed: u64, strays: &Strays) -> Self {
+    fn start(seed: u64, strays: &ResponseFaults) -> Self {
         let record: Arc<Record> = Arc::default();
-        let servers = ManyServers::start_that_take(
+        let servers = ServerPool::start_with_work_time(
             env_number("GLENWOOD_SERVERS", SERVERS as u64) as usize,
             &record,
             WORK_MS,
         );
-        servers.send_strays(strays.clone());
+        servers.set_response_faults(strays.clone());
         let entries: Vec<Value> = (0..servers.count()).map(|number| servers.entry(number)).collect();
         let service = ListService::start(&entries);
         let operator =
@@ -85,7 +85,7 @@
 
     /// A client that sends requests to one node in a loop.
     fn run_client(&self, number: u64, seed: u64) {
-        let mut rng = Dice(seed ^ ((number + 1) << 32));
+        let mut rng = Rng(seed ^ ((number + 1) << 32));
         let node = &self.nodes[number as usize % self.nodes.len()];
         let mut client = Client::to(node);
         while !self.is_over.load(Ordering::SeqCst) {
@@ -95,9 +95,9 @@
             let request_text = request(class, &id, remaining.as_millis() as u64).replace("k1", &id);
             let at = Instant::now();
             client.send(&request_text);
-            let answer = client.hear();
-            let end = End::by(answer.as_ref(), &id, false);
-            self.record.asked(Asked { id, class, at, remaining, node: node.address, end });
+            let answer = client.receive();
+            let end = Outcome::from_response(answer.as_ref(), &id, false);
+            self.record.add_request(ClientRequest { id, class, at, remaining, node: node.address, end });
             if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
                 client = Client::to(node);
             }
@@ -106,18 +106,18 @@
     }
 
     /// What a node has logged about a request, and about answers out of turn until then.
-    fn timeline(&self, breach: &Breach) -> String {
+    fn timeline(&self, breach: &Violation) -> String {
         let Some(node) = self.nodes.iter().find(|node| node.address == breach.node) else {
             return String::new();
         };
         let suffix = format!(" {}", breach.id);
-        let accepted = node.log_of(|line| line.contains(" id ") && line.ends_with(&suffix));
+        let accepted = node.grep_log(|line| line.contains(" id ") && line.ends_with(&suffix));
         let number = accepted.first().and_then(|line| line.rsplit(' ').nth(1)).unwrap_or("none").to_string();
         let is_relevant = |line: &str| {
             (line.starts_with("trace ") && line.split(' ').nth(3) == Some(&number))
                 || line.contains("out-of-turn")
         };
-        let lines = node.log_of(is_relevant);
+        let lines = node.grep_log(is_relevant);
         let last = lines.iter().rposition(|line| line.contains(" answer ")).map_or(lines.len(), |at| at + 1);
         lines[last.saturating_sub(TIMELINE_LINES)..last].join("\n  ")
     }
@@ -125,14 +125,14 @@
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.service.end();
+        self.service.stop();
     }
 }
 
 /// Runs one seed; returns the violations and the number of connections to servers.
-fn run_seed(label: &str, strays: &Strays, seed: u64) -> (Vec<String>, usize) {
+fn run_seed(label: &str, strays: &ResponseFaults, seed: u64) -> (Vec<String>, usize) {
     let cluster = TestCluster::start(seed, strays);
-    let driver_delay = Lateness::measure();
+    let driver_delay = SchedulingDelay::measure();
     std::thread::scope(|scope| {
         for number in 0..env_number("GLENWOOD_CLIENTS", CLIENTS) {
             let cluster = &cluster;
@@ -141,9 +141,9 @@
         std::thread::sleep(Duration::from_secs(env_number("GLENWOOD_SECONDS", SECONDS)));
         cluster.is_over.store(true, Ordering::SeqCst);
     });
-    cluster.record.is_late_by(driver_delay.longest());
+    cluster.record.set_test_delay(driver_delay.longest());
     let (asked, served) = cluster.record.counts();
-    let breaches = cluster.record.breaches(|_, _| true);
+    let breaches = cluster.record.violations(|_, _| true);
     let count = |rule| breaches.iter().filter(|breach| breach.rule == rule).count();
     println!(
         "{label}, seed {seed}: {} foreign, {} duplicate, {} refused, {} lost, {} others; {served} of {asked} served; {} connections; \
@@ -153,25 +153,25 @@
         count(Rule::Refused),
         count(Rule::Lost),
         count(Rule::Drain) + count(Rule::Deadline) + count(Rule::Left),
-        cluster.servers.connections(),
+        cluster.servers.connection_count(),
         driver_delay.longest()
     );
     let describe =
-        |breach: &Breach| format!("{label}, seed {seed}: {breach}\n  {}", cluster.timeline(breach));
+        |breach: &Violation| format!("{label}, seed {seed}: {breach}\n  {}", cluster.timeline(breach));
     let mut violations: Vec<String> = breaches.iter().map(describe).collect();
     if (served as f64) < MIN_SERVED_SHARE * asked as f64 {
         violations.push(format!("{label}, seed {seed}: {served} of {asked} requests served"));
     }
-    (violations, cluster.servers.connections())
+    (violations, cluster.servers.connection_count())
 }
 
 /// One run at a time, as each keeps the machine busy.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 /// Runs all seeds, asserts that there is no violation, and returns the number of connections to servers.
-fn assert_rules_hold(label: &str, strays: &[Stray]) -> usize {
+fn assert_rules_hold(label: &str, strays: &[ResponseFault]) -> usize {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let strays = Strays(strays.to_vec());
+    let strays = ResponseFaults(strays.to_vec());
     let first = env_number("GLENWOOD_FIRST", 1);
     let (mut violations, mut connections) = (Vec::new(), 0);
     for seed in first..first + env_number("GLENWOOD_SEEDS", 1) {
@@ -185,7 +185,7 @@
 }
 
 /// Servers genuinely turn away 3 % of the requests.
-const TURNS_AWAY: Stray = Stray::TurnsAway { share: 30 };
+const TURNS_AWAY: ResponseFault = ResponseFault::Rejection { share: 30 };
 
 /// Guards the invariants where no answer is out of turn, as the baseline for the runs below.
 #[test]
@@ -198,7 +198,7 @@
 fn an_unasked_answer_on_a_new_connection_answers_no_request() {
     assert_rules_hold(
         "new connection, 0 to 10 ms",
-        &[TURNS_AWAY, Stray::OnNewConnection { share: 200, after: 0..10 }],
+        &[TURNS_AWAY, ResponseFault::OnConnect { share: 200, delay_ms: 0..10 }],
     );
 }
 
@@ -207,7 +207,7 @@
 fn a_second_answer_that_comes_late_answers_no_request() {
     assert_rules_hold(
         "second answer, 0 to 20 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 0..20 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 0..20 }],
     );
 }
 
@@ -216,7 +216,7 @@
 fn a_rare_second_answer_answers_no_request() {
     assert_rules_hold(
         "rare second answer, 0 to 20 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 10, after: 0..20 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 10, delay_ms: 0..20 }],
     );
 }
 
@@ -225,7 +225,7 @@
 fn a_second_answer_that_comes_later_answers_no_request() {
     assert_rules_hold(
         "second answer, 5 to 60 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 5..60 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 5..60 }],
     );
 }
 
@@ -234,7 +234,7 @@
 fn a_second_answer_that_comes_very_late_answers_no_request() {
     assert_rules_hold(
         "second answer, 0 to 300 ms",
-        &[TURNS_AWAY, Stray::BehindAnswer { share: 50, after: 0..300 }],
+        &[TURNS_AWAY, ResponseFault::ExtraResponse { share: 50, delay_ms: 0..300 }],
     );
 }
 
@@ -244,10 +244,10 @@
 fn answers_with_broken_framing_answer_one_request_at_most() {
     let strays = [
         TURNS_AWAY,
-        Stray::Repeated { share: 30 },
-        Stray::Cut { share: 10 },
-        Stray::EndsAfterAnswer { share: 30 },
-        Stray::InPieces { share: 100 },
+        ResponseFault::RepeatedResponse { share: 30 },
+        ResponseFault::TruncatedResponse { share: 10 },
+        ResponseFault::CloseAfterResponse { share: 30 },
+        ResponseFault::SplitResponse { share: 100 },
     ];
     assert_rules_hold("framing", &strays);
 }
@@ -256,7 +256,7 @@
 #[test]
 fn interim_answers_cost_no_connection() {
     let without = assert_rules_hold("in turn", &[TURNS_AWAY]);
-    let with = assert_rules_hold("interim", &[TURNS_AWAY, Stray::Interim]);
+    let with = assert_rules_hold("interim", &[TURNS_AWAY, ResponseFault::InterimResponse]);
     // No two runs are alike: each node may open one more connection to each server.
     let most = without * 21 / 20 + (NODES as usize) * SERVERS;
     assert!(with <= most, "{with} connections with interim answers, {without} without");
