--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use glenwood_datagram::number_of;
+use glenwood_datagram::stable_hash;
 use serde::Serialize;
 
 use crate::keeper::{all_pieces_mask, piece_count, Reply, Request, LIVENESS_MS, MAX_BLOB_BYTES, PIECE_BYTES};
@@ -230,7 +230,7 @@
 
 /// Returns the digest and length of these bytes.
 pub fn blob_of(bytes: &[u8]) -> Blob {
-    Blob { digest: number_of(&[b"blob", bytes]), length: bytes.len() as u32 }
+    Blob { digest: stable_hash(&[b"blob", bytes]), length: bytes.len() as u32 }
 }
 
 impl Coordinator {
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use glenwood_datagram::number_of;
+use glenwood_datagram::stable_hash;
 
 use crate::register::NodeId;
 
@@ -41,7 +41,7 @@
     /// Selects the keepers of a slot by rendezvous hashing, from different zones as far as possible.
     fn keepers(&self, slot: (u64, u64)) -> Vec<NodeId> {
         let rank =
-            |id: NodeId| number_of(&[&slot.0.to_be_bytes(), &slot.1.to_be_bytes(), &id.0.to_be_bytes()]);
+            |id: NodeId| stable_hash(&[&slot.0.to_be_bytes(), &slot.1.to_be_bytes(), &id.0.to_be_bytes()]);
         let mut order: Vec<(u64, NodeId, &str)> =
             self.nodes.iter().map(|(id, zone)| (rank(*id), *id, zone.as_str())).collect();
         order.sort_unstable();
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -6,7 +6,7 @@
 //! refer to a register that has expired.
 
 use bytes::Bytes;
-use glenwood_datagram::{number_of, write_short, Reader, Secret, LONGEST, TAG};
+use glenwood_datagram::{stable_hash, write_length_prefixed, Reader, Secret, MAX_DATAGRAM_BYTES, TAG_BYTES};
 
 use crate::keeper::{Reply, Request};
 use crate::proposer::RegisterOp;
@@ -60,7 +60,7 @@
 
 /// Derives a cluster's number from its name.
 pub fn cluster_number(name: &str) -> u32 {
-    number_of(&[b"custody", name.as_bytes()]) as u32
+    stable_hash(&[b"custody", name.as_bytes()]) as u32
 }
 
 fn write_u64s(out: &mut Vec<u8>, numbers: &[u64]) {
@@ -103,7 +103,10 @@
         Some(Verdict::MayHaveRun) => out.push(4),
     }
     out.push(u8::from(record.about.effect == Effect::Unsafe));
-    write_short(out, &record.about.class.as_bytes()[..record.about.class.len().min(MAX_CLASS_BYTES)]);
+    write_length_prefixed(
+        out,
+        &record.about.class.as_bytes()[..record.about.class.len().min(MAX_CLASS_BYTES)],
+    );
     out.extend(record.about.remaining_ms.to_be_bytes());
     match record.about.request {
         Some(blob) => {
@@ -309,7 +312,7 @@
 /// Encodes messages to one receiver, with as many as fit in each datagram.
 pub fn write(header: &Header, messages: &[Message], secret: &Secret) -> Vec<Vec<u8>> {
     let header_bytes = {
-        let mut out = Vec::with_capacity(LONGEST);
+        let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         out.extend(MAGIC.to_be_bytes());
         out.extend(header.cluster.to_be_bytes());
         write_u64s(&mut out, &[header.sender.node.0, header.sender.number, header.sent_at_ms]);
@@ -321,7 +324,7 @@
     for message in messages {
         encoded.clear();
         message.write(&mut encoded);
-        if out.len() + encoded.len() + TAG > LONGEST && out.len() > header_bytes.len() {
+        if out.len() + encoded.len() + TAG_BYTES > MAX_DATAGRAM_BYTES && out.len() > header_bytes.len() {
             sealed.push(secret.seal(std::mem::replace(&mut out, header_bytes.clone())));
         }
         out.extend(&encoded);
@@ -454,7 +457,7 @@
             let datagrams = write(&from, &messages, &secret);
             let mut decoded = Vec::new();
             for bytes in &datagrams {
-                prop_assert!(bytes.len() <= LONGEST);
+                prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                 let (header, decoded_here) = read(bytes, 7, &secret).expect("a written datagram is readable");
                 prop_assert_eq!(header, from);
                 decoded.extend(decoded_here);
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,6 +1,6 @@
 //! Authenticated datagrams between nodes that share a secret, and a reader of their fields.
 //!
-//! A datagram has at most [`LONGEST`] bytes. Numbers are big-endian. It ends with an HMAC-SHA-256 over all
+//! A datagram has at most [`MAX_DATAGRAM_BYTES`] bytes. Numbers are big-endian. It ends with an HMAC-SHA-256 over all
 //! preceding bytes, truncated to 16 bytes. The contents, and protection against replays, are left to the
 //! caller.
 #![warn(missing_docs)]
@@ -11,9 +11,9 @@
 use sha2::{Digest, Sha256};
 
 /// The maximum size of a datagram in bytes: small enough to avoid fragmentation on any path.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The size of the authentication tag in bytes.
-pub const TAG: usize = 16;
+pub const TAG_BYTES: usize = 16;
 
 /// The secret key shared by all nodes.
 #[derive(Clone)]
@@ -27,13 +27,13 @@
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsealed {
-    /// Longer than [`LONGEST`].
-    Long,
+pub enum OpenError {
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
+    TooLong,
     /// Too short to contain a tag.
-    Short,
+    TooShort,
     /// The tag does not match the key and the contents.
-    Forged,
+    InvalidTag,
 }
 
 impl Secret {
@@ -52,7 +52,7 @@
     pub fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         let mut mac = self.mac();
         mac.update(&bytes);
-        bytes.extend(&mac.finalize().into_bytes()[..TAG]);
+        bytes.extend(&mac.finalize().into_bytes()[..TAG_BYTES]);
         bytes
     }
 
@@ -60,21 +60,21 @@
     ///
     /// # Errors
     /// If the tag is wrong, or the datagram is too long or too short.
-    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Unsealed> {
-        if bytes.len() > LONGEST {
-            return Err(Unsealed::Long);
+    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], OpenError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(OpenError::TooLong);
         }
-        let at = bytes.len().checked_sub(TAG).ok_or(Unsealed::Short)?;
+        let at = bytes.len().checked_sub(TAG_BYTES).ok_or(OpenError::TooShort)?;
         let (contents, tag) = bytes.split_at(at);
         let mut mac = self.mac();
         mac.update(contents);
-        mac.verify_truncated_left(tag).map_err(|_| Unsealed::Forged)?;
+        mac.verify_truncated_left(tag).map_err(|_| OpenError::InvalidTag)?;
         Ok(contents)
     }
 }
 
 /// Hashes byte strings to a number that is the same on all nodes: the first eight bytes of their SHA-256.
-pub fn number_of(parts: &[&[u8]]) -> u64 {
+pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut digest = Sha256::new();
     for part in parts {
         // The lengths are hashed too, so that different splits of the same bytes give different numbers.
@@ -127,20 +127,20 @@
     }
 
     /// Reads a length byte and that many bytes.
-    pub fn short(&mut self) -> Option<&'a [u8]> {
+    pub fn length_prefixed(&mut self) -> Option<&'a [u8]> {
         let length = usize::from(self.u8()?);
         self.take(length)
     }
 
     /// Reads a length byte and that many bytes of UTF-8 text.
     pub fn text(&mut self) -> Option<&'a str> {
-        std::str::from_utf8(self.short()?).ok()
+        std::str::from_utf8(self.length_prefixed()?).ok()
     }
 }
 
-/// Writes a length byte and the bytes, as [`Reader::short`] reads them. Bytes beyond the first 255 are
+/// Writes a length byte and the bytes, as [`Reader::length_prefixed`] reads them. Bytes beyond the first 255 are
 /// dropped.
-pub fn write_short(out: &mut Vec<u8>, bytes: &[u8]) {
+pub fn write_length_prefixed(out: &mut Vec<u8>, bytes: &[u8]) {
     let length = bytes.len().min(usize::from(u8::MAX));
     out.push(length as u8);
     out.extend(&bytes[..length]);
@@ -154,17 +154,17 @@
     proptest! {
         #[test]
         fn only_datagrams_sealed_with_the_same_key_are_opened(
-            contents in proptest::collection::vec(any::<u8>(), 0..LONGEST - TAG),
+            contents in proptest::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES - TAG_BYTES),
             at in any::<prop::sample::Index>(),
             bit in 0..8u8,
         ) {
             let (ours, theirs) = (Secret::new(b"ours"), Secret::new(b"theirs"));
             let sealed = ours.seal(contents.clone());
             prop_assert_eq!(ours.open(&sealed), Ok(&contents[..]));
-            prop_assert_eq!(theirs.open(&sealed), Err(Unsealed::Forged));
+            prop_assert_eq!(theirs.open(&sealed), Err(OpenError::InvalidTag));
             let mut tampered = sealed.clone();
             tampered[at.index(sealed.len())] ^= 1 << bit;
-            prop_assert_eq!(ours.open(&tampered), Err(Unsealed::Forged));
+            prop_assert_eq!(ours.open(&tampered), Err(OpenError::InvalidTag));
             prop_assert!(ours.open(&sealed[..sealed.len() - 1]).is_err());
         }
     }
@@ -172,12 +172,12 @@
     #[test]
     fn too_short_and_too_long_datagrams_are_rejected() {
         let secret = Secret::new(b"ours");
-        assert_eq!(secret.open(&[0; TAG - 1]), Err(Unsealed::Short));
-        assert_eq!(secret.open(&[0; LONGEST + 1]), Err(Unsealed::Long));
+        assert_eq!(secret.open(&[0; TAG_BYTES - 1]), Err(OpenError::TooShort));
+        assert_eq!(secret.open(&[0; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::TooLong));
     }
 
     #[test]
     fn different_splits_of_the_same_bytes_give_different_numbers() {
-        assert_ne!(number_of(&[b"ab", b"c"]), number_of(&[b"a", b"bc"]));
+        assert_ne!(stable_hash(&[b"ab", b"c"]), stable_hash(&[b"a", b"bc"]));
     }
 }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use glenwood_datagram::number_of;
+use glenwood_datagram::stable_hash;
 use serde::Serialize;
 
 /// Maximum length of a member's name, in bytes.
@@ -17,7 +17,7 @@
 impl Id {
     /// The id of the member with this name.
     pub fn of(name: &str) -> Self {
-        Self(number_of(&[b"member", name.as_bytes()]))
+        Self(stable_hash(&[b"member", name.as_bytes()]))
     }
 }
 
@@ -94,6 +94,6 @@
     /// as a suspicion is resolved without anti-entropy.
     pub fn digest(&self) -> u64 {
         let bytes = [self.incarnation.to_be_bytes(), self.member.life.to_be_bytes()];
-        number_of(&[self.member.name.as_bytes(), &bytes[0], &bytes[1]])
+        stable_hash(&[self.member.name.as_bytes(), &bytes[0], &bytes[1]])
     }
 }
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -5,7 +5,9 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use glenwood_datagram::{number_of, write_short, Reader, Secret, Unsealed, LONGEST, TAG};
+use glenwood_datagram::{
+    stable_hash, write_length_prefixed, OpenError, Reader, Secret, MAX_DATAGRAM_BYTES, TAG_BYTES,
+};
 
 use crate::record::{Id, Member, Record, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 
@@ -63,7 +65,7 @@
 
 /// The number that identifies a cluster on the wire, derived from its name.
 pub fn cluster_number(name: &str) -> u32 {
-    number_of(&[b"cluster", name.as_bytes()]) as u32
+    stable_hash(&[b"cluster", name.as_bytes()]) as u32
 }
 
 fn write_address(out: &mut Vec<u8>, address: SocketAddr) {
@@ -93,8 +95,8 @@
     out.push(record.state as u8);
     out.extend(record.incarnation.to_be_bytes());
     out.extend(record.member.life.to_be_bytes());
-    write_short(out, record.member.name.as_bytes());
-    write_short(out, record.member.zone.as_bytes());
+    write_length_prefixed(out, record.member.name.as_bytes());
+    write_length_prefixed(out, record.member.zone.as_bytes());
     write_address(out, record.member.address);
 }
 
@@ -197,7 +199,7 @@
             return false;
         }
         write_rumour(&mut self.out, rumour);
-        if self.out.len() + TAG > LONGEST {
+        if self.out.len() + TAG_BYTES > MAX_DATAGRAM_BYTES {
             self.out.truncate(previous_len);
             return false;
         }
@@ -223,8 +225,8 @@
     /// When it is from another cluster, is not authenticated or is malformed.
     pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, DatagramError> {
         let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long | Unsealed::Forged => DatagramError::Unauthenticated,
-            Unsealed::Short => DatagramError::Malformed,
+            OpenError::TooLong | OpenError::InvalidTag => DatagramError::Unauthenticated,
+            OpenError::TooShort => DatagramError::Malformed,
         })?;
         let mut r = Reader::new(payload);
         if r.u32() != Some(MAGIC) {
@@ -307,7 +309,7 @@
                 }
             }
             let bytes = draft.seal(&secret);
-            prop_assert!(bytes.len() <= LONGEST);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let read = Message::read(&bytes, 7, &secret);
             prop_assert_eq!(read, Ok(Message { from, body, rumours: fitted }));
             prop_assert_eq!(Message::read(&bytes, 8, &secret), Err(DatagramError::OtherCluster));
--- a/crates/node/src/custody/form.rs
+++ b/crates/node/src/custody/form.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use glenwood_core::Token;
-use glenwood_datagram::{number_of, Reader};
+use glenwood_datagram::{stable_hash, Reader};
 use glenwood_operation::budget::Share;
 use glenwood_operation::places::Slot;
 use glenwood_policy::Effect;
@@ -48,14 +48,14 @@
     let digest = |salt: &'static [u8]| {
         let mut all = vec![salt];
         all.extend(&parts);
-        number_of(&all)
+        stable_hash(&all)
     };
     (digest(b"slot 0"), digest(b"slot 1"))
 }
 
 /// A number derived from the client's request id.
 pub fn nonce(call: &Call) -> u64 {
-    number_of(&[b"nonce", call.id.as_str().as_bytes()])
+    stable_hash(&[b"nonce", call.id.as_str().as_bytes()])
 }
 
 fn write_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
--- a/crates/node/src/custody/table.rs
+++ b/crates/node/src/custody/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use glenwood_custody::{NodeId, Roster, Rosters};
-use glenwood_datagram::number_of;
+use glenwood_datagram::stable_hash;
 use glenwood_fields::{Fields, Value};
 
 /// What happens to a request whose keepers give no majority in time.
@@ -41,7 +41,7 @@
 
 /// The id of a node, derived from its name.
 pub fn node_id(name: &str) -> NodeId {
-    NodeId(number_of(&[b"member", name.as_bytes()]))
+    NodeId(stable_hash(&[b"member", name.as_bytes()]))
 }
 
 impl Table {
--- a/crates/node/src/custody/traffic.rs
+++ b/crates/node/src/custody/traffic.rs
@@ -9,7 +9,7 @@
 use glenwood_custody::keeper::Request;
 use glenwood_custody::wire::{self, Message};
 use glenwood_custody::{NodeId, Work};
-use glenwood_datagram::LONGEST;
+use glenwood_datagram::MAX_DATAGRAM_BYTES;
 use glenwood_members as members;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
@@ -48,7 +48,7 @@
         }
         let _ = self.socket.set(socket);
         let Some(socket) = self.socket.get() else { return };
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = self.now();
             let wait = Duration::from_millis(self.due().saturating_sub(now));
--- a/crates/node/src/identity.rs
+++ b/crates/node/src/identity.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use glenwood_datagram::{number_of, Secret};
+use glenwood_datagram::{stable_hash, Secret};
 
 /// The shortest secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
@@ -13,7 +13,7 @@
 pub fn unique_start_number(seed: u64) -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
     let ids = [seed.to_be_bytes(), u64::from(std::process::id()).to_be_bytes()];
-    number_of(&[&ids[0], &ids[1], &since.to_be_bytes()]).max(1)
+    stable_hash(&[&ids[0], &ids[1], &since.to_be_bytes()]).max(1)
 }
 
 /// Reads the secret for the table `table` of the operator's file.
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenwood_datagram::LONGEST;
+use glenwood_datagram::MAX_DATAGRAM_BYTES;
 use glenwood_fields::{Fields, Value};
 use glenwood_members::{
     Counters, Event, Id, Member, MemberInfo, Members, Secret, Settings, State, MAX_NAME_BYTES, MAX_ZONE_BYTES,
@@ -271,7 +271,7 @@
         self.machine.replace(Some(machine));
         self.socket.replace(Some(socket.clone()));
         self.open.set(true);
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         while !hub.handed_over.get() {
             let due = self.machine.borrow().as_ref().map_or(0, |machine| machine.due());
             let wait = Duration::from_millis(due.saturating_sub(self.now()));
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -9,7 +9,7 @@
 
 use glenwood_policy::Tenant;
 use glenwood_settings::NodeSettings;
-use glenwood_usage::wire::LONGEST;
+use glenwood_usage::wire::MAX_DATAGRAM_BYTES;
 use glenwood_usage::{Datagram, Key, KeyUsage, PeerKeyUsage, PeerStatus, RunId, Usage};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
@@ -170,7 +170,7 @@
     let at = socket.local_addr().unwrap_or(shares.listen);
     log::write_line(format!("usage: counted with {} nodes at {at}", shares.instances.len()));
     shares.open.set(true);
-    let (mut bytes, mut out) = ([0; LONGEST + 1], Vec::new());
+    let (mut bytes, mut out) = ([0; MAX_DATAGRAM_BYTES + 1], Vec::new());
     while !hub.handed_over.get() {
         let due = Duration::from_millis(shares.machine.borrow().ms_until_tick());
         tokio::select! {
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -1,11 +1,11 @@
 //! The authenticated datagrams that instances exchange.
 //!
-//! A datagram is at most [`LONGEST`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all of it,
+//! A datagram is at most [`MAX_DATAGRAM_BYTES`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all of it,
 //! truncated to 16 bytes. Numbers are big-endian. It names the sender and the receiver with the run of each:
 //! a datagram addressed to another run than the current one may be a replay and proves nothing.
 
-use glenwood_datagram::{Reader, Unsealed, TAG};
-pub use glenwood_datagram::{Secret, LONGEST};
+use glenwood_datagram::{OpenError, Reader, TAG_BYTES};
+pub use glenwood_datagram::{Secret, MAX_DATAGRAM_BYTES};
 
 use crate::ledger::{Key, RunId};
 use crate::votes::{Ballot, InstanceSet};
@@ -83,13 +83,14 @@
 
 /// The number of entries that fit into a datagram among `n` instances.
 pub fn max_entries(n: usize) -> usize {
-    (LONGEST - HEADER_BYTES - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG) / ENTRY_BYTES
+    (MAX_DATAGRAM_BYTES - HEADER_BYTES - 1 - 2 * (8 + 2 * n.div_ceil(8)) - 8 - 16 - 9 - 2 - TAG_BYTES)
+        / ENTRY_BYTES
 }
 
 impl Message {
     /// Serializes and authenticates the message.
     pub fn write(&self, secret: &Secret) -> Vec<u8> {
-        let mut out = Vec::with_capacity(LONGEST);
+        let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         out.extend(MAGIC.to_be_bytes());
         out.extend(self.list.to_be_bytes());
         out.extend(self.from.to_be_bytes());
@@ -127,9 +128,9 @@
     /// When it is too long, not authenticated, malformed, or from an instance with another list.
     pub fn read(bytes: &[u8], list: u32, n: usize, secret: &Secret) -> Result<Self, DatagramError> {
         let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long => DatagramError::TooLong,
-            Unsealed::Short => DatagramError::Malformed,
-            Unsealed::Forged => DatagramError::Unauthenticated,
+            OpenError::TooLong => DatagramError::TooLong,
+            OpenError::TooShort => DatagramError::Malformed,
+            OpenError::InvalidTag => DatagramError::Unauthenticated,
         })?;
         let mut reader = Reader::new(payload);
         if payload.get(4..8).is_some_and(|number| number != list.to_be_bytes()) {
