--- a/crates/fleet/src/desired.rs
+++ b/crates/fleet/src/desired.rs
@@ -102,8 +102,8 @@
 fn parse_name(f: &mut Fields, key: &str, default: Option<&str>) -> Result<String, String> {
     let read = |v: Value| v.as_str().filter(|t| is_name(t)).map(str::to_string);
     match default {
-        Some(default) => Ok(f.take(key, NAME_FORMAT, read)?.unwrap_or_else(|| default.to_string())),
-        None => f.need(key, NAME_FORMAT, read),
+        Some(default) => Ok(f.optional(key, NAME_FORMAT, read)?.unwrap_or_else(|| default.to_string())),
+        None => f.required(key, NAME_FORMAT, read),
     }
 }
 
@@ -125,7 +125,9 @@
         let mut top = Fields::parse(text)?;
         let rules = Self::parse_rules(top.table("fleet")?)?;
         let mut releases = BTreeMap::new();
-        for (key, mut f) in top.table("releases")?.map(Fields::rest).transpose()?.unwrap_or_default() {
+        for (key, mut f) in
+            top.table("releases")?.map(Fields::remaining_tables).transpose()?.unwrap_or_default()
+        {
             if !is_name(&key) {
                 return Err(format!("releases: {NAME_FORMAT} expected, not {key:?}"));
             }
@@ -135,11 +137,11 @@
             let digest = |v: Value| v.as_str().filter(|t| is_hex_digest(t)).map(str::to_string);
             let path = |v: Value| v.as_str().filter(|t| t.starts_with('/')).map(str::to_string);
             let release = Release {
-                path: f.need("path", "a path that begins with /", path)?,
-                sha256: f.need("sha256", "64 hex digits in lower case", digest)?,
+                path: f.required("path", "a path that begins with /", path)?,
+                sha256: f.required("sha256", "64 hex digits in lower case", digest)?,
                 arguments: f.names("arguments")?,
             };
-            f.end()?;
+            f.expect_empty()?;
             releases.insert(key, release);
         }
         let mut instances: Vec<Instance> = Vec::new();
@@ -150,18 +152,22 @@
                 release: parse_name(&mut f, "release", None)?,
                 config: f
                     .text("config", "the path of a file")?
-                    .ok_or_else(|| format!("{}: needed, the path of a file", f.name("config")))?,
+                    .ok_or_else(|| format!("{}: needed, the path of a file", f.full_name("config")))?,
                 operator: f.text("operator", "the path of a file")?,
-                order: f.within("order", 0..=1_000_000, 0)?,
-                stopped: f.switch("stopped")?,
+                order: f.integer_within("order", 0..=1_000_000, 0)?,
+                stopped: f.boolean("stopped")?,
             };
             if !releases.contains_key(&instance.release) {
-                return Err(format!("{}: there is no release {:?}", f.name("release"), instance.release));
+                return Err(format!(
+                    "{}: there is no release {:?}",
+                    f.full_name("release"),
+                    instance.release
+                ));
             }
             if instances.iter().any(|other| other.name == instance.name) {
-                return Err(format!("{}: {:?} is there twice", f.name("name"), instance.name));
+                return Err(format!("{}: {:?} is there twice", f.full_name("name"), instance.name));
             }
-            f.end()?;
+            f.expect_empty()?;
             instances.push(instance);
         }
         instances.sort_by(|a, b| a.order.cmp(&b.order).then_with(|| a.name.cmp(&b.name)));
@@ -169,7 +175,7 @@
         for f in top.tables("protect")? {
             protect.push(Self::parse_protect(f, &instances)?);
         }
-        top.end()?;
+        top.expect_empty()?;
         if rules.max_unavailable > instances.len().max(1) {
             let (limit, count) = (rules.max_unavailable, instances.len());
             return Err(format!("fleet.max_unavailable: {limit} of {count} instances"));
@@ -184,17 +190,17 @@
         };
         let hour_ms = 3_600_000;
         let rules = Rules {
-            max_unavailable: f.within("max_unavailable", 1..=1000, 1)?,
-            pause_ms: f.within("pause_ms", 0..=hour_ms, 1000)?,
-            ready_within_ms: f.within("ready_within_ms", 100..=hour_ms, 10_000)?,
-            stop_within_ms: f.within("stop_within_ms", 100..=hour_ms, 10_000)?,
-            backoff_ms: f.within("backoff_ms", 10..=hour_ms, 200)?,
-            max_restarts: f.within("restarts_most", 0..=1000, 5)?,
-            restart_window_ms: f.within("restart_window_ms", 1000..=24 * hour_ms, 60_000)?,
-            canary_requests: f.within("canary_requests", 0..=1_000_000, 200)?,
-            canary_ms: f.within("canary_ms", 0..=hour_ms, 5000)?,
+            max_unavailable: f.integer_within("max_unavailable", 1..=1000, 1)?,
+            pause_ms: f.integer_within("pause_ms", 0..=hour_ms, 1000)?,
+            ready_within_ms: f.integer_within("ready_within_ms", 100..=hour_ms, 10_000)?,
+            stop_within_ms: f.integer_within("stop_within_ms", 100..=hour_ms, 10_000)?,
+            backoff_ms: f.integer_within("backoff_ms", 10..=hour_ms, 200)?,
+            max_restarts: f.integer_within("restarts_most", 0..=1000, 5)?,
+            restart_window_ms: f.integer_within("restart_window_ms", 1000..=24 * hour_ms, 60_000)?,
+            canary_requests: f.integer_within("canary_requests", 0..=1_000_000, 200)?,
+            canary_ms: f.integer_within("canary_ms", 0..=hour_ms, 5000)?,
         };
-        f.end()?;
+        f.expect_empty()?;
         Ok(rules)
     }
 
@@ -202,29 +208,30 @@
         let set = |names: Vec<String>| names.into_iter().collect::<BTreeSet<String>>();
         let (names, groups) = (set(f.names("names")?), set(f.names("groups")?));
         if names.is_empty() && groups.is_empty() {
-            return Err(format!("{}: names or groups are needed", f.name("names")));
+            return Err(format!("{}: names or groups are needed", f.full_name("names")));
         }
         if let Some(name) = names.iter().find(|n| !instances.iter().any(|i| i.name == **n)) {
-            return Err(format!("{}: there is no instance {name:?}", f.name("names")));
+            return Err(format!("{}: there is no instance {name:?}", f.full_name("names")));
         }
         if let Some(group) = groups.iter().find(|g| !instances.iter().any(|i| i.group == **g)) {
-            return Err(format!("{}: there is no group {group:?}", f.name("groups")));
+            return Err(format!("{}: there is no group {group:?}", f.full_name("groups")));
         }
         let mut days = BTreeSet::new();
         for day in f.names("days")? {
             let index = DAYS.iter().position(|d| *d == day);
-            let index = index
-                .ok_or_else(|| format!("{}: mon, tue, ... or sun expected, not {day:?}", f.name("days")))?;
+            let index = index.ok_or_else(|| {
+                format!("{}: mon, tue, ... or sun expected, not {day:?}", f.full_name("days"))
+            })?;
             days.insert(index as u8);
         }
         let time = |v: Value| v.as_str().and_then(parse_minute);
         let expected = "a time of day such as \"06:30\"";
-        let from = f.take("from", expected, time)?.unwrap_or(0);
-        let to = f.take("to", expected, time)?.unwrap_or(24 * 60);
+        let from = f.optional("from", expected, time)?.unwrap_or(0);
+        let to = f.optional("to", expected, time)?.unwrap_or(24 * 60);
         if from >= to {
-            return Err(format!("{}: later than from expected", f.name("to")));
+            return Err(format!("{}: later than from expected", f.full_name("to")));
         }
-        f.end()?;
+        f.expect_empty()?;
         Ok(Protect { names, groups, days, from, to })
     }
 
--- a/crates/node/src/configuration/table.rs
+++ b/crates/node/src/configuration/table.rs
@@ -31,12 +31,12 @@
             let address = |value: &Value| value.as_str()?.parse().ok();
             value.as_array()?.iter().map(address).collect::<Option<Vec<SocketAddr>>>()
         };
-        let publishers = f.need("publishers", "a list of IP addresses and ports", addresses)?;
-        let all = f.switch("all")?;
+        let publishers = f.required("publishers", "a list of IP addresses and ports", addresses)?;
+        let all = f.boolean("all")?;
         let services = f.names("services")?;
-        let name = f.name("services");
+        let name = f.full_name("services");
         if publishers.is_empty() || publishers.len() > MAX_PUBLISHERS {
-            let field = f.name("publishers");
+            let field = f.full_name("publishers");
             return Err(format!("{field}: 1 to {MAX_PUBLISHERS} expected, not {}", publishers.len()));
         }
         if all != services.is_empty() {
@@ -46,7 +46,7 @@
             return Err(format!("{name}: {MAX_SERVICES} at most expected, not {}", services.len()));
         }
         services.iter().try_for_each(|service| check_name(&name, service))?;
-        f.end()?;
+        f.expect_empty()?;
         let scope =
             if all { Scope::All } else { Scope::Services(services.into_iter().collect::<BTreeSet<_>>()) };
         Ok(Self { publishers, scope })
--- a/crates/node/src/custody/table.rs
+++ b/crates/node/src/custody/table.rs
@@ -54,40 +54,40 @@
             let mut nodes = Vec::new();
             for mut entry in f.tables(key)? {
                 let text = |v: Value| v.as_str().filter(|t| !t.is_empty()).map(str::to_string);
-                let name = entry.need("name", "a name", text)?;
+                let name = entry.required("name", "a name", text)?;
                 let zone = entry.text("zone", "a name")?.unwrap_or_default();
-                entry.end()?;
+                entry.expect_empty()?;
                 nodes.push((node_id(&name), zone));
             }
             if nodes.is_empty() {
                 return Ok(None);
             }
-            Roster::new(nodes).map(Some).map_err(|reason| format!("{}: {reason}", f.name(key)))
+            Roster::new(nodes).map(Some).map_err(|reason| format!("{}: {reason}", f.full_name(key)))
         };
         let now = roster(&mut f, "keeper")?;
         let before = roster(&mut f, "before")?;
-        let now = now.ok_or_else(|| format!("{}: needed, 3 at the least", f.name("keeper")))?;
-        let epoch = f.within("epoch", 1..=u32::MAX as usize, 1)? as u32;
+        let now = now.ok_or_else(|| format!("{}: needed, 3 at the least", f.full_name("keeper")))?;
+        let epoch = f.integer_within("epoch", 1..=u32::MAX as usize, 1)? as u32;
         let mut no_majority_rules = BTreeMap::new();
         for (key, rule) in [("unguarded", NoMajorityRule::Serve), ("refused", NoMajorityRule::Refuse)] {
             for class in f.names(key)? {
                 if no_majority_rules.insert(class.clone(), rule).is_some() {
-                    return Err(format!("{}: {class} stands in both lists", f.name(key)));
+                    return Err(format!("{}: {class} stands in both lists", f.full_name(key)));
                 }
             }
         }
         let parsed = Self {
             rosters: Rosters { epoch, current: now, previous: before },
-            patience_ms: f.within("patience_ms", 10..=10_000, 150)? as u64,
-            resend_ms: f.within("resend_ms", 5..=1000, 20)? as u64,
-            poll_ms: f.within("poll_ms", 10..=10_000, 50)? as u64,
-            life_ms: f.within("life_ms", 1000..=3_600_000, 30_000)? as u64,
-            works_most: f.within("works_most", 16..=10_000_000, 100_000)?,
-            memory_mb: f.within("memory_mb", 1..=65_536, 64)?,
+            patience_ms: f.integer_within("patience_ms", 10..=10_000, 150)? as u64,
+            resend_ms: f.integer_within("resend_ms", 5..=1000, 20)? as u64,
+            poll_ms: f.integer_within("poll_ms", 10..=10_000, 50)? as u64,
+            life_ms: f.integer_within("life_ms", 1000..=3_600_000, 30_000)? as u64,
+            works_most: f.integer_within("works_most", 16..=10_000_000, 100_000)?,
+            memory_mb: f.integer_within("memory_mb", 1..=65_536, 64)?,
             no_majority_rules,
             unguarded_classes: f.names("without")?,
         };
-        f.end()?;
+        f.expect_empty()?;
         if parsed.life_ms < 4 * parsed.patience_ms {
             return Err(format!(
                 "custody.life_ms: four times patience_ms at the least expected, not {}",
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -69,21 +69,25 @@
         let zone = |value: Value| text(value).filter(|zone| zone.len() <= MAX_ZONE_BYTES);
         let parsed = Self {
             cluster: f.text("cluster", "a name")?.unwrap_or_else(|| "glenwood".into()),
-            secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
-            listen: f.need("listen", "an IP address and port", |v| address(&v))?,
+            secret: f.required("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
+            listen: f.required("listen", "an IP address and port", |v| address(&v))?,
             address: f.address("address")?,
             zone: f
-                .take("zone", &format!("a name of {MAX_ZONE_BYTES} bytes at most"), zone)?
+                .optional("zone", &format!("a name of {MAX_ZONE_BYTES} bytes at most"), zone)?
                 .unwrap_or_default(),
-            seeds: f.need("seeds", "a list of 1 to 64 IP addresses and ports", seeds)?,
-            probe_ms: f.within("probe_ms", 20..=10_000, 100)? as u64,
-            most: f.within("most", 2..=4096, 1000)?,
-            forget_ms: f.within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
+            seeds: f.required("seeds", "a list of 1 to 64 IP addresses and ports", seeds)?,
+            probe_ms: f.integer_within("probe_ms", 20..=10_000, 100)? as u64,
+            most: f.integer_within("most", 2..=4096, 1000)?,
+            forget_ms: f.integer_within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
         };
         if parsed.address.is_none() && parsed.listen.ip().is_unspecified() {
-            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), parsed.listen));
+            return Err(format!(
+                "{}: needed, as others can't send to {}",
+                f.full_name("address"),
+                parsed.listen
+            ));
         }
-        f.end()?;
+        f.expect_empty()?;
         Ok(parsed)
     }
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -81,8 +81,8 @@
 
 impl Trace {
     fn from_fields(mut f: Fields) -> Result<Self, String> {
-        let (on, json) = (f.switch("on")?, f.switch("json")?);
-        f.end()?;
+        let (on, json) = (f.boolean("on")?, f.boolean("json")?);
+        f.expect_empty()?;
         Ok(match (on, json) {
             (false, _) => Self::Off,
             (true, false) => Self::Text,
@@ -102,28 +102,28 @@
         for mut one in f.tables("instance")? {
             let address = |v: Value| v.as_str().and_then(|text| text.parse().ok());
             let name =
-                one.need("name", "a name", |v| v.as_str().filter(|t| !t.is_empty()).map(str::to_string))?;
-            let address = one.need("address", "an IP address and port", address)?;
+                one.required("name", "a name", |v| v.as_str().filter(|t| !t.is_empty()).map(str::to_string))?;
+            let address = one.required("address", "an IP address and port", address)?;
             if instances.iter().any(|(other, at)| *other == name || *at == address) {
                 return Err(format!(
                     "{}: {name} at {address}: name or address stands twice",
-                    one.name("name")
+                    one.full_name("name")
                 ));
             }
-            one.end()?;
+            one.expect_empty()?;
             instances.push((name, address));
         }
         let parsed = Self {
-            list: f.within("list", 0..=u32::MAX as usize, 0)? as u32,
+            list: f.integer_within("list", 0..=u32::MAX as usize, 0)? as u32,
             listen: f.address("listen")?,
-            secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
-            window_ms: f.within("window_ms", 100..=3_600_000, 5000)? as u64,
-            exchange_ms: f.within("exchange_ms", 10..=900_000, 100)? as u64,
-            gone_ms: f.within("gone_ms", 20..=3_600_000, 10_000)? as u64,
-            shared_most: f.within("shared_most", 1..=65_536, 4096)?,
+            secret: f.required("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
+            window_ms: f.integer_within("window_ms", 100..=3_600_000, 5000)? as u64,
+            exchange_ms: f.integer_within("exchange_ms", 10..=900_000, 100)? as u64,
+            gone_ms: f.integer_within("gone_ms", 20..=3_600_000, 10_000)? as u64,
+            shared_most: f.integer_within("shared_most", 1..=65_536, 4096)?,
             instances,
         };
-        f.end()?;
+        f.expect_empty()?;
         parsed.settings(0).check().map_err(|reason| format!("usage.{reason}"))?;
         Ok(parsed)
     }
@@ -187,20 +187,20 @@
         };
         let parsed = Self {
             members: f
-                .take("members", "a list of 1 to 9 IP addresses and ports", members)?
+                .optional("members", "a list of 1 to 9 IP addresses and ports", members)?
                 .ok_or("registrations.members: needed where there is a table registrations")?,
-            path: f.take("path", "a path such as /servers", path)?.unwrap_or("/servers".into()),
-            timeout_ms: f.within("timeout_ms", 100..=60_000, 2000)?,
-            look_every_ms: f.within("look_every_ms", 1000..=3_600_000, 60_000)?,
-            replaces_discovery: f.switch("alone")?,
-            guard_hold_ms: f.within("guard_hold_ms", 0..=MAX_HOLD_MS as usize, 0)?,
-            guard_share: f.take("guard_share", "a share above 0 and up to 1", share)?.unwrap_or(0.3),
-            guard_window_ms: f.within("guard_window_ms", 1..=60_000, 2000)?,
-            suspect_ms: f.within("suspect_ms", 0..=600_000, 10_000)?,
-            answer_ms: f.within("answer_ms", 1..=60_000, 2000)?,
+            path: f.optional("path", "a path such as /servers", path)?.unwrap_or("/servers".into()),
+            timeout_ms: f.integer_within("timeout_ms", 100..=60_000, 2000)?,
+            look_every_ms: f.integer_within("look_every_ms", 1000..=3_600_000, 60_000)?,
+            replaces_discovery: f.boolean("alone")?,
+            guard_hold_ms: f.integer_within("guard_hold_ms", 0..=MAX_HOLD_MS as usize, 0)?,
+            guard_share: f.optional("guard_share", "a share above 0 and up to 1", share)?.unwrap_or(0.3),
+            guard_window_ms: f.integer_within("guard_window_ms", 1..=60_000, 2000)?,
+            suspect_ms: f.integer_within("suspect_ms", 0..=600_000, 10_000)?,
+            answer_ms: f.integer_within("answer_ms", 1..=60_000, 2000)?,
             save: f.text("save", "the path of a file")?.map(PathBuf::from),
         };
-        f.end()?;
+        f.expect_empty()?;
         Ok(parsed)
     }
 }
@@ -257,7 +257,7 @@
         let inspect = match top.table("inspect")? {
             Some(mut f) => {
                 let socket = f.text("socket", "the path of a socket")?;
-                f.end()?;
+                f.expect_empty()?;
                 socket.map(PathBuf::from)
             }
             None => None,
@@ -267,7 +267,7 @@
         let members = top.table("members")?.map(members::Table::from_fields).transpose()?;
         let custody = top.table("custody")?.map(custody::Table::from_fields).transpose()?;
         let configuration = top.table("configuration")?.map(configuration::Table::from_fields).transpose()?;
-        top.end()?;
+        top.expect_empty()?;
         if registrations.is_some() && configuration.is_some() {
             return Err("configuration: not beside registrations, as both bring servers".to_string());
         }
@@ -276,14 +276,18 @@
         let Some(mut f) = msgpack else { return Ok(default) };
         let operator = Self {
             msgpack_listen: f.address("listen")?,
-            msgpack_shared: f.switch("shared")?,
-            open_calls: f.within("open_calls", 1..=1024, default.open_calls)?,
-            calls_per_connection: f.within("calls_per_connection", 1..=256, default.calls_per_connection)?,
+            msgpack_shared: f.boolean("shared")?,
+            open_calls: f.integer_within("open_calls", 1..=1024, default.open_calls)?,
+            calls_per_connection: f.integer_within(
+                "calls_per_connection",
+                1..=256,
+                default.calls_per_connection,
+            )?,
             server_kinds: f.names("server_kinds")?,
             server_hosts: f.names("server_hosts")?,
             ..default
         };
-        f.end()?;
+        f.expect_empty()?;
         Ok(operator)
     }
 
