--- a/crates/agent/src/disk.rs
+++ b/crates/agent/src/disk.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 
 use glenwood_fleet::audit::{digest, Trail};
-use glenwood_fleet::book::{Book, Fact};
+use glenwood_fleet::book::{DurableState, Fact};
 use glenwood_fleet::journal;
 
 use crate::records::Records;
@@ -58,24 +58,25 @@
 }
 
 impl Journal {
-    /// Opens or creates the journal of a folder and returns it with the book that its facts make up. An
+    /// Opens or creates the journal of a folder and returns it with the state that its facts produce. An
     /// incomplete record at the end is removed.
     ///
     /// # Errors
     /// If the journal can't be read, or is damaged before its end; a damaged journal is left unchanged.
-    pub fn open(folder: &Path) -> io::Result<(Self, Book)> {
+    pub fn open(folder: &Path) -> io::Result<(Self, DurableState)> {
         let path = folder.join("journal");
         let content = match std::fs::read(&path) {
             Ok(content) => content,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(e),
         };
-        let parsed = journal::read(&content, Some(1)).map_err(|e| invalid_data(format!("journal: {e}")))?;
-        let mut book = Book::default();
+        let parsed =
+            journal::decode_all(&content, Some(1)).map_err(|e| invalid_data(format!("journal: {e}")))?;
+        let mut state = DurableState::default();
         for record in &parsed.records {
             let fact: Fact = serde_json::from_slice(&record.bytes)
                 .map_err(|e| invalid_data(format!("journal: record {}: {e}", record.number)))?;
-            book.add(&fact);
+            state.apply(&fact);
         }
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         if parsed.length < content.len() {
@@ -85,16 +86,16 @@
         sync_folder(folder)?;
         if content.len() < COMPACTION_THRESHOLD_BYTES {
             let records = Records::new(file, parsed.length as u64);
-            return Ok((Self { records, last_number: parsed.records.len() as u64 }, book));
+            return Ok((Self { records, last_number: parsed.records.len() as u64 }, state));
         }
         let mut compacted = Vec::new();
-        for (number, fact) in (1..).zip(book.facts()) {
-            compacted.extend(journal::write(number, &serde_json::to_vec(&fact)?));
+        for (number, fact) in (1..).zip(state.facts()) {
+            compacted.extend(journal::encode(number, &serde_json::to_vec(&fact)?));
         }
         replace_atomically(&path, &compacted)?;
         let file = OpenOptions::new().append(true).open(&path)?;
         let records = Records::new(file, compacted.len() as u64);
-        Ok((Self { records, last_number: book.facts().len() as u64 }, book))
+        Ok((Self { records, last_number: state.facts().len() as u64 }, state))
     }
 
     /// Appends a fact and returns once it is synced to disk.
@@ -103,7 +104,7 @@
     /// If the fact can't be written or synced; it then doesn't count as written.
     pub fn write(&mut self, fact: &Fact) -> io::Result<()> {
         let bytes = serde_json::to_vec(fact)?;
-        self.records.add(&journal::write(self.last_number + 1, &bytes))?;
+        self.records.add(&journal::encode(self.last_number + 1, &bytes))?;
         self.last_number += 1;
         Ok(())
     }
@@ -145,7 +146,7 @@
     /// If the line can't be written or synced; it then doesn't count as written.
     pub fn add(&mut self, at_unix_ms: f64, who: &str, what: &str, epoch: u64) -> io::Result<()> {
         let mut next = self.trail.clone();
-        let line = next.add(at_unix_ms, who, what, epoch);
+        let line = next.append(at_unix_ms, who, what, epoch);
         self.records.add(line.as_bytes())?;
         self.trail = next;
         Ok(())
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -75,7 +75,7 @@
     let Ok(entries) = std::fs::read_dir("/proc") else { return Vec::new() };
     let pids = entries.flatten().filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
     pids.filter_map(|pid| {
-        let born = start_time(pid)?;
+        let start_ticks = start_time(pid)?;
         // The environment of other users' processes can't be read; an agent's own can.
         let environ = std::fs::read(format!("/proc/{pid}/environ")).ok()?;
         let value = |name: &str| {
@@ -84,14 +84,14 @@
         };
         let token = value(TOKEN_VARIABLE)?.parse().ok()?;
         let is_own = Path::new(&value(AGENT_FOLDER_VARIABLE)?) == folder;
-        is_own.then_some((value(NAME_VARIABLE)?, Process { token, pid, born }))
+        is_own.then_some((value(NAME_VARIABLE)?, Process { token, pid, start_ticks }))
     })
     .collect()
 }
 
 /// Sends a signal to a process, unless it has ended and its pid may belong to another one.
 pub fn send_signal(process: &Process, signal: Signal) {
-    if start_time(process.pid) != Some(process.born) {
+    if start_time(process.pid) != Some(process.start_ticks) {
         return;
     }
     let signal = match signal {
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -7,11 +7,11 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use glenwood_fleet::agent::{self, Agent, CommandRefused, Output};
+use glenwood_fleet::agent::{self, Agent, CommandError, Output};
 use glenwood_fleet::audit::digest;
 use glenwood_fleet::book::{Fact, Target};
 use glenwood_fleet::desired::Desired;
-use glenwood_fleet::lease::{Holder, Refused};
+use glenwood_fleet::lease::{Holder, LeaseError};
 use serde::Deserialize;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
@@ -123,11 +123,11 @@
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)
             .map_err(|_| format!("{}: another agent has this folder", folder.display()))?;
         let desired = read_desired(file)?;
-        let (journal, book) = Journal::open(&folder).map_err(with_path)?;
+        let (journal, state) = Journal::open(&folder).map_err(with_path)?;
         let audit = Audit::open(&folder).map_err(with_path)?;
         let started_at = Instant::now();
         let seed = u64::from(std::process::id());
-        let mut agent = Agent::new(0.0, desired.rules.clone(), book, seed);
+        let mut agent = Agent::new(0.0, desired.rules.clone(), state, seed);
         agent.adopt(0.0, &process::find_running(&folder));
         let (events, event_receiver) = mpsc::unbounded_channel();
         Ok(Self {
@@ -216,7 +216,7 @@
                         return self.handle_journal_failure(&error, already_failing);
                     }
                 }
-                Output::Say(message) => log_line(&message),
+                Output::Message(message) => log_line(&message),
                 Output::Signal { process, signal } => process::send_signal(&process, signal),
                 Output::Spawn { name, token, target } => {
                     let spawned = self.spawn(&name, token, &target);
@@ -288,15 +288,17 @@
     /// Requests the reports of all instances with a process, and reports the exit of adopted processes that
     /// have ended.
     fn inspect_instances(&mut self) {
-        let book = self.agent.book();
-        let all: Vec<(String, glenwood_fleet::book::Process)> = book
+        let state = self.agent.state();
+        let all: Vec<(String, glenwood_fleet::book::Process)> = state
             .instances
             .iter()
             .filter_map(|(name, entry)| Some((name.clone(), entry.process.as_ref()?.0.clone())))
             .collect();
         for (name, process) in all {
             let token = process.token;
-            if !self.child_tokens.contains(&token) && process::start_time(process.pid) != Some(process.born) {
+            if !self.child_tokens.contains(&token)
+                && process::start_time(process.pid) != Some(process.start_ticks)
+            {
                 let now = self.now_ms();
                 self.agent.exited(now, &name, token, None);
                 continue;
@@ -380,24 +382,24 @@
 
     /// Carries out a command of an operator and returns the reply to it, or the reason for refusing it.
     fn execute(&mut self, now: f64, command: Ask, peer: &str) -> Result<Reply, String> {
-        let refusal_message = |e: CommandRefused| match e {
-            CommandRefused::Lease(e) => e.to_string(),
-            CommandRefused::Busy { change } => format!("change {change} is in progress"),
-            CommandRefused::Idle => "no change is in progress".to_string(),
-            CommandRefused::Unknown(name) => format!("instance {name:?} does not exist"),
+        let refusal_message = |e: CommandError| match e {
+            CommandError::Lease(e) => e.to_string(),
+            CommandError::Busy { change } => format!("change {change} is in progress"),
+            CommandError::Idle => "no change is in progress".to_string(),
+            CommandError::Unknown(name) => format!("instance {name:?} does not exist"),
         };
-        let lease_message = |e: Refused| e.to_string();
+        let lease_message = |e: LeaseError| e.to_string();
         match command {
             Ask::Status => Ok(Reply::Status(Box::new(self.status(now)))),
             Ask::Lease { who: name, why, epoch, span_ms } => {
-                let epoch = epoch.unwrap_or(self.agent.book().epoch + 1);
+                let epoch = epoch.unwrap_or(self.agent.state().epoch + 1);
                 let holder =
                     Holder { who: format!("{name} ({peer})"), why, since_unix_ms: unix_ms(), span_ms };
-                self.agent.lease(now, epoch, holder).map_err(lease_message)?;
+                self.agent.acquire_lease(now, epoch, holder).map_err(lease_message)?;
                 Ok(Reply::Granted(epoch))
             }
             Ask::GiveBack { epoch } => {
-                self.agent.give_back(now, epoch).map_err(lease_message)?;
+                self.agent.release_lease(now, epoch).map_err(lease_message)?;
                 Ok(Reply::Done("the lease is released".into()))
             }
             Ask::Apply { epoch } => {
@@ -408,12 +410,12 @@
                 let all = self.desired.instances.clone();
                 let mut new = 0;
                 for instance in all.iter() {
-                    if self.agent.book().instances.contains_key(&instance.name) {
+                    if self.agent.state().instances.contains_key(&instance.name) {
                         continue;
                     }
                     let target = self.store_target(&instance.name, &instance.release)?;
                     self.agent
-                        .want(now, epoch, &instance.name, !instance.stopped, &target)
+                        .set_should_run(now, epoch, &instance.name, !instance.stopped, &target)
                         .map_err(refusal_message)?;
                     new += 1;
                 }
@@ -421,7 +423,7 @@
             }
             Ask::Want { epoch, name, run, force } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
-                let entry = self.agent.book().instances.get(&name);
+                let entry = self.agent.state().instances.get(&name);
                 let target = entry
                     .map(|k| k.target.clone())
                     .ok_or_else(|| format!("instance {name:?} does not exist"))?;
@@ -431,7 +433,7 @@
                 let what =
                     format!("{} {name} {}", if run { "start" } else { "stop" }, force.unwrap_or_default());
                 self.write_audit(peer, what.trim_end(), epoch)?;
-                self.agent.want(now, epoch, &name, run, &target).map_err(refusal_message)?;
+                self.agent.set_should_run(now, epoch, &name, run, &target).map_err(refusal_message)?;
                 Ok(Reply::Done(what))
             }
             Ask::Roll { epoch, mut names, release, force } => {
@@ -452,7 +454,7 @@
                     &format!("roll {} to {release} {}", names.join(","), force.unwrap_or_default()),
                     epoch,
                 )?;
-                let id = self.agent.begin(now, epoch, &names, targets).map_err(refusal_message)?;
+                let id = self.agent.begin_change(now, epoch, &names, targets).map_err(refusal_message)?;
                 Ok(Reply::Done(format!("change {id} has started")))
             }
             Ask::Plan { names, release } => {
@@ -465,7 +467,7 @@
                 for name in selected {
                     let protected = self.check_protection(std::slice::from_ref(name), None).is_err();
                     let entry =
-                        self.agent.book().instances.get(name).map(|k| (k.target.release.clone(), k.run));
+                        self.agent.state().instances.get(name).map(|k| (k.target.release.clone(), k.run));
                     let (from, run) = entry
                         .ok_or_else(|| format!("{name} is not known to the agent yet; run apply first"))?;
                     let what = if run {
@@ -490,7 +492,7 @@
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, &format!("retire {name}"), epoch)?;
                 self.agent.retire(now, epoch, &name).map_err(|e| match e {
-                    CommandRefused::Unknown(name) => {
+                    CommandError::Unknown(name) => {
                         format!("instance {name:?} does not exist or is not stopped")
                     }
                     other => refusal_message(other),
@@ -500,13 +502,13 @@
             Ask::Abort { epoch } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, "abort", epoch)?;
-                self.agent.abort(now, epoch).map_err(refusal_message)?;
+                self.agent.abort_change(now, epoch).map_err(refusal_message)?;
                 Ok(Reply::Done("the change is being rolled back".into()))
             }
             Ask::Pause { epoch, paused } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, if paused { "pause" } else { "resume" }, epoch)?;
-                self.agent.pause(now, epoch, paused).map_err(refusal_message)?;
+                self.agent.set_paused(now, epoch, paused).map_err(refusal_message)?;
                 Ok(Reply::Done(if paused { "the change is paused" } else { "the change is resumed" }.into()))
             }
             Ask::Logs { name, lines } => {
@@ -521,23 +523,23 @@
 
     /// The state of all instances, the change in progress and the lease.
     fn status(&mut self, now: f64) -> Status {
-        let book = self.agent.book();
+        let state = self.agent.state();
         let holder_and_reason = |h: &Holder| (h.who.clone(), h.why.clone());
         let mut status = Status {
-            change: book.change.as_ref().map(|c| {
+            change: state.change.as_ref().map(|c| {
                 let undo_note = c
-                    .undone_for
+                    .rollback_reason
                     .as_ref()
                     .map(|why| format!(", being rolled back: {why}"))
                     .unwrap_or_default();
                 let pause_note = if c.paused { ", paused" } else { "" };
                 (format!("change {}{pause_note}{undo_note}", c.id), c.done.len(), c.names.len())
             }),
-            outcome: book.outcome.as_ref().map(|(o, why)| (format!("{o:?}"), why.clone())),
-            epoch: book.epoch,
+            outcome: state.outcome.as_ref().map(|(o, why)| (format!("{o:?}"), why.clone())),
+            epoch: state.epoch,
             ..Status::default()
         };
-        for (name, entry) in &book.instances {
+        for (name, entry) in &state.instances {
             let report = self.reports.get(name).filter(|_| entry.process.is_some());
             let mut instance_status = InstanceStatus {
                 run: entry.run,
--- a/crates/agent/tests/disk.rs
+++ b/crates/agent/tests/disk.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use glenwood_agent::disk::{Audit, Journal};
-use glenwood_fleet::book::{Book, Fact, Target};
+use glenwood_fleet::book::{DurableState, Fact, Target};
 
 /// Creates an empty temporary folder.
 fn temp_folder(name: &str) -> PathBuf {
@@ -18,29 +18,29 @@
     Fact::Target { name: format!("n{}", n % 3), target }
 }
 
-/// Writes `count` facts to a new journal; returns the book that they make up.
-fn write_journal(folder: &std::path::Path, count: usize) -> Book {
-    let (mut journal, mut book) = Journal::open(folder).expect("a new file");
+/// Writes `count` facts to a new journal; returns the state that they make up.
+fn write_journal(folder: &std::path::Path, count: usize) -> DurableState {
+    let (mut journal, mut state) = Journal::open(folder).expect("a new file");
     for n in 0..count {
         journal.write(&fact(n)).expect("the disk has space");
-        book.add(&fact(n));
+        state.apply(&fact(n));
     }
-    book
+    state
 }
 
 #[test]
 fn a_long_journal_is_compacted_without_losing_facts() {
     let folder = temp_folder("long");
-    let book = write_journal(&folder, 300);
+    let state = write_journal(&folder, 300);
     let length = || std::fs::metadata(folder.join("journal")).expect("the file exists").len();
     let before = length();
     let (mut journal, read) = Journal::open(&folder).expect("an undamaged journal");
-    assert_eq!(read, book);
+    assert_eq!(read, state);
     assert!(before > 1 << 20 && length() < 100_000, "{before}, then {}", length());
     // Facts can be appended to the compacted journal.
     journal.write(&Fact::GaveUp { name: "n1".into() }).expect("the disk has space");
     let (_, read) = Journal::open(&folder).expect("an undamaged journal");
-    assert!(read.instances["n1"].gave_up && read.instances["n2"] == book.instances["n2"]);
+    assert!(read.instances["n1"].gave_up && read.instances["n2"] == state.instances["n2"]);
     let _ = std::fs::remove_dir_all(folder);
 }
 
--- a/crates/fleet/benches/agent.rs
+++ b/crates/fleet/benches/agent.rs
@@ -5,19 +5,19 @@
 use std::time::Instant;
 
 use glenwood_fleet::agent::{Agent, Output, Status};
-use glenwood_fleet::book::{Book, Target};
+use glenwood_fleet::book::{DurableState, Target};
 use glenwood_fleet::desired::Desired;
 use glenwood_fleet::lease::Holder;
 
 fn main() {
     let rules = Desired::parse("").expect("an empty file is valid").rules;
     for count in [8, 200, 1000] {
-        let mut agent = Agent::new(0.0, rules.clone(), Book::default(), 1);
+        let mut agent = Agent::new(0.0, rules.clone(), DurableState::default(), 1);
         let holder = Holder { who: "a".into(), why: "b".into(), since_unix_ms: 0.0, span_ms: 600_000.0 };
-        agent.lease(0.0, 1, holder).expect("the lease is free");
+        agent.acquire_lease(0.0, 1, holder).expect("the lease is free");
         let target = Target { release: "r1".into(), config: "c1".into() };
         for n in 0..count {
-            agent.want(0.0, 1, &format!("n{n}"), true, &target).expect("no change is in progress");
+            agent.set_should_run(0.0, 1, &format!("n{n}"), true, &target).expect("no change is in progress");
         }
         let mut tokens = Vec::new();
         while let Some(output) = agent.poll() {
--- a/crates/fleet/src/agent.rs
+++ b/crates/fleet/src/agent.rs
@@ -13,9 +13,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::book::{Book, Change, Fact, Outcome, Process, Target};
+use crate::book::{Change, DurableState, Fact, Outcome, Process, Target};
 use crate::desired::Rules;
-use crate::lease::{Holder, Lease, Refused};
+use crate::lease::{Holder, Lease, LeaseError};
 use crate::Millis;
 
 /// A signal to send to a process.
@@ -49,7 +49,7 @@
         signal: Signal,
     },
     /// A message for the operators.
-    Say(String),
+    Message(String),
 }
 
 /// The status that an instance reports.
@@ -65,9 +65,9 @@
 
 /// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CommandRefused {
+pub enum CommandError {
     /// The command's epoch is not valid.
-    Lease(Refused),
+    Lease(LeaseError),
     /// A change is in progress.
     Busy {
         /// The change's id.
@@ -109,7 +109,7 @@
 /// Supervises the instances of one machine.
 pub struct Agent {
     rules: Rules,
-    book: Book,
+    state: DurableState,
     lease: Lease,
     live: BTreeMap<String, RuntimeState>,
     canary: Option<Canary>,
@@ -145,15 +145,15 @@
 
 impl Agent {
     /// Creates an agent from the state recovered from its journal. Call [`Agent::adopt`] next.
-    pub fn new(now: Millis, rules: Rules, book: Book, seed: u64) -> Self {
-        let lease = Lease::restored(now, book.epoch, book.holder.clone());
+    pub fn new(now: Millis, rules: Rules, state: DurableState, seed: u64) -> Self {
+        let lease = Lease::restored(now, state.epoch, state.holder.clone());
         let (live, outputs) = (BTreeMap::new(), VecDeque::new());
-        Self { rules, book, lease, live, canary: None, paused_until: now, random: seed, outputs }
+        Self { rules, state, lease, live, canary: None, paused_until: now, random: seed, outputs }
     }
 
     /// The agent's durable state.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &DurableState {
+        &self.state
     }
 
     /// The next action to carry out.
@@ -164,7 +164,7 @@
     /// The time at which [`Agent::handle_timeout`] should next be called.
     pub fn poll_timeout(&self) -> Option<Millis> {
         let mut due: Vec<Millis> = Vec::new();
-        for (name, instance) in &self.book.instances {
+        for (name, instance) in &self.state.instances {
             let Some(live) = self.live.get(name) else { continue };
             let idle = instance.process.is_none() && instance.starting.is_none();
             if idle && instance.run && !instance.gave_up {
@@ -187,12 +187,12 @@
     }
 
     fn write(&mut self, fact: Fact) {
-        self.book.add(&fact);
+        self.state.apply(&fact);
         self.outputs.push_back(Output::Write(fact));
     }
 
     fn notify(&mut self, message: String) {
-        self.outputs.push_back(Output::Say(message));
+        self.outputs.push_back(Output::Message(message));
     }
 
     /// A SplitMix64 random number in [0, 1).
@@ -214,10 +214,10 @@
     /// Recorded processes among them continue; a recorded process that is missing has exited, and an
     /// unrecorded one is terminated.
     pub fn adopt(&mut self, now: Millis, running: &[(String, Process)]) {
-        let names: Vec<String> = self.book.instances.keys().cloned().collect();
+        let names: Vec<String> = self.state.instances.keys().cloned().collect();
         let mut ours: Vec<u64> = Vec::new();
         for name in names {
-            let instance = self.book.instances[&name].clone();
+            let instance = self.state.instances[&name].clone();
             let find_running =
                 |token: u64| running.iter().find(|(n, p)| *n == name && p.token == token).map(|(_, p)| p);
             if let Some((token, _)) = instance.starting {
@@ -236,7 +236,7 @@
             }
             let live = self.live(&name);
             (live.since, live.retry_at) = (now, now);
-            let instance = &self.book.instances[&name];
+            let instance = &self.state.instances[&name];
             ours.extend(instance.process.iter().map(|(p, _)| p.token));
             if instance.stopping {
                 // SIGTERM may or may not have been sent before the restart; sending it twice does no harm.
@@ -259,8 +259,8 @@
     /// Handles the result of starting a process: its pid and start time, or an error message.
     pub fn spawned(&mut self, now: Millis, name: &str, token: u64, spawned: Result<(u32, u64), String>) {
         match spawned {
-            Ok((pid, born)) => {
-                let process = Process { token, pid, born };
+            Ok((pid, start_ticks)) => {
+                let process = Process { token, pid, start_ticks };
                 self.write(Fact::Started { name: name.to_string(), process });
                 let live = self.live(name);
                 (live.since, live.status, live.terminated_at, live.killed) =
@@ -277,7 +277,7 @@
 
     /// Handles the exit of a process, or a failed start.
     pub fn exited(&mut self, now: Millis, name: &str, token: u64, code: Option<i32>) {
-        let Some(instance) = self.book.instances.get(name) else { return };
+        let Some(instance) = self.state.instances.get(name) else { return };
         let is_current = instance.process.as_ref().is_some_and(|(p, _)| p.token == token)
             || instance.starting.as_ref().is_some_and(|(starting, _)| *starting == token);
         if !is_current {
@@ -312,7 +312,7 @@
 
     /// Handles the result of an inspection: the instance's status, or `None` if it did not answer.
     pub fn inspected(&mut self, now: Millis, name: &str, token: u64, status: Option<Status>) {
-        let recorded = self.book.instances.get(name).and_then(|k| k.process.as_ref());
+        let recorded = self.state.instances.get(name).and_then(|k| k.process.as_ref());
         if recorded.is_none_or(|(p, _)| p.token != token) {
             return;
         }
@@ -344,10 +344,10 @@
     ///
     /// # Errors
     /// If another holder has the lease or the epoch is not higher than every granted one.
-    pub fn lease(&mut self, now: Millis, epoch: u64, holder: Holder) -> Result<(), Refused> {
+    pub fn acquire_lease(&mut self, now: Millis, epoch: u64, holder: Holder) -> Result<(), LeaseError> {
         self.lease.grant(now, epoch, holder)?;
         let holder = self.lease.holder(now).cloned();
-        if (self.book.epoch, &self.book.holder) != (epoch, &holder) {
+        if (self.state.epoch, &self.state.holder) != (epoch, &holder) {
             // A repeated grant to the same holder is not written to the journal again.
             self.write(Fact::Lease { epoch, holder });
         }
@@ -358,7 +358,7 @@
     ///
     /// # Errors
     /// If the epoch is no longer valid.
-    pub fn give_back(&mut self, now: Millis, epoch: u64) -> Result<(), Refused> {
+    pub fn release_lease(&mut self, now: Millis, epoch: u64) -> Result<(), LeaseError> {
         self.lease.release(now, epoch)?;
         self.write(Fact::Lease { epoch, holder: None });
         Ok(())
@@ -373,16 +373,16 @@
     ///
     /// # Errors
     /// If the epoch is not valid or a change is in progress.
-    pub fn want(
+    pub fn set_should_run(
         &mut self,
         now: Millis,
         epoch: u64,
         name: &str,
         run: bool,
         target: &Target,
-    ) -> Result<(), CommandRefused> {
+    ) -> Result<(), CommandError> {
         self.check_idle(now, epoch)?;
-        if !self.book.instances.contains_key(name) {
+        if !self.state.instances.contains_key(name) {
             self.write(Fact::Target { name: name.to_string(), target: target.clone() });
             self.live(name).retry_at = now;
         }
@@ -396,12 +396,12 @@
     ///
     /// # Errors
     /// If the epoch is not valid, a change is in progress, or no stopped instance has this name.
-    pub fn retire(&mut self, now: Millis, epoch: u64, name: &str) -> Result<(), CommandRefused> {
+    pub fn retire(&mut self, now: Millis, epoch: u64, name: &str) -> Result<(), CommandError> {
         self.check_idle(now, epoch)?;
-        let instance = self.book.instances.get(name);
+        let instance = self.state.instances.get(name);
         let idle = instance.is_some_and(|k| !k.run && k.process.is_none() && k.starting.is_none());
         if !idle {
-            return Err(CommandRefused::Unknown(name.to_string()));
+            return Err(CommandError::Unknown(name.to_string()));
         }
         self.write(Fact::Retired { name: name.to_string() });
         self.live.remove(name);
@@ -409,10 +409,10 @@
     }
 
     /// Checks that the epoch is valid and that no change is in progress.
-    fn check_idle(&self, now: Millis, epoch: u64) -> Result<(), CommandRefused> {
-        self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
-        match &self.book.change {
-            Some(change) => Err(CommandRefused::Busy { change: change.id }),
+    fn check_idle(&self, now: Millis, epoch: u64) -> Result<(), CommandError> {
+        self.lease.check(now, epoch).map_err(CommandError::Lease)?;
+        match &self.state.change {
+            Some(change) => Err(CommandError::Busy { change: change.id }),
             None => Ok(()),
         }
     }
@@ -422,27 +422,27 @@
     ///
     /// # Errors
     /// If the epoch is not valid, another change is in progress, or an instance or its target is missing.
-    pub fn begin(
+    pub fn begin_change(
         &mut self,
         now: Millis,
         epoch: u64,
         names: &[String],
         to: BTreeMap<String, Target>,
-    ) -> Result<u64, CommandRefused> {
+    ) -> Result<u64, CommandError> {
         self.check_idle(now, epoch)?;
         let mut from = BTreeMap::new();
         for name in names {
-            let instance = self.book.instances.get(name);
+            let instance = self.state.instances.get(name);
             let instance = instance.filter(|_| to.contains_key(name));
-            let instance = instance.ok_or_else(|| CommandRefused::Unknown(name.clone()))?;
+            let instance = instance.ok_or_else(|| CommandError::Unknown(name.clone()))?;
             from.insert(name.clone(), instance.target.clone());
         }
-        let id = self.book.last_change + 1;
+        let id = self.state.last_change + 1;
         let by = self.lease.holder(now).cloned();
         // Cannot fail: `check_idle` has verified that the lease has a holder.
-        let by = by.ok_or(CommandRefused::Lease(Refused::Stale { epoch }))?;
+        let by = by.ok_or(CommandError::Lease(LeaseError::Stale { epoch }))?;
         let (names, done) = (names.to_vec(), Vec::new());
-        let change = Change { id, names, to, from, by, done, undone_for: None, paused: false };
+        let change = Change { id, names, to, from, by, done, rollback_reason: None, paused: false };
         self.write(Fact::Began(change));
         self.paused_until = now;
         self.canary = None;
@@ -454,10 +454,10 @@
     ///
     /// # Errors
     /// If the epoch is not valid or no change is in progress.
-    pub fn abort(&mut self, now: Millis, epoch: u64) -> Result<(), CommandRefused> {
-        self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
-        let change = self.book.change.as_ref().ok_or(CommandRefused::Idle)?;
-        if change.undone_for.is_none() {
+    pub fn abort_change(&mut self, now: Millis, epoch: u64) -> Result<(), CommandError> {
+        self.lease.check(now, epoch).map_err(CommandError::Lease)?;
+        let change = self.state.change.as_ref().ok_or(CommandError::Idle)?;
+        if change.rollback_reason.is_none() {
             self.roll_back(now, "an operator's word".to_string());
         }
         self.reconcile_all(now);
@@ -468,9 +468,9 @@
     ///
     /// # Errors
     /// If the epoch is not valid or no change is in progress.
-    pub fn pause(&mut self, now: Millis, epoch: u64, paused: bool) -> Result<(), CommandRefused> {
-        self.lease.check(now, epoch).map_err(CommandRefused::Lease)?;
-        self.book.change.as_ref().ok_or(CommandRefused::Idle)?;
+    pub fn set_paused(&mut self, now: Millis, epoch: u64, paused: bool) -> Result<(), CommandError> {
+        self.lease.check(now, epoch).map_err(CommandError::Lease)?;
+        self.state.change.as_ref().ok_or(CommandError::Idle)?;
         self.write(Fact::Paused(paused));
         self.reconcile_all(now);
         Ok(())
@@ -480,7 +480,7 @@
 
     /// Whether the instance runs its target and is ready.
     fn is_ready(&self, name: &str) -> bool {
-        let instance = self.book.instances.get(name);
+        let instance = self.state.instances.get(name);
         let runs_target = instance.is_some_and(|k| {
             !k.stopping && k.process.as_ref().is_some_and(|(_, target)| *target == k.target)
         });
@@ -489,19 +489,19 @@
 
     /// Number of other instances that should run but are not ready.
     fn count_other_unavailable(&self, name: &str) -> usize {
-        let wanted = self.book.instances.iter().filter(|(n, k)| k.run && *n != name);
+        let wanted = self.state.instances.iter().filter(|(n, k)| k.run && *n != name);
         wanted.filter(|(n, _)| !self.is_ready(n)).count()
     }
 
     /// The instance that the change is working on.
     fn current_instance(&self) -> Option<String> {
-        let change = self.book.change.as_ref()?;
+        let change = self.state.change.as_ref()?;
         change.names.iter().find(|n| !change.done.contains(n)).cloned()
     }
 
     fn roll_back(&mut self, now: Millis, reason: String) {
         self.notify(format!("rolling back the change: {reason}"));
-        self.write(Fact::Undone { reason });
+        self.write(Fact::RollbackBegan { reason });
         self.canary = None;
         self.paused_until = now;
     }
@@ -510,7 +510,7 @@
     fn reconcile_all(&mut self, now: Millis) {
         // One step of the change may enable the next one at the same time.
         while self.advance_change(now) {}
-        let names: Vec<String> = self.book.instances.keys().cloned().collect();
+        let names: Vec<String> = self.state.instances.keys().cloned().collect();
         for name in names {
             self.reconcile(now, &name);
         }
@@ -518,7 +518,7 @@
 
     /// Starts, terminates or kills the instance's process if that is due.
     fn reconcile(&mut self, now: Millis, name: &str) {
-        let instance = self.book.instances[name].clone();
+        let instance = self.state.instances[name].clone();
         let stop_within = self.rules.stop_within_ms as f64;
         match (instance.process, instance.starting) {
             (Some((process, running_target)), _) => {
@@ -538,7 +538,7 @@
                 }
             }
             (None, None) if instance.run && !instance.gave_up && now >= self.live(name).retry_at => {
-                let token = self.book.token + 1;
+                let token = self.state.last_token + 1;
                 let target = instance.target;
                 self.live(name).since = now;
                 let name = name.to_string();
@@ -551,19 +551,19 @@
 
     /// Advances the change by one step. Returns true if another step may follow at once.
     fn advance_change(&mut self, now: Millis) -> bool {
-        let Some(change) = self.book.change.clone() else { return false };
+        let Some(change) = self.state.change.clone() else { return false };
         let Some(name) = self.current_instance() else {
-            let (outcome, reason) = match change.undone_for {
+            let (outcome, reason) = match change.rollback_reason {
                 None => (Outcome::Done, "all instances run it".to_string()),
                 Some(reason) => (Outcome::RolledBack, reason),
             };
             self.write(Fact::Finished { outcome, reason });
             return false;
         };
-        let is_rollback = change.undone_for.is_some();
+        let is_rollback = change.rollback_reason.is_some();
         let wanted = if is_rollback { change.from.get(&name) } else { change.to.get(&name) };
         let wanted = wanted.cloned().unwrap_or_default();
-        let instance = &self.book.instances[&name];
+        let instance = &self.state.instances[&name];
         if instance.target != wanted {
             // An instance that is ready may be taken down only while fewer than `max_unavailable` others are
             // unavailable.
@@ -581,7 +581,7 @@
         }
         if !instance.run {
             // A stopped instance only records its new target.
-            self.write(Fact::Through { name });
+            self.write(Fact::InstanceDone { name });
             return true;
         }
         if self.is_ready(&name) {
@@ -591,7 +591,7 @@
                 Some(true) => {
                     self.canary = None;
                     self.paused_until = now + self.rules.pause_ms as f64;
-                    self.write(Fact::Through { name });
+                    self.write(Fact::InstanceDone { name });
                 }
                 Some(false) => self.roll_back(now, format!("{name} fails more requests than its peers")),
             }
@@ -601,7 +601,7 @@
         let live = self.live(&name);
         let late = now >= live.since + self.rules.ready_within_ms as f64 + self.rules.stop_within_ms as f64;
         let late = late || (runs_wanted && now >= self.live[&name].since + self.rules.ready_within_ms as f64);
-        let failing = self.live[&name].failing || self.book.instances[&name].gave_up;
+        let failing = self.live[&name].failing || self.state.instances[&name].gave_up;
         if !(late || failing) {
             return false;
         }
@@ -609,7 +609,7 @@
         if is_rollback {
             let reason = format!(
                 "{name} {reason} when the change was undone; {}",
-                change.undone_for.unwrap_or_default()
+                change.rollback_reason.unwrap_or_default()
             );
             self.notify(format!("operator intervention is needed: {reason}"));
             self.write(Fact::Finished { outcome: Outcome::Mixed, reason });
--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -74,12 +74,12 @@
     }
 
     /// The digest of the last line.
-    pub fn last(&self) -> &str {
+    pub fn last_digest(&self) -> &str {
         &self.last
     }
 
     /// Appends an entry and returns its line, newline included.
-    pub fn add(&mut self, at_unix_ms: Millis, who: &str, what: &str, epoch: u64) -> String {
+    pub fn append(&mut self, at_unix_ms: Millis, who: &str, what: &str, epoch: u64) -> String {
         let (number, before) = (self.number + 1, self.last.clone());
         let entry = Entry { number, at_unix_ms, who: who.into(), what: what.into(), epoch, before };
         // Serialization cannot fail: an entry has only strings and numbers.
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -25,7 +25,8 @@
     /// The process id.
     pub pid: u32,
     /// Start time as the kernel reports it.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub start_ticks: u64,
 }
 
 /// How a change ended.
@@ -55,7 +56,8 @@
     /// The instances that are complete.
     pub done: Vec<String>,
     /// Why the change is being rolled back, if it is.
-    pub undone_for: Option<String>,
+    #[serde(rename = "undone_for")]
+    pub rollback_reason: Option<String>,
     /// Whether the change is paused until an operator resumes it.
     pub paused: bool,
 }
@@ -129,19 +131,22 @@
     /// A change began.
     Began(Change),
     /// The change has completed an instance.
-    Through {
+    #[serde(rename = "Through")]
+    InstanceDone {
         /// The instance's name.
         name: String,
     },
     /// The change is being rolled back.
-    Undone {
+    #[serde(rename = "Undone")]
+    RollbackBegan {
         /// Why it is rolled back.
         reason: String,
     },
     /// The change was paused (`true`) or resumed (`false`).
     Paused(bool),
     /// Tokens and change ids that are already used; the first fact of a compacted journal.
-    Used {
+    #[serde(rename = "Used")]
+    UsedIds {
         /// The highest used token.
         token: u64,
         /// The highest used change id.
@@ -158,7 +163,7 @@
 
 /// The durable state of one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct InstanceState {
     /// Whether it should run.
     pub run: bool,
     /// What it should run.
@@ -175,11 +180,11 @@
 
 /// The agent's durable state: the result of applying all facts in order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct DurableState {
     /// The instances, by name.
-    pub instances: BTreeMap<String, Kept>,
+    pub instances: BTreeMap<String, InstanceState>,
     /// The highest used token.
-    pub token: u64,
+    pub last_token: u64,
     /// The highest granted epoch.
     pub epoch: u64,
     /// The lease's holder according to the journal; the lease may have expired.
@@ -192,9 +197,9 @@
     pub outcome: Option<(Outcome, String)>,
 }
 
-impl Book {
+impl DurableState {
     /// Applies a fact. A fact about a token that is not the instance's current one changes nothing.
-    pub fn add(&mut self, fact: &Fact) {
+    pub fn apply(&mut self, fact: &Fact) {
         match fact {
             Fact::Wanted { name, run } => {
                 let instance = self.instances.entry(name.clone()).or_default();
@@ -208,7 +213,7 @@
             }
             Fact::Retired { name } => drop(self.instances.remove(name)),
             Fact::Starting { name, token, target } => {
-                self.token = self.token.max(*token);
+                self.last_token = self.last_token.max(*token);
                 let instance = self.instances.entry(name.clone()).or_default();
                 instance.starting = Some((*token, target.clone()));
             }
@@ -238,17 +243,18 @@
                 self.last_change = change.id;
                 (self.change, self.outcome) = (Some(change.clone()), None);
             }
-            Fact::Through { name } => self.change.iter_mut().for_each(|c| c.done.push(name.clone())),
-            Fact::Undone { reason } => {
+            Fact::InstanceDone { name } => self.change.iter_mut().for_each(|c| c.done.push(name.clone())),
+            Fact::RollbackBegan { reason } => {
                 if let Some(change) = &mut self.change {
                     // Only the instances that the change has reached are rolled back, the last one first.
                     let touched = change.names.iter().take(change.done.len() + 1).rev().cloned().collect();
                     (change.names, change.done) = (touched, Vec::new());
-                    (change.undone_for, change.paused) = (Some(reason.clone()), false);
+                    (change.rollback_reason, change.paused) = (Some(reason.clone()), false);
                 }
             }
-            Fact::Used { token, change } => {
-                (self.token, self.last_change) = (self.token.max(*token), self.last_change.max(*change));
+            Fact::UsedIds { token, change } => {
+                (self.last_token, self.last_change) =
+                    (self.last_token.max(*token), self.last_change.max(*change));
             }
             Fact::Paused(paused) => self.change.iter_mut().for_each(|c| c.paused = *paused),
             Fact::Finished { outcome, reason } => {
@@ -259,7 +265,7 @@
 
     /// A minimal list of facts that reproduces this state, for compacting a long journal.
     pub fn facts(&self) -> Vec<Fact> {
-        let mut facts = vec![Fact::Used { token: self.token, change: self.last_change }];
+        let mut facts = vec![Fact::UsedIds { token: self.last_token, change: self.last_change }];
         if self.epoch > 0 {
             facts.push(Fact::Lease { epoch: self.epoch, holder: self.holder.clone() });
         }
--- a/crates/fleet/src/journal.rs
+++ b/crates/fleet/src/journal.rs
@@ -75,7 +75,7 @@
 ///
 /// # Panics
 /// If `bytes` is longer than [`MAX_RECORD_BYTES`].
-pub fn write(number: u64, bytes: &[u8]) -> Vec<u8> {
+pub fn encode(number: u64, bytes: &[u8]) -> Vec<u8> {
     assert!(bytes.len() <= MAX_RECORD_BYTES, "a journal record of {} bytes is too long", bytes.len());
     let mut out = Vec::with_capacity(HEADER_BYTES + bytes.len());
     out.extend((bytes.len() as u32).to_be_bytes());
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 /// If a record other than a torn last one is damaged, or a number is not the expected one.
-pub fn read(all: &[u8], first: Option<u64>) -> Result<Contents, Damage> {
+pub fn decode_all(all: &[u8], first: Option<u64>) -> Result<Contents, Damage> {
     let mut records: Vec<Record> = Vec::new();
     let (mut at, mut next) = (0, first);
     while at < all.len() {
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -34,18 +34,18 @@
 
 /// Why a lease was not granted or a step was rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum LeaseError {
     /// Another holder has the lease.
     Held {
         /// The current holder.
         holder: Holder,
         /// The time until the lease expires unless it is renewed, in milliseconds.
-        left: Millis,
+        remaining: Millis,
         /// The highest granted epoch; the next request must name a higher one.
         epoch: u64,
     },
     /// The requested epoch is not higher than all granted ones.
-    Behind {
+    EpochTooLow {
         /// The highest one.
         epoch: u64,
     },
@@ -56,19 +56,19 @@
     },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for LeaseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Held { holder, left, .. } => {
+            Self::Held { holder, remaining, .. } => {
                 write!(
                     f,
                     "held by {} ({}), expires in at most {:.0} s",
                     holder.who,
                     holder.why,
-                    left / 1000.0
+                    remaining / 1000.0
                 )
             }
-            Self::Behind { epoch } => write!(f, "the epoch must be higher than {epoch}"),
+            Self::EpochTooLow { epoch } => write!(f, "the epoch must be higher than {epoch}"),
             Self::Stale { epoch } => {
                 write!(f, "the lease is no longer valid; the highest granted epoch is {epoch}")
             }
@@ -76,7 +76,7 @@
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for LeaseError {}
 
 /// The state of the lease at one agent.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -111,15 +111,19 @@
     ///
     /// # Errors
     /// The current holder, or the epoch that must be exceeded.
-    pub fn grant(&mut self, now: Millis, epoch: u64, mut holder: Holder) -> Result<(), Refused> {
+    pub fn grant(&mut self, now: Millis, epoch: u64, mut holder: Holder) -> Result<(), LeaseError> {
         if let Some((held, until)) = self.current.as_ref().filter(|(_, until)| now < *until) {
             // The holder itself may ask again, because the answer was lost or to extend the lease.
             if epoch != self.epoch || (&held.who, &held.why) != (&holder.who, &holder.why) {
-                return Err(Refused::Held { holder: held.clone(), left: until - now, epoch: self.epoch });
+                return Err(LeaseError::Held {
+                    holder: held.clone(),
+                    remaining: until - now,
+                    epoch: self.epoch,
+                });
             }
             holder.since_unix_ms = held.since_unix_ms;
         } else if epoch <= self.epoch {
-            return Err(Refused::Behind { epoch: self.epoch });
+            return Err(LeaseError::EpochTooLow { epoch: self.epoch });
         }
         self.epoch = epoch;
         holder.span_ms = holder.span_ms.clamp(0.0, MAX_LEASE_MS);
@@ -132,16 +136,16 @@
     ///
     /// # Errors
     /// If the epoch is no longer valid.
-    pub fn check(&self, now: Millis, epoch: u64) -> Result<(), Refused> {
+    pub fn check(&self, now: Millis, epoch: u64) -> Result<(), LeaseError> {
         let is_valid = epoch == self.epoch && self.holder(now).is_some();
-        is_valid.then_some(()).ok_or(Refused::Stale { epoch: self.epoch })
+        is_valid.then_some(()).ok_or(LeaseError::Stale { epoch: self.epoch })
     }
 
     /// Renews the lease for `span` from now.
     ///
     /// # Errors
     /// If the epoch is no longer valid.
-    pub fn renew(&mut self, now: Millis, epoch: u64, span: Millis) -> Result<(), Refused> {
+    pub fn renew(&mut self, now: Millis, epoch: u64, span: Millis) -> Result<(), LeaseError> {
         self.check(now, epoch)?;
         if let Some((_, until)) = &mut self.current {
             *until = now + span.clamp(0.0, MAX_LEASE_MS);
@@ -153,7 +157,7 @@
     ///
     /// # Errors
     /// If the epoch is no longer valid.
-    pub fn release(&mut self, now: Millis, epoch: u64) -> Result<(), Refused> {
+    pub fn release(&mut self, now: Millis, epoch: u64) -> Result<(), LeaseError> {
         self.check(now, epoch)?;
         self.current = None;
         Ok(())
@@ -162,7 +166,7 @@
 
 /// The state of a bid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum BidState {
     /// More answers are needed.
     Open,
     /// More than half of the agents have granted the lease.
@@ -197,13 +201,16 @@
 
     /// Records an agent's answer. If there is no answer, the caller must pass `Err(None)`, which counts as a
     /// refusal.
-    pub fn answer(&mut self, agent: usize, answer: Result<(), Option<&Refused>>) {
+    pub fn record_answer(&mut self, agent: usize, answer: Result<(), Option<&LeaseError>>) {
         match answer {
             Ok(()) => drop(self.granted.insert(agent)),
             Err(refused) => {
                 self.refused.insert(agent);
-                let Some(Refused::Held { epoch, .. } | Refused::Behind { epoch } | Refused::Stale { epoch }) =
-                    refused
+                let Some(
+                    LeaseError::Held { epoch, .. }
+                    | LeaseError::EpochTooLow { epoch }
+                    | LeaseError::Stale { epoch },
+                ) = refused
                 else {
                     return;
                 };
@@ -218,18 +225,18 @@
     }
 
     /// The current state of the bid.
-    pub fn standing(&self) -> Standing {
+    pub fn state(&self) -> BidState {
         if 2 * self.granted.len() > self.agents {
-            Standing::Won
+            BidState::Won
         } else if 2 * (self.agents - self.refused.len()) <= self.agents {
-            Standing::Lost
+            BidState::Lost
         } else {
-            Standing::Open
+            BidState::Open
         }
     }
 
     /// A new bid for an epoch higher than all named in the answers so far.
-    pub fn again(&self) -> Self {
+    pub fn next_bid(&self) -> Self {
         Self::new(self.agents, &[self.highest_epoch])
     }
 }
--- a/crates/fleet/tests/agent.rs
+++ b/crates/fleet/tests/agent.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use glenwood_fleet::agent::{is_worse, Agent, CommandRefused, Output, Signal, Status};
-use glenwood_fleet::book::{Book, Fact, Outcome, Process, Target};
+use glenwood_fleet::agent::{is_worse, Agent, CommandError, Output, Signal, Status};
+use glenwood_fleet::book::{DurableState, Fact, Outcome, Process, Target};
 use glenwood_fleet::desired::Rules;
 use glenwood_fleet::journal;
-use glenwood_fleet::lease::{Holder, Refused};
+use glenwood_fleet::lease::{Holder, LeaseError};
 
 const RULES: Rules = Rules {
     max_unavailable: 1,
@@ -100,7 +100,7 @@
 
 impl Machine {
     fn new(rules: Rules) -> Self {
-        let mut agent = Agent::new(0.0, rules.clone(), Book::default(), 1);
+        let mut agent = Agent::new(0.0, rules.clone(), DurableState::default(), 1);
         agent.adopt(0.0, &[]);
         Self {
             now: 0.0,
@@ -126,9 +126,11 @@
     fn serving(count: usize, release: &str, rules: Rules) -> Self {
         let mut machine = Self::new(rules);
         let agent = machine.agent.as_mut().expect("the agent is running");
-        agent.lease(0.0, 1, holder("ada")).expect("the lease is free");
+        agent.acquire_lease(0.0, 1, holder("ada")).expect("the lease is free");
         for n in 0..count {
-            agent.want(0.0, 1, &format!("n{n}"), true, &target(release)).expect("no change is in progress");
+            agent
+                .set_should_run(0.0, 1, &format!("n{n}"), true, &target(release))
+                .expect("no change is in progress");
         }
         machine.advance(300.0);
         assert_eq!(machine.count_unavailable(), 0);
@@ -137,35 +139,35 @@
     }
 
     fn names(&self) -> Vec<String> {
-        self.book().instances.keys().cloned().collect()
+        self.state().instances.keys().cloned().collect()
     }
 
-    fn book(&self) -> Book {
-        self.agent.as_ref().map(|a| a.book().clone()).unwrap_or_else(|| self.replay().0)
+    fn state(&self) -> DurableState {
+        self.agent.as_ref().map(|a| a.state().clone()).unwrap_or_else(|| self.replay().0)
     }
 
     /// Replays the journal: the state, the length of the valid records, and their number.
-    fn replay(&self) -> (Book, usize, u64) {
-        let read = journal::read(&self.disk, Some(1)).expect("an undamaged journal");
-        let mut book = Book::default();
+    fn replay(&self) -> (DurableState, usize, u64) {
+        let read = journal::decode_all(&self.disk, Some(1)).expect("an undamaged journal");
+        let mut state = DurableState::default();
         for record in &read.records {
             let fact: Fact = serde_json::from_slice(&record.bytes).expect("a fact");
-            book.add(&fact);
+            state.apply(&fact);
         }
-        (book, read.length, read.records.len() as u64)
+        (state, read.length, read.records.len() as u64)
     }
 
     /// Number of instances that should run but are not ready.
     fn count_unavailable(&self) -> usize {
         let replayed;
-        let book = match &self.agent {
-            Some(agent) => agent.book(),
+        let state = match &self.agent {
+            Some(agent) => agent.state(),
             None => {
                 replayed = self.replay().0;
                 &replayed
             }
         };
-        let wanted = book.instances.iter().filter(|(_, k)| k.run);
+        let wanted = state.instances.iter().filter(|(_, k)| k.run);
         wanted
             .filter(|(name, _)| !self.procs.iter().any(|p| p.name == **name && p.is_ready(self.now)))
             .count()
@@ -181,7 +183,7 @@
 
     /// Kills the agent.
     fn kill_agent(&mut self) {
-        self.agent.iter().for_each(|agent| assert_compaction_preserves(agent.book()));
+        self.agent.iter().for_each(|agent| assert_compaction_preserves(agent.state()));
         self.agent = None;
         self.kills += 1;
         self.agent_restart_at = self.now + AGENT_DOWNTIME_MS;
@@ -194,7 +196,7 @@
                 self.kill_before = None;
                 if let (Output::Write(fact), true) = (&output, self.torn) {
                     let bytes = serde_json::to_vec(fact).expect("a fact");
-                    let record = journal::write(self.number + 1, &bytes);
+                    let record = journal::encode(self.number + 1, &bytes);
                     self.disk.extend(&record[..record.len() / 2]);
                 }
                 return self.kill_agent();
@@ -204,11 +206,11 @@
                 Output::Write(fact) => {
                     self.number += 1;
                     let bytes = serde_json::to_vec(&fact).expect("a fact");
-                    self.disk.extend(journal::write(self.number, &bytes));
+                    self.disk.extend(journal::encode(self.number, &bytes));
                 }
                 Output::Spawn { name, token, target } => {
                     self.last_pid += 1;
-                    let process = Process { token, pid: self.last_pid, born: self.now as u64 };
+                    let process = Process { token, pid: self.last_pid, start_ticks: self.now as u64 };
                     let (started_at, terminated_at, release) = (self.now, None, target.release);
                     self.procs.push(Proc { name: name.clone(), process, release, started_at, terminated_at });
                     let process_count = self.procs.iter().filter(|p| p.name == name).count();
@@ -236,7 +238,7 @@
                         Signal::Kill => self.exit_processes(|p| p.process == process),
                     }
                 }
-                Output::Say(message) => self.messages.push(message),
+                Output::Message(message) => self.messages.push(message),
             }
         }
     }
@@ -260,10 +262,10 @@
             self.now += 1.0;
             let now = self.now;
             if self.agent.is_none() && now >= self.agent_restart_at {
-                let (book, length, number) = self.replay();
+                let (state, length, number) = self.replay();
                 self.disk.truncate(length);
                 self.number = number;
-                let mut agent = Agent::new(now, self.rules.clone(), book, now as u64);
+                let mut agent = Agent::new(now, self.rules.clone(), state, now as u64);
                 let running: Vec<(String, Process)> =
                     self.procs.iter().map(|p| (p.name.clone(), p.process.clone())).collect();
                 agent.adopt(now, &running);
@@ -297,7 +299,7 @@
         let names = self.names();
         let now = self.now;
         let agent = self.agent.as_mut().expect("the agent is running");
-        agent.begin(now, 1, &names, all_to(&names, release)).expect("no change is in progress");
+        agent.begin_change(now, 1, &names, all_to(&names, release)).expect("no change is in progress");
     }
 
     /// Runs until the change has ended, for at most a simulated minute, and returns its outcome.
@@ -305,19 +307,19 @@
         for _ in 0..600 {
             self.advance(100.0);
             let Some(agent) = &self.agent else { continue };
-            if agent.book().change.is_none() {
-                return agent.book().outcome.clone();
+            if agent.state().change.is_none() {
+                return agent.state().outcome.clone();
             }
         }
         None
     }
 }
 
-/// Asserts that replaying the compacted facts of a book reproduces it.
-fn assert_compaction_preserves(book: &Book) {
-    let mut rebuilt = Book::default();
-    book.facts().iter().for_each(|fact| rebuilt.add(fact));
-    assert_eq!(&rebuilt, book);
+/// Asserts that replaying the compacted facts of a state reproduces it.
+fn assert_compaction_preserves(state: &DurableState) {
+    let mut rebuilt = DurableState::default();
+    state.facts().iter().for_each(|fact| rebuilt.apply(fact));
+    assert_eq!(&rebuilt, state);
 }
 
 #[test]
@@ -359,7 +361,7 @@
                 machine.advance(1000.0);
                 assert_eq!(machine.releases(), vec![runs.to_string(); 3], "{case}");
                 assert_eq!((machine.max_unavailable_seen, machine.count_unavailable()), (1, 0), "{case}");
-                assert_compaction_preserves(&machine.book());
+                assert_compaction_preserves(&machine.state());
             }
         }
     }
@@ -401,11 +403,11 @@
     assert_eq!(machine.count_unavailable(), 0, "n0 is ready again");
     let mut machine = Machine::new(RULES);
     let agent = machine.agent.as_mut().expect("the agent is running");
-    agent.lease(0.0, 1, holder("ada")).expect("the lease is free");
-    agent.want(0.0, 1, "n0", true, &target("crash")).expect("no change is in progress");
+    agent.acquire_lease(0.0, 1, holder("ada")).expect("the lease is free");
+    agent.set_should_run(0.0, 1, "n0", true, &target("crash")).expect("no change is in progress");
     machine.advance(5000.0);
     assert_eq!(machine.last_pid - 100, RULES.max_restarts as u32 + 1);
-    assert!(machine.book().instances["n0"].gave_up);
+    assert!(machine.state().instances["n0"].gave_up);
     assert_eq!(
         machine.messages.last().map(String::as_str),
         Some("n0: too many unexpected exits, giving up restarting it")
@@ -416,7 +418,7 @@
         .agent
         .as_mut()
         .expect("the agent is running")
-        .want(now, 1, "n0", true, &target("crash"))
+        .set_should_run(now, 1, "n0", true, &target("crash"))
         .expect("no change is in progress");
     machine.advance(50.0);
     assert!(machine.last_pid - 100 > RULES.max_restarts as u32 + 1);
@@ -429,17 +431,17 @@
     let old = machine.procs[0].process.clone();
     machine.kill_agent();
     machine.procs.clear();
-    let (book, _, _) = machine.replay();
-    let mut agent = Agent::new(machine.now, RULES, book, 1);
-    let other = Process { born: old.born + 1, ..old.clone() };
+    let (state, _, _) = machine.replay();
+    let mut agent = Agent::new(machine.now, RULES, state, 1);
+    let other = Process { start_ticks: old.start_ticks + 1, ..old.clone() };
     agent.adopt(machine.now, &[]);
     let outputs: Vec<Output> = std::iter::from_fn(|| agent.poll()).collect();
     assert!(matches!(&outputs[0], Output::Write(Fact::Ended { .. })), "{outputs:?}");
     assert!(outputs.iter().any(|o| matches!(o, Output::Spawn { .. })));
     assert!(!outputs.iter().any(|o| matches!(o, Output::Signal { .. })));
     // A process with the same token and pid but another start time is not adopted either.
-    let (book, _, _) = machine.replay();
-    let mut agent = Agent::new(machine.now, RULES, book, 1);
+    let (state, _, _) = machine.replay();
+    let mut agent = Agent::new(machine.now, RULES, state, 1);
     agent.adopt(machine.now, &[("n0".into(), other)]);
     let outputs: Vec<Output> = std::iter::from_fn(|| agent.poll()).collect();
     assert!(matches!(&outputs[0], Output::Write(Fact::Ended { .. })), "{outputs:?}");
@@ -451,26 +453,32 @@
     let now = machine.now;
     let names = machine.names();
     let agent = machine.agent.as_mut().expect("the agent is running");
-    let stale = CommandRefused::Lease(Refused::Stale { epoch: 1 });
-    assert_eq!(agent.begin(now, 0, &names, all_to(&names, "r2")), Err(stale.clone()));
-    assert_eq!(agent.want(now, 2, "n0", false, &target("r1")), Err(stale));
-    assert_eq!(agent.abort(now, 1), Err(CommandRefused::Idle));
+    let stale = CommandError::Lease(LeaseError::Stale { epoch: 1 });
+    assert_eq!(agent.begin_change(now, 0, &names, all_to(&names, "r2")), Err(stale.clone()));
+    assert_eq!(agent.set_should_run(now, 2, "n0", false, &target("r1")), Err(stale));
+    assert_eq!(agent.abort_change(now, 1), Err(CommandError::Idle));
     assert_eq!(
-        agent.begin(now, 1, &["n9".into()], all_to(&["n9".into()], "r2")),
-        Err(CommandRefused::Unknown("n9".into()))
+        agent.begin_change(now, 1, &["n9".into()], all_to(&["n9".into()], "r2")),
+        Err(CommandError::Unknown("n9".into()))
+    );
+    let id = agent.begin_change(now, 1, &names, all_to(&names, "r2")).expect("no change is in progress");
+    assert_eq!(
+        agent.begin_change(now, 1, &names, all_to(&names, "r3")),
+        Err(CommandError::Busy { change: id })
+    );
+    assert_eq!(
+        agent.set_should_run(now, 1, "n0", false, &target("r1")),
+        Err(CommandError::Busy { change: id })
     );
-    let id = agent.begin(now, 1, &names, all_to(&names, "r2")).expect("no change is in progress");
-    assert_eq!(agent.begin(now, 1, &names, all_to(&names, "r3")), Err(CommandRefused::Busy { change: id }));
-    assert_eq!(agent.want(now, 1, "n0", false, &target("r1")), Err(CommandRefused::Busy { change: id }));
     // After the agent has been killed and restarted the epoch is still valid, and an older one is not.
     machine.advance(10.0);
     machine.kill_agent();
     machine.advance(AGENT_DOWNTIME_MS + 1.0);
     let now = machine.now;
     let agent = machine.agent.as_mut().expect("the agent is running");
-    assert_eq!(agent.abort(now, 0), Err(CommandRefused::Lease(Refused::Stale { epoch: 1 })));
-    assert!(matches!(agent.lease(now, 2, holder("ben")), Err(Refused::Held { .. })));
-    assert_eq!(agent.abort(now, 1), Ok(()));
+    assert_eq!(agent.abort_change(now, 0), Err(CommandError::Lease(LeaseError::Stale { epoch: 1 })));
+    assert!(matches!(agent.acquire_lease(now, 2, holder("ben")), Err(LeaseError::Held { .. })));
+    assert_eq!(agent.abort_change(now, 1), Ok(()));
     assert_eq!(machine.finish(), Some((Outcome::RolledBack, "an operator's word".into())));
     assert_eq!(machine.releases(), vec!["r1".to_string(); 3]);
 }
@@ -484,7 +492,7 @@
         .agent
         .as_mut()
         .expect("the agent is running")
-        .pause(now, 1, true)
+        .set_paused(now, 1, true)
         .expect("a change is in progress");
     machine.advance(20_000.0);
     assert_eq!(
@@ -496,7 +504,7 @@
         .agent
         .as_mut()
         .expect("the agent is running")
-        .pause(now, 1, false)
+        .set_paused(now, 1, false)
         .expect("a change is in progress");
     assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
 }
@@ -514,7 +522,9 @@
         let agent = machine.agent.as_mut().expect("the agent is running");
         (0..misses).for_each(|_| agent.inspected(now, "n0", token, None));
         // While n0 is unavailable no other instance may be taken down for a change.
-        agent.begin(now, 1, &["n1".into()], all_to(&["n1".into()], "r2")).expect("no change is in progress");
+        agent
+            .begin_change(now, 1, &["n1".into()], all_to(&["n1".into()], "r2"))
+            .expect("no change is in progress");
         machine.execute_outputs();
         let signalled = machine.signals.len() > before;
         assert_eq!(machine.finish().map(|o| o.0), Some(Outcome::Done));
@@ -531,7 +541,7 @@
 fn instances_already_unavailable_count_toward_the_limit() {
     let mut machine = Machine::serving(4, "r1", RULES);
     let agent = machine.agent.as_mut().expect("the agent is running");
-    agent.want(machine.now, 1, "n9", true, &target("never")).expect("no change is in progress");
+    agent.set_should_run(machine.now, 1, "n9", true, &target("never")).expect("no change is in progress");
     machine.advance(100.0);
     machine.max_unavailable_seen = 0;
     let names: Vec<String> = (0..4).map(|n| format!("n{n}")).collect();
@@ -540,7 +550,7 @@
         .agent
         .as_mut()
         .expect("the agent is running")
-        .begin(now, 1, &names, all_to(&names, "r2"))
+        .begin_change(now, 1, &names, all_to(&names, "r2"))
         .expect("no change is in progress");
     machine.advance(3000.0);
     assert_eq!(
@@ -582,7 +592,7 @@
         let Some((outcome, reason)) = machine.finish() else {
             // The agent was killed before it recorded the beginning, so the change was never begun.
             assert!(
-                machine.book().last_change == 0 && machine.book().change.is_none(),
+                machine.state().last_change == 0 && machine.state().change.is_none(),
                 "machine {number}: the change did not end"
             );
             assert_eq!(machine.releases(), vec!["r1".to_string(); 20]);
--- a/crates/fleet/tests/lease.rs
+++ b/crates/fleet/tests/lease.rs
@@ -1,6 +1,6 @@
 //! Tests of the operators' lease and of bids over many agents.
 
-use glenwood_fleet::lease::{Bid, Holder, Lease, Refused, Standing, MAX_LEASE_MS};
+use glenwood_fleet::lease::{Bid, BidState, Holder, Lease, LeaseError, MAX_LEASE_MS};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
     let mut lease = Lease::default();
     assert_eq!(lease.grant(0.0, 1, holder("ada", 10_000.0)), Ok(()));
     let refused = lease.grant(4000.0, 2, holder("ben", 10_000.0)).expect_err("ada has it");
-    assert_eq!(refused, Refused::Held { holder: holder("ada", 10_000.0), left: 6000.0, epoch: 1 });
+    assert_eq!(refused, LeaseError::Held { holder: holder("ada", 10_000.0), remaining: 6000.0, epoch: 1 });
     assert_eq!(refused.to_string(), "held by ada (roll to r2), expires in at most 6 s");
     // The holder itself may ask again, because the answer may have been lost.
     assert_eq!(lease.grant(4000.0, 1, holder("ada", 10_000.0)), Ok(()));
@@ -26,29 +26,29 @@
     lease.grant(0.0, 1, holder("ada", 1000.0)).expect("free");
     assert_eq!(
         lease.check(1000.0, 1),
-        Err(Refused::Stale { epoch: 1 }),
+        Err(LeaseError::Stale { epoch: 1 }),
         "the lease has expired, although no other was granted"
     );
     lease.grant(1000.0, 2, holder("ben", 1000.0)).expect("free again");
-    assert_eq!(lease.check(1500.0, 1), Err(Refused::Stale { epoch: 2 }));
-    assert_eq!(lease.renew(1500.0, 1, 1000.0), Err(Refused::Stale { epoch: 2 }));
-    assert_eq!(lease.release(1500.0, 1), Err(Refused::Stale { epoch: 2 }));
+    assert_eq!(lease.check(1500.0, 1), Err(LeaseError::Stale { epoch: 2 }));
+    assert_eq!(lease.renew(1500.0, 1, 1000.0), Err(LeaseError::Stale { epoch: 2 }));
+    assert_eq!(lease.release(1500.0, 1), Err(LeaseError::Stale { epoch: 2 }));
     assert_eq!(lease.release(1500.0, 2), Ok(()));
     // An epoch is granted only once, even if its lease was released.
-    assert_eq!(lease.grant(1500.0, 2, holder("ada", 1000.0)), Err(Refused::Behind { epoch: 2 }));
+    assert_eq!(lease.grant(1500.0, 2, holder("ada", 1000.0)), Err(LeaseError::EpochTooLow { epoch: 2 }));
     assert_eq!(lease.grant(1500.0, 3, holder("ada", 1000.0)), Ok(()));
 }
 
 #[test]
 fn a_restart_keeps_the_epoch_and_the_holder() {
     let mut lease = Lease::restored(50.0, 7, Some(holder("ada", MAX_LEASE_MS)));
-    assert_eq!(lease.check(60.0, 6), Err(Refused::Stale { epoch: 7 }));
+    assert_eq!(lease.check(60.0, 6), Err(LeaseError::Stale { epoch: 7 }));
     assert_eq!(lease.check(60.0, 7), Ok(()), "the lease is still valid for its holder");
-    assert!(matches!(lease.grant(60.0, 8, holder("ben", 1.0)), Err(Refused::Held { .. })));
+    assert!(matches!(lease.grant(60.0, 8, holder("ben", 1.0)), Err(LeaseError::Held { .. })));
     assert_eq!(lease.grant(50.0 + MAX_LEASE_MS, 8, holder("ben", 1.0)), Ok(()));
     assert_eq!(
         Lease::restored(0.0, 7, None).grant(0.0, 7, holder("ben", 1.0)),
-        Err(Refused::Behind { epoch: 7 })
+        Err(LeaseError::EpochTooLow { epoch: 7 })
     );
 }
 
@@ -56,25 +56,25 @@
 fn a_bid_is_won_by_a_majority_and_lost_when_none_is_possible() {
     let mut bid = Bid::new(5, &[3, 1]);
     assert_eq!(bid.epoch(), 4);
-    let behind = Refused::Behind { epoch: 9 };
-    for (agent, answer, standing) in [
-        (0, Ok(()), Standing::Open),
-        (1, Err(None), Standing::Open),
-        (2, Ok(()), Standing::Open),
-        (3, Err(Some(&behind)), Standing::Open),
-        (4, Ok(()), Standing::Won),
+    let too_low = LeaseError::EpochTooLow { epoch: 9 };
+    for (agent, answer, expected_state) in [
+        (0, Ok(()), BidState::Open),
+        (1, Err(None), BidState::Open),
+        (2, Ok(()), BidState::Open),
+        (3, Err(Some(&too_low)), BidState::Open),
+        (4, Ok(()), BidState::Won),
     ] {
-        bid.answer(agent, answer);
-        assert_eq!(bid.standing(), standing, "agent {agent}");
+        bid.record_answer(agent, answer);
+        assert_eq!(bid.state(), expected_state, "agent {agent}");
     }
-    assert_eq!((bid.granted().collect::<Vec<_>>(), bid.again().epoch()), (vec![0, 2, 4], 10));
+    assert_eq!((bid.granted().collect::<Vec<_>>(), bid.next_bid().epoch()), (vec![0, 2, 4], 10));
     let mut even = Bid::new(4, &[]);
-    even.answer(0, Ok(()));
-    even.answer(1, Ok(()));
-    assert_eq!(even.standing(), Standing::Open, "half is not more than half");
-    even.answer(2, Err(None));
-    even.answer(3, Err(None));
-    assert_eq!(even.standing(), Standing::Lost);
+    even.record_answer(0, Ok(()));
+    even.record_answer(1, Ok(()));
+    assert_eq!(even.state(), BidState::Open, "half is not more than half");
+    even.record_answer(2, Err(None));
+    even.record_answer(3, Err(None));
+    assert_eq!(even.state(), BidState::Lost);
 }
 
 proptest! {
@@ -103,9 +103,9 @@
                     let answer = agents[agent].grant(now, bid.epoch(), name);
                     // A lost answer counts as a refusal, while the agent keeps the lease that it granted.
                     if action < 3 {
-                        bid.answer(agent, answer.as_ref().copied().map_err(Some));
+                        bid.record_answer(agent, answer.as_ref().copied().map_err(Some));
                     } else {
-                        bid.answer(agent, Err(None));
+                        bid.record_answer(agent, Err(None));
                     }
                 },
                 4 => {
@@ -122,7 +122,7 @@
                 highest[n] = lease.epoch();
             }
             let count_valid = |who: usize| {
-                let epoch = bids[who].as_ref().filter(|b| b.standing() == Standing::Won).map(Bid::epoch);
+                let epoch = bids[who].as_ref().filter(|b| b.state() == BidState::Won).map(Bid::epoch);
                 epoch.map(|epoch| {
                     let name = holder(&format!("o{who}"), 2000.0);
                     agents.iter().filter(|a| a.check(now, epoch).is_ok() && a.holder(now) == Some(&name)).count()
--- a/crates/glenctl/src/fleet.rs
+++ b/crates/glenctl/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use clap::{Args, Subcommand};
 use glenwood_agent::talk::{ask, Ask, Reply, Status};
-use glenwood_fleet::lease::{Bid, Refused, Standing};
+use glenwood_fleet::lease::{Bid, BidState, LeaseError};
 use serde_json::json;
 
 /// Duration of the lease on the agents. It is renewed by asking again under the same epoch, and expires after
@@ -182,26 +182,26 @@
             for (n, agent) in agents.iter().enumerate() {
                 match send(agent, &held.lease_request()) {
                     Ok(_) => {
-                        bid.answer(n, Ok(()));
+                        bid.record_answer(n, Ok(()));
                         held.granted.push(agent);
                     }
                     Err(error) => {
                         let epoch = status(agent).map_or(0, |s| s.epoch);
                         outbid |= epoch >= bid.epoch();
-                        bid.answer(n, Err(Some(&Refused::Behind { epoch })));
+                        bid.record_answer(n, Err(Some(&LeaseError::EpochTooLow { epoch })));
                         eprintln!("glenctl: {}: {}", agent.display(), error.message());
                         last = error;
                     }
                 }
             }
-            if bid.standing() == Standing::Won {
+            if bid.state() == BidState::Won {
                 return Ok(held);
             }
             // Dropping `held` returns the leases that were granted.
             if !outbid {
                 break;
             }
-            bid = bid.again();
+            bid = bid.next_bid();
         }
         Err(last)
     }
