--- a/crates/agent/src/disk.rs
+++ b/crates/agent/src/disk.rs
@@ -102,9 +102,9 @@
     ///
     /// # Errors
     /// If the fact can't be written or synced; it then doesn't count as written.
-    pub fn write(&mut self, fact: &Fact) -> io::Result<()> {
+    pub fn append_fact(&mut self, fact: &Fact) -> io::Result<()> {
         let bytes = serde_json::to_vec(fact)?;
-        self.records.add(&journal::encode(self.last_number + 1, &bytes))?;
+        self.records.append_record(&journal::encode(self.last_number + 1, &bytes))?;
         self.last_number += 1;
         Ok(())
     }
@@ -144,10 +144,10 @@
     ///
     /// # Errors
     /// If the line can't be written or synced; it then doesn't count as written.
-    pub fn add(&mut self, at_unix_ms: f64, who: &str, what: &str, epoch: u64) -> io::Result<()> {
+    pub fn append_entry(&mut self, at_unix_ms: f64, who: &str, what: &str, epoch: u64) -> io::Result<()> {
         let mut next = self.trail.clone();
         let line = next.append(at_unix_ms, who, what, epoch);
-        self.records.add(line.as_bytes())?;
+        self.records.append_record(line.as_bytes())?;
         self.trail = next;
         Ok(())
     }
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors If the record can't be written or synced; it is then removed, at the latest before the next
     /// record is appended. A later call may succeed.
-    pub fn add(&mut self, record: &[u8]) -> io::Result<()> {
+    pub fn append_record(&mut self, record: &[u8]) -> io::Result<()> {
         if self.may_be_partial {
             self.remove_partial_record()?;
         }
@@ -129,7 +129,7 @@
 
     fn records() -> Records<FaultyFile> {
         let mut records = Records::new(FaultyFile::default(), 0);
-        records.add(b"first\n").expect("the disk works");
+        records.append_record(b"first\n").expect("the disk works");
         records
     }
 
@@ -137,10 +137,10 @@
     fn a_partially_written_record_is_removed() {
         let mut records = records();
         records.file.accepted_bytes = Some(3);
-        assert!(records.add(b"second\n").is_err());
+        assert!(records.append_record(b"second\n").is_err());
         assert_eq!(records.file.bytes, b"first\n");
         records.file.accepted_bytes = None;
-        records.add(b"third\n").expect("the disk has space again");
+        records.append_record(b"third\n").expect("the disk has space again");
         assert_eq!(records.file.bytes, b"first\nthird\n");
     }
 
@@ -148,10 +148,10 @@
     fn a_record_that_could_not_be_synced_is_removed() {
         let mut records = records();
         records.file.fails_to_sync = true;
-        assert!(records.add(b"second\n").is_err());
-        assert!(records.add(b"third\n").is_err());
+        assert!(records.append_record(b"second\n").is_err());
+        assert!(records.append_record(b"third\n").is_err());
         records.file.fails_to_sync = false;
-        records.add(b"fourth\n").expect("the disk works again");
+        records.append_record(b"fourth\n").expect("the disk works again");
         assert_eq!(records.file.bytes, b"first\nfourth\n");
     }
 
@@ -159,12 +159,12 @@
     fn a_failed_truncation_is_repeated_before_the_next_record() {
         let mut records = records();
         (records.file.accepted_bytes, records.file.fails_to_truncate) = (Some(3), true);
-        assert!(records.add(b"second\n").is_err());
+        assert!(records.append_record(b"second\n").is_err());
         assert_eq!(records.file.bytes, b"first\nsec");
         records.file.accepted_bytes = None;
-        assert!(records.add(b"third\n").is_err(), "nothing is appended after a partial record");
+        assert!(records.append_record(b"third\n").is_err(), "nothing is appended after a partial record");
         records.file.fails_to_truncate = false;
-        records.add(b"fourth\n").expect("the disk works again");
+        records.append_record(b"fourth\n").expect("the disk works again");
         assert_eq!(records.file.bytes, b"first\nfourth\n");
     }
 }
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -20,7 +20,7 @@
 
 use crate::disk::{self, Audit, Journal};
 use crate::process;
-use crate::talk::{Ask, InstanceStatus, Reply, Status};
+use crate::talk::{AgentCommand, InstanceStatus, Reply, Status};
 
 /// The interval at which instances are asked for their reports. Processes that this agent adopted, for which
 /// it gets no exit status, are checked for being alive at the same interval.
@@ -54,7 +54,7 @@
     /// An instance was asked for its report; `None` if it did not answer.
     Inspected { name: String, token: u64, report: Option<Report> },
     /// An operator's program has sent a command.
-    CommandReceived { command: Ask, peer: String, reply_sender: oneshot::Sender<Reply> },
+    CommandReceived { command: AgentCommand, peer: String, reply_sender: oneshot::Sender<Reply> },
 }
 
 /// The time now, in milliseconds since the Unix epoch.
@@ -211,7 +211,7 @@
         while let Some(output) = self.unwritten_fact.take().map(Output::Write).or_else(|| self.agent.poll()) {
             match output {
                 Output::Write(fact) => {
-                    if let Err(error) = self.journal.write(&fact) {
+                    if let Err(error) = self.journal.append_fact(&fact) {
                         self.unwritten_fact = Some(fact);
                         return self.handle_journal_failure(&error, already_failing);
                     }
@@ -353,7 +353,7 @@
     /// Appends a line to the audit trail; called before the command is carried out.
     fn write_audit(&mut self, who: &str, what: &str, epoch: u64) -> Result<(), String> {
         self.audit
-            .add(unix_ms(), who, what, epoch)
+            .append_entry(unix_ms(), who, what, epoch)
             .map_err(|e| format!("audit: {e}; the command was not carried out"))
     }
 
@@ -381,7 +381,7 @@
     }
 
     /// Carries out a command of an operator and returns the reply to it, or the reason for refusing it.
-    fn execute(&mut self, now: f64, command: Ask, peer: &str) -> Result<Reply, String> {
+    fn execute(&mut self, now: f64, command: AgentCommand, peer: &str) -> Result<Reply, String> {
         let refusal_message = |e: CommandError| match e {
             CommandError::Lease(e) => e.to_string(),
             CommandError::Busy { change } => format!("change {change} is in progress"),
@@ -390,19 +390,19 @@
         };
         let lease_message = |e: LeaseError| e.to_string();
         match command {
-            Ask::Status => Ok(Reply::Status(Box::new(self.status(now)))),
-            Ask::Lease { who: name, why, epoch, span_ms } => {
+            AgentCommand::Status => Ok(Reply::Status(Box::new(self.status(now)))),
+            AgentCommand::Lease { who: name, why, epoch, span_ms } => {
                 let epoch = epoch.unwrap_or(self.agent.state().epoch + 1);
                 let holder =
                     Holder { who: format!("{name} ({peer})"), why, since_unix_ms: unix_ms(), span_ms };
                 self.agent.acquire_lease(now, epoch, holder).map_err(lease_message)?;
                 Ok(Reply::Granted(epoch))
             }
-            Ask::GiveBack { epoch } => {
+            AgentCommand::GiveBack { epoch } => {
                 self.agent.release_lease(now, epoch).map_err(lease_message)?;
                 Ok(Reply::Done("the lease is released".into()))
             }
-            Ask::Apply { epoch } => {
+            AgentCommand::Apply { epoch } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 let desired = read_desired(&self.desired_path)?;
                 self.write_audit(peer, "apply", epoch)?;
@@ -421,7 +421,7 @@
                 }
                 Ok(Reply::Done(format!("{} instances, {new} new", all.len())))
             }
-            Ask::Want { epoch, name, run, force } => {
+            AgentCommand::Want { epoch, name, run, force } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 let entry = self.agent.state().instances.get(&name);
                 let target = entry
@@ -436,7 +436,7 @@
                 self.agent.set_should_run(now, epoch, &name, run, &target).map_err(refusal_message)?;
                 Ok(Reply::Done(what))
             }
-            Ask::Roll { epoch, mut names, release, force } => {
+            AgentCommand::Roll { epoch, mut names, release, force } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 if !self.desired.releases.contains_key(&release) {
                     return Err(format!("release {release:?} does not exist"));
@@ -457,7 +457,7 @@
                 let id = self.agent.begin_change(now, epoch, &names, targets).map_err(refusal_message)?;
                 Ok(Reply::Done(format!("change {id} has started")))
             }
-            Ask::Plan { names, release } => {
+            AgentCommand::Plan { names, release } => {
                 if !self.desired.releases.contains_key(&release) {
                     return Err(format!("release {release:?} does not exist"));
                 }
@@ -488,7 +488,7 @@
                 ));
                 Ok(Reply::Lines(lines))
             }
-            Ask::Retire { epoch, name } => {
+            AgentCommand::Retire { epoch, name } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, &format!("retire {name}"), epoch)?;
                 self.agent.retire(now, epoch, &name).map_err(|e| match e {
@@ -499,25 +499,25 @@
                 })?;
                 Ok(Reply::Done(format!("{name} is removed")))
             }
-            Ask::Abort { epoch } => {
+            AgentCommand::Abort { epoch } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, "abort", epoch)?;
                 self.agent.abort_change(now, epoch).map_err(refusal_message)?;
                 Ok(Reply::Done("the change is being rolled back".into()))
             }
-            Ask::Pause { epoch, paused } => {
+            AgentCommand::Pause { epoch, paused } => {
                 self.agent.lease_mut().check(now, epoch).map_err(lease_message)?;
                 self.write_audit(peer, if paused { "pause" } else { "resume" }, epoch)?;
                 self.agent.set_paused(now, epoch, paused).map_err(refusal_message)?;
                 Ok(Reply::Done(if paused { "the change is paused" } else { "the change is resumed" }.into()))
             }
-            Ask::Logs { name, lines } => {
+            AgentCommand::Logs { name, lines } => {
                 if self.desired.instance(&name).is_none() {
                     return Err(format!("instance {name:?} does not exist"));
                 }
                 Ok(Reply::Lines(disk::last_lines(&disk::log_path(&self.folder, &name), lines.min(1000))))
             }
-            Ask::History => Ok(Reply::Lines(disk::last_lines(&self.folder.join("audit"), 1000))),
+            AgentCommand::History => Ok(Reply::Lines(disk::last_lines(&self.folder.join("audit"), 1000))),
         }
     }
 
@@ -620,7 +620,7 @@
     let (read, mut write) = stream.into_split();
     let mut line = String::new();
     BufReader::new(read.take(MAX_MESSAGE_BYTES)).read_line(&mut line).await?;
-    let reply = match serde_json::from_str::<Ask>(&line) {
+    let reply = match serde_json::from_str::<AgentCommand>(&line) {
         Err(e) => Reply::Refused(format!("invalid command: {e}")),
         Ok(command) => {
             let (reply_sender, reply_receiver) = oneshot::channel();
--- a/crates/agent/src/talk.rs
+++ b/crates/agent/src/talk.rs
@@ -16,7 +16,7 @@
 /// given.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Ask {
+pub enum AgentCommand {
     /// Returns the status of all instances, the change and the lease.
     Status,
     /// Takes or renews the lease, without which nothing can be changed.
@@ -102,7 +102,7 @@
     History,
 }
 
-impl Ask {
+impl AgentCommand {
     /// Whether the command can change the state of the agent or of its instances.
     pub fn is_mutating(&self) -> bool {
         !matches!(self, Self::Status | Self::Plan { .. } | Self::Logs { .. } | Self::History)
@@ -172,11 +172,11 @@
 ///
 /// # Errors
 /// If the agent can't be reached, or does not send a valid reply in time.
-pub fn ask(socket: &Path, ask: &Ask) -> Result<Reply, String> {
+pub fn send_command(socket: &Path, command: &AgentCommand) -> Result<Reply, String> {
     let with_path = |e: std::io::Error| format!("{}: {e}", socket.display());
     let mut stream = UnixStream::connect(socket).map_err(with_path)?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT)).map_err(with_path)?;
-    let mut line = serde_json::to_vec(ask).map_err(|e| e.to_string())?;
+    let mut line = serde_json::to_vec(command).map_err(|e| e.to_string())?;
     line.push(b'\n');
     stream.write_all(&line).map_err(with_path)?;
     let mut reply = String::new();
--- a/crates/agent/tests/disk.rs
+++ b/crates/agent/tests/disk.rs
@@ -22,7 +22,7 @@
 fn write_journal(folder: &std::path::Path, count: usize) -> DurableState {
     let (mut journal, mut state) = Journal::open(folder).expect("a new file");
     for n in 0..count {
-        journal.write(&fact(n)).expect("the disk has space");
+        journal.append_fact(&fact(n)).expect("the disk has space");
         state.apply(&fact(n));
     }
     state
@@ -38,7 +38,7 @@
     assert_eq!(read, state);
     assert!(before > 1 << 20 && length() < 100_000, "{before}, then {}", length());
     // Facts can be appended to the compacted journal.
-    journal.write(&Fact::GaveUp { name: "n1".into() }).expect("the disk has space");
+    journal.append_fact(&Fact::GaveUp { name: "n1".into() }).expect("the disk has space");
     let (_, read) = Journal::open(&folder).expect("an undamaged journal");
     assert!(read.instances["n1"].gave_up && read.instances["n2"] == state.instances["n2"]);
     let _ = std::fs::remove_dir_all(folder);
@@ -53,7 +53,7 @@
     std::fs::write(&path, &complete[..complete.len() - 5]).expect("a file");
     let (mut journal, read) = Journal::open(&folder).expect("an incomplete last record is no damage");
     assert_eq!(read.instances.len(), 2);
-    journal.write(&fact(2)).expect("the disk has space");
+    journal.append_fact(&fact(2)).expect("the disk has space");
     assert_eq!(
         std::fs::read(&path).expect("the file exists"),
         complete,
@@ -78,13 +78,13 @@
     let path = folder.join("audit");
     let mut audit = Audit::open(&folder).expect("a new file");
     for what in ["stop n0", "start n0", "roll"] {
-        audit.add(1.0, "ada", what, 1).expect("the disk has space");
+        audit.append_entry(1.0, "ada", what, 1).expect("the disk has space");
     }
     let complete = std::fs::read_to_string(&path).expect("the file exists");
     std::fs::write(&path, &complete[..complete.len() - 9]).expect("a file");
     Audit::open(&folder)
         .expect("an incomplete last line is no damage")
-        .add(1.0, "ada", "roll", 1)
+        .append_entry(1.0, "ada", "roll", 1)
         .expect("the disk has space");
     assert_eq!(std::fs::read_to_string(&path).expect("the file exists"), complete);
     std::fs::write(&path, complete.replacen("stop", "spin", 1)).expect("a file");
--- a/crates/glenctl/src/fleet.rs
+++ b/crates/glenctl/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use glenwood_agent::talk::{ask, Ask, Reply, Status};
+use glenwood_agent::talk::{send_command, AgentCommand, Reply, Status};
 use glenwood_fleet::lease::{Bid, BidState, LeaseError};
 use serde_json::json;
 
@@ -136,8 +136,8 @@
 }
 
 /// Sends a request to an agent, and turns a refusal into an error.
-fn send(agent: &Path, request: &Ask) -> Result<Reply, CommandError> {
-    match ask(agent, request) {
+fn send(agent: &Path, request: &AgentCommand) -> Result<Reply, CommandError> {
+    match send_command(agent, request) {
         Err(message) => Err(CommandError::Unreachable(message)),
         Ok(Reply::Refused(message)) => Err(CommandError::Refused(message)),
         Ok(reply) => Ok(reply),
@@ -146,7 +146,7 @@
 
 /// Asks an agent for its status.
 fn status(agent: &Path) -> Result<Status, CommandError> {
-    match send(agent, &Ask::Status)? {
+    match send(agent, &AgentCommand::Status)? {
         Reply::Status(status) => Ok(*status),
         other => Err(CommandError::Unreachable(format!(
             "{}: expected a status reply, not {other:?}",
@@ -207,9 +207,9 @@
     }
 
     /// The request that acquires or renews the lease.
-    fn lease_request(&self) -> Ask {
+    fn lease_request(&self) -> AgentCommand {
         let (who, why) = (self.who.to_string(), self.why.clone());
-        Ask::Lease { who, why, epoch: Some(self.epoch), span_ms: LEASE_MS }
+        AgentCommand::Lease { who, why, epoch: Some(self.epoch), span_ms: LEASE_MS }
     }
 
     /// Renews the lease at each agent that granted it.
@@ -217,7 +217,7 @@
         for agent in &self.granted {
             // A restarted agent still knows the lease; if one can't be reached, the next request to it
             // reports that.
-            let _ = ask(agent, &self.lease_request());
+            let _ = send_command(agent, &self.lease_request());
         }
     }
 
@@ -234,7 +234,7 @@
     fn drop(&mut self) {
         for agent in &self.granted {
             // If this request is lost, the lease expires by itself.
-            let _ = ask(agent, &Ask::GiveBack { epoch: self.epoch });
+            let _ = send_command(agent, &AgentCommand::GiveBack { epoch: self.epoch });
         }
     }
 }
@@ -243,15 +243,15 @@
 fn send_to_each_agent(
     arguments: &Arguments,
     why: &str,
-    requests: impl Fn(u64, &Status) -> Vec<Ask>,
+    requests: impl Fn(u64, &Status) -> Vec<AgentCommand>,
 ) -> Result<(), CommandError> {
     let held = HeldLease::acquire(arguments, why)?;
     let mut failed = None;
     for agent in &arguments.agents {
         let result = || {
             let epoch = held.epoch_for(agent)?;
-            for ask in requests(epoch, &status(agent)?) {
-                if let Reply::Done(message) = send(agent, &ask)? {
+            for command in requests(epoch, &status(agent)?) {
+                if let Reply::Done(message) = send(agent, &command)? {
                     println!("{}: {message}", agent.display());
                 }
             }
@@ -363,7 +363,7 @@
         if names.is_empty() && !all {
             continue;
         }
-        let roll = Ask::Roll {
+        let roll = AgentCommand::Roll {
             epoch: held.epoch_for(agent)?,
             names,
             release: to.to_string(),
@@ -392,28 +392,31 @@
         },
         Action::Status { json, watch: false } => show_status(arguments, *json),
         Action::Plan { names, to } => check_names(arguments, names)
-            .and_then(|()| print_lines(arguments, &Ask::Plan { names: names.clone(), release: to.clone() }))
+            .and_then(|()| {
+                print_lines(arguments, &AgentCommand::Plan { names: names.clone(), release: to.clone() })
+            })
             .map(|()| true),
         Action::Retire { names } => check_names(arguments, names).and_then(|()| {
             send_to_each_agent(arguments, "retire", |epoch, status| {
                 let on_this_agent = names.iter().filter(|n| status.instances.contains_key(*n));
-                on_this_agent.map(|name| Ask::Retire { epoch, name: name.clone() }).collect()
+                on_this_agent.map(|name| AgentCommand::Retire { epoch, name: name.clone() }).collect()
             })
             .map(|()| true)
         }),
         Action::Apply => {
-            send_to_each_agent(arguments, "apply", |epoch, _| vec![Ask::Apply { epoch }]).map(|()| true)
+            send_to_each_agent(arguments, "apply", |epoch, _| vec![AgentCommand::Apply { epoch }])
+                .map(|()| true)
         }
         Action::Start { names } => set_wanted(arguments, names, true, None),
         Action::Stop { names, force } => set_wanted(arguments, names, false, force.as_ref()),
         Action::Roll { names, to, force, no_wait } => roll(arguments, names, to, force.as_ref(), !no_wait),
-        Action::Abort => control_change(arguments, |epoch| Ask::Abort { epoch }),
-        Action::Pause => control_change(arguments, |epoch| Ask::Pause { epoch, paused: true }),
-        Action::Resume => control_change(arguments, |epoch| Ask::Pause { epoch, paused: false }),
+        Action::Abort => control_change(arguments, |epoch| AgentCommand::Abort { epoch }),
+        Action::Pause => control_change(arguments, |epoch| AgentCommand::Pause { epoch, paused: true }),
+        Action::Resume => control_change(arguments, |epoch| AgentCommand::Pause { epoch, paused: false }),
         Action::Logs { name, lines } => {
-            print_lines(arguments, &Ask::Logs { name: name.clone(), lines: *lines }).map(|()| true)
+            print_lines(arguments, &AgentCommand::Logs { name: name.clone(), lines: *lines }).map(|()| true)
         }
-        Action::History => print_lines(arguments, &Ask::History).map(|()| true),
+        Action::History => print_lines(arguments, &AgentCommand::History).map(|()| true),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
@@ -446,7 +449,7 @@
     let asks = |epoch: u64, status: &Status| {
         let on_this_agent = names.iter().filter(|n| status.instances.contains_key(*n));
         on_this_agent
-            .map(|name| Ask::Want { epoch, name: name.clone(), run, force: force.cloned() })
+            .map(|name| AgentCommand::Want { epoch, name: name.clone(), run, force: force.cloned() })
             .collect()
     };
     send_to_each_agent(arguments, if run { "start" } else { "stop" }, asks).map(|()| true)
@@ -454,7 +457,10 @@
 
 /// Aborts, pauses or resumes the changes in progress, under the epoch of the operator who began them and so
 /// holds the lease.
-fn control_change(arguments: &Arguments, request: impl Fn(u64) -> Ask) -> Result<bool, CommandError> {
+fn control_change(
+    arguments: &Arguments,
+    request: impl Fn(u64) -> AgentCommand,
+) -> Result<bool, CommandError> {
     for agent in &arguments.agents {
         let now = status(agent)?;
         if now.change.is_none() {
@@ -476,7 +482,7 @@
 }
 
 /// Sends a request to each agent and prints the lines of the replies.
-fn print_lines(arguments: &Arguments, request: &Ask) -> Result<(), CommandError> {
+fn print_lines(arguments: &Arguments, request: &AgentCommand) -> Result<(), CommandError> {
     for agent in &arguments.agents {
         if let Reply::Lines(lines) = send(agent, request)? {
             lines.iter().for_each(|line| println!("{line}"));
--- a/crates/glenctl/tests/fleet.rs
+++ b/crates/glenctl/tests/fleet.rs
@@ -132,13 +132,13 @@
     assert!(machine.fleet(&["stop", "n1", "--override", "again"]).status.success());
     until("it is stopped", || machine.of("n1")["pid"].is_null());
     // Another operator holds the lease.
-    let lease = glenwood_agent::talk::Ask::Lease {
+    let lease = glenwood_agent::talk::AgentCommand::Lease {
         who: "ben".into(),
         why: "a look".into(),
         epoch: None,
         span_ms: 60_000.0,
     };
-    let granted = glenwood_agent::talk::ask(&machine.socket(), &lease);
+    let granted = glenwood_agent::talk::send_command(&machine.socket(), &lease);
     assert!(matches!(granted, Ok(glenwood_agent::talk::Reply::Granted(_))), "{granted:?}");
     let refused = machine.fleet(&["start", "n1"]);
     assert_eq!(refused.status.code(), Some(3));
@@ -201,8 +201,8 @@
     for machine in &machines[..2] {
         let epoch = machine.status().expect("the agent answers")["epoch"].as_u64().map(|e| e + 1);
         let (who, why) = ("ben".to_string(), "a look".to_string());
-        let lease = glenwood_agent::talk::Ask::Lease { who, why, epoch, span_ms: 60_000.0 };
-        let granted = glenwood_agent::talk::ask(&machine.socket(), &lease);
+        let lease = glenwood_agent::talk::AgentCommand::Lease { who, why, epoch, span_ms: 60_000.0 };
+        let granted = glenwood_agent::talk::send_command(&machine.socket(), &lease);
         assert!(matches!(granted, Ok(glenwood_agent::talk::Reply::Granted(_))), "{granted:?}");
     }
     let output = fleet(&["roll", "--to", "r2"]);
