--- a/crates/glenctl/src/trace.rs
+++ b/crates/glenctl/src/trace.rs
@@ -42,7 +42,7 @@
         let bytes = std::fs::read(path).map_err(with_path(path))?;
         let node = path.file_stem().unwrap_or_default().to_string_lossy();
         for line in String::from_utf8_lossy(&bytes).lines() {
-            found |= tables.take(&node, line);
+            found |= tables.add_line(&node, line);
         }
     }
     if !found {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use glenwood_list::lines::{self, Message, MessageReader, StreamError};
 use glenwood_policy::{ListFailure, Millis};
-use glenwood_trace::Doing;
+use glenwood_trace::TraceEvent;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -96,7 +96,7 @@
         Some(version) => version,
         None => fetch_list(hub, service).await?,
     };
-    hub.trace(|_| Doing::Asking { from: Some(version) });
+    hub.trace(|_| TraceEvent::DiscoveryRequest { from: Some(version) });
     let mut body = call(service, &format!("/v1/endpoints?watch=1&from={version}")).await?;
     hub.discovery_answering();
     let mut lines = MessageReader::default();
@@ -135,14 +135,14 @@
     }
 }
 
-fn watch_ended_event(call: &Call, lines: &MessageReader) -> Doing {
+fn watch_ended_event(call: &Call, lines: &MessageReader) -> TraceEvent {
     let last = call.sock.last_heard().iter().map(|byte| format!("{byte:02x}")).collect();
-    Doing::WatchEnded { amid: lines.has_partial_message(), last }
+    TraceEvent::WatchEnded { mid_message: lines.has_partial_message(), last }
 }
 
 /// Requests the complete list once.
 async fn fetch_list(hub: &Rc<Hub>, service: SocketAddr) -> Result<u64, Ended> {
-    hub.trace(|_| Doing::Asking { from: None });
+    hub.trace(|_| TraceEvent::DiscoveryRequest { from: None });
     let mut body = call(service, "/v1/endpoints").await?;
     hub.discovery_answering();
     let mut text = Vec::new();
--- a/crates/node/src/front/table.rs
+++ b/crates/node/src/front/table.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenwood_trace::Doing;
+use glenwood_trace::TraceEvent;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -152,7 +152,7 @@
             client.set_evicted(false, &self.evicting);
             if let Some(peer) = client.peer {
                 let reason = format!("{:?}", client.ending.get());
-                self.hub.trace(|_| Doing::Close { client: peer.to_string(), reason });
+                self.hub.trace(|_| TraceEvent::Close { client: peer.to_string(), reason });
             }
         }
         self.freed.notify_one();
--- a/crates/node/src/hub/answers.rs
+++ b/crates/node/src/hub/answers.rs
@@ -6,7 +6,7 @@
 use glenwood_core::AttemptId;
 use glenwood_exchange::{RequiredIdle, Scope, UnsolicitedBytes, Verdict};
 use glenwood_policy::ServerId;
-use glenwood_trace::Doing;
+use glenwood_trace::TraceEvent;
 
 use super::Hub;
 use crate::log;
@@ -47,11 +47,11 @@
         self.figures.with(|figures| figures.out_of_turn += 1);
         let UnsolicitedBytes { phase, after, age, answers } = seen;
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
-        self.trace(|name| Doing::OutOfTurn {
+        self.trace(|name| TraceEvent::UnsolicitedBytes {
             server: name(server),
-            position: phase.to_string(),
-            after: ms(after),
-            age: ms(age),
+            connection_state: phase.to_string(),
+            idle_ms: ms(after),
+            age_ms: ms(age),
             answers,
         });
         if scope.is_none() && !self.answer_log_budget.take(Instant::now()) {
@@ -81,12 +81,12 @@
         self.figures.with(|figures| figures.doubted_answers += 1);
         let Some(attempt) = attempt else { return };
         let (proof, reason) = (verdict.proof, verdict.reason);
-        self.trace(|name| Doing::Doubted {
+        self.trace(|name| TraceEvent::DistrustedAnswer {
             request: attempt.request.0,
             attempt: attempt.number,
             server: name(server),
             proof: format!("{proof:?}"),
-            why: reason.to_string(),
+            cause: reason.to_string(),
         });
         if self.answer_log_budget.take(Instant::now()) {
             let (node, name) = (&self.config.name, self.server_name(server));
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -17,7 +17,7 @@
 use glenwood_operation::places::{Slot, Slots};
 use glenwood_policy::{Discovery, Millis, Outcome, RequestId, ServerId, SettingsError};
 use glenwood_settings::NodeSettings;
-use glenwood_trace::{Answer, Doing, Record};
+use glenwood_trace::{Answer, Record, TraceEvent};
 use tokio::sync::Notify;
 
 use crate::call::{Call, Reply};
@@ -306,7 +306,7 @@
             let Some(output) = output else { break };
             match output {
                 Output::Answer { request, answer } => {
-                    self.trace(|_| Doing::Answer { request: request.0, answer: trace_answer(&answer) });
+                    self.trace(|_| TraceEvent::Answer { request: request.0, answer: trace_answer(&answer) });
                     self.count(&answer);
                     let waiter = self.waiters.borrow_mut().remove(&request);
                     if let Some(waiter) = waiter {
@@ -314,10 +314,13 @@
                     }
                 }
                 Output::Explain { request, reason } => {
-                    self.trace(|_| Doing::Explain { request: request.0, reason: format!("{reason:?}") });
+                    self.trace(|_| TraceEvent::AnswerReason {
+                        request: request.0,
+                        reason: format!("{reason:?}"),
+                    });
                 }
                 Output::Start { attempt, server, end, payload } => {
-                    self.trace(|name| Doing::Send {
+                    self.trace(|name| TraceEvent::Send {
                         request: attempt.request.0,
                         attempt: attempt.number,
                         server: name(server),
@@ -328,11 +331,11 @@
                 Output::Recall(attempt) if actions.is_unsent(attempt) => actions.abandon(attempt),
                 Output::Recall(_) => {}
                 Output::Subscribe => {
-                    self.trace(|_| Doing::Call);
+                    self.trace(|_| TraceEvent::Call);
                     actions.subscribe();
                 }
                 Output::Probe(server) => {
-                    self.trace(|name| Doing::Probe(name(server)));
+                    self.trace(|name| TraceEvent::Probe(name(server)));
                     actions.probe(server);
                 }
             }
@@ -360,9 +363,9 @@
 
     // ---- Tracing ----
 
-    /// Logs what the node does, where the operator enabled tracing; `doing` is only evaluated then. It gets
+    /// Logs what the node does, where the operator enabled tracing; `event` is only evaluated then. It gets
     /// a function that returns a server's name.
-    pub(crate) fn trace(&self, doing: impl FnOnce(&dyn Fn(ServerId) -> String) -> Doing) {
+    pub(crate) fn trace(&self, event: impl FnOnce(&dyn Fn(ServerId) -> String) -> TraceEvent) {
         let trace = self.config.operator.trace;
         if !trace.is_on() {
             return;
@@ -371,8 +374,8 @@
         // The time is derived from the monotonic clock, so that a step of the wall clock does not break a
         // timeline.
         let at = self.clock.unix_ms();
-        let record = Record { at, doing: doing(&name) };
-        log::write_line(if trace == Trace::Json { record.json() } else { record.to_string() });
+        let record = Record { at, event: event(&name) };
+        log::write_line(if trace == Trace::Json { record.to_json() } else { record.to_string() });
     }
 
     /// A server's name in the list, or its number in hex.
@@ -386,18 +389,18 @@
             return;
         }
         let Some((server, sent)) = self.core.borrow().pending_attempt(attempt) else { return };
-        self.trace(|name| Doing::End {
+        self.trace(|name| TraceEvent::End {
             request: attempt.request.0,
             attempt: attempt.number,
             server: name(server),
             outcome: format!("{outcome:?}"),
-            took: self.clock.now() - sent,
+            duration_ms: self.clock.now() - sent,
         });
     }
 
     /// A connection to a server is being opened.
     pub fn connecting(&self, server: ServerId) {
-        self.trace(|name| Doing::Connect(name(server)));
+        self.trace(|name| TraceEvent::Connect(name(server)));
     }
 
     // ---- Metrics ----
@@ -497,9 +500,9 @@
         let payload = self.config.operator.trace.is_on().then(|| incoming.payload.clone());
         let allowed_by_share = || self.usage_shares.as_ref()?.count_request(tenant?);
         let id = self.core.borrow_mut().accept_with_usage(self.clock.now(), incoming, allowed_by_share)?;
-        self.trace(|_| Doing::Ask { request: id.0, class });
+        self.trace(|_| TraceEvent::Accept { request: id.0, class });
         if let Some(call) = payload {
-            self.trace(|_| Doing::Id { request: id.0, id: call.id.as_str().to_string() });
+            self.trace(|_| TraceEvent::RequestId { request: id.0, id: call.id.as_str().to_string() });
         }
         self.waiters.borrow_mut().insert(id, waiter);
         self.process_outputs();
@@ -567,7 +570,7 @@
 
     /// A probe has ended.
     pub fn probed(&self, server: ServerId, outcome: Outcome, took: Duration) {
-        self.trace(|name| Doing::Probed { server: name(server), outcome: format!("{outcome:?}") });
+        self.trace(|name| TraceEvent::ProbeEnded { server: name(server), outcome: format!("{outcome:?}") });
         self.update_core(|core, now| core.probed(now, server, outcome, took.as_secs_f64() * 1000.0));
     }
 
--- a/crates/node/src/hub/servers.rs
+++ b/crates/node/src/hub/servers.rs
@@ -4,7 +4,7 @@
 
 use glenwood_list::Source;
 use glenwood_policy::{ListFailure, Millis, RotationStatus};
-use glenwood_trace::Doing;
+use glenwood_trace::TraceEvent;
 
 use super::Hub;
 use crate::list::{Health, ListEntry, Update, UpdateTimes};
@@ -63,11 +63,11 @@
             log::write_line(format!("discovery: {message}"));
             *self.last_discovery_error.borrow_mut() = message.to_string();
         }
-        self.trace(|_| Doing::CallFailed);
+        self.trace(|_| TraceEvent::CallFailed);
         self.update_core(|core, now| core.list_failed(now, failure));
         let now = self.clock.now();
         let due = self.core.borrow().next_call().map(|due| due - now);
-        due.into_iter().for_each(|due| self.trace(|_| Doing::CallDue(due)));
+        due.into_iter().for_each(|due| self.trace(|_| TraceEvent::CallDue(due)));
         if self.core.borrow().has_lost_list() && self.list_lost_since.get().is_none() {
             self.list_lost_since.set(Some(now));
             let version = self.version.get().map_or("none".to_string(), |version| version.to_string());
@@ -78,7 +78,7 @@
 
     /// The answer to a call to discovery has begun.
     pub fn discovery_answering(&self) {
-        self.trace(|_| Doing::Answering);
+        self.trace(|_| TraceEvent::DiscoveryResponse);
         self.update_core(|core, now| core.list_answer_started(now));
     }
 
@@ -122,10 +122,13 @@
         self.succession.borrow_mut().accept(&update, known)?;
         self.last_discovery_error.borrow_mut().clear();
         self.list_received.set(true);
-        self.trace(|_| Doing::List { whole: update.is_full, entries: update.hosts.len() });
-        self.trace(|_| Doing::Version(update.version));
+        self.trace(|_| TraceEvent::List { complete: update.is_full, entries: update.hosts.len() });
+        self.trace(|_| TraceEvent::Version(update.version));
         for host in update.hosts.iter().filter(|host| host.health != Health::Active) {
-            self.trace(|_| Doing::Entry { server: host.host.clone(), health: format!("{:?}", host.health) });
+            self.trace(|_| TraceEvent::Entry {
+                server: host.host.clone(),
+                health: format!("{:?}", host.health),
+            });
         }
         let rotation_status = self.list_lost_since.get().map(|_| self.core.borrow().rotation_status());
         self.take_list(Source::Discovery, update, false);
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -11,7 +11,7 @@
 use glenwood_operation::upgrade::Incumbent;
 use glenwood_policy::{Discovery, Outcome, ServerId};
 use glenwood_signals::{SignalKind, Signals};
-use glenwood_trace::Doing;
+use glenwood_trace::TraceEvent;
 use tokio::net::{TcpListener, TcpSocket, UnixListener};
 use tokio::task::{spawn_local, AbortHandle};
 
@@ -398,14 +398,14 @@
                 log::write_line(format!("reload: discovery is {discovery}"));
                 // An open call to an unchanged address is kept: asking again costs the service and brings
                 // nothing new.
-                let moved = actions.discovery.replace(discovery) != discovery;
-                actions.hub.trace(|_| Doing::Reload { taken: true, moved });
-                if moved {
+                let address_changed = actions.discovery.replace(discovery) != discovery;
+                actions.hub.trace(|_| TraceEvent::Reload { in_effect: true, address_changed });
+                if address_changed {
                     actions.hub.discovery_moved();
                 }
             }
             Err(reason) => {
-                actions.hub.trace(|_| Doing::Reload { taken: false, moved: false });
+                actions.hub.trace(|_| TraceEvent::Reload { in_effect: false, address_changed: false });
                 log::write_line(format!("reload: {reason}; the old configuration stays"));
             }
         }
--- a/crates/node/tests/fleet_size.rs
+++ b/crates/node/tests/fleet_size.rs
@@ -63,8 +63,8 @@
         assert!(!matches!(ask_once(Protocol::Http, node.address, &bad).0, Answer::Served(_)));
         let count = |node: &Node| {
             let mut tables = Tables::default();
-            let taken = node.log().iter().filter(|line| tables.take("n0", line)).count();
-            (taken, tables.count())
+            let taken = node.log().iter().filter(|line| tables.add_line("n0", line)).count();
+            (taken, tables.aggregate())
         };
         if !on {
             assert_eq!(count(&node).0, 0);
@@ -73,10 +73,14 @@
         until("all is written", || count(&node).1 .0.values().map(|s| s.answers[0]).sum::<usize>() == 3);
         let (_, (seconds, servers)) = count(&node);
         let sum = |of: fn(&glenwood_trace::Second) -> usize| seconds.values().map(of).sum::<usize>();
-        assert_eq!((sum(|s| s.asked), sum(|s| s.sends.0), sum(|s| s.sends.1)), (3, 3, 0));
+        assert_eq!((sum(|s| s.accepted), sum(|s| s.sends.0), sum(|s| s.sends.1)), (3, 3, 0));
         assert!(sum(|s| s.calls.0) >= 1 && sum(|s| s.lists) >= 1);
         let of = &servers["s0"];
-        assert_eq!((of.sends, of.done.0, of.connects), (3, 3, 1), "kept connections are not opened again");
+        assert_eq!(
+            (of.sends, of.answered.0, of.connects),
+            (3, 3, 1),
+            "kept connections are not opened again"
+        );
     }
 }
 
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use glenwood_trace::{Doing, Record};
+use glenwood_trace::{Record, TraceEvent};
 use peers::{
     answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Say, PATIENCE,
 };
@@ -672,10 +672,10 @@
     let records = || -> Vec<Record> {
         node.log_of(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
     };
-    until("it is answered", || records().iter().any(|r| matches!(r.doing, Doing::Answer { .. })));
-    let named = |r: &Record| matches!(&r.doing, Doing::Id { id, .. } if id == odd);
+    until("it is answered", || records().iter().any(|r| matches!(r.event, TraceEvent::Answer { .. })));
+    let named = |r: &Record| matches!(&r.event, TraceEvent::RequestId { id, .. } if id == odd);
     assert!(records().iter().any(named), "{:?}", records());
-    assert!(records().iter().any(|r| matches!(&r.doing, Doing::Send { server, .. } if server == "s0")));
+    assert!(records().iter().any(|r| matches!(&r.event, TraceEvent::Send { server, .. } if server == "s0")));
     assert!(!node.logged("trace "), "no other form beside it");
 }
 
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -5,5 +5,5 @@
 mod record;
 mod tables;
 
-pub use record::{Answer, Doing, Record};
+pub use record::{Answer, Record, TraceEvent};
 pub use tables::{Second, ServerTotals, Tables};
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -26,29 +26,33 @@
 /// An event at a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "doing", content = "of", rename_all = "kebab-case")]
-pub enum Doing {
+pub enum TraceEvent {
     /// Started a call to discovery.
     Call,
     /// Received the complete list of servers from discovery, or changes to it.
     List {
         /// Whether it is the complete list.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         /// The number of entries.
         entries: usize,
     },
     /// A call to discovery failed, or its watch ended.
     CallFailed,
     /// Wrote a request to discovery for the changes after a version, or for the complete list.
-    Asking {
+    #[serde(rename = "asking")]
+    DiscoveryRequest {
         /// The version to watch from; `None` for the complete list.
         from: Option<u64>,
     },
     /// Received the header of discovery's response.
-    Answering,
+    #[serde(rename = "answering")]
+    DiscoveryResponse,
     /// An established watch ended.
     WatchEnded {
         /// Whether it ended within a message.
-        amid: bool,
+        #[serde(rename = "amid")]
+        mid_message: bool,
         /// The last bytes received on the connection, in hexadecimal.
         last: String,
     },
@@ -66,30 +70,35 @@
     /// Tried to load a new configuration.
     Reload {
         /// Whether the configuration is now in effect.
-        taken: bool,
+        #[serde(rename = "taken")]
+        in_effect: bool,
         /// Whether the address of discovery has changed.
-        moved: bool,
+        #[serde(rename = "moved")]
+        address_changed: bool,
     },
     /// Started to open a connection to a server.
     Connect(String),
     /// Sent a probe to a server.
     Probe(String),
     /// A probe ended.
-    Probed {
+    #[serde(rename = "probed")]
+    ProbeEnded {
         /// The server.
         server: String,
         /// How it ended, in one word.
         outcome: String,
     },
     /// Accepted a request from a client.
-    Ask {
+    #[serde(rename = "ask")]
+    Accept {
         /// The request's number at this node.
         request: u64,
         /// The index of the request's class.
         class: usize,
     },
     /// The client's id for an accepted request.
-    Id {
+    #[serde(rename = "id")]
+    RequestId {
         /// The request's number at this node.
         request: u64,
         /// The client's id for the request.
@@ -115,23 +124,29 @@
         /// How it ended, in one word.
         outcome: String,
         /// The duration of the attempt in milliseconds.
-        took: f64,
+        #[serde(rename = "took")]
+        duration_ms: f64,
     },
     /// Received bytes from a server that belong to no outstanding request.
-    OutOfTurn {
+    #[serde(rename = "out-of-turn")]
+    UnsolicitedBytes {
         /// The server.
         server: String,
         /// The state of the connection, in one word.
-        position: String,
+        #[serde(rename = "position")]
+        connection_state: String,
         /// Time since the last answer, or since the connection was established, in milliseconds.
-        after: f64,
+        #[serde(rename = "after")]
+        idle_ms: f64,
         /// The age of the connection in milliseconds.
-        age: f64,
+        #[serde(rename = "age")]
+        age_ms: f64,
         /// The number of answers received on the connection before.
         answers: u32,
     },
     /// An answer was not accepted as proof of what it states.
-    Doubted {
+    #[serde(rename = "doubted")]
+    DistrustedAnswer {
         /// The request.
         request: u64,
         /// The attempt's number.
@@ -141,10 +156,12 @@
         /// What is proven about the attempt, in one word.
         proof: String,
         /// Why, in one word.
-        why: String,
+        #[serde(rename = "why")]
+        cause: String,
     },
     /// The reason why the answer that follows is a refusal or a failure.
-    Explain {
+    #[serde(rename = "explain")]
+    AnswerReason {
         /// The request.
         request: u64,
         /// Why, in one word.
@@ -173,16 +190,16 @@
     pub at: f64,
     /// The event.
     #[serde(flatten)]
-    pub doing: Doing,
+    pub event: TraceEvent,
 }
 
 /// Tokens for whether a new configuration is in effect: yes, no.
-const RELOAD_TAKEN: [&str; 2] = ["taken", "refused"];
+const IN_EFFECT_TOKENS: [&str; 2] = ["taken", "refused"];
 /// Tokens for whether the address of discovery has changed: yes, no.
-const RELOAD_MOVED: [&str; 2] = ["moved", "same"];
+const ADDRESS_CHANGED_TOKENS: [&str; 2] = ["moved", "same"];
 
 /// Tokens for whether a watch ended within a message: yes, no.
-const ENDED_AMID: [&str; 2] = ["amid", "between"];
+const MID_MESSAGE_TOKENS: [&str; 2] = ["amid", "between"];
 
 /// The token for a flag, from the tokens for yes and no.
 fn flag_token(yes: bool, tokens: [&'static str; 2]) -> &'static str {
@@ -202,42 +219,47 @@
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "trace {:.1} ", self.at)?;
-        match &self.doing {
-            Doing::Call => write!(f, "call"),
-            Doing::List { whole, entries } => {
-                write!(f, "list {} {entries}", if *whole { "whole" } else { "change" })
+        match &self.event {
+            TraceEvent::Call => write!(f, "call"),
+            TraceEvent::List { complete, entries } => {
+                write!(f, "list {} {entries}", if *complete { "whole" } else { "change" })
             }
-            Doing::CallFailed => write!(f, "call-failed"),
-            Doing::Asking { from: Some(version) } => write!(f, "asking changes {version}"),
-            Doing::Asking { from: None } => write!(f, "asking whole"),
-            Doing::Answering => write!(f, "answering"),
-            Doing::WatchEnded { amid, last } => {
-                write!(f, "watch-ended {} {last}", flag_token(*amid, ENDED_AMID))
+            TraceEvent::CallFailed => write!(f, "call-failed"),
+            TraceEvent::DiscoveryRequest { from: Some(version) } => write!(f, "asking changes {version}"),
+            TraceEvent::DiscoveryRequest { from: None } => write!(f, "asking whole"),
+            TraceEvent::DiscoveryResponse => write!(f, "answering"),
+            TraceEvent::WatchEnded { mid_message, last } => {
+                write!(f, "watch-ended {} {last}", flag_token(*mid_message, MID_MESSAGE_TOKENS))
             }
-            Doing::Version(version) => write!(f, "version {version}"),
-            Doing::Entry { server, health } => write!(f, "entry {server} {health}"),
-            Doing::CallDue(within) => write!(f, "call-due {within:.1}"),
-            Doing::Reload { taken, moved } => {
-                write!(f, "reload {} {}", flag_token(*taken, RELOAD_TAKEN), flag_token(*moved, RELOAD_MOVED))
+            TraceEvent::Version(version) => write!(f, "version {version}"),
+            TraceEvent::Entry { server, health } => write!(f, "entry {server} {health}"),
+            TraceEvent::CallDue(within) => write!(f, "call-due {within:.1}"),
+            TraceEvent::Reload { in_effect, address_changed } => {
+                write!(
+                    f,
+                    "reload {} {}",
+                    flag_token(*in_effect, IN_EFFECT_TOKENS),
+                    flag_token(*address_changed, ADDRESS_CHANGED_TOKENS)
+                )
             }
-            Doing::Id { request, id } => write!(f, "id {request} {id}"),
-            Doing::Connect(server) => write!(f, "connect {server}"),
-            Doing::Probe(server) => write!(f, "probe {server}"),
-            Doing::Probed { server, outcome } => write!(f, "probed {server} {outcome}"),
-            Doing::Ask { request, class } => write!(f, "ask {request} {class}"),
-            Doing::Send { request, attempt, server } => write!(f, "send {request} {attempt} {server}"),
-            Doing::End { request, attempt, server, outcome, took } => {
-                write!(f, "end {request} {attempt} {server} {outcome} {took:.1}")
+            TraceEvent::RequestId { request, id } => write!(f, "id {request} {id}"),
+            TraceEvent::Connect(server) => write!(f, "connect {server}"),
+            TraceEvent::Probe(server) => write!(f, "probe {server}"),
+            TraceEvent::ProbeEnded { server, outcome } => write!(f, "probed {server} {outcome}"),
+            TraceEvent::Accept { request, class } => write!(f, "ask {request} {class}"),
+            TraceEvent::Send { request, attempt, server } => write!(f, "send {request} {attempt} {server}"),
+            TraceEvent::End { request, attempt, server, outcome, duration_ms } => {
+                write!(f, "end {request} {attempt} {server} {outcome} {duration_ms:.1}")
             }
-            Doing::OutOfTurn { server, position, after, age, answers } => {
-                write!(f, "out-of-turn {server} {position} {after:.1} {age:.1} {answers}")
+            TraceEvent::UnsolicitedBytes { server, connection_state, idle_ms, age_ms, answers } => {
+                write!(f, "out-of-turn {server} {connection_state} {idle_ms:.1} {age_ms:.1} {answers}")
             }
-            Doing::Doubted { request, attempt, server, proof, why } => {
-                write!(f, "doubted {request} {attempt} {server} {proof} {why}")
+            TraceEvent::DistrustedAnswer { request, attempt, server, proof, cause } => {
+                write!(f, "doubted {request} {attempt} {server} {proof} {cause}")
             }
-            Doing::Explain { request, reason } => write!(f, "explain {request} {reason}"),
-            Doing::Close { client, reason } => write!(f, "close {client} {reason}"),
-            Doing::Answer { request, answer } => {
+            TraceEvent::AnswerReason { request, reason } => write!(f, "explain {request} {reason}"),
+            TraceEvent::Close { client, reason } => write!(f, "close {client} {reason}"),
+            TraceEvent::Answer { request, answer } => {
                 let name = Answer::NAMES.iter().find(|(a, _)| a == answer).map_or("", |(_, name)| name);
                 write!(f, "answer {request} {name}")
             }
@@ -247,7 +269,7 @@
 
 impl Record {
     /// The record as one line of JSON.
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         // Serialization cannot fail: a record has only strings, numbers and flags.
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -264,74 +286,77 @@
         let at: f64 = tokens.next()?.parse().ok().filter(|at: &f64| at.is_finite())?;
         let kind = tokens.next()?;
         let mut next = || tokens.next();
-        let doing = match kind {
-            "call" => Doing::Call,
-            "list" => Doing::List {
-                whole: match next()? {
+        let event = match kind {
+            "call" => TraceEvent::Call,
+            "list" => TraceEvent::List {
+                complete: match next()? {
                     "whole" => true,
                     "change" => false,
                     _ => return None,
                 },
                 entries: next()?.parse().ok()?,
             },
-            "call-failed" => Doing::CallFailed,
-            "asking" => Doing::Asking {
+            "call-failed" => TraceEvent::CallFailed,
+            "asking" => TraceEvent::DiscoveryRequest {
                 from: match next()? {
                     "whole" => None,
                     "changes" => Some(next()?.parse().ok()?),
                     _ => return None,
                 },
             },
-            "answering" => Doing::Answering,
-            "watch-ended" => {
-                Doing::WatchEnded { amid: parse_flag(next()?, ENDED_AMID)?, last: next()?.into() }
+            "answering" => TraceEvent::DiscoveryResponse,
+            "watch-ended" => TraceEvent::WatchEnded {
+                mid_message: parse_flag(next()?, MID_MESSAGE_TOKENS)?,
+                last: next()?.into(),
+            },
+            "version" => TraceEvent::Version(next()?.parse().ok()?),
+            "entry" => TraceEvent::Entry { server: next()?.into(), health: next()?.into() },
+            "call-due" => {
+                TraceEvent::CallDue(next()?.parse().ok().filter(|within: &f64| within.is_finite())?)
             }
-            "version" => Doing::Version(next()?.parse().ok()?),
-            "entry" => Doing::Entry { server: next()?.into(), health: next()?.into() },
-            "call-due" => Doing::CallDue(next()?.parse().ok().filter(|within: &f64| within.is_finite())?),
-            "reload" => Doing::Reload {
-                taken: parse_flag(next()?, RELOAD_TAKEN)?,
-                moved: parse_flag(next()?, RELOAD_MOVED)?,
+            "reload" => TraceEvent::Reload {
+                in_effect: parse_flag(next()?, IN_EFFECT_TOKENS)?,
+                address_changed: parse_flag(next()?, ADDRESS_CHANGED_TOKENS)?,
             },
-            "id" => Doing::Id { request: next()?.parse().ok()?, id: next()?.into() },
-            "out-of-turn" => Doing::OutOfTurn {
+            "id" => TraceEvent::RequestId { request: next()?.parse().ok()?, id: next()?.into() },
+            "out-of-turn" => TraceEvent::UnsolicitedBytes {
                 server: next()?.into(),
-                position: next()?.into(),
-                after: parse_finite(next()?)?,
-                age: parse_finite(next()?)?,
+                connection_state: next()?.into(),
+                idle_ms: parse_finite(next()?)?,
+                age_ms: parse_finite(next()?)?,
                 answers: next()?.parse().ok()?,
             },
-            "doubted" => Doing::Doubted {
+            "doubted" => TraceEvent::DistrustedAnswer {
                 request: next()?.parse().ok()?,
                 attempt: next()?.parse().ok()?,
                 server: next()?.into(),
                 proof: next()?.into(),
-                why: next()?.into(),
+                cause: next()?.into(),
             },
-            "explain" => Doing::Explain { request: next()?.parse().ok()?, reason: next()?.into() },
-            "close" => Doing::Close { client: next()?.into(), reason: next()?.into() },
-            "connect" => Doing::Connect(next()?.into()),
-            "probe" => Doing::Probe(next()?.into()),
-            "probed" => Doing::Probed { server: next()?.into(), outcome: next()?.into() },
-            "ask" => Doing::Ask { request: next()?.parse().ok()?, class: next()?.parse().ok()? },
-            "send" => Doing::Send {
+            "explain" => TraceEvent::AnswerReason { request: next()?.parse().ok()?, reason: next()?.into() },
+            "close" => TraceEvent::Close { client: next()?.into(), reason: next()?.into() },
+            "connect" => TraceEvent::Connect(next()?.into()),
+            "probe" => TraceEvent::Probe(next()?.into()),
+            "probed" => TraceEvent::ProbeEnded { server: next()?.into(), outcome: next()?.into() },
+            "ask" => TraceEvent::Accept { request: next()?.parse().ok()?, class: next()?.parse().ok()? },
+            "send" => TraceEvent::Send {
                 request: next()?.parse().ok()?,
                 attempt: next()?.parse().ok()?,
                 server: next()?.into(),
             },
-            "end" => Doing::End {
+            "end" => TraceEvent::End {
                 request: next()?.parse().ok()?,
                 attempt: next()?.parse().ok()?,
                 server: next()?.into(),
                 outcome: next()?.into(),
-                took: next()?.parse().ok().filter(|took: &f64| took.is_finite())?,
+                duration_ms: next()?.parse().ok().filter(|duration_ms: &f64| duration_ms.is_finite())?,
             },
             "answer" => {
                 let (request, name) = (next()?.parse().ok()?, next()?);
-                Doing::Answer { request, answer: Answer::NAMES.iter().find(|(_, n)| *n == name)?.0 }
+                TraceEvent::Answer { request, answer: Answer::NAMES.iter().find(|(_, n)| *n == name)?.0 }
             }
             _ => return None,
         };
-        next().is_none().then_some(Self { at, doing })
+        next().is_none().then_some(Self { at, event })
     }
 }
--- a/crates/trace/src/tables.rs
+++ b/crates/trace/src/tables.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-use crate::{Answer, Doing, Record};
+use crate::{Answer, Record, TraceEvent};
 
 /// Totals of the fleet for one second.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -19,7 +19,7 @@
     /// Probes sent.
     pub probes: usize,
     /// Requests accepted.
-    pub asked: usize,
+    pub accepted: usize,
     /// Attempts: first attempts and retries.
     pub sends: (usize, usize),
     /// Servers to which an attempt was sent.
@@ -44,9 +44,9 @@
     /// Connections opened.
     pub connects: usize,
     /// Attempts that ended with an answer, and the sum of their durations in milliseconds.
-    pub done: (usize, f64),
+    pub answered: (usize, f64),
     /// Attempts that ended otherwise.
-    pub not_done: usize,
+    pub unanswered: usize,
     /// The maximum number of concurrent attempts of all nodes.
     pub max_concurrent: usize,
 }
@@ -62,19 +62,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     /// Time, node and event of each record; sorted by time when they are counted.
-    records: Vec<(f64, String, Doing)>,
+    records: Vec<(f64, String, TraceEvent)>,
 }
 
 impl Tables {
     /// Adds a line of a node's log; returns false if it contains no record.
-    pub fn take(&mut self, node: &str, line: &str) -> bool {
+    pub fn add_line(&mut self, node: &str, line: &str) -> bool {
         let Some(record) = Record::find(line) else { return false };
-        self.records.push((record.at, node.to_string(), record.doing));
+        self.records.push((record.at, node.to_string(), record.event));
         true
     }
 
     /// Aggregates the records per second since the first one and per server name.
-    pub fn count(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerTotals>) {
+    pub fn aggregate(&mut self) -> (BTreeMap<u64, Second>, BTreeMap<String, ServerTotals>) {
         self.records.sort_by(|a, b| a.0.total_cmp(&b.0));
         let start = self.records.first().map_or(0.0, |earliest| earliest.0);
         let (mut seconds, mut servers) =
@@ -84,35 +84,35 @@
         let mut open: BTreeMap<(String, u64, usize), String> = BTreeMap::new();
         let mut last_request: BTreeMap<String, u64> = BTreeMap::new();
         let mut by_second: BTreeMap<u64, BTreeMap<String, (usize, usize)>> = BTreeMap::new();
-        for (at, node, doing) in &self.records {
+        for (at, node, event) in &self.records {
             let number = ((at - start) / 1000.0) as u64;
             let second = seconds.entry(number).or_default();
             let of_server = by_second.entry(number).or_default();
-            match doing {
-                Doing::Call => second.calls.0 += 1,
-                Doing::CallFailed => second.calls.1 += 1,
-                Doing::List { .. } => second.lists += 1,
-                Doing::Connect(server) => {
+            match event {
+                TraceEvent::Call => second.calls.0 += 1,
+                TraceEvent::CallFailed => second.calls.1 += 1,
+                TraceEvent::List { .. } => second.lists += 1,
+                TraceEvent::Connect(server) => {
                     second.connects += 1;
                     servers.entry(server.clone()).or_default().connects += 1;
                     of_server.entry(server.clone()).or_default().1 += 1;
                 }
-                Doing::Probe(_) => second.probes += 1,
-                Doing::OutOfTurn { .. }
-                | Doing::Doubted { .. }
-                | Doing::Asking { .. }
-                | Doing::Answering
-                | Doing::WatchEnded { .. }
-                | Doing::Version(_)
-                | Doing::Entry { .. }
-                | Doing::CallDue(_)
-                | Doing::Reload { .. }
-                | Doing::Probed { .. }
-                | Doing::Explain { .. }
-                | Doing::Close { .. }
-                | Doing::Id { .. } => {}
-                Doing::Ask { request, .. } => {
-                    second.asked += 1;
+                TraceEvent::Probe(_) => second.probes += 1,
+                TraceEvent::UnsolicitedBytes { .. }
+                | TraceEvent::DistrustedAnswer { .. }
+                | TraceEvent::DiscoveryRequest { .. }
+                | TraceEvent::DiscoveryResponse
+                | TraceEvent::WatchEnded { .. }
+                | TraceEvent::Version(_)
+                | TraceEvent::Entry { .. }
+                | TraceEvent::CallDue(_)
+                | TraceEvent::Reload { .. }
+                | TraceEvent::ProbeEnded { .. }
+                | TraceEvent::AnswerReason { .. }
+                | TraceEvent::Close { .. }
+                | TraceEvent::RequestId { .. } => {}
+                TraceEvent::Accept { request, .. } => {
+                    second.accepted += 1;
                     if last_request.insert(node.clone(), *request).is_some_and(|last| last >= *request) {
                         // The node was restarted and its request numbers start again: its open attempts have
                         // ended.
@@ -126,7 +126,7 @@
                         });
                     }
                 }
-                Doing::Send { request, attempt, server } => {
+                TraceEvent::Send { request, attempt, server } => {
                     attempted.insert((node.clone(), *request));
                     if *attempt == 0 {
                         second.sends.0 += 1;
@@ -144,19 +144,19 @@
                         sum.max_concurrent = sum.max_concurrent.max(*concurrent);
                     }
                 }
-                Doing::End { request, attempt, server, outcome, took } => {
+                TraceEvent::End { request, attempt, server, outcome, duration_ms } => {
                     *second.ends.entry(outcome.clone()).or_default() += 1;
                     let sum = servers.entry(server.clone()).or_default();
                     if outcome == "Done" {
-                        sum.done = (sum.done.0 + 1, sum.done.1 + took);
+                        sum.answered = (sum.answered.0 + 1, sum.answered.1 + duration_ms);
                     } else {
-                        sum.not_done += 1;
+                        sum.unanswered += 1;
                     }
                     if open.remove(&(node.clone(), *request, *attempt)).is_some() {
                         decrement(&mut concurrent, server);
                     }
                 }
-                Doing::Answer { request, answer } => {
+                TraceEvent::Answer { request, answer } => {
                     let sent = attempted.contains(&(node.clone(), *request));
                     second.answers[match (answer, sent) {
                         (Answer::Served, _) => 0,
@@ -179,7 +179,7 @@
 
     /// Formats the tables as text.
     pub fn text(&mut self) -> String {
-        let (seconds, servers) = self.count();
+        let (seconds, servers) = self.aggregate();
         let mut text = String::new();
         let header = "second calls failed lists connects most probes asked first again servers most out served failed \
                     refused after-try ends";
@@ -197,7 +197,7 @@
                 s.connects,
                 s.max_connects_per_server,
                 s.probes,
-                s.asked,
+                s.accepted,
                 s.sends.0,
                 s.sends.1,
                 s.servers,
@@ -212,15 +212,15 @@
         }
         let _ = writeln!(text, "\nserver nodes sends connects answers mean-ms other-ends out");
         for (name, s) in servers {
-            let mean = s.done.1 / s.done.0.max(1) as f64;
+            let mean = s.answered.1 / s.answered.0.max(1) as f64;
             let _ = writeln!(
                 text,
                 "{name} {:4} {:5} {:5} {:5} {mean:8.1} {:5} {:4}",
                 s.nodes.len(),
                 s.sends,
                 s.connects,
-                s.done.0,
-                s.not_done,
+                s.answered.0,
+                s.unanswered,
                 s.max_concurrent
             );
         }
