--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -100,7 +100,10 @@
         let mut machine = self.machine.borrow_mut();
         let add_tenant = |(name, tenant): (&String, &Tenant)| {
             let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
-            (name.clone(), machine.allow(key_of(name), allowed.clamp(0.0, f64::from(u32::MAX)) as u32))
+            (
+                name.clone(),
+                machine.set_allowance(key_of(name), allowed.clamp(0.0, f64::from(u32::MAX)) as u32),
+            )
         };
         let all = names.iter().zip(&settings.policy.tenants).map(add_tenant).collect();
         self.tenants.replace(all);
@@ -110,7 +113,7 @@
     pub fn allow(&self, slot: usize, name: &str, tenant: &Tenant) {
         let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
         let allowed = allowed.clamp(0.0, f64::from(u32::MAX)) as u32;
-        let handle = self.machine.borrow_mut().allow(key_of(name), allowed);
+        let handle = self.machine.borrow_mut().set_allowance(key_of(name), allowed);
         let mut tenants = self.tenants.borrow_mut();
         let end = tenants.len().min(slot + 1);
         tenants.splice(slot..end, [(name.to_string(), handle)]);
@@ -144,7 +147,7 @@
             own_part: machine.owns_part(),
             tenants: top.iter().cloned().map(shown).collect(),
             peers: machine.peers(),
-            refused: machine.refused,
+            refused: machine.rejected,
         }
     }
 
--- a/crates/scale/src/scenario/usage.rs
+++ b/crates/scale/src/scenario/usage.rs
@@ -51,7 +51,7 @@
         let boot = RunId(1 + number as u64);
         let secret = Secret::new(b"a secret of all instances");
         let mut machine = Usage::new(settings, secret, boot, now).expect("good settings");
-        let allow = |tenant: usize| machine.allow(Key(tenant as u64 + 1), 1_000);
+        let allow = |tenant: usize| machine.set_allowance(Key(tenant as u64 + 1), 1_000);
         let keys = (0..tenants).map(allow).collect();
         let random = fastrand::Rng::with_seed(number as u64);
         Self { machine, keys, random, next_ask: now + number as u64 % ASK_EVERY, due: now }
--- a/crates/usage/benches/usage.rs
+++ b/crates/usage/benches/usage.rs
@@ -51,7 +51,7 @@
     println!(
         "forged datagram: {:.0} ns, {} rejected",
         started.elapsed().as_nanos() as f64 / 100_000.0,
-        usage.refused
+        usage.rejected
     );
 }
 
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -27,13 +27,21 @@
 
 /// The rights that an instance owns in a window without any transfer: its own part, and its share of the
 /// parts of the instances that are gone.
-pub fn base_rights(total: u32, key: Key, window: u64, me: usize, n: usize, own: bool, gone: &[usize]) -> u32 {
+pub fn base_rights(
+    total: u32,
+    key: Key,
+    window: u64,
+    own_index: usize,
+    n: usize,
+    own: bool,
+    gone: &[usize],
+) -> u32 {
     let turn = mix(key.0 ^ mix(window));
-    let own_part = if own { equal_part(total, n, me, turn) } else { 0 };
-    let inherited = gone.iter().filter(|gone_one| **gone_one != me).map(|gone_one| {
+    let own_part = if own { equal_part(total, n, own_index, turn) } else { 0 };
+    let inherited = gone.iter().filter(|gone_one| **gone_one != own_index).map(|gone_one| {
         let gone_part = equal_part(total, n, *gone_one, turn);
         // The index of this instance among all but `gone_one`.
-        let position = if me > *gone_one { me - 1 } else { me };
+        let position = if own_index > *gone_one { own_index - 1 } else { own_index };
         equal_part(gone_part, n - 1, position, turn >> 32)
     });
     own_part + inherited.sum::<u32>()
@@ -55,8 +63,8 @@
 
 impl Slots {
     /// Merges reported counters into one slot; returns whether it changed.
-    pub fn update(&mut self, instance: u16, boot: RunId, reported: Slot) -> bool {
-        let slot = self.0.entry((instance, boot)).or_default();
+    pub fn update(&mut self, instance: u16, run_id: RunId, reported: Slot) -> bool {
+        let slot = self.0.entry((instance, run_id)).or_default();
         let previous = *slot;
         *slot = Slot { spent: slot.spent.max(reported.spent), given: slot.given.max(reported.given) };
         *slot != previous
@@ -64,8 +72,8 @@
 
     /// Merges another copy of the slots.
     pub fn merge(&mut self, other: &Self) {
-        for ((instance, boot), slot) in &other.0 {
-            self.update(*instance, *boot, *slot);
+        for ((instance, run_id), slot) in &other.0 {
+            self.update(*instance, *run_id, *slot);
         }
     }
 
@@ -89,8 +97,8 @@
     }
 
     /// The amount that one run of an instance has transferred to this one.
-    pub fn given_by(&self, instance: u16, boot: RunId) -> u32 {
-        self.0.get(&(instance, boot)).map_or(0, |slot| slot.given)
+    pub fn given_by(&self, instance: u16, run_id: RunId) -> u32 {
+        self.0.get(&(instance, run_id)).map_or(0, |slot| slot.given)
     }
 
     /// The number of slots.
@@ -127,8 +135,8 @@
     }
 
     /// The amount transferred to one run of another instance.
-    pub fn given_to(&self, instance: u16, boot: RunId) -> u32 {
-        self.given.get(&(instance, boot)).copied().unwrap_or(0)
+    pub fn given_to(&self, instance: u16, run_id: RunId) -> u32 {
+        self.given.get(&(instance, run_id)).copied().unwrap_or(0)
     }
 
     /// The rights that remain: `base` plus what was received, less `spent` and what was transferred to
@@ -139,10 +147,10 @@
     }
 
     /// Transfers up to `amount`, limited by the rights that remain; returns the amount transferred.
-    pub fn transfer(&mut self, instance: u16, boot: RunId, amount: u32, base: u32, spent: u32) -> u32 {
+    pub fn transfer(&mut self, instance: u16, run_id: RunId, amount: u32, base: u32, spent: u32) -> u32 {
         let amount = amount.min(self.held(base, spent));
         if amount > 0 {
-            *self.given.entry((instance, boot)).or_default() += amount;
+            *self.given.entry((instance, run_id)).or_default() += amount;
         }
         amount
     }
--- a/crates/usage/src/machine.rs
+++ b/crates/usage/src/machine.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::ledger::{base_rights, equal_part, mix, Key, Rights, RunId, Slot};
-use crate::votes::{Replay, Runs, Votes};
+use crate::votes::{PeerRuns, ReplayWindow, Votes};
 use crate::wire::{max_entries, DatagramError, Entry, Message, Secret, MAX_INSTANCES};
 
 /// An instance requests this many times its expected need.
@@ -82,7 +82,7 @@
     window: u64,
     spent: u32,
     /// Requested, whether granted or not.
-    asked: u32,
+    requested: u32,
     /// `spent` and `asked` of the previous window.
     before: (u32, u32),
     /// Cached amount that can still be spent in this window.
@@ -109,8 +109,8 @@
 /// Another instance.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    runs: Runs,
-    replay: Replay,
+    runs: PeerRuns,
+    replay: ReplayWindow,
     /// When it last proved to be running.
     last_seen: Option<u64>,
     /// By how much its clock appeared ahead of this one's, and this one's ahead of its clock. Each is too
@@ -151,11 +151,14 @@
     /// The amount that can still be spent here.
     pub held: u32,
     /// The amount requested here, whether granted or not.
-    pub asked: u32,
+    #[serde(rename = "asked")]
+    pub requested: u32,
     /// The amount that the others have reported as spent.
-    pub others: u32,
+    #[serde(rename = "others")]
+    pub spent_by_others: u32,
     /// The amounts spent and requested here in the previous window.
-    pub before: (u32, u32),
+    #[serde(rename = "before")]
+    pub previous_window: (u32, u32),
     /// Whether its rights are transferred between instances.
     pub shared: bool,
 }
@@ -170,7 +173,8 @@
     /// The amount it last reported to hold.
     pub held: Option<u32>,
     /// The amounts transferred from it to this instance and from this instance to it.
-    pub given: (u32, u32),
+    #[serde(rename = "given")]
+    pub transferred: (u32, u32),
 }
 
 /// What this instance knows of another instance.
@@ -183,7 +187,8 @@
     /// By how much its clock is ahead, in milliseconds.
     pub ahead_ms: i64,
     /// The number of changes that it has not acknowledged yet.
-    pub behind: u64,
+    #[serde(rename = "behind")]
+    pub unacknowledged: u64,
     /// Whether its part is divided among the others in this window.
     pub gone: bool,
 }
@@ -193,7 +198,7 @@
 pub struct Usage {
     settings: Settings,
     secret: Secret,
-    boot: RunId,
+    run_id: RunId,
     /// The latest time passed in, corrected by `offset`, in milliseconds.
     now: u64,
     /// The correction of the local clock by the other instances' clocks, in milliseconds.
@@ -232,15 +237,15 @@
     rotation: usize,
     last_exchange: u64,
     /// The number of rejected datagrams.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl Usage {
-    /// Creates an instance. `boot` must differ from that of every earlier start.
+    /// Creates an instance. `run_id` must differ from that of every earlier start.
     ///
     /// # Errors
     /// The invalid field of the settings and what was expected.
-    pub fn new(settings: Settings, secret: Secret, boot: RunId, now: u64) -> Result<Self, String> {
+    pub fn new(settings: Settings, secret: Secret, run_id: RunId, now: u64) -> Result<Self, String> {
         settings.check()?;
         let window = now / settings.window_ms;
         Ok(Self {
@@ -248,7 +253,7 @@
             peers: vec![Peer::default(); settings.instances],
             settings,
             secret,
-            boot,
+            run_id,
             now,
             offset: 0,
             started_at: now,
@@ -267,13 +272,13 @@
             strict_majority: true,
             rotation: 0,
             last_exchange: 0,
-            refused: 0,
+            rejected: 0,
         })
     }
 
     /// Registers a key, or changes its allowance; returns its handle. The new allowance counts at once, less
     /// what is already spent in the current window.
-    pub fn allow(&mut self, key: Key, allowance: u32) -> usize {
+    pub fn set_allowance(&mut self, key: Key, allowance: u32) -> usize {
         let handle = *self.by_key.entry(key.0).or_insert_with(|| {
             self.counts.push(Count { key: key.0, ..Count::default() });
             self.counts.len() - 1
@@ -294,8 +299,8 @@
     fn base(&self, handle: usize, window: u64) -> u32 {
         let count = &self.counts[handle];
         let (own, gone) = &self.parts[(window - self.window) as usize];
-        let (me, n) = (self.settings.number, self.settings.instances);
-        base_rights(count.allowance, Key(count.key), window, me, n, *own, gone)
+        let (own_index, n) = (self.settings.number, self.settings.instances);
+        base_rights(count.allowance, Key(count.key), window, own_index, n, *own, gone)
     }
 
     /// The amount held of a key in the current window (0) or the next (1).
@@ -316,8 +321,8 @@
             if count.window + 1 < window {
                 self.active.push(handle);
             }
-            count.before = if count.window + 1 == window { (count.spent, count.asked) } else { (0, 0) };
-            (count.window, count.spent, count.asked, count.votes_revision) = (window, 0, 0, 0);
+            count.before = if count.window + 1 == window { (count.spent, count.requested) } else { (0, 0) };
+            (count.window, count.spent, count.requested, count.votes_revision) = (window, 0, 0, 0);
         }
         if self.counts[handle].votes_revision != self.votes_revision {
             self.counts[handle].held = self.held(handle, 0);
@@ -329,7 +334,7 @@
     pub fn spend(&mut self, wants: &[(usize, u32)]) -> bool {
         for (handle, amount) in wants {
             self.roll_over(*handle);
-            self.counts[*handle].asked = self.counts[*handle].asked.saturating_add(*amount);
+            self.counts[*handle].requested = self.counts[*handle].requested.saturating_add(*amount);
         }
         let has_enough = wants.iter().all(|(handle, amount)| self.counts[*handle].held >= *amount);
         if has_enough {
@@ -400,7 +405,7 @@
                 self.update_parts();
                 for count in &mut self.counts {
                     // No rights of a window that was entered by a wrong clock are kept.
-                    (count.window, count.spent, count.asked, count.before) = (0, 0, 0, (0, 0));
+                    (count.window, count.spent, count.requested, count.before) = (0, 0, 0, (0, 0));
                 }
             }
         }
@@ -457,15 +462,15 @@
     /// The expected demand for a key here in the rest of this window, and in the next.
     fn expected(&self, handle: usize) -> [f64; 2] {
         let count = &self.counts[handle];
-        let (asked, before) = match self.window - count.window.min(self.window) {
-            0 => (count.asked, count.before.1),
-            1 => (0, count.asked),
+        let (requested, before) = match self.window - count.window.min(self.window) {
+            0 => (count.requested, count.before.1),
+            1 => (0, count.requested),
             _ => (0, 0),
         };
         let elapsed_share = (self.now % self.settings.window_ms) as f64 / self.settings.window_ms as f64;
-        let current_rate = f64::from(asked) / elapsed_share.max(0.02);
+        let current_rate = f64::from(requested) / elapsed_share.max(0.02);
         // Weights the previous window more at first and the current one later.
-        let rate = if asked > 0 || elapsed_share > 0.2 {
+        let rate = if requested > 0 || elapsed_share > 0.2 {
             current_rate * elapsed_share + f64::from(before) * (1.0 - elapsed_share)
         } else {
             f64::from(before)
@@ -599,7 +604,7 @@
     }
 
     /// The entries of a key for the current window and the next.
-    fn entries_of(&self, handle: usize, to: usize, to_boot: RunId) -> Option<[Entry; 2]> {
+    fn entries_of(&self, handle: usize, to: usize, to_run_id: RunId) -> Option<[Entry; 2]> {
         let (shared, count) = (self.shared.get(&handle)?, &self.counts[handle]);
         Some([0, 1].map(|which| Entry {
             key: Key(count.key),
@@ -607,16 +612,16 @@
             version: self.round,
             spent: if which == 0 && count.window == self.window { count.spent } else { 0 },
             held: self.held(handle, which),
-            given: shared.rights[which].given_to(to as u16, to_boot),
+            given: shared.rights[which].given_to(to as u16, to_run_id),
             want: self.want_of(shared, handle, which, to),
         }))
     }
 
     /// The entries for a peer, as far as there is room: the transfers that it has not acknowledged, then the
     /// amounts wanted from it. Also returns the version up to which the transfers are complete.
-    fn entries_for(&self, to: usize, to_boot: RunId, acked_version: u64) -> (Vec<Entry>, u64) {
+    fn entries_for(&self, to: usize, to_run_id: RunId, acked_version: u64) -> (Vec<Entry>, u64) {
         let max_count = max_entries(self.settings.instances);
-        let entries_of = |handle: usize| self.entries_of(handle, to, to_boot).into_iter().flatten();
+        let entries_of = |handle: usize| self.entries_of(handle, to, to_run_id).into_iter().flatten();
         let transfers = self.peers[to].changed_handles.iter().flat_map(|handle| entries_of(*handle));
         let mut entries: Vec<Entry> = transfers.filter(|e| e.given > 0).take(max_count).collect();
         let mut up_to_version = self.version;
@@ -640,10 +645,10 @@
     fn message_to(&mut self, to: usize) -> Message {
         self.peers[to].last_number += 1;
         let peer = &self.peers[to];
-        let to_boot = peer.runs.addressee(peer.last_number);
-        let known = peer.runs.current == Some(to_boot);
+        let to_run_id = peer.runs.addressee(peer.last_number);
+        let known = peer.runs.current == Some(to_run_id);
         let (entries, up_to_version) = if known {
-            self.entries_for(to, to_boot, peer.acked_version)
+            self.entries_for(to, to_run_id, peer.acked_version)
         } else {
             (Vec::new(), peer.acked_version)
         };
@@ -652,13 +657,13 @@
         let digest = (known
             && peer.last_number.is_multiple_of(DIGEST_INTERVAL_DATAGRAMS)
             && up_to_version == self.version)
-            .then(|| self.digest(|rights| rights.given_to(to as u16, to_boot)));
+            .then(|| self.digest(|rights| rights.given_to(to as u16, to_run_id)));
         Message {
             list: self.settings.list,
             from: self.settings.number as u16,
             to: to as u16,
-            boot: self.boot,
-            to_boot,
+            run_id: self.run_id,
+            to_run_id,
             number: peer.last_number,
             time: self.now,
             received_version: peer.their_version,
@@ -691,23 +696,23 @@
         if result == Err(DatagramError::OtherList) && !std::mem::replace(&mut self.strict_majority, true) {
             self.update_parts();
         }
-        let message = result.inspect_err(|_| self.refused += 1)?;
+        let message = result.inspect_err(|_| self.rejected += 1)?;
         let from = usize::from(message.from);
         if usize::from(message.to) != self.settings.number
             || from >= self.settings.instances
             || from == self.settings.number
         {
-            self.refused += 1;
+            self.rejected += 1;
             return Ok(());
         }
         let peer = &mut self.peers[from];
-        if message.to_boot != self.boot {
+        if message.to_run_id != self.run_id {
             // It may be a replay of any age, so it only proposes a run to address.
-            peer.runs.set_candidate(message.boot);
+            peer.runs.set_candidate(message.run_id);
             return Ok(());
         }
-        let Some(is_new_run) = peer.runs.confirm(message.boot) else {
-            self.refused += 1;
+        let Some(is_new_run) = peer.runs.confirm(message.run_id) else {
+            self.rejected += 1;
             return Ok(());
         };
         if is_new_run {
@@ -721,7 +726,7 @@
             *peer = Peer { runs, last_number, ..Peer::default() };
         }
         if !peer.replay.accept(message.number) {
-            self.refused += 1;
+            self.rejected += 1;
             return Ok(());
         }
         peer.last_seen = Some(self.now);
@@ -749,10 +754,10 @@
             self.apply_entry(from, &message, entry);
         }
         if let Some(digest) = message.digest {
-            let (boot, sender) = (message.boot, message.from);
+            let (run_id, sender) = (message.run_id, message.from);
             let is_complete =
                 self.peers[from].their_version == up_to_version && message.window == self.window;
-            if is_complete && digest != self.digest(|rights| rights.slots.given_by(sender, boot)) {
+            if is_complete && digest != self.digest(|rights| rights.slots.given_by(sender, run_id)) {
                 // Something was missed: ask for all transfers again.
                 self.peers[from].their_version = 0;
             }
@@ -787,7 +792,7 @@
         let rights = &mut shared.rights[which];
         let previous_slots = rights.slots.len();
         let reported = Slot { spent: entry.spent, given: entry.given };
-        let mut changed = rights.slots.update(message.from, message.boot, reported);
+        let mut changed = rights.slots.update(message.from, message.run_id, reported);
         self.slots += rights.slots.len() - previous_slots;
         // For the next window the peer may not have received enough votes yet to know its part.
         let held = if which == 1 { entry.held.max(1) } else { entry.held };
@@ -795,7 +800,7 @@
         // A repeated version is the same want and must not be granted twice.
         let is_repeat = previous.is_some_and(|(_, version)| version >= entry.version);
         let want = if is_repeat { 0 } else { entry.want };
-        let given = rights.transfer(message.from, message.boot, want.min(spare), base, spent);
+        let given = rights.transfer(message.from, message.run_id, want.min(spare), base, spent);
         changed |= given > 0;
         if changed {
             self.counts[handle].votes_revision = 0;
@@ -811,9 +816,9 @@
     pub fn key_usage(&self, handle: usize) -> KeyUsage {
         let count = &self.counts[handle];
         let current = count.window == self.window;
-        let before = match self.window - count.window.min(self.window) {
+        let previous_window = match self.window - count.window.min(self.window) {
             0 => count.before,
-            1 => (count.spent, count.asked),
+            1 => (count.spent, count.requested),
             _ => (0, 0),
         };
         let shared = self.shared.get(&handle);
@@ -823,26 +828,27 @@
             allowance: count.allowance,
             spent: if current { count.spent } else { 0 },
             held: self.held(handle, 0),
-            asked: if current { count.asked } else { 0 },
-            others: shared.map_or(0, |s| s.rights[0].slots.spent()),
-            before,
+            requested: if current { count.requested } else { 0 },
+            spent_by_others: shared.map_or(0, |s| s.rights[0].slots.spent()),
+            previous_window,
             shared: shared.is_some(),
         }
     }
 
-    /// The `most` keys with the highest known spending, each with its handle, out of those that were
+    /// The `max_count` keys with the highest known spending, each with its handle, out of those that were
     /// requested lately or are shared.
     pub fn top_keys(&self, max_count: usize) -> Vec<(usize, KeyUsage)> {
         let mut handles: Vec<usize> = self.active.iter().chain(self.shared.keys()).copied().collect();
         handles.sort_unstable();
         handles.dedup();
-        let mut shares: Vec<(usize, KeyUsage)> =
+        let mut usages: Vec<(usize, KeyUsage)> =
             handles.into_iter().map(|handle| (handle, self.key_usage(handle))).collect();
-        shares.retain(|(_, s)| s.asked > 0 || s.others > 0 || s.before.1 > 0);
-        let total_spent = |s: &KeyUsage| u64::from(s.spent) + u64::from(s.others) + u64::from(s.before.0);
-        shares.sort_by_key(|(_, s)| std::cmp::Reverse(total_spent(s)));
-        shares.truncate(max_count);
-        shares
+        usages.retain(|(_, s)| s.requested > 0 || s.spent_by_others > 0 || s.previous_window.1 > 0);
+        let total_spent =
+            |s: &KeyUsage| u64::from(s.spent) + u64::from(s.spent_by_others) + u64::from(s.previous_window.0);
+        usages.sort_by_key(|(_, s)| std::cmp::Reverse(total_spent(s)));
+        usages.truncate(max_count);
+        usages
     }
 
     /// What is known of a key at each of the other instances.
@@ -854,9 +860,9 @@
             let given_to = self.peers[index]
                 .runs
                 .current
-                .map_or(0, |boot| shared.rights[0].given_to(index as u16, boot));
+                .map_or(0, |run_id| shared.rights[0].given_to(index as u16, run_id));
             let held = shared.others[0].get(&(index as u16)).map(|(held, _)| *held);
-            PeerKeyUsage { instance: index, spent: slot.spent, held, given: (slot.given, given_to) }
+            PeerKeyUsage { instance: index, spent: slot.spent, held, transferred: (slot.given, given_to) }
         };
         others.map(explained).collect()
     }
@@ -871,7 +877,7 @@
                 instance: index,
                 age_ms: peer.last_seen.map(|at| self.now.saturating_sub(at)),
                 ahead_ms: peer.min_clock_ahead(),
-                behind: self.version - peer.acked_version.min(self.version),
+                unacknowledged: self.version - peer.acked_version.min(self.version),
                 gone: gone.contains(&index),
             }
         };
@@ -889,7 +895,7 @@
     }
 
     /// The number of shared keys, and the number of slots of other instances kept for them.
-    pub fn sharing(&self) -> (usize, usize) {
+    pub fn shared_counts(&self) -> (usize, usize) {
         (self.shared.len(), self.slots)
     }
 }
--- a/crates/usage/src/votes.rs
+++ b/crates/usage/src/votes.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct Votes {
     n: usize,
-    me: usize,
+    own_index: usize,
     /// Indexed by the window's lowest two bits; the previous, the current and the next window are kept.
     tallies: [Tally; 4],
     /// This instance's ballots, to be sent to the others.
@@ -90,11 +90,11 @@
 impl Votes {
     /// No votes yet. A run that begins in `window` does not vote for windows that an earlier run may have
     /// voted for.
-    pub fn new(n: usize, me: usize, window: u64) -> Self {
+    pub fn new(n: usize, own_index: usize, window: u64) -> Self {
         let empty = Tally { window: 0, voted: InstanceSet::empty(n), alive: vec![0; n], gone: vec![0; n] };
         Self {
             n,
-            me,
+            own_index,
             tallies: std::array::from_fn(|_| empty.clone()),
             own_ballots: Vec::new(),
             first_window: window + 1,
@@ -107,7 +107,7 @@
     pub fn move_to(&mut self, from: u64, to: u64) {
         let mut excluded = std::mem::take(&mut self.excluded);
         excluded.push((self.entered_window, from + 1));
-        *self = Self { excluded, ..Self::new(self.n, self.me, to) };
+        *self = Self { excluded, ..Self::new(self.n, self.own_index, to) };
     }
 
     /// Raises the first window whose own part this run may use. Called with the window after that of a peer
@@ -171,15 +171,15 @@
             alive: InstanceSet::empty(self.n),
             gone: InstanceSet::empty(self.n),
         };
-        ballot.alive.insert(self.me);
-        for instance in (0..self.n).filter(|instance| *instance != self.me) {
+        ballot.alive.insert(self.own_index);
+        for instance in (0..self.n).filter(|instance| *instance != self.own_index) {
             match seen(instance) {
                 Some(true) => ballot.alive.insert(instance),
                 Some(false) => ballot.gone.insert(instance),
                 None => {}
             }
         }
-        self.record(current_window, self.me, &ballot);
+        self.record(current_window, self.own_index, &ballot);
         self.own_ballots.push(ballot);
         true
     }
@@ -194,9 +194,9 @@
     pub fn owns_part(&self, window: u64, strict: bool) -> bool {
         window >= self.first_window
             && !self.is_excluded(window)
-            && self
-                .tally(window)
-                .is_some_and(|count| 2 * usize::from(count.alive[self.me]) >= self.n + usize::from(strict))
+            && self.tally(window).is_some_and(|count| {
+                2 * usize::from(count.alive[self.own_index]) >= self.n + usize::from(strict)
+            })
     }
 
     /// The instances whose parts of a window are divided among the others.
@@ -207,20 +207,20 @@
             return Vec::new();
         };
         (0..self.n)
-            .filter(|instance| *instance != self.me && 2 * usize::from(count.gone[*instance]) > self.n)
+            .filter(|instance| *instance != self.own_index && 2 * usize::from(count.gone[*instance]) > self.n)
             .collect()
     }
 }
 
 /// Replay protection: a window over the datagram numbers of one run of an instance. Each number counts once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Replay {
+pub struct ReplayWindow {
     last: u64,
     /// Bit map of the 64 numbers up to the last.
     seen: u64,
 }
 
-impl Replay {
+impl ReplayWindow {
     /// Records a number and returns whether it is new. Numbers 64 or more behind the last count as seen.
     pub fn accept(&mut self, number: u64) -> bool {
         if number > self.last {
@@ -240,7 +240,7 @@
 
 /// The runs of another instance: the current one and those that ended.
 #[derive(Clone, Debug, Default)]
-pub struct Runs {
+pub struct PeerRuns {
     /// The run that last proved to be running.
     pub current: Option<RunId>,
     /// The latest run seen that has not proved to be running yet.
@@ -251,17 +251,17 @@
 /// Number of ended runs that are remembered.
 const MAX_ENDED_RUNS: usize = 32;
 
-impl Runs {
+impl PeerRuns {
     /// Records that a run has proved to be running. Returns whether it is a new run, or `None` if it has
     /// ended before: an ended run does not return.
-    pub fn confirm(&mut self, boot: RunId) -> Option<bool> {
-        if self.ended.contains(&boot) {
+    pub fn confirm(&mut self, run_id: RunId) -> Option<bool> {
+        if self.ended.contains(&run_id) {
             return None;
         }
-        if self.current == Some(boot) {
+        if self.current == Some(run_id) {
             return Some(false);
         }
-        if let Some(old) = self.current.replace(boot) {
+        if let Some(old) = self.current.replace(run_id) {
             if self.ended.len() == MAX_ENDED_RUNS {
                 self.ended.remove(0);
             }
@@ -272,9 +272,9 @@
     }
 
     /// Records a run named by a datagram that may be a replay.
-    pub fn set_candidate(&mut self, boot: RunId) {
-        if self.current != Some(boot) && !self.ended.contains(&boot) {
-            self.candidate = Some(boot);
+    pub fn set_candidate(&mut self, run_id: RunId) {
+        if self.current != Some(run_id) && !self.ended.contains(&run_id) {
+            self.candidate = Some(run_id);
         }
     }
 
--- a/crates/usage/src/wire.rs
+++ b/crates/usage/src/wire.rs
@@ -1,8 +1,8 @@
 //! The authenticated datagrams that instances exchange.
 //!
-//! A datagram is at most [`MAX_DATAGRAM_BYTES`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all of it,
-//! truncated to 16 bytes. Numbers are big-endian. It names the sender and the receiver with the run of each:
-//! a datagram addressed to another run than the current one may be a replay and proves nothing.
+//! A datagram is at most [`MAX_DATAGRAM_BYTES`] bytes: header, ballots, entries, and an HMAC-SHA-256 over all
+//! of it, truncated to 16 bytes. Numbers are big-endian. It names the sender and the receiver with the run of
+//! each: a datagram addressed to another run than the current one may be a replay and proves nothing.
 
 use glenwood_datagram::{OpenError, Reader, TAG_BYTES};
 pub use glenwood_datagram::{Secret, MAX_DATAGRAM_BYTES};
@@ -45,9 +45,9 @@
     /// The index of the receiver.
     pub to: u16,
     /// The sender's run.
-    pub boot: RunId,
+    pub run_id: RunId,
     /// The receiver's run that it is addressed to; 0 if none is known.
-    pub to_boot: RunId,
+    pub to_run_id: RunId,
     /// The number of the datagram in the sender's run.
     pub number: u64,
     /// The sender's clock, in milliseconds.
@@ -95,7 +95,7 @@
         out.extend(self.list.to_be_bytes());
         out.extend(self.from.to_be_bytes());
         out.extend(self.to.to_be_bytes());
-        for number in [self.boot.0, self.to_boot.0, self.number, self.time, self.received_version] {
+        for number in [self.run_id.0, self.to_run_id.0, self.number, self.time, self.received_version] {
             out.extend(number.to_be_bytes());
         }
         out.extend(self.ahead.to_be_bytes());
@@ -144,7 +144,7 @@
             return None;
         }
         let (list, from, to) = (r.u32()?, r.u16()?, r.u16()?);
-        let (boot, to_boot) = (RunId(r.u64()?), RunId(r.u64()?));
+        let (run_id, to_run_id) = (RunId(r.u64()?), RunId(r.u64()?));
         let (number, time, received_version, ahead) = (r.u64()?, r.u64()?, r.u64()?, r.u64()? as i64);
         let mut ballots = Vec::new();
         for _ in 0..r.take(1)?[0].min(3) {
@@ -165,8 +165,8 @@
             list,
             from,
             to,
-            boot,
-            to_boot,
+            run_id,
+            to_run_id,
             number,
             time,
             received_version,
--- a/crates/usage/tests/common/mod.rs
+++ b/crates/usage/tests/common/mod.rs
@@ -118,10 +118,10 @@
     /// Starts a new run of an instance.
     pub fn start_with(&mut self, n: usize, settings: Settings) {
         self.boots += 1;
-        let boot = RunId(self.random.next() | 1);
-        let mut usage = Usage::new(settings, secret(), boot, self.clock(n)).expect("valid settings");
+        let run_id = RunId(self.random.next() | 1);
+        let mut usage = Usage::new(settings, secret(), run_id, self.clock(n)).expect("valid settings");
         for (key, allowance) in self.allowances.iter().enumerate() {
-            assert_eq!(usage.allow(Key(key as u64 + 1), *allowance), key);
+            assert_eq!(usage.set_allowance(Key(key as u64 + 1), *allowance), key);
         }
         self.instances[n] = Some(usage);
     }
--- a/crates/usage/tests/fleet.rs
+++ b/crates/usage/tests/fleet.rs
@@ -251,7 +251,7 @@
     }
     assert_eq!(fleet.overshoot(), 0.0);
     assert!(fleet.used(0, 2) > 0.97, "{}", fleet.used(0, 2));
-    let (shared, slots) = fleet.usage(0).sharing();
+    let (shared, slots) = fleet.usage(0).shared_counts();
     assert!(shared <= 4096 && slots <= 1 << 16, "{shared} {slots}");
 }
 
@@ -271,7 +271,7 @@
     let used: Vec<f64> = (0..8).map(|key| fleet.used(key, 4)).collect();
     assert_eq!(used.iter().filter(|u| **u > 0.9).count(), 3, "{used:?}");
     assert_eq!(used.iter().filter(|u| (**u - 0.5).abs() < 0.02).count(), 5, "{used:?}");
-    assert_eq!(fleet.usage(0).sharing().0, 3);
+    assert_eq!(fleet.usage(0).shared_counts().0, 3);
 }
 
 #[test]
@@ -284,7 +284,7 @@
     fleet.stop(1);
     fleet.start(1);
     fleet.run(SETTLE_MS, &[300.0], |_, _| 0);
-    let before = fleet.usage(0).refused;
+    let before = fleet.usage(0).rejected;
     let held: Vec<_> = (0..3).map(|n| fleet.usage(n).key_usage(0)).collect();
     for (to, bytes) in &recording {
         // Unchanged, to the wrong receiver, with one bit flipped, truncated, and too long.
@@ -298,7 +298,7 @@
         fleet.deliver(*to, &[&bytes[..], &vec![0; 1300]].concat());
     }
     assert_eq!((0..3).map(|n| fleet.usage(n).key_usage(0)).collect::<Vec<_>>(), held);
-    assert!(fleet.usage(0).refused > before + 100);
+    assert!(fleet.usage(0).rejected > before + 100);
     fleet.reset_counts();
     fleet.run(3 * WINDOW_MS, &[300.0], |_, _| 0);
     assert_eq!(fleet.overshoot(), 0.0);
--- a/crates/usage/tests/laws.rs
+++ b/crates/usage/tests/laws.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 
 use glenwood_usage::ledger::{base_rights, equal_part, Rights, Slot, Slots};
-use glenwood_usage::votes::{Ballot, InstanceSet, Replay, Votes};
+use glenwood_usage::votes::{Ballot, InstanceSet, ReplayWindow, Votes};
 use glenwood_usage::{Key, RunId};
 use proptest::prelude::*;
 
 fn slots() -> impl Strategy<Value = Slots> {
     prop::collection::vec((0..4u16, 0..3u64, 0..50u32, 0..50u32), 0..12).prop_map(|all| {
         let mut slots = Slots::default();
-        for (instance, boot, spent, given) in all {
-            slots.update(instance, RunId(boot), Slot { spent, given });
+        for (instance, run_id, spent, given) in all {
+            slots.update(instance, RunId(run_id), Slot { spent, given });
         }
         slots
     })
@@ -119,7 +119,7 @@
 
     #[test]
     fn each_number_is_accepted_once(numbers in prop::collection::vec(1..200u64, 1..300)) {
-        let (mut replay, mut seen, mut last) = (Replay::default(), BTreeSet::new(), 0);
+        let (mut replay, mut seen, mut last) = (ReplayWindow::default(), BTreeSet::new(), 0);
         for number in numbers {
             let accepted = replay.accept(number);
             prop_assert!(!accepted || !seen.contains(&number), "{number} was accepted twice");
