--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,8 +1,8 @@
 //! Authenticated datagrams between nodes that share a secret, and a reader of their fields.
 //!
-//! A datagram has at most [`MAX_DATAGRAM_BYTES`] bytes. Numbers are big-endian. It ends with an HMAC-SHA-256 over all
-//! preceding bytes, truncated to 16 bytes. The contents, and protection against replays, are left to the
-//! caller.
+//! A datagram has at most [`MAX_DATAGRAM_BYTES`] bytes. Numbers are big-endian. It ends with an HMAC-SHA-256
+//! over all preceding bytes, truncated to 16 bytes. The contents, and protection against replays, are left to
+//! the caller.
 #![warn(missing_docs)]
 
 use std::fmt;
@@ -138,8 +138,8 @@
     }
 }
 
-/// Writes a length byte and the bytes, as [`Reader::length_prefixed`] reads them. Bytes beyond the first 255 are
-/// dropped.
+/// Writes a length byte and the bytes, as [`Reader::length_prefixed`] reads them. Bytes beyond the first 255
+/// are dropped.
 pub fn write_length_prefixed(out: &mut Vec<u8>, bytes: &[u8]) {
     let length = bytes.len().min(usize::from(u8::MAX));
     out.push(length as u8);
