--- a/crates/members/src/machine.rs
+++ b/crates/members/src/machine.rs
@@ -108,7 +108,7 @@
 /// An outgoing probe that has not been answered yet.
 struct Probe {
     target: Id,
-    life: u64,
+    start_id: u64,
     incarnation: u64,
     number: u64,
     sent: u64,
@@ -129,7 +129,7 @@
     settings: Settings,
     cluster: u32,
     secret: Secret,
-    me: Record,
+    own_record: Record,
     own_id: Id,
     random: fastrand::Rng,
     table: Table,
@@ -174,12 +174,12 @@
         let mut random = fastrand::Rng::with_seed(seed);
         // A random offset keeps members that start together from probing in step.
         let first = now + random.u64(0..settings.probe_ms);
-        let me = Record { member: settings.me.clone(), incarnation, state: State::Alive };
+        let own_record = Record { member: settings.local_member.clone(), incarnation, state: State::Alive };
         Ok(Self {
             cluster: cluster_number(&settings.cluster),
-            own_id: me.member.id(),
+            own_id: own_record.member.id(),
             secret,
-            me,
+            own_record,
             table: Table::default(),
             rumours: Rumours::default(),
             probe_order: Vec::new(),
@@ -210,8 +210,8 @@
     // ---- Queries ----
 
     /// This member.
-    pub fn me(&self) -> &Member {
-        &self.me.member
+    pub fn local_member(&self) -> &Member {
+        &self.own_record.member
     }
 
     /// The other members considered alive, in no particular order.
@@ -221,7 +221,7 @@
 
     /// The member with this id and its state, this member included.
     pub fn get(&self, id: Id) -> Option<(&Member, State)> {
-        let record = if id == self.own_id { &self.me } else { &self.table.get(id)?.record };
+        let record = if id == self.own_id { &self.own_record } else { &self.table.get(id)?.record };
         Some((&record.member, record.state))
     }
 
@@ -260,7 +260,7 @@
     /// The time at which [`Members::tick`] is to be called next.
     pub fn due(&self) -> u64 {
         let mut due = self.next_compare.min(self.next_retry).min(self.next_forget);
-        if self.me.state == State::Alive {
+        if self.own_record.state == State::Alive {
             due = due.min(self.next_probe);
         }
         if !self.rumours.is_empty() {
@@ -284,7 +284,7 @@
         self.expire_forwarded_probes(now);
         self.check_probes(now);
         self.declare_lost(now);
-        if self.me.state == State::Alive && now >= self.next_probe {
+        if self.own_record.state == State::Alive && now >= self.next_probe {
             self.next_probe = now + self.scaled_by_health(self.settings.probe_ms);
             self.probe_next(now);
         }
@@ -305,7 +305,7 @@
         }
         if now >= self.next_forget {
             self.next_forget = now + self.settings.forget_ms / 10;
-            self.table.forget(now.saturating_sub(self.settings.forget_ms), self.settings.most);
+            self.table.forget(now.saturating_sub(self.settings.forget_ms), self.settings.max_members);
         }
     }
 
@@ -322,7 +322,9 @@
         let from = &message.from;
         let sender = from.member.id();
         if sender == self.own_id {
-            if from.member.life != self.me.member.life && from.member.name == self.me.member.name {
+            if from.member.start_id != self.own_record.member.start_id
+                && from.member.name == self.own_record.member.name
+            {
                 self.counters.name_conflicts += 1;
                 if self.counters.name_conflicts == 1 {
                     self.events.push_back(Event::NameTaken(from.member.address));
@@ -352,10 +354,10 @@
     /// Leaves the cluster and announces it. The member keeps answering until the caller stops driving it.
     pub fn leave(&mut self, now: u64) {
         self.detect_stall(now);
-        if self.me.state == State::Alive {
-            self.me.state = State::Left;
+        if self.own_record.state == State::Alive {
+            self.own_record.state = State::Left;
             self.probes.clear();
-            self.rumours.queue(self.own_id, self.me.clone(), &[]);
+            self.rumours.queue(self.own_id, self.own_record.clone(), &[]);
             self.gossip(LEAVE_FAN_OUT_FACTOR * GOSSIP_FAN_OUT);
         }
     }
@@ -424,11 +426,11 @@
         if self.probes.iter().any(|probe| probe.target == target) {
             return;
         }
-        let (life, incarnation) = (entry.record.member.life, entry.record.incarnation);
+        let (start_id, incarnation) = (entry.record.member.start_id, entry.record.incarnation);
         let to = entry.record.member.address;
         self.last_probe_number = self.last_probe_number.wrapping_add(1);
         let number = self.last_probe_number;
-        self.probes.push(Probe { target, life, incarnation, number, sent: now, stage: Stage::Direct });
+        self.probes.push(Probe { target, start_id, incarnation, number, sent: now, stage: Stage::Direct });
         self.send(to, &Body::Ping(number), Some(target));
     }
 
@@ -468,7 +470,7 @@
             self.table.living().iter().copied().filter(|id| *id != target).collect();
         self.random.shuffle(&mut candidates);
         let zone_of = |id: Id| self.table.get(id).map_or("", |entry| entry.record.member.zone.as_str());
-        let own_zone = self.me.member.zone.as_str();
+        let own_zone = self.own_record.member.zone.as_str();
         let in_target_zone = candidates.iter().copied().find(|id| zone_of(*id) == target_zone);
         let in_own_zone =
             candidates.iter().copied().find(|id| Some(*id) != in_target_zone && zone_of(*id) == own_zone);
@@ -495,7 +497,8 @@
         self.raise_health_penalty(missing_nacks);
         let Some(entry) = self.table.get(probe.target) else { return };
         let record = &entry.record;
-        let same_incarnation = record.member.life == probe.life && record.incarnation == probe.incarnation;
+        let same_incarnation =
+            record.member.start_id == probe.start_id && record.incarnation == probe.incarnation;
         // A newer incarnation of the target, received meanwhile, is as good as an answer.
         if same_incarnation && record.state.is_living() {
             let suspect = Record { state: State::Suspect, ..record.clone() };
@@ -595,7 +598,7 @@
             return;
         }
         let old = self.table.get(id).map(|entry| entry.record.member.clone());
-        match self.table.apply(now, record, accusers, self.settings.most) {
+        match self.table.apply(now, record, accusers, self.settings.max_members) {
             Change::Unchanged => {}
             Change::Full => self.counters.over_limit += 1,
             Change::Confirmed => self.queue_rumour(id),
@@ -603,7 +606,7 @@
                 self.queue_rumour(id);
                 let was_living = previous.is_some_and(|(state, _)| state.is_living());
                 let now_living = record.state.is_living();
-                let other_process = previous.is_some_and(|(_, life)| life != record.member.life);
+                let other_process = previous.is_some_and(|(_, start_id)| start_id != record.member.start_id);
                 if was_living && (other_process || !now_living) {
                     let old = old.unwrap_or_else(|| record.member.clone());
                     let left = record.state == State::Left;
@@ -615,7 +618,7 @@
                 }
                 // A few randomly selected members probe the suspect themselves.
                 let selected = self.random.usize(0..self.table.living().len().max(1)) < SUSPECT_PROBES;
-                if record.state == State::Suspect && self.me.state == State::Alive && selected {
+                if record.state == State::Suspect && self.own_record.state == State::Alive && selected {
                     self.probe(now, id);
                 }
             }
@@ -641,11 +644,11 @@
 
     /// Handles a record about this member: a wrong one is refuted with a higher incarnation.
     fn handle_own_record(&mut self, record: &Record) {
-        if self.me.state != State::Alive || record.member.name != self.me.member.name {
+        if self.own_record.state != State::Alive || record.member.name != self.own_record.member.name {
             return;
         }
-        let same_process = record.member.life == self.me.member.life;
-        if (same_process && record.state == State::Alive) || self.me.supersedes(record) {
+        let same_process = record.member.start_id == self.own_record.member.start_id;
+        if (same_process && record.state == State::Alive) || self.own_record.supersedes(record) {
             return;
         }
         if same_process {
@@ -655,8 +658,8 @@
                 self.raise_health_penalty(1);
             }
         }
-        self.me.incarnation = record.incarnation.saturating_add(1);
-        self.rumours.queue(self.own_id, self.me.clone(), &[]);
+        self.own_record.incarnation = record.incarnation.saturating_add(1);
+        self.rumours.queue(self.own_id, self.own_record.clone(), &[]);
     }
 
     // ---- Gossip and anti-entropy ----
@@ -689,7 +692,7 @@
 
     /// Starts a comparison with a random living member, or with the seeds if none is known.
     fn compare(&mut self, now: u64) {
-        let body = Body::Compare(self.table.digests(&self.me), true);
+        let body = Body::Compare(self.table.digests(&self.own_record), true);
         match self.choose_living(1).first().and_then(|id| self.table.get(*id)) {
             Some(entry) => self.send(entry.record.member.address, &body, None),
             None => {
@@ -697,7 +700,7 @@
                 self.next_compare =
                     now + self.random.u64(0..=self.settings.probe_ms) + self.settings.probe_ms;
                 for seed in self.settings.seeds.clone() {
-                    if seed != self.me.member.address {
+                    if seed != self.own_record.member.address {
                         self.send(seed, &body, None);
                     }
                 }
@@ -713,7 +716,7 @@
         their_digests: &[u32; DIGEST_BUCKETS],
         reply: bool,
     ) {
-        let own_digests = self.table.digests(&self.me);
+        let own_digests = self.table.digests(&self.own_record);
         let mut differ = [false; DIGEST_BUCKETS];
         for (bucket, differs) in differ.iter_mut().enumerate() {
             *differs = own_digests[bucket] != their_digests[bucket];
@@ -723,7 +726,7 @@
         }
         // The tables differ by more than gossip has delivered, so compare again soon.
         self.next_compare = self.next_compare.min(now + self.settings.probe_ms);
-        let mut drafts = vec![Draft::new(self.cluster, &self.me, &Body::Rumours)];
+        let mut drafts = vec![Draft::new(self.cluster, &self.own_record, &Body::Rumours)];
         let known: Vec<_> = self.table.in_buckets(&differ).collect();
         // A random start, so that records that do not fit this time are sent another time.
         let first = self.random.usize(0..known.len().max(1));
@@ -736,7 +739,7 @@
             if drafts.len() == MAX_COMPARE_DATAGRAMS {
                 break;
             }
-            let mut draft = Draft::new(self.cluster, &self.me, &Body::Rumours);
+            let mut draft = Draft::new(self.cluster, &self.own_record, &Body::Rumours);
             draft.add(&rumour);
             drafts.push(draft);
         }
@@ -751,12 +754,13 @@
         let gone = self.table.iter().filter(|(_, entry)| entry.record.state == State::Lost);
         let gone = gone.map(|(id, entry)| (Some(*id), entry.record.member.address));
         let is_known = |address: &SocketAddr| {
-            *address == self.me.member.address || self.living().any(|member| member.address == *address)
+            *address == self.own_record.member.address
+                || self.living().any(|member| member.address == *address)
         };
         let seeds = self.settings.seeds.iter().filter(|seed| !is_known(seed)).map(|seed| (None, *seed));
         let candidates: Vec<(Option<Id>, SocketAddr)> = gone.chain(seeds).collect();
         if let Some((receiver, to)) = self.random.choice(&candidates).copied() {
-            let body = Body::Compare(self.table.digests(&self.me), true);
+            let body = Body::Compare(self.table.digests(&self.own_record), true);
             self.send(to, &body, receiver);
         }
     }
@@ -764,7 +768,7 @@
     /// Sends a message together with queued rumours. If the receiver is not considered alive, its own record
     /// goes first, so that it can refute it.
     fn send(&mut self, to: SocketAddr, body: &Body, receiver: Option<Id>) {
-        let mut draft = Draft::new(self.cluster, &self.me, body);
+        let mut draft = Draft::new(self.cluster, &self.own_record, body);
         let entry = receiver.and_then(|id| self.table.get(id));
         if let Some(entry) = entry.filter(|entry| entry.record.state != State::Alive) {
             let accusers = entry.suspicion.as_ref().map_or(Vec::new(), |s| s.accusers.clone());
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -27,7 +27,8 @@
     /// Its name, which stays the same across restarts.
     pub name: String,
     /// Identifies the process: a number that differs for each start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub start_id: u64,
     /// The address that it receives datagrams at.
     pub address: SocketAddr,
     /// Its zone; empty if zones are not used.
@@ -77,7 +78,7 @@
 impl Record {
     /// Precedence of a record: by incarnation, then by `life`, then by state.
     fn rank(&self) -> (u64, u64, State) {
-        (self.incarnation, self.member.life, self.state)
+        (self.incarnation, self.member.start_id, self.state)
     }
 
     /// Whether this record replaces the other one.
@@ -87,13 +88,13 @@
 
     /// Whether both records refer to the same incarnation of the same process.
     pub fn is_same_incarnation(&self, other: &Self) -> bool {
-        (self.incarnation, self.member.life) == (other.incarnation, other.member.life)
+        (self.incarnation, self.member.start_id) == (other.incarnation, other.member.start_id)
     }
 
     /// A digest of what all members should agree on: that this incarnation is alive. The state is left out,
     /// as a suspicion is resolved without anti-entropy.
     pub fn digest(&self) -> u64 {
-        let bytes = [self.incarnation.to_be_bytes(), self.member.life.to_be_bytes()];
+        let bytes = [self.incarnation.to_be_bytes(), self.member.start_id.to_be_bytes()];
         stable_hash(&[self.member.name.as_bytes(), &bytes[0], &bytes[1]])
     }
 }
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -10,13 +10,13 @@
     /// The name of the cluster; datagrams of other clusters are rejected.
     pub cluster: String,
     /// This member.
-    pub me: Member,
+    pub local_member: Member,
     /// Addresses of a few members that are likely to run; this member's own may be among them.
     pub seeds: Vec<SocketAddr>,
     /// Interval between probes of other members, 20 to 10,000. Most other intervals are derived from it.
     pub probe_ms: u64,
     /// Maximum number of members, 2 to 4,096.
-    pub most: usize,
+    pub max_members: usize,
     /// How long a lost member or one that left is remembered, 10,000 to 86,400,000.
     pub forget_ms: u64,
 }
@@ -31,18 +31,27 @@
             let fits = (min..=max).contains(&value);
             fits.then_some(()).ok_or_else(|| format!("{name}: {min} to {max} expected, not {value}"))
         };
-        if self.me.name.is_empty() || self.me.name.len() > MAX_NAME_BYTES {
-            return Err(format!("name: 1 to {MAX_NAME_BYTES} bytes expected, not {:?}", self.me.name));
+        if self.local_member.name.is_empty() || self.local_member.name.len() > MAX_NAME_BYTES {
+            return Err(format!(
+                "name: 1 to {MAX_NAME_BYTES} bytes expected, not {:?}",
+                self.local_member.name
+            ));
         }
-        if self.me.zone.len() > MAX_ZONE_BYTES {
-            return Err(format!("zone: {MAX_ZONE_BYTES} bytes at most expected, not {:?}", self.me.zone));
+        if self.local_member.zone.len() > MAX_ZONE_BYTES {
+            return Err(format!(
+                "zone: {MAX_ZONE_BYTES} bytes at most expected, not {:?}",
+                self.local_member.zone
+            ));
         }
-        if self.me.address.ip().is_unspecified() || self.me.address.port() == 0 {
-            return Err(format!("address: one that others can send to expected, not {}", self.me.address));
+        if self.local_member.address.ip().is_unspecified() || self.local_member.address.port() == 0 {
+            return Err(format!(
+                "address: one that others can send to expected, not {}",
+                self.local_member.address
+            ));
         }
         check_range("seeds", self.seeds.len() as u64, 1, 64)?;
         check_range("probe_ms", self.probe_ms, 20, 10_000)?;
-        check_range("most", self.most as u64, 2, 4096)?;
+        check_range("most", self.max_members as u64, 2, 4096)?;
         check_range("forget_ms", self.forget_ms, 10_000, 86_400_000)
     }
 
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -36,7 +36,7 @@
     Confirmed,
     /// The record is new.
     New {
-        /// The previous state and `life`; `None` if the member was not known.
+        /// The previous state and `start_id`; `None` if the member was not known.
         previous: Option<(State, u64)>,
     },
 }
@@ -76,9 +76,9 @@
     }
 
     /// Digests of the living members by bucket of ids, independent of order and of suspicions.
-    pub fn digests(&self, me: &Record) -> [u32; DIGEST_BUCKETS] {
+    pub fn digests(&self, own_record: &Record) -> [u32; DIGEST_BUCKETS] {
         let mut buckets = self.buckets;
-        buckets[bucket_of(me.member.id())] ^= me.digest();
+        buckets[bucket_of(own_record.member.id())] ^= own_record.digest();
         buckets.map(|bucket| (bucket ^ (bucket >> 32)) as u32)
     }
 
@@ -90,7 +90,8 @@
         self.entries.iter().filter(|(id, _)| differ[bucket_of(**id)]).map(|(id, entry)| (*id, entry))
     }
 
-    /// Applies a record about another member. `most` limits the number of living members, this one included.
+    /// Applies a record about another member. `max_living` limits the number of living
+    /// members, this one included.
     pub fn apply(&mut self, now: u64, record: &Record, accusers: &[Id], max_living: usize) -> Change {
         let id = record.member.id();
         let suspected = record.state == State::Suspect;
@@ -116,7 +117,7 @@
             }
         }
         let known = self.entries.get(&id);
-        let previous = known.map(|known| (known.record.state, known.record.member.life));
+        let previous = known.map(|known| (known.record.state, known.record.member.start_id));
         let (was_living, now_living) =
             (previous.is_some_and(|(state, _)| state.is_living()), record.state.is_living());
         if now_living && !was_living && self.living.len() + 1 >= max_living {
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Removes members that have been gone since before `before`, and the oldest of the rest beyond `most`.
+    /// Removes members that have been gone since before `before`, and the oldest of the rest beyond
+    /// `max_gone`.
     pub fn forget(&mut self, before: u64, max_gone: usize) {
         let gone = |entry: &Entry| !entry.record.state.is_living();
         let mut times: Vec<u64> = self.entries.values().filter(|e| gone(e)).map(|e| e.changed_at).collect();
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -94,7 +94,7 @@
 fn write_record(out: &mut Vec<u8>, record: &Record) {
     out.push(record.state as u8);
     out.extend(record.incarnation.to_be_bytes());
-    out.extend(record.member.life.to_be_bytes());
+    out.extend(record.member.start_id.to_be_bytes());
     write_length_prefixed(out, record.member.name.as_bytes());
     write_length_prefixed(out, record.member.zone.as_bytes());
     write_address(out, record.member.address);
@@ -108,7 +108,7 @@
         3 => State::Left,
         _ => return None,
     };
-    let (incarnation, life) = (r.u64()?, r.u64()?);
+    let (incarnation, start_id) = (r.u64()?, r.u64()?);
     let (name, zone) = (r.text()?, r.text()?);
     if name.is_empty()
         || name.len() > MAX_NAME_BYTES
@@ -119,7 +119,7 @@
     }
     let (name, zone) = (name.to_string(), zone.to_string());
     let address = read_address(r)?;
-    Some(Record { member: Member { name, life, address, zone }, incarnation, state })
+    Some(Record { member: Member { name, start_id, address, zone }, incarnation, state })
 }
 
 fn write_rumour(out: &mut Vec<u8>, (record, accusers): &Rumour) {
@@ -271,8 +271,8 @@
             prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Lost), Just(State::Left)];
         let address = (any::<std::net::IpAddr>(), any::<u16>()).prop_map(SocketAddr::from);
         ("[a-z0-9-]{1,48}", "[a-z]{0,24}", address, any::<u64>(), 0..=MAX_INCARNATION, state).prop_map(
-            |(name, zone, address, life, incarnation, state)| Record {
-                member: Member { name, life, address, zone },
+            |(name, zone, address, start_id, incarnation, state)| Record {
+                member: Member { name, start_id, address, zone },
                 incarnation,
                 state,
             },
--- a/crates/members/tests/common/mod.rs
+++ b/crates/members/tests/common/mod.rs
@@ -18,13 +18,18 @@
     format!("n{n}")
 }
 
-pub fn settings(n: usize, life: u64) -> Settings {
+pub fn settings(n: usize, start_id: u64) -> Settings {
     Settings {
         cluster: "tests".into(),
-        me: Member { name: name(n), life, address: address(n), zone: format!("z{}", n % ZONES) },
+        local_member: Member {
+            name: name(n),
+            start_id,
+            address: address(n),
+            zone: format!("z{}", n % ZONES),
+        },
         seeds: (0..3).map(address).collect(),
         probe_ms: PROBE_MS,
-        most: 1000,
+        max_members: 1000,
         forget_ms: 600_000,
     }
 }
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -151,25 +151,25 @@
 fn a_restart_is_a_new_process_even_if_the_clock_went_back() {
     let mut net = Net::converged(30, 7);
     for (n, earlier) in [(3, 0), (9, 500_000), (0, 900_000)] {
-        let before = net.members(n).me().life;
+        let before = net.members(n).local_member().start_id;
         net.kill(n);
         net.run(100);
         let incarnation = net.now - earlier;
         net.start_with_incarnation(n, incarnation);
-        let life = net.members(n).me().life;
-        assert_ne!(before, life);
+        let start_id = net.members(n).local_member().start_id;
+        assert_ne!(before, start_id);
         net.run_until("all know the restarted process", 5000, |net| {
             net.is_converged()
                 && net.running().iter().filter(|observer| **observer != n).all(|observer| {
                     net.members(*observer)
                         .living()
-                        .any(|member| member.name == name(n) && member.life == life)
+                        .any(|member| member.name == name(n) && member.start_id == start_id)
                 })
         });
         let ended = net
             .observations
             .iter()
-            .filter(|(_, _, e)| matches!(e, Event::Lost(m) if m.life == before))
+            .filter(|(_, _, e)| matches!(e, Event::Lost(m) if m.start_id == before))
             .count();
         assert!(ended >= 29, "all 29 others must report the loss of the old process, but {ended} did");
     }
@@ -271,7 +271,7 @@
     for n in 0..8 {
         net.start(n);
     }
-    let limited = glenwood_members::Settings { most: 4, ..settings(0, 99) };
+    let limited = glenwood_members::Settings { max_members: 4, ..settings(0, 99) };
     let limited =
         glenwood_members::Members::new(limited, secret(), 1_000_000, 1, net.now).expect("valid settings");
     net.nodes[0].as_mut().expect("the member runs").members = limited;
@@ -317,12 +317,12 @@
     assert_eq!(good.check(), Ok(()));
     assert_eq!(error_of(&|s| s.probe_ms = 5), "probe_ms: 20 to 10000 expected, not 5");
     assert_eq!(error_of(&|s| s.seeds.clear()), "seeds: 1 to 64 expected, not 0");
-    assert_eq!(error_of(&|s| s.me.name.clear()), "name: 1 to 48 bytes expected, not \"\"");
+    assert_eq!(error_of(&|s| s.local_member.name.clear()), "name: 1 to 48 bytes expected, not \"\"");
     assert_eq!(
-        error_of(&|s| s.me.address.set_port(0)),
+        error_of(&|s| s.local_member.address.set_port(0)),
         "address: one that others can send to expected, not 10.0.0.1:0"
     );
-    assert_eq!(error_of(&|s| s.most = 1), "most: 2 to 4096 expected, not 1");
+    assert_eq!(error_of(&|s| s.max_members = 1), "most: 2 to 4096 expected, not 1");
     assert_eq!(error_of(&|s| s.forget_ms = 1), "forget_ms: 10000 to 86400000 expected, not 1");
-    assert!(error_of(&|s| s.me.zone = "z".repeat(25)).starts_with("zone: 24 bytes at most"));
+    assert!(error_of(&|s| s.local_member.zone = "z".repeat(25)).starts_with("zone: 24 bytes at most"));
 }
--- a/crates/node/src/custody/mod.rs
+++ b/crates/node/src/custody/mod.rs
@@ -609,7 +609,7 @@
 impl MembershipObserver for Custody {
     fn on_member_event(&self, event: &members::Event) {
         let incarnation =
-            |member: &members::Member| Incarnation { node: NodeId(member.id().0), number: member.life };
+            |member: &members::Member| Incarnation { node: NodeId(member.id().0), number: member.start_id };
         match event {
             members::Event::Joined(member) => {
                 self.coordinator.borrow_mut().update_membership(incarnation(member), true)
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -191,18 +191,18 @@
 
     /// Creates the state machine of this node for this address.
     fn machine(&self, bound: SocketAddr) -> Result<Members, String> {
-        let me = Member {
+        let local_member = Member {
             name: self.name.clone(),
-            life: self.life,
+            start_id: self.life,
             address: self.table.address.unwrap_or(bound),
             zone: self.table.zone.clone(),
         };
         let settings = Settings {
             cluster: self.table.cluster.clone(),
-            me,
+            local_member,
             seeds: self.table.seeds.clone(),
             probe_ms: self.table.probe_ms,
-            most: self.table.most,
+            max_members: self.table.most,
             forget_ms: self.table.forget_ms,
         };
         // A later start has the larger incarnation, unless the clock went back: then the incarnation that
@@ -228,7 +228,7 @@
             match &event {
                 Event::Joined(m) => log::write_line(format!("members: {} joined, at {}", m.name, m.address)),
                 Event::Lost(m) => {
-                    log::write_line(format!("members: {} is lost, life {:016x}", m.name, m.life))
+                    log::write_line(format!("members: {} is lost, life {:016x}", m.name, m.start_id))
                 }
                 Event::Left(m) => log::write_line(format!("members: {} has left", m.name)),
                 Event::Refuted => {}
@@ -339,7 +339,7 @@
             cluster: self.table.cluster.clone(),
             zone: self.table.zone.clone(),
             life: self.life,
-            address: machine.as_ref().map(|machine| machine.me().address),
+            address: machine.as_ref().map(|machine| machine.local_member().address),
             open: self.open.get(),
             living: machine.as_ref().map_or(0, |machine| machine.living().count()),
             states,
--- a/crates/scale/src/scenario/members.rs
+++ b/crates/scale/src/scenario/members.rs
@@ -43,16 +43,16 @@
     pub fn new(number: usize, now: Time, probe_ms: u64) -> Self {
         let me = Member {
             name: format!("n{number}"),
-            life: 1,
+            start_id: 1,
             address: address(number),
             zone: format!("z{}", number % crate::deployment::ZONES),
         };
         let settings = Settings {
             cluster: "scale".into(),
-            me,
+            local_member,
             seeds: (0..3).map(address).collect(),
             probe_ms,
-            most: 4096,
+            max_members: 4096,
             forget_ms: 600_000,
         };
         let secret = Secret::new(b"a secret of all members");
