--- a/crates/scale/src/scenario/members.rs
+++ b/crates/scale/src/scenario/members.rs
@@ -41,7 +41,7 @@
 impl HollowMember {
     /// A member of that number, one of so many, started now.
     pub fn new(number: usize, now: Time, probe_ms: u64) -> Self {
-        let me = Member {
+        let local_member = Member {
             name: format!("n{number}"),
             start_id: 1,
             address: address(number),
