--- a/crates/coordination/src/follow.rs
+++ b/crates/coordination/src/follow.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Open a connection to this member and report the result with [`Follower::connected`] or
-    /// [`Follower::broken`].
+    /// [`Follower::disconnected`].
     Connect(usize),
     /// Close the connection.
     Disconnect,
@@ -125,8 +125,8 @@
         Follower::connected(self, now);
     }
 
-    fn broken(&mut self, now: Millis) {
-        Follower::broken(self, now);
+    fn disconnected(&mut self, now: Millis) {
+        Follower::disconnected(self, now);
     }
 
     fn received(&mut self, now: Millis, bytes: &[u8]) {
@@ -211,8 +211,8 @@
     }
 
     /// Reports that the driver's connection ended or could not be established.
-    pub fn broken(&mut self, now: Millis) {
-        self.session.broken(now);
+    pub fn disconnected(&mut self, now: Millis) {
+        self.session.disconnected(now);
         self.process_events(now);
     }
 
@@ -239,7 +239,7 @@
         }
         let request = Request::GetChildren { path: self.path.clone(), watch: true, stat: false };
         self.request_counts.0 += 1;
-        self.session.ask(now, RequestTag::Names, request);
+        self.session.submit(now, RequestTag::Names, request);
     }
 
     fn queue_read(&mut self, name: String) {
@@ -265,7 +265,7 @@
             let request = Request::GetData { path: self.child_path(&name), watch: true };
             self.reads_in_flight.insert(name.clone());
             self.request_counts.1 += 1;
-            self.session.ask(now, RequestTag::Data(name), request);
+            self.session.submit(now, RequestTag::Data(name), request);
         }
         let all_read = self.names_read
             && !self.list_in_flight
@@ -319,7 +319,7 @@
                 // being created. A watch reports its creation.
                 self.list_in_flight = false;
                 let request = Request::Exists { path: self.path.clone(), watch: true };
-                self.session.ask(now, RequestTag::ParentExists, request);
+                self.session.submit(now, RequestTag::ParentExists, request);
             }
             Event::Answer(RequestTag::ParentExists, Ok(_)) => self.request_names(now),
             Event::Answer(RequestTag::ParentExists, Err(_)) => {}
--- a/crates/coordination/src/guard.rs
+++ b/crates/coordination/src/guard.rs
@@ -2,7 +2,7 @@
 //! servers expire together, and the servers register again a moment later.
 //!
 //! The drain rule requires a node to stop using a departed server within 500 ms, so a departure must be
-//! passed on within [`Settings::hold`], which is well below that. Within this limit the guard delays
+//! passed on within [`Settings::delay`], which is well below that. Within this limit the guard delays
 //! departures that look like a fault of the service: once more than [`Settings::share`] of the list has
 //! departed within [`Settings::window`], each further departure of a server that still answers requests is
 //! delayed, and is dropped if the server registers again in time. Departures below that share, and those of
@@ -24,12 +24,12 @@
     pub share: f64,
     /// Length of the window, in milliseconds; above 0.
     pub window: Millis,
-    /// How long a departure is delayed, in milliseconds; up to [`MAX_HOLD_MS`].
-    pub hold: Millis,
+    /// How long a departure is delayed, in milliseconds; up to [`MAX_DELAY_MS`].
+    pub delay: Millis,
 }
 
 /// Maximum delay of a departure: the drain rule's 500 ms, less the time a node needs to act on it.
-pub const MAX_HOLD_MS: Millis = 400.0;
+pub const MAX_DELAY_MS: Millis = 400.0;
 
 /// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
         if !(settings.window > 0.0 && settings.window.is_finite()) {
             return Err(BadSetting("window: expected a finite number of milliseconds above 0"));
         }
-        if !(0.0..=MAX_HOLD_MS).contains(&settings.hold) {
+        if !(0.0..=MAX_DELAY_MS).contains(&settings.delay) {
             return Err(BadSetting("hold: expected 0 to 400 ms, the most that the drain rule allows"));
         }
         let (listed, delayed) = (BTreeMap::new(), BTreeMap::new());
@@ -161,8 +161,8 @@
         self.departures.push_back(now);
         let exceeds_share =
             self.departures.len() as f64 > (self.settings.share * count_before as f64).max(1.0);
-        if exceeds_share && self.settings.hold > 0.0 && answers(&name) {
-            self.delayed.insert(name, now + self.settings.hold);
+        if exceeds_share && self.settings.delay > 0.0 && answers(&name) {
+            self.delayed.insert(name, now + self.settings.delay);
         } else {
             self.listed.remove(&name);
             self.outputs.push_back(Change::Removed(name));
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<S> {
     /// Open a connection to this member and report the result with [`Machine::connected`] or
-    /// [`Machine::broken`].
+    /// [`Machine::disconnected`].
     Connect(usize),
     /// Close the connection.
     Disconnect,
@@ -30,7 +30,7 @@
     /// Reports that the driver's connection is established.
     fn connected(&mut self, now: Millis);
     /// Reports that the driver's connection ended or could not be established.
-    fn broken(&mut self, now: Millis);
+    fn disconnected(&mut self, now: Millis);
     /// Processes bytes received from the service.
     fn received(&mut self, now: Millis, bytes: &[u8]);
 }
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -70,10 +70,10 @@
         self.bytes_moved
     }
 
-    fn broken(&mut self) {
+    fn disconnected(&mut self) {
         self.connection = Connection::None;
         let now = self.now();
-        self.machine.broken(now);
+        self.machine.disconnected(now);
     }
 
     /// Executes the machine's pending steps and returns its next event, if one is available without waiting.
@@ -90,7 +90,7 @@
                 Step::Connect(member) => {
                     self.unsent.clear();
                     let Some(address) = self.members.get(member).copied() else {
-                        self.broken();
+                        self.disconnected();
                         continue;
                     };
                     self.connection = Connection::Connecting(Box::pin(async move {
@@ -139,7 +139,7 @@
             let now = self.now();
             match outcome {
                 None => self.machine.handle_timeout(now),
-                Some(Err(_)) => self.broken(),
+                Some(Err(_)) => self.disconnected(),
                 Some(Ok(Some(stream))) => {
                     self.connection = Connection::Established(stream);
                     self.machine.connected(now);
@@ -170,18 +170,18 @@
                     self.bytes_moved.1 += n as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return self.broken(),
+                Err(_) => return self.disconnected(),
             }
         }
         match stream.try_read(&mut self.read_buffer) {
-            Ok(0) => self.broken(),
+            Ok(0) => self.disconnected(),
             Ok(n) => {
                 self.bytes_moved.0 += n as u64;
                 let now = self.now();
                 self.machine.received(now, &self.read_buffer[..n]);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            Err(_) => self.broken(),
+            Err(_) => self.disconnected(),
         }
     }
 }
--- a/crates/coordination/src/registrar.rs
+++ b/crates/coordination/src/registrar.rs
@@ -119,7 +119,7 @@
     }
 
     /// Changes the entry and registers the result; its name can't be changed.
-    pub fn change(&mut self, now: Millis, change: impl FnOnce(&mut ListEntry)) {
+    pub fn update_entry(&mut self, now: Millis, change: impl FnOnce(&mut ListEntry)) {
         let name = self.host.host.clone();
         change(&mut self.host);
         self.host.host = name;
@@ -129,12 +129,12 @@
 
     /// Marks the server as draining, so that it gets no new requests. [`RegistrarEvent::Draining`] follows.
     pub fn drain(&mut self, now: Millis) {
-        self.change(now, |host| host.health = Health::Leaving);
+        self.update_entry(now, |host| host.health = Health::Leaving);
     }
 
     /// Closes the session, which removes the entry. [`RegistrarEvent::Stopped`] follows; the pending output must still be
     /// written.
-    pub fn end(&mut self, now: Millis) {
+    pub fn deregister(&mut self, now: Millis) {
         self.session.close(now);
         self.state = State::Stopped;
         self.outputs.push_back(Step::Event(RegistrarEvent::Stopped));
@@ -157,7 +157,7 @@
     fn send_request(&mut self, now: Millis, tag: RequestTag, request: Request) {
         self.state = State::Pending;
         self.sent_changes = self.changes;
-        self.session.ask(now, tag, request);
+        self.session.submit(now, tag, request);
     }
 
     /// Schedules a retry after a failure, with exponential backoff.
@@ -340,8 +340,8 @@
         self.process_events(now);
     }
 
-    fn broken(&mut self, now: Millis) {
-        self.session.broken(now);
+    fn disconnected(&mut self, now: Millis) {
+        self.session.disconnected(now);
         self.process_events(now);
     }
 
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/session.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event<T> {
     /// Open a connection to this member and report the result with [`Session::connected`] or
-    /// [`Session::broken`].
+    /// [`Session::disconnected`].
     Connect(usize),
     /// Close the connection.
     Disconnect,
@@ -222,8 +222,8 @@
         Session::connected(self, now);
     }
 
-    fn broken(&mut self, now: Millis) {
-        Session::broken(self, now);
+    fn disconnected(&mut self, now: Millis) {
+        Session::disconnected(self, now);
     }
 
     fn received(&mut self, now: Millis, bytes: &[u8]) {
@@ -307,7 +307,7 @@
     }
 
     /// Number of watches currently set.
-    pub fn watches(&self) -> usize {
+    pub fn watch_count(&self) -> usize {
         self.watches.data.len() + self.watches.exist.len() + self.watches.children.len()
     }
 
@@ -366,7 +366,7 @@
     }
 
     /// Reports that the driver's connection ended or could not be established.
-    pub fn broken(&mut self, now: Millis) {
+    pub fn disconnected(&mut self, now: Millis) {
         if !matches!(self.state, State::Backoff(_) | State::Closed) {
             self.connection_lost(now);
         }
@@ -408,7 +408,7 @@
     }
 
     /// Sends a request; an [`Event::Answer`] with the same tag follows, in request order.
-    pub fn ask(&mut self, now: Millis, tag: T, request: Request) {
+    pub fn submit(&mut self, now: Millis, tag: T, request: Request) {
         if self.state != State::Connected {
             self.events.push_back(Event::Answer(tag, Err(RequestError::NotSent)));
             return;
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -134,7 +134,7 @@
     /// # Errors
     /// Names the invalid setting of the guard.
     pub fn new(now: Millis, settings: Settings, answers: Answers) -> Result<Self, BadSetting> {
-        let disabled = guard::Settings { share: 1.0, window: 1.0, hold: 0.0 };
+        let disabled = guard::Settings { share: 1.0, window: 1.0, delay: 0.0 };
         let mut view = Self {
             follower: Follower::new(now, settings.session, &settings.path, settings.relist_interval),
             guard: Guard::new(settings.guard.unwrap_or(disabled))?,
@@ -392,8 +392,8 @@
         self.process_events(now);
     }
 
-    fn broken(&mut self, now: Millis) {
-        self.follower.broken(now);
+    fn disconnected(&mut self, now: Millis) {
+        self.follower.disconnected(now);
         self.process_events(now);
     }
 
--- a/crates/coordination/tests/follow.rs
+++ b/crates/coordination/tests/follow.rs
@@ -45,7 +45,7 @@
         &with_length_prefix(&WatchEvent { kind: EventKind::DataChanged, path: "/servers/a".into() }.write()),
     );
     assert_eq!(requests(&mut f).len(), 1);
-    f.broken(5.0);
+    f.disconnected(5.0);
     let due = f.poll_timeout().expect("a reconnect is scheduled");
     f.handle_timeout(due);
     accept_session(&mut f, due);
--- a/crates/coordination/tests/guard.rs
+++ b/crates/coordination/tests/guard.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use glenwood_coordination::follow::Change;
-use glenwood_coordination::guard::{Guard, Settings, MAX_HOLD_MS};
+use glenwood_coordination::guard::{Guard, Settings, MAX_DELAY_MS};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const SETTINGS: Settings = Settings { share: 0.25, window: 2000.0, hold: 400.0 };
+const SETTINGS: Settings = Settings { share: 0.25, window: 2000.0, delay: 400.0 };
 
 fn full_list(count: usize) -> BTreeMap<String, Bytes> {
     (0..count).map(|n| (format!("s{n:02}"), Bytes::from_static(b"d"))).collect()
@@ -88,7 +88,7 @@
 #[test]
 fn invalid_settings_are_rejected() {
     let create =
-        |share, window, hold| Guard::new(Settings { share, window, hold }).map(|_| ()).map_err(|e| e.0);
+        |share, window, delay| Guard::new(Settings { share, window, delay }).map(|_| ()).map_err(|e| e.0);
     for (settings, field) in [
         ((0.0, 1.0, 1.0), "share"),
         ((1.1, 1.0, 1.0), "share"),
@@ -96,12 +96,12 @@
         ((0.5, 0.0, 1.0), "window"),
         ((0.5, f64::INFINITY, 1.0), "window"),
         ((0.5, 1.0, -1.0), "hold"),
-        ((0.5, 1.0, MAX_HOLD_MS + 1.0), "hold"),
+        ((0.5, 1.0, MAX_DELAY_MS + 1.0), "hold"),
     ] {
         let error = create(settings.0, settings.1, settings.2).expect_err(field);
         assert!(error.starts_with(field), "{error}");
     }
-    assert_eq!(create(1.0, 1.0, MAX_HOLD_MS), Ok(()));
+    assert_eq!(create(1.0, 1.0, MAX_DELAY_MS), Ok(()));
 }
 
 proptest! {
@@ -152,7 +152,7 @@
                 }
                 for name in view.keys().filter(|n| !expected.contains_key(*n)) {
                     let since = *removed_at.entry(name.clone()).or_insert(now);
-                    prop_assert!(now - since < SETTINGS.hold, "{} has been delayed for {} ms", name, now - since);
+                    prop_assert!(now - since < SETTINGS.delay, "{} has been delayed for {} ms", name, now - since);
                 }
                 removed_at.retain(|name, _| view.contains_key(name) && !expected.contains_key(name));
                 let Some(due) = guard.poll_timeout().filter(|due| *due <= until) else { break };
--- a/crates/coordination/tests/session.rs
+++ b/crates/coordination/tests/session.rs
@@ -63,14 +63,14 @@
     let connect_request = accept_session(&mut s, 1.0, 77);
     assert_eq!((connect_request.session, connect_request.last_zxid, connect_request.timeout), (0, 0, 3000));
     assert_eq!(events(&mut s), [Event::Established { new: true }]);
-    s.ask(2.0, 1, get("/a"));
-    s.ask(2.0, 2, Request::Exists { path: "/b".into(), watch: true });
+    s.submit(2.0, 1, get("/a"));
+    s.submit(2.0, 2, Request::Exists { path: "/b".into(), watch: true });
     assert_eq!(requests(&mut s).iter().map(|(xid, _)| *xid).collect::<Vec<_>>(), [1, 2]);
     reply(&mut s, 3.0, 1, 5, Ok(data()));
     reply(&mut s, 3.0, 2, 5, Err(Code::NoNode));
     let answers = [Event::Answer(1, Ok(data())), Event::Answer(2, Err(RequestError::Service(Code::NoNode)))];
     assert_eq!(events(&mut s), answers);
-    assert_eq!((s.zxid(), s.watches()), (5, 2));
+    assert_eq!((s.zxid(), s.watch_count()), (5, 2));
     let due = s.poll_timeout().expect("a ping is due");
     assert_eq!(due, 1002.0);
     s.handle_timeout(due);
@@ -114,7 +114,7 @@
                 tries += 1;
                 assert!(tries < 600, "{tries} attempts within {now} ms");
                 seen.insert(m);
-                s.broken(now);
+                s.disconnected(now);
             }
         }
         now = s.poll_timeout().expect("another attempt is scheduled").max(now);
@@ -130,13 +130,13 @@
     let mut s = session(2);
     events(&mut s);
     accept_session(&mut s, 0.0, 7);
-    s.ask(1.0, 1, get("/a"));
+    s.submit(1.0, 1, get("/a"));
     reply(&mut s, 2.0, 1, 100, Ok(data()));
-    s.broken(3.0);
+    s.disconnected(3.0);
     let stale = connect_target(&events(&mut s));
     let connect_request = accept_session(&mut s, 4.0, 7);
     assert_eq!((connect_request.session, connect_request.last_zxid), (7, 100));
-    s.ask(5.0, 2, get("/b"));
+    s.submit(5.0, 2, get("/b"));
     events(&mut s);
     reply(&mut s, 6.0, XID_SET_WATCHES, 99, Ok(Response::Done));
     let all = events(&mut s);
@@ -155,9 +155,9 @@
     let mut s = session(1);
     events(&mut s);
     accept_session(&mut s, 0.0, 7);
-    s.ask(1.0, 1, get("/a"));
+    s.submit(1.0, 1, get("/a"));
     reply(&mut s, 2.0, 1, 50, Ok(data()));
-    s.broken(3.0);
+    s.disconnected(3.0);
     events(&mut s);
     s.handle_timeout(4999.0);
     s.connected(5000.0);
@@ -165,7 +165,7 @@
     let over = ConnectResponse { timeout: 0, session: 0, password: Bytes::new() };
     s.received(5001.0, &with_length_prefix(&over.write()));
     assert!(events(&mut s).contains(&Event::Expired));
-    assert_eq!(s.watches(), 0);
+    assert_eq!(s.watch_count(), 0);
     let due = s.poll_timeout().expect("a reconnect is scheduled");
     s.handle_timeout(due);
     let connect_request = accept_session(&mut s, due, 8);
@@ -184,14 +184,14 @@
     let mut s = session(1);
     events(&mut s);
     accept_session(&mut s, 0.0, 7);
-    s.ask(1.0, 1, get("/a"));
-    s.ask(1.0, 2, Request::GetChildren { path: "/".into(), watch: true, stat: true });
-    s.ask(1.0, 3, Request::Exists { path: "/none".into(), watch: true });
+    s.submit(1.0, 1, get("/a"));
+    s.submit(1.0, 2, Request::GetChildren { path: "/".into(), watch: true, stat: true });
+    s.submit(1.0, 3, Request::Exists { path: "/none".into(), watch: true });
     reply(&mut s, 2.0, 1, 40, Ok(data()));
     let children = Response::Children { names: vec!["a".into()], stat: Some(Stat::default()) };
     reply(&mut s, 2.0, 2, 40, Ok(children));
     // The connection ends before the third answer: that watch is not set, and the caller gets an error.
-    s.broken(3.0);
+    s.disconnected(3.0);
     assert!(events(&mut s).contains(&Event::Answer(3, Err(RequestError::ConnectionLost))));
     let due = s.poll_timeout().expect("a reconnect is scheduled");
     s.handle_timeout(due);
@@ -207,7 +207,7 @@
     }
     reply(&mut s, due, XID_SET_WATCHES, 45, Ok(Response::Done));
     assert_eq!(events(&mut s), [Event::Fired(fired)]);
-    assert_eq!((s.watches(), s.zxid()), (1, 45));
+    assert_eq!((s.watch_count(), s.zxid()), (1, 45));
 }
 
 #[test]
@@ -216,13 +216,13 @@
     events(&mut s);
     accept_session(&mut s, 0.0, 7);
     for n in 0..5000 {
-        s.ask(1.0, n, get(&format!("/servers/with/a/rather/long/path/s-{n:032}")));
+        s.submit(1.0, n, get(&format!("/servers/with/a/rather/long/path/s-{n:032}")));
     }
     s.output();
     for n in 0..5000 {
         reply(&mut s, 2.0, n + 1, 40, Ok(data()));
     }
-    s.broken(3.0);
+    s.disconnected(3.0);
     events(&mut s);
     let due = s.poll_timeout().expect("a reconnect is scheduled");
     s.handle_timeout(due);
@@ -240,11 +240,11 @@
 fn requests_without_a_connection_or_after_close_fail_at_once() {
     let mut s = session(1);
     events(&mut s);
-    s.ask(0.0, 4, Request::Ping);
+    s.submit(0.0, 4, Request::Ping);
     assert_eq!(events(&mut s), [Event::Answer(4, Err(RequestError::NotSent))]);
     accept_session(&mut s, 1.0, 7);
     events(&mut s);
-    s.ask(2.0, 5, get("/a"));
+    s.submit(2.0, 5, get("/a"));
     s.close(3.0);
     let last = requests(&mut s).pop().map(|(_, r)| r);
     assert_eq!((last, s.poll_timeout()), (Some(Request::CloseSession), None));
@@ -345,7 +345,7 @@
         let mut s = session(2);
         events(&mut s);
         accept_session(&mut s, 0.0, 7);
-        s.ask(1.0, 1, Request::Multi(vec![get("/a")]));
+        s.submit(1.0, 1, Request::Multi(vec![get("/a")]));
         s.received(2.0, &bytes);
         s.received(2.0, &with_length_prefix(&bytes));
         events(&mut s);
@@ -372,10 +372,10 @@
             events(&mut s);
             accept_session(&mut s, 0.0, 7);
             for (n, (request, _)) in exchanges.iter().enumerate() {
-                s.ask(1.0, n as u32, request.clone());
+                s.submit(1.0, n as u32, request.clone());
             }
             pieces.iter().for_each(|piece| s.received(2.0, piece));
-            (events(&mut s), s.zxid(), s.watches())
+            (events(&mut s), s.zxid(), s.watch_count())
         };
         let (mut pieces, mut rest) = (Vec::new(), &stream[..]);
         for length in split_lengths {
--- a/crates/glenctl/src/register.rs
+++ b/crates/glenctl/src/register.rs
@@ -275,7 +275,7 @@
         }
     };
     let now = driver.now();
-    driver.machine_mut().end(now);
+    driver.machine_mut().deregister(now);
     let end = async {
         while driver.next().await != RegistrarEvent::Stopped {}
         driver.finish().await;
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -261,7 +261,7 @@
 
     fn ask(&mut self, name: usize, request: Request) {
         let now = self.driver.now();
-        self.driver.machine_mut().ask(now, name, request);
+        self.driver.machine_mut().submit(now, name, request);
     }
 
     async fn answers(&mut self, count: usize) {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use glenwood_coordination::guard::MAX_HOLD_MS;
+use glenwood_coordination::guard::MAX_DELAY_MS;
 use glenwood_fields::{Fields, Value};
 
 use crate::configuration;
@@ -193,7 +193,7 @@
             timeout_ms: f.integer_within("timeout_ms", 100..=60_000, 2000)?,
             look_every_ms: f.integer_within("look_every_ms", 1000..=3_600_000, 60_000)?,
             replaces_discovery: f.boolean("alone")?,
-            guard_hold_ms: f.integer_within("guard_hold_ms", 0..=MAX_HOLD_MS as usize, 0)?,
+            guard_hold_ms: f.integer_within("guard_hold_ms", 0..=MAX_DELAY_MS as usize, 0)?,
             guard_share: f.optional("guard_share", "a share above 0 and up to 1", share)?.unwrap_or(0.3),
             guard_window_ms: f.integer_within("guard_window_ms", 1..=60_000, 2000)?,
             suspect_ms: f.integer_within("suspect_ms", 0..=600_000, 10_000)?,
--- a/crates/node/src/registrations.rs
+++ b/crates/node/src/registrations.rs
@@ -139,7 +139,7 @@
         guard: (settings.guard_hold_ms > 0).then_some(guard::Settings {
             share: settings.guard_share,
             window: settings.guard_window_ms as f64,
-            hold: settings.guard_hold_ms as f64,
+            delay: settings.guard_hold_ms as f64,
         }),
         suspect_ms: settings.suspect_ms as f64,
     };
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -104,7 +104,7 @@
                 let now = driver.now();
                 match command {
                     Some(Command::Drain) => driver.machine_mut().drain(now),
-                    Some(Command::End) | None => driver.machine_mut().end(now),
+                    Some(Command::End) | None => driver.machine_mut().deregister(now),
                 }
             }
         }
--- a/crates/testkit/tests/follow.rs
+++ b/crates/testkit/tests/follow.rs
@@ -141,7 +141,7 @@
     let mut view = View::new();
     world.pass(50.0, |_| {});
     assert_eq!((views(&mut world, 0, &mut view).len(), view.len()), (1, 5000));
-    let before = world.followers[0].machine.session().watches();
+    let before = world.followers[0].machine.session().watch_count();
     assert_eq!(before, 5001);
     world.ask(0, "one", Request::Delete { path: "/servers/m0777".into(), version: -1 });
     world.pass(50.0, |_| {});
--- a/crates/testkit/tests/registrations.rs
+++ b/crates/testkit/tests/registrations.rs
@@ -14,7 +14,7 @@
 use glenwood_list::{Endpoint, Health, ListEntry, Protocol};
 use world::*;
 
-const GUARD: guard::Settings = guard::Settings { share: 0.3, window: 2000.0, hold: 400.0 };
+const GUARD: guard::Settings = guard::Settings { share: 0.3, window: 2000.0, delay: 400.0 };
 
 fn host(id: u64, born_ms: f64) -> ListEntry {
     let address = ([127, 0, (id >> 8) as u8, id as u8], 80).into();
@@ -123,7 +123,7 @@
     list.pass(&mut world, 1.0);
     assert_eq!(list.take_changes(), [change(2, Health::Leaving)]);
     assert_eq!(told(&mut world, 2).last(), Some(&RegistrarEvent::Draining));
-    world.registrars.get_mut(&2).expect("it is there").machine.end(now + 1.0);
+    world.registrars.get_mut(&2).expect("it is there").machine.deregister(now + 1.0);
     list.pass(&mut world, 1.0);
     assert_eq!(list.take_changes(), [change(2, Health::Left)]);
 }
@@ -372,7 +372,7 @@
         world.register(7, host(7, f64::from(round)));
         list.pass(&mut world, 250.0);
         let now = world.now;
-        world.registrars.get_mut(&7).expect("it is there").machine.end(now);
+        world.registrars.get_mut(&7).expect("it is there").machine.deregister(now);
         ended += 1;
         list.pass(&mut world, 250.0);
         assert_ne!(list.health(7), Some(Health::Active), "round {round}: its end is not delayed");
@@ -393,7 +393,7 @@
     answers.store(false, Ordering::Relaxed);
     for round in 0..20u32 {
         let now = world.now;
-        world.registrars.get_mut(&1).expect("it is there").machine.end(now);
+        world.registrars.get_mut(&1).expect("it is there").machine.deregister(now);
         list.pass(&mut world, 100.0);
         world.register(1, host(1, f64::from(round)));
         list.pass(&mut world, 200.0);
@@ -432,7 +432,7 @@
         world.register(id, host(id, 1.0));
         if round > 0 {
             if let Some(before) = world.registrars.get_mut(&(id - 1)) {
-                before.machine.end(now);
+                before.machine.deregister(now);
             }
         }
         list.pass(&mut world, f64::from((round % 7) as u32) * 30.0);
--- a/crates/testkit/tests/storm.rs
+++ b/crates/testkit/tests/storm.rs
@@ -296,7 +296,7 @@
     let answered = Arc::new(Mutex::new(BTreeMap::new()));
     let (known, clock) = (answered.clone(), Arc::new(Mutex::new(0.0)));
     let time = clock.clone();
-    let guard = guard::Settings { share: 0.4, window: 2000.0, hold: 400.0 };
+    let guard = guard::Settings { share: 0.4, window: 2000.0, delay: 400.0 };
     let recent = move |name: &str| {
         let now: f64 = *time.lock().expect("one thread");
         known.lock().expect("one thread").get(name).is_some_and(|at: &f64| now - at < 2000.0)
@@ -362,7 +362,7 @@
             let now = world.now;
             if alive.len() > 3 && alive.remove(&id) {
                 if let Some(registrar) = world.registrars.get_mut(&id) {
-                    registrar.machine.end(now);
+                    registrar.machine.deregister(now);
                 }
                 node.counts.departures += 1;
             }
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -45,7 +45,7 @@
                     self.conn = ensemble.open(member);
                     match self.conn {
                         Some(_) => self.machine.connected(now),
-                        None => self.machine.broken(now),
+                        None => self.machine.disconnected(now),
                     }
                 }
                 Step::Disconnect => self.conn.take().into_iter().for_each(|conn| ensemble.close(conn)),
@@ -67,7 +67,7 @@
             moved = true;
             self.conn = None;
             ensemble.close(conn);
-            self.machine.broken(now);
+            self.machine.disconnected(now);
         }
         moved
     }
@@ -169,7 +169,7 @@
 
     pub fn ask(&mut self, id: u64, name: &'static str, request: Request) {
         let now = self.now;
-        self.clients.get_mut(&id).expect("a client").machine.ask(now, name, request);
+        self.clients.get_mut(&id).expect("a client").machine.submit(now, name, request);
     }
 
     /// Moves bytes and connections until nothing more happens at this moment.
