--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -14,7 +14,7 @@
 
 use glenwood_configuration::replica::Offer;
 use glenwood_configuration::{net, Body, Publication, Replica, Request, Time};
-use glenwood_operation::figures::Figure;
+use glenwood_operation::figures::Metric;
 use glenwood_settings::NodeSettings;
 use serde_json::json;
 use tokio::sync::mpsc;
@@ -200,12 +200,12 @@
         })
     }
 
-    fn figures(&self) -> Vec<Figure> {
+    fn figures(&self) -> Vec<Metric> {
         let replica = self.replica.borrow();
         let in_force = replica.version_in_force().unwrap_or_default();
         let age = replica.age_ms(self.now()).unwrap_or(0);
         let rejected = u64::from(replica.last_rejection().is_some());
-        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
+        let gauge = |name, value, help| Metric { name, is_counter: false, help, value };
         vec![
             gauge("configuration_epoch", in_force.epoch, "Epoch of the version in force."),
             gauge("configuration_number", in_force.number, "Number of the version in force."),
--- a/crates/node/src/custody/report.rs
+++ b/crates/node/src/custody/report.rs
@@ -1,6 +1,6 @@
 //! Inspection report and metrics of custody.
 
-use glenwood_operation::figures::Figure;
+use glenwood_operation::figures::Metric;
 use serde_json::{json, Value};
 
 use super::Custody;
@@ -50,11 +50,11 @@
         })
     }
 
-    fn figures(&self) -> Vec<Figure> {
+    fn figures(&self) -> Vec<Metric> {
         let (coordinator, keeper) = (self.coordinator.borrow(), self.keeper.borrow());
         let (counts, works, kept) = (*self.counts.borrow(), coordinator.figures(), keeper.figures());
-        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
-        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
+        let gauge = |name, value, help| Metric { name, is_counter: false, help, value };
+        let counter = |name, value, help| Metric { name, is_counter: true, help, value };
         vec![
             gauge("custody_mine", coordinator.counts().1 as u64, "Works that this node has in hand."),
             gauge("custody_kept", kept.works, "Works that it keeps for others."),
--- a/crates/node/src/inspect.rs
+++ b/crates/node/src/inspect.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use glenwood_operation::figures::Figure;
+use glenwood_operation::figures::Metric;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 use tokio::io::AsyncWriteExt;
@@ -30,7 +30,7 @@
     /// The content of that field.
     fn report(&self) -> serde_json::Value;
     /// The metrics of this part for the admin endpoint.
-    fn figures(&self) -> Vec<Figure>;
+    fn figures(&self) -> Vec<Metric>;
 }
 
 /// The stage of the node's life.
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -13,7 +13,7 @@
 use glenwood_members::{
     Counters, Event, Id, Member, MemberInfo, Members, Secret, Settings, State, MAX_NAME_BYTES, MAX_ZONE_BYTES,
 };
-use glenwood_operation::figures::Figure;
+use glenwood_operation::figures::Metric;
 use serde::Serialize;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
@@ -309,12 +309,12 @@
 }
 
 impl Part for Membership {
-    fn figures(&self) -> Vec<Figure> {
+    fn figures(&self) -> Vec<Metric> {
         let machine = self.machine.borrow();
         let figures = machine.as_ref().map(Members::counters).unwrap_or_default();
         let living = machine.as_ref().map_or(0, |machine| machine.living().count() as u64);
-        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
-        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
+        let gauge = |name, value, help| Metric { name, is_counter: false, help, value };
+        let counter = |name, value, help| Metric { name, is_counter: true, help, value };
         vec![
             gauge("members_living", living, "Other nodes that are taken for living."),
             counter("members_declared", figures.declared_lost, "Nodes that this one took for lost."),
--- a/crates/operation/src/budget.rs
+++ b/crates/operation/src/budget.rs
@@ -28,7 +28,7 @@
 
     /// Changes the limit. Reservations above the new limit stay until they are released; no more are granted
     /// until the sum is below the limit again.
-    pub fn bound(&self, max_bytes: usize) {
+    pub fn set_limit(&self, max_bytes: usize) {
         self.0.max_bytes.set(max_bytes);
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Number of reserved bytes.
-    pub fn taken(&self) -> usize {
+    pub fn reserved_bytes(&self) -> usize {
         self.0.reserved.get()
     }
 }
@@ -79,12 +79,12 @@
         let (mut a, mut b, mut c) = (budget.share(), budget.share(), budget.share());
         assert!(a.grow(50) && !a.grow(1), "a share is limited to half of the budget");
         assert!(b.grow(30) && !c.grow(21) && c.grow(20));
-        assert_eq!(budget.taken(), 100);
+        assert_eq!(budget.reserved_bytes(), 100);
         assert!(a.grow(0) && !b.grow(1));
         drop(a);
         assert!(b.grow(20) && !b.grow(usize::MAX));
         drop((b, c));
-        assert_eq!(budget.taken(), 0);
+        assert_eq!(budget.reserved_bytes(), 0);
     }
 
     #[test]
@@ -92,11 +92,11 @@
         let budget = Budget::new(100);
         let (mut a, mut b) = (budget.share(), budget.share());
         assert!(a.grow(50) && b.grow(20));
-        budget.bound(60);
-        assert!(!b.grow(1) && budget.taken() == 70);
+        budget.set_limit(60);
+        assert!(!b.grow(1) && budget.reserved_bytes() == 70);
         drop(a);
         assert!(b.grow(10) && !b.grow(1), "a share is limited to half of the lowered budget");
-        budget.bound(100);
+        budget.set_limit(100);
         assert!(b.grow(20));
     }
 }
--- a/crates/operation/src/figures.rs
+++ b/crates/operation/src/figures.rs
@@ -24,7 +24,7 @@
 
 /// The results of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct ClassResults {
     /// Requests served.
     pub answered: u64,
     /// Requests refused.
@@ -35,7 +35,7 @@
 
 /// A metric of an optional part of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figure {
+pub struct Metric {
     /// Metric name without the prefix `node_`.
     pub name: &'static str,
     /// Whether the metric is a counter; otherwise it is a gauge.
@@ -48,8 +48,8 @@
 
 /// All metrics at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    classes: BTreeMap<String, Ends>,
+pub struct Metrics {
+    classes: BTreeMap<String, ClassResults>,
     /// Classes that were removed from the settings, the earliest removed first.
     removed: VecDeque<String>,
     /// Requests accepted.
@@ -80,10 +80,10 @@
     /// Whether the process is ready to serve.
     pub ready: bool,
     /// Metrics of the optional parts of the node.
-    pub parts: Vec<Figure>,
+    pub parts: Vec<Metric>,
 }
 
-impl Figures {
+impl Metrics {
     /// Sets the classes of the current settings.
     pub fn set_classes<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         let names: Vec<&str> = names.into_iter().collect();
@@ -100,13 +100,13 @@
         }
         for name in names {
             if !self.classes.contains_key(name) {
-                self.classes.insert(name.to_string(), Ends::default());
+                self.classes.insert(name.to_string(), ClassResults::default());
             }
         }
     }
 
     /// The results of a class, or `None` if it is not known.
-    pub fn of(&self, class: &str) -> Option<Ends> {
+    pub fn class_results(&self, class: &str) -> Option<ClassResults> {
         self.classes.get(class).copied()
     }
 
@@ -177,7 +177,7 @@
             write_header(&mut text, name, kind, help);
             let _ = writeln!(text, "node_{name} {value}");
         }
-        for Figure { name, is_counter, help, value } in &self.parts {
+        for Metric { name, is_counter, help, value } in &self.parts {
             write_header(&mut text, name, if *is_counter { "counter" } else { "gauge" }, help);
             let _ = writeln!(text, "node_{name} {value}");
         }
@@ -192,17 +192,17 @@
 
 /// Metrics that the serving thread writes and the operators' interface reads.
 #[derive(Clone, Debug, Default)]
-pub struct Shared(Arc<Mutex<Figures>>);
+pub struct Shared(Arc<Mutex<Metrics>>);
 
 impl Shared {
     /// Calls `f` with the metrics locked. It must return quickly, as the other thread waits meanwhile.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Figures) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut Metrics) -> T) -> T {
         f(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Counts a request of this class as accepted; the returned ticket counts its end.
     pub fn take(&self, class: &str) -> Ticket {
-        self.with(Figures::count_taken);
+        self.with(Metrics::count_taken);
         Ticket { figures: self.clone(), class: class.to_string(), end: None }
     }
 }
--- a/crates/operation/tests/figures.rs
+++ b/crates/operation/tests/figures.rs
@@ -1,6 +1,6 @@
 //! Checks that each accepted request is counted once, however it ends.
 
-use glenwood_operation::figures::{End, Ends, Shared, Ticket, MAX_REMOVED_CLASSES};
+use glenwood_operation::figures::{ClassResults, End, Shared, Ticket, MAX_REMOVED_CLASSES};
 use proptest::prelude::*;
 
 const CLASSES: [&str; 3] = ["look", "pay", "slip"];
@@ -32,7 +32,7 @@
         let shared = Shared::default();
         shared.with(|f| f.set_classes(CLASSES));
         let mut open: Vec<(usize, Ticket)> = Vec::new();
-        let mut counted = [Ends::default(); CLASSES.len()];
+        let mut counted = [ClassResults::default(); CLASSES.len()];
         let mut gone = 0;
         for step in steps {
             match step {
@@ -56,11 +56,11 @@
                 Step::SetClasses(which) => shared.with(|f| f.set_classes(which.iter().map(|n| CLASSES[*n]))),
             }
             let now = shared.with(|f| f.clone());
-            let sum: u64 = CLASSES.iter().filter_map(|c| now.of(c)).map(|e| e.answered + e.deferred + e.errored).sum();
+            let sum: u64 = CLASSES.iter().filter_map(|c| now.class_results(c)).map(|e| e.answered + e.deferred + e.errored).sum();
             prop_assert_eq!(now.taken, sum + now.current + now.gone);
             prop_assert_eq!((now.current, now.gone), (open.len() as u64, gone));
             for (class, counted) in CLASSES.iter().zip(counted) {
-                prop_assert_eq!(now.of(class), Some(counted));
+                prop_assert_eq!(now.class_results(class), Some(counted));
             }
         }
     }
@@ -77,8 +77,11 @@
     let text = shared.with(|f| f.text());
     let shown = text.lines().filter(|l| l.starts_with("node_transactions{")).count();
     assert_eq!(shown, 3 * (MAX_REMOVED_CLASSES + 2));
-    assert_eq!(shared.with(|f| f.of("class-9999")), Some(Ends { answered: 1, ..Ends::default() }));
-    assert_eq!(shared.with(|f| f.of("class-0")), None);
+    assert_eq!(
+        shared.with(|f| f.class_results("class-9999")),
+        Some(ClassResults { answered: 1, ..ClassResults::default() })
+    );
+    assert_eq!(shared.with(|f| f.class_results("class-0")), None);
 }
 
 #[test]
