--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -281,7 +281,7 @@
         let (hub, fronts, descriptors) = (hub.clone(), fronts.clone(), descriptors.clone());
         move |max_descriptors: usize| {
             let (clients, servers) = hub.config.split_descriptors(max_descriptors);
-            hub.bodies.set_limit(hub.config.max_body_bytes(max_descriptors));
+            hub.bodies.set_max_bytes(hub.config.max_body_bytes(max_descriptors));
             fronts.clients.set_limit(clients);
             descriptors.set_limit(servers);
         }
--- a/crates/operation/src/budget.rs
+++ b/crates/operation/src/budget.rs
@@ -28,7 +28,7 @@
 
     /// Changes the limit. Reservations above the new limit stay until they are released; no more are granted
     /// until the sum is below the limit again.
-    pub fn set_limit(&self, max_bytes: usize) {
+    pub fn set_max_bytes(&self, max_bytes: usize) {
         self.0.max_bytes.set(max_bytes);
     }
 
@@ -92,11 +92,11 @@
         let budget = Budget::new(100);
         let (mut a, mut b) = (budget.share(), budget.share());
         assert!(a.grow(50) && b.grow(20));
-        budget.set_limit(60);
+        budget.set_max_bytes(60);
         assert!(!b.grow(1) && budget.reserved_bytes() == 70);
         drop(a);
         assert!(b.grow(10) && !b.grow(1), "a share is limited to half of the lowered budget");
-        budget.set_limit(100);
+        budget.set_max_bytes(100);
         assert!(b.grow(20));
     }
 }
