--- a/crates/agent/tests/disk.rs
+++ b/crates/agent/tests/disk.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use glenwood_agent::disk::{Audit, Journal};
-use glenwood_fleet::book::{Book, Fact, Target};
+use glenwood_fleet::book::{DurableState, Fact, Target};
 
 /// Creates an empty temporary folder.
 fn temp_folder(name: &str) -> PathBuf {
@@ -18,29 +18,29 @@
     Fact::Target { name: format!("n{}", n % 3), target }
 }
 
-/// Writes `count` facts to a new journal; returns the book that they make up.
-fn write_journal(folder: &std::path::Path, count: usize) -> Book {
-    let (mut journal, mut book) = Journal::open(folder).expect("a new file");
+/// Writes `count` facts to a new journal; returns the state that they make up.
+fn write_journal(folder: &std::path::Path, count: usize) -> DurableState {
+    let (mut journal, mut state) = Journal::open(folder).expect("a new file");
     for n in 0..count {
-        journal.write(&fact(n)).expect("the disk has space");
-        book.add(&fact(n));
+        journal.append_fact(&fact(n)).expect("the disk has space");
+        state.apply(&fact(n));
     }
-    book
+    state
 }
 
 #[test]
 fn a_long_journal_is_compacted_without_losing_facts() {
     let folder = temp_folder("long");
-    let book = write_journal(&folder, 300);
+    let state = write_journal(&folder, 300);
     let length = || std::fs::metadata(folder.join("journal")).expect("the file exists").len();
     let before = length();
     let (mut journal, read) = Journal::open(&folder).expect("an undamaged journal");
-    assert_eq!(read, book);
+    assert_eq!(read, state);
     assert!(before > 1 << 20 && length() < 100_000, "{before}, then {}", length());
     // Facts can be appended to the compacted journal.
-    journal.write(&Fact::GaveUp { name: "n1".into() }).expect("the disk has space");
+    journal.append_fact(&Fact::GaveUp { name: "n1".into() }).expect("the disk has space");
     let (_, read) = Journal::open(&folder).expect("an undamaged journal");
-    assert!(read.instances["n1"].gave_up && read.instances["n2"] == book.instances["n2"]);
+    assert!(read.instances["n1"].gave_up && read.instances["n2"] == state.instances["n2"]);
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -53,7 +53,7 @@
     std::fs::write(&path, &complete[..complete.len() - 5]).expect("a file");
     let (mut journal, read) = Journal::open(&folder).expect("an incomplete last record is no damage");
     assert_eq!(read.instances.len(), 2);
-    journal.write(&fact(2)).expect("the disk has space");
+    journal.append_fact(&fact(2)).expect("the disk has space");
     assert_eq!(
         std::fs::read(&path).expect("the file exists"),
         complete,
@@ -78,13 +78,13 @@
     let path = folder.join("audit");
     let mut audit = Audit::open(&folder).expect("a new file");
     for what in ["stop n0", "start n0", "roll"] {
-        audit.add(1.0, "ada", what, 1).expect("the disk has space");
+        audit.append_entry(1.0, "ada", what, 1).expect("the disk has space");
     }
     let complete = std::fs::read_to_string(&path).expect("the file exists");
     std::fs::write(&path, &complete[..complete.len() - 9]).expect("a file");
     Audit::open(&folder)
         .expect("an incomplete last line is no damage")
-        .add(1.0, "ada", "roll", 1)
+        .append_entry(1.0, "ada", "roll", 1)
         .expect("the disk has space");
     assert_eq!(std::fs::read_to_string(&path).expect("the file exists"), complete);
     std::fs::write(&path, complete.replacen("stop", "spin", 1)).expect("a file");
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -5,7 +5,9 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use glenwood_datagram::{number_of, write_short, Reader, Secret, Unsealed, LONGEST, TAG};
+use glenwood_datagram::{
+    stable_hash, write_length_prefixed, OpenError, Reader, Secret, MAX_DATAGRAM_BYTES, TAG_BYTES,
+};
 
 use crate::record::{Id, Member, Record, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 
@@ -63,7 +65,7 @@
 
 /// The number that identifies a cluster on the wire, derived from its name.
 pub fn cluster_number(name: &str) -> u32 {
-    number_of(&[b"cluster", name.as_bytes()]) as u32
+    stable_hash(&[b"cluster", name.as_bytes()]) as u32
 }
 
 fn write_address(out: &mut Vec<u8>, address: SocketAddr) {
@@ -92,9 +94,9 @@
 fn write_record(out: &mut Vec<u8>, record: &Record) {
     out.push(record.state as u8);
     out.extend(record.incarnation.to_be_bytes());
-    out.extend(record.member.life.to_be_bytes());
-    write_short(out, record.member.name.as_bytes());
-    write_short(out, record.member.zone.as_bytes());
+    out.extend(record.member.start_id.to_be_bytes());
+    write_length_prefixed(out, record.member.name.as_bytes());
+    write_length_prefixed(out, record.member.zone.as_bytes());
     write_address(out, record.member.address);
 }
 
@@ -106,7 +108,7 @@
         3 => State::Left,
         _ => return None,
     };
-    let (incarnation, life) = (r.u64()?, r.u64()?);
+    let (incarnation, start_id) = (r.u64()?, r.u64()?);
     let (name, zone) = (r.text()?, r.text()?);
     if name.is_empty()
         || name.len() > MAX_NAME_BYTES
@@ -117,7 +119,7 @@
     }
     let (name, zone) = (name.to_string(), zone.to_string());
     let address = read_address(r)?;
-    Some(Record { member: Member { name, life, address, zone }, incarnation, state })
+    Some(Record { member: Member { name, start_id, address, zone }, incarnation, state })
 }
 
 fn write_rumour(out: &mut Vec<u8>, (record, accusers): &Rumour) {
@@ -197,7 +199,7 @@
             return false;
         }
         write_rumour(&mut self.out, rumour);
-        if self.out.len() + TAG > LONGEST {
+        if self.out.len() + TAG_BYTES > MAX_DATAGRAM_BYTES {
             self.out.truncate(previous_len);
             return false;
         }
@@ -223,8 +225,8 @@
     /// When it is from another cluster, is not authenticated or is malformed.
     pub fn read(bytes: &[u8], cluster: u32, secret: &Secret) -> Result<Self, DatagramError> {
         let payload = secret.open(bytes).map_err(|unsealed| match unsealed {
-            Unsealed::Long | Unsealed::Forged => DatagramError::Unauthenticated,
-            Unsealed::Short => DatagramError::Malformed,
+            OpenError::TooLong | OpenError::InvalidTag => DatagramError::Unauthenticated,
+            OpenError::TooShort => DatagramError::Malformed,
         })?;
         let mut r = Reader::new(payload);
         if r.u32() != Some(MAGIC) {
@@ -269,8 +271,8 @@
             prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Lost), Just(State::Left)];
         let address = (any::<std::net::IpAddr>(), any::<u16>()).prop_map(SocketAddr::from);
         ("[a-z0-9-]{1,48}", "[a-z]{0,24}", address, any::<u64>(), 0..=MAX_INCARNATION, state).prop_map(
-            |(name, zone, address, life, incarnation, state)| Record {
-                member: Member { name, life, address, zone },
+            |(name, zone, address, start_id, incarnation, state)| Record {
+                member: Member { name, start_id, address, zone },
                 incarnation,
                 state,
             },
@@ -307,7 +309,7 @@
                 }
             }
             let bytes = draft.seal(&secret);
-            prop_assert!(bytes.len() <= LONGEST);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let read = Message::read(&bytes, 7, &secret);
             prop_assert_eq!(read, Ok(Message { from, body, rumours: fitted }));
             prop_assert_eq!(Message::read(&bytes, 8, &secret), Err(DatagramError::OtherCluster));
--- a/crates/node/benches/registrations.rs
+++ b/crates/node/benches/registrations.rs
@@ -285,7 +285,7 @@
 
     fn ask(&mut self, name: usize, request: Request) {
         let now = self.driver.now();
-        self.driver.machine_mut().ask(now, name, request);
+        self.driver.machine_mut().submit(now, name, request);
     }
 
     async fn wait_answers(&mut self, count: usize) {
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenwood_datagram::LONGEST;
+use glenwood_datagram::MAX_DATAGRAM_BYTES;
 use glenwood_fields::{Fields, Value};
 use glenwood_members::{
     Counters, Event, Id, Member, MemberInfo, Members, Secret, Settings, State, MAX_NAME_BYTES, MAX_ZONE_BYTES,
 };
-use glenwood_operation::figures::Figure;
+use glenwood_operation::figures::Metric;
 use serde::Serialize;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
@@ -69,21 +69,25 @@
         let zone = |value: Value| text(value).filter(|zone| zone.len() <= MAX_ZONE_BYTES);
         let parsed = Self {
             cluster: f.text("cluster", "a name")?.unwrap_or_else(|| "glenwood".into()),
-            secret: f.need("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
-            listen: f.need("listen", "an IP address and port", |v| address(&v))?,
+            secret: f.required("secret", "the path of a file", |v| v.as_str().map(PathBuf::from))?,
+            listen: f.required("listen", "an IP address and port", |v| address(&v))?,
             address: f.address("address")?,
             zone: f
-                .take("zone", &format!("a name of {MAX_ZONE_BYTES} bytes at most"), zone)?
+                .optional("zone", &format!("a name of {MAX_ZONE_BYTES} bytes at most"), zone)?
                 .unwrap_or_default(),
-            seeds: f.need("seeds", "a list of 1 to 64 IP addresses and ports", seeds)?,
-            probe_ms: f.within("probe_ms", 20..=10_000, 100)? as u64,
-            most: f.within("most", 2..=4096, 1000)?,
-            forget_ms: f.within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
+            seeds: f.required("seeds", "a list of 1 to 64 IP addresses and ports", seeds)?,
+            probe_ms: f.integer_within("probe_ms", 20..=10_000, 100)? as u64,
+            most: f.integer_within("most", 2..=4096, 1000)?,
+            forget_ms: f.integer_within("forget_ms", 10_000..=86_400_000, 600_000)? as u64,
         };
         if parsed.address.is_none() && parsed.listen.ip().is_unspecified() {
-            return Err(format!("{}: needed, as others can't send to {}", f.name("address"), parsed.listen));
+            return Err(format!(
+                "{}: needed, as others can't send to {}",
+                f.full_name("address"),
+                parsed.listen
+            ));
         }
-        f.end()?;
+        f.expect_empty()?;
         Ok(parsed)
     }
 }
@@ -187,18 +191,18 @@
 
     /// Creates the state machine of this node for this address.
     fn machine(&self, bound: SocketAddr) -> Result<Members, String> {
-        let me = Member {
+        let local_member = Member {
             name: self.name.clone(),
-            life: self.life,
+            start_id: self.life,
             address: self.table.address.unwrap_or(bound),
             zone: self.table.zone.clone(),
         };
         let settings = Settings {
             cluster: self.table.cluster.clone(),
-            me,
+            local_member,
             seeds: self.table.seeds.clone(),
             probe_ms: self.table.probe_ms,
-            most: self.table.most,
+            max_members: self.table.most,
             forget_ms: self.table.forget_ms,
         };
         // A later start has the larger incarnation, unless the clock went back: then the incarnation that
@@ -224,7 +228,7 @@
             match &event {
                 Event::Joined(m) => log::write_line(format!("members: {} joined, at {}", m.name, m.address)),
                 Event::Lost(m) => {
-                    log::write_line(format!("members: {} is lost, life {:016x}", m.name, m.life))
+                    log::write_line(format!("members: {} is lost, life {:016x}", m.name, m.start_id))
                 }
                 Event::Left(m) => log::write_line(format!("members: {} has left", m.name)),
                 Event::Refuted => {}
@@ -271,7 +275,7 @@
         self.machine.replace(Some(machine));
         self.socket.replace(Some(socket.clone()));
         self.open.set(true);
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         while !hub.handed_over.get() {
             let due = self.machine.borrow().as_ref().map_or(0, |machine| machine.due());
             let wait = Duration::from_millis(due.saturating_sub(self.now()));
@@ -305,12 +309,12 @@
 }
 
 impl Part for Membership {
-    fn figures(&self) -> Vec<Figure> {
+    fn figures(&self) -> Vec<Metric> {
         let machine = self.machine.borrow();
         let figures = machine.as_ref().map(Members::counters).unwrap_or_default();
         let living = machine.as_ref().map_or(0, |machine| machine.living().count() as u64);
-        let gauge = |name, value, help| Figure { name, is_counter: false, help, value };
-        let counter = |name, value, help| Figure { name, is_counter: true, help, value };
+        let gauge = |name, value, help| Metric { name, is_counter: false, help, value };
+        let counter = |name, value, help| Metric { name, is_counter: true, help, value };
         vec![
             gauge("members_living", living, "Other nodes that are taken for living."),
             counter("members_declared", figures.declared_lost, "Nodes that this one took for lost."),
@@ -335,7 +339,7 @@
             cluster: self.table.cluster.clone(),
             zone: self.table.zone.clone(),
             life: self.life,
-            address: machine.as_ref().map(|machine| machine.me().address),
+            address: machine.as_ref().map(|machine| machine.local_member().address),
             open: self.open.get(),
             living: machine.as_ref().map_or(0, |machine| machine.living().count()),
             states,
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -9,7 +9,7 @@
 
 use glenwood_policy::Tenant;
 use glenwood_settings::NodeSettings;
-use glenwood_usage::wire::LONGEST;
+use glenwood_usage::wire::MAX_DATAGRAM_BYTES;
 use glenwood_usage::{Datagram, Key, KeyUsage, PeerKeyUsage, PeerStatus, RunId, Usage};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
@@ -100,7 +100,10 @@
         let mut machine = self.machine.borrow_mut();
         let add_tenant = |(name, tenant): (&String, &Tenant)| {
             let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
-            (name.clone(), machine.allow(key_of(name), allowed.clamp(0.0, f64::from(u32::MAX)) as u32))
+            (
+                name.clone(),
+                machine.set_allowance(key_of(name), allowed.clamp(0.0, f64::from(u32::MAX)) as u32),
+            )
         };
         let all = names.iter().zip(&settings.policy.tenants).map(add_tenant).collect();
         self.tenants.replace(all);
@@ -110,7 +113,7 @@
     pub fn allow(&self, slot: usize, name: &str, tenant: &Tenant) {
         let allowed = tenant.quota_per_s * self.window_ms as f64 / 1000.0;
         let allowed = allowed.clamp(0.0, f64::from(u32::MAX)) as u32;
-        let handle = self.machine.borrow_mut().allow(key_of(name), allowed);
+        let handle = self.machine.borrow_mut().set_allowance(key_of(name), allowed);
         let mut tenants = self.tenants.borrow_mut();
         let end = tenants.len().min(slot + 1);
         tenants.splice(slot..end, [(name.to_string(), handle)]);
@@ -144,7 +147,7 @@
             own_part: machine.owns_part(),
             tenants: top.iter().cloned().map(shown).collect(),
             peers: machine.peers(),
-            refused: machine.refused,
+            refused: machine.rejected,
         }
     }
 
@@ -170,7 +173,7 @@
     let at = socket.local_addr().unwrap_or(shares.listen);
     log::write_line(format!("usage: counted with {} nodes at {at}", shares.instances.len()));
     shares.open.set(true);
-    let (mut bytes, mut out) = ([0; LONGEST + 1], Vec::new());
+    let (mut bytes, mut out) = ([0; MAX_DATAGRAM_BYTES + 1], Vec::new());
     while !hub.handed_over.get() {
         let due = Duration::from_millis(shares.machine.borrow().ms_until_tick());
         tokio::select! {
--- a/crates/node/tests/fleet_size.rs
+++ b/crates/node/tests/fleet_size.rs
@@ -65,8 +65,8 @@
         assert!(!matches!(ask_once(Protocol::Http, node.address, &bad).0, Answer::Served(_)));
         let count = |node: &Node| {
             let mut tables = Tables::default();
-            let taken = node.log().iter().filter(|line| tables.take("n0", line)).count();
-            (taken, tables.count())
+            let taken = node.log().iter().filter(|line| tables.add_line("n0", line)).count();
+            (taken, tables.aggregate())
         };
         if !on {
             assert_eq!(count(&node).0, 0);
@@ -75,10 +75,14 @@
         until("all is traced", || count(&node).1 .0.values().map(|s| s.answers[0]).sum::<usize>() == 3);
         let (_, (seconds, servers)) = count(&node);
         let sum = |field: fn(&glenwood_trace::Second) -> usize| seconds.values().map(field).sum::<usize>();
-        assert_eq!((sum(|s| s.asked), sum(|s| s.sends.0), sum(|s| s.sends.1)), (3, 3, 0));
+        assert_eq!((sum(|s| s.accepted), sum(|s| s.sends.0), sum(|s| s.sends.1)), (3, 3, 0));
         assert!(sum(|s| s.calls.0) >= 1 && sum(|s| s.lists) >= 1);
         let totals = &servers["s0"];
-        assert_eq!((totals.sends, totals.done.0, totals.connects), (3, 3, 1), "idle connections are reused");
+        assert_eq!(
+            (totals.sends, totals.answered.0, totals.connects),
+            (3, 3, 1),
+            "idle connections are reused"
+        );
     }
 }
 
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use glenwood_trace::{Doing, Record};
+use glenwood_trace::{Record, TraceEvent};
 use peers::{
     answer, config, host, request, run, until, Client, Message, Node, Peer, Registry, Reply, WAIT_TIMEOUT,
 };
@@ -699,10 +699,12 @@
     let records = || -> Vec<Record> {
         node.grep_log(|line| line.starts_with('{')).iter().filter_map(|line| Record::find(line)).collect()
     };
-    until("the request is answered", || records().iter().any(|r| matches!(r.doing, Doing::Answer { .. })));
-    let named = |r: &Record| matches!(&r.doing, Doing::Id { id, .. } if id == odd);
+    until("the request is answered", || {
+        records().iter().any(|r| matches!(r.event, TraceEvent::Answer { .. }))
+    });
+    let named = |r: &Record| matches!(&r.event, TraceEvent::RequestId { id, .. } if id == odd);
     assert!(records().iter().any(named), "{:?}", records());
-    assert!(records().iter().any(|r| matches!(&r.doing, Doing::Send { server, .. } if server == "s0")));
+    assert!(records().iter().any(|r| matches!(&r.event, TraceEvent::Send { server, .. } if server == "s0")));
     assert!(!node.log_contains("trace "), "no lines in the other form");
 }
 
--- a/crates/scale/src/scenario/members.rs
+++ b/crates/scale/src/scenario/members.rs
@@ -44,18 +44,18 @@
 impl SimulatedMember {
     /// Creates the member with this index, which starts now.
     pub fn new(index: usize, now: Time, probe_ms: u64) -> Self {
-        let me = Member {
+        let local_member = Member {
             name: format!("n{index}"),
-            life: 1,
+            start_id: 1,
             address: address(index),
             zone: format!("z{}", index % crate::deployment::ZONES),
         };
         let settings = Settings {
             cluster: "scale".into(),
-            me,
+            local_member,
             seeds: (0..3).map(address).collect(),
             probe_ms,
-            most: 4096,
+            max_members: 4096,
             forget_ms: 600_000,
         };
         let secret = Secret::new(b"a secret of all members");
--- a/crates/scale/src/scenario/usage.rs
+++ b/crates/scale/src/scenario/usage.rs
@@ -51,7 +51,7 @@
         let run_id = RunId(1 + number as u64);
         let secret = Secret::new(b"a secret of all instances");
         let mut usage = Usage::new(settings, secret, run_id, now).expect("valid settings");
-        let add_allowance = |tenant: usize| usage.allow(Key(tenant as u64 + 1), 1_000);
+        let add_allowance = |tenant: usize| usage.set_allowance(Key(tenant as u64 + 1), 1_000);
         let keys = (0..tenants).map(add_allowance).collect();
         let rng = fastrand::Rng::with_seed(number as u64);
         Self { usage, keys, rng, next_request: now + number as u64 % REQUEST_INTERVAL, next_tick: now }
--- a/crates/testkit/src/coordination/register.rs
+++ b/crates/testkit/src/coordination/register.rs
@@ -105,7 +105,7 @@
                 let now = driver.now();
                 match command {
                     Some(Command::Drain) => driver.machine_mut().drain(now),
-                    Some(Command::End) | None => driver.machine_mut().end(now),
+                    Some(Command::End) | None => driver.machine_mut().deregister(now),
                 }
             }
         }
--- a/crates/testkit/tests/world/mod.rs
+++ b/crates/testkit/tests/world/mod.rs
@@ -45,7 +45,7 @@
                     self.conn = ensemble.open(member);
                     match self.conn {
                         Some(_) => self.machine.connected(now),
-                        None => self.machine.broken(now),
+                        None => self.machine.disconnected(now),
                     }
                 }
                 Step::Disconnect => self.conn.take().into_iter().for_each(|conn| ensemble.close(conn)),
@@ -67,7 +67,7 @@
             progressed = true;
             self.conn = None;
             ensemble.close(conn);
-            self.machine.broken(now);
+            self.machine.disconnected(now);
         }
         progressed
     }
@@ -170,7 +170,7 @@
 
     pub fn send_request(&mut self, id: u64, name: &'static str, request: Request) {
         let now = self.now;
-        self.clients.get_mut(&id).expect("the client exists").machine.ask(now, name, request);
+        self.clients.get_mut(&id).expect("the client exists").machine.submit(now, name, request);
     }
 
     /// Exchanges data and connections until nothing more happens at the current time.
